--- a/crates/batch/src/word.rs
+++ b/crates/batch/src/confirmation.rs
@@ -22,9 +22,9 @@
 /// # Examples
 ///
 /// ```
-/// use batch::Word;
+/// use batch::Confirmation;
 ///
-/// let mut word = Word::new(3_000, 100);
+/// let mut word = Confirmation::new(3_000, 100);
 /// let permit = word.permit(1_000).unwrap();
 /// assert_eq!(permit.until(), 2_100);
 /// assert!(word.permit(2_100).is_none());
@@ -35,7 +35,7 @@
 /// assert!(word.permit(2_100).is_some());
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Word {
+pub struct Confirmation {
     /// Time in which the end of a step has to be in force.
     bound: Millis,
     /// When the platform was last asked that said that the step is open.
@@ -59,7 +59,7 @@
     }
 }
 
-impl Word {
+impl Confirmation {
     /// Makes the word of a step that was open when the platform was asked at a time, where the end of a step has to
     /// be in force within `bound` milliseconds.
     pub fn new(bound: Millis, heard: Millis) -> Self {
@@ -76,17 +76,17 @@
     }
 
     /// Notes that the step was open when the platform was asked.
-    pub fn hear(&mut self, asked: Millis) {
+    pub fn confirm(&mut self, asked: Millis) {
         self.heard = self.heard.max(asked);
     }
 
     /// Notes that neither this instance nor others reached the platform when they asked it.
-    pub fn outage(&mut self, asked: Millis) {
+    pub fn record_outage(&mut self, asked: Millis) {
         self.away = self.away.max(Some(asked));
     }
 
     /// When the platform was last asked that said that the step is open.
-    pub fn heard(&self) -> Millis {
+    pub fn confirmed_at(&self) -> Millis {
         self.heard
     }
 
@@ -102,12 +102,12 @@
     }
 
     /// Tells whether the platform is to be asked now.
-    pub fn is_due(&self, now: Millis) -> bool {
+    pub fn is_check_due(&self, now: Millis) -> bool {
         now >= self.last() + self.part(ASKED) && now >= self.asked + self.part(AGAIN)
     }
 
     /// Notes that the platform is asked.
-    pub fn asking(&mut self, now: Millis) {
+    pub fn start_check(&mut self, now: Millis) {
         self.asked = now;
     }
 }
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -15,6 +15,7 @@
 //! - [`score`] says what follows from an answer of a scorer.
 
 pub mod again;
+pub mod confirmation;
 pub mod draft;
 pub mod groups;
 pub mod keys;
@@ -22,9 +23,10 @@
 pub mod record;
 pub mod score;
 pub mod window;
-pub mod word;
 
 pub use again::Again;
+pub use confirmation::Confirmation;
+pub use confirmation::Permit;
 pub use draft::Draft;
 pub use draft::Piece;
 pub use groups::Groups;
@@ -39,5 +41,3 @@
 pub use record::Scoring;
 pub use record::Spec;
 pub use window::Window;
-pub use word::Permit;
-pub use word::Word;
--- a/crates/batch/tests/word.rs
+++ b/crates/batch/tests/confirmation.rs
@@ -1,6 +1,6 @@
 //! Samples begin while their step is known to be open.
 
-use batch::Word;
+use batch::Confirmation;
 use kernel::Millis;
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
 
 /// A word, and the question that is under way.
 struct Asked {
-    word: Word,
+    word: Confirmation,
     under_way: Option<(Millis, Came)>,
 }
 
@@ -31,13 +31,13 @@
             }
             self.under_way = None;
             match came {
-                Came::Answer(_) if asked < end => self.word.hear(asked),
-                Came::Away(_) => self.word.outage(asked),
+                Came::Answer(_) if asked < end => self.word.confirm(asked),
+                Came::Away(_) => self.word.record_outage(asked),
                 Came::Answer(_) | Came::Nothing(_) => (),
             }
         }
-        if self.word.is_due(now) {
-            self.word.asking(now);
+        if self.word.is_check_due(now) {
+            self.word.start_check(now);
             self.under_way = next.next().map(|came| (now, came));
         }
     }
@@ -45,7 +45,7 @@
 
 fn asked() -> Asked {
     Asked {
-        word: Word::new(BOUND, 0),
+        word: Confirmation::new(BOUND, 0),
         under_way: None,
     }
 }
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -59,10 +59,10 @@
         let asked = app.clock.now();
         {
             let mut word = work.word.lock();
-            if !word.is_due(asked) {
+            if !word.is_check_due(asked) {
                 return;
             }
-            word.asking(asked);
+            word.start_check(asked);
         }
         let (app, work) = (app.clone(), work.clone());
         self.asks
@@ -80,7 +80,7 @@
         Came::Head(item) => claim::standing(asked, work.rev, item.as_ref()),
         Came::Outage => {
             // When the others were asked.
-            work.word.lock().outage(asked + patience);
+            work.word.lock().record_outage(asked + patience);
             return work.unknown(app, "nobody reaches the platform");
         }
         Came::Nothing(error) => Err(error),
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -5,6 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+use batch::Confirmation;
 use batch::Draft;
 use batch::Entry;
 use batch::Groups;
@@ -15,7 +16,6 @@
 use batch::Piece;
 use batch::Sample;
 use batch::Spec;
-use batch::Word;
 use batch::draft::Kept;
 use batch::keys;
 use kernel::Map;
@@ -58,7 +58,7 @@
     pub(super) ledger: Mutex<Ledger>,
     pub(super) listed: watch::Sender<usize>,
     /// What is known of whether the step is open.
-    pub(super) word: Mutex<Word>,
+    pub(super) word: Mutex<Confirmation>,
     pub(super) ended: AtomicBool,
     pub(super) lost: AtomicBool,
     /// Whether another step goes on with what this one has left over.
@@ -90,7 +90,7 @@
             opened,
             ledger: Mutex::new(ledger),
             listed: watch::Sender::new(0),
-            word: Mutex::new(Word::new(app.settings.cancel, open.asked())),
+            word: Mutex::new(Confirmation::new(app.settings.cancel, open.asked())),
             ended: AtomicBool::new(false),
             lost: AtomicBool::new(false),
             handed: AtomicBool::new(false),
@@ -140,7 +140,7 @@
 
     /// Time since the step was last known to be open.
     pub(super) fn unheard(&self, app: &App) -> Millis {
-        let heard = self.word.lock().heard();
+        let heard = self.word.lock().confirmed_at();
         app.clock.now().saturating_sub(heard)
     }
 
@@ -156,7 +156,7 @@
     pub(super) fn stand(&self, app: &App, standing: Standing) -> bool {
         match standing {
             Standing::Open(open) => {
-                self.word.lock().hear(open.asked());
+                self.word.lock().confirm(open.asked());
                 return true;
             }
             Standing::Ended => self.end(app, self.rev, "asked"),
@@ -219,7 +219,7 @@
         if self.ledger.lock().is_done() || self.has_ended() {
             return true;
         }
-        if app.clock.now() < self.word.lock().heard() + FRESH {
+        if app.clock.now() < self.word.lock().confirmed_at() + FRESH {
             return true;
         }
         self.ask(app).await
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -50,7 +50,7 @@
     };
     match app.plat.txn(&txn).await {
         Ok(Done::At(_)) => {
-            work.word.lock().hear(sent);
+            work.word.lock().confirm(sent);
             Written::Kept
         }
         Ok(Done::Conflict) => settle(app, work, &first, &end).await,
