--- a/crates/batch/src/again.rs
+++ b/crates/batch/src/leftovers.rs
@@ -21,9 +21,9 @@
 /// # Examples
 ///
 /// ```
-/// use batch::Again;
+/// use batch::Leftovers;
 ///
-/// let mut again = Again::default();
+/// let mut again = Leftovers::default();
 /// again.note(7, 100, true, 0);
 /// again.note(8, 100, false, 0);
 /// assert_eq!(again.take(7, 1_000), Some(100));
@@ -31,7 +31,7 @@
 /// assert_eq!(again.take(8, 1_000), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct Again {
+pub struct Leftovers {
     left: Map<u64, Left>,
 }
 
@@ -41,9 +41,9 @@
     at: Millis,
 }
 
-impl Again {
+impl Leftovers {
     /// Notes that a sample was left over with so many events, all of them when it was whole.
-    pub fn note(&mut self, print: u64, events: u64, whole: bool, now: Millis) {
+    pub fn record(&mut self, print: u64, events: u64, whole: bool, now: Millis) {
         self.left.retain(|_, left| now < left.at + KEEP);
         let events = match whole {
             true => events,
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -14,17 +14,16 @@
 //! - [`window`] has what is read of a step's results elsewhere.
 //! - [`score`] says what follows from an answer of a scorer.
 
-pub mod again;
 pub mod confirmation;
 pub mod draft;
 pub mod groups;
 pub mod keys;
 pub mod ledger;
+pub mod leftovers;
 pub mod record;
 pub mod score;
 pub mod window;
 
-pub use again::Again;
 pub use confirmation::Confirmation;
 pub use confirmation::Permit;
 pub use draft::Draft;
@@ -32,6 +31,7 @@
 pub use groups::Groups;
 pub use ledger::Ledger;
 pub use ledger::Segment;
+pub use leftovers::Leftovers;
 pub use record::Entry;
 pub use record::Head;
 pub use record::Outcome;
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use batch::Again;
+use batch::Leftovers;
 use batch::Owner;
 use clock::Clock;
 use crash::Watch;
@@ -105,7 +105,7 @@
     /// What this instance has read of the results of other steps.
     pub shelves: Shards<Arc<str>, Arc<Shelf>>,
     /// What steps that ended here have left over.
-    pub again: Mutex<Again>,
+    pub again: Mutex<Leftovers>,
     /// Who runs the steps that callers ask for here.
     pub hints: Shards<Arc<str>, Hint>,
     /// Instances that get no steps from here until a time.
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -79,7 +79,7 @@
     for index in left {
         let index = index as usize;
         let draft = work.drafts[index].lock();
-        again.note(
+        again.record(
             work.print(&work.spec.samples[index]),
             draft.last,
             draft.whole,
