--- a/crates/batch/src/draft.rs
+++ b/crates/batch/src/draft.rs
@@ -61,7 +61,7 @@
     }
 
     /// Adds what was kept of the same sample, if it goes on where this ends or begins anew.
-    pub fn join(&mut self, piece: Piece) {
+    pub fn apply(&mut self, piece: DraftDelta) {
         if piece.from == 0 {
             *self = Self::default();
         }
@@ -76,7 +76,7 @@
 /// What a sample has gained between two writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Piece {
+pub struct DraftDelta {
     /// The sample's place in the step.
     pub index: u32,
     /// The event behind which it goes on; 0 when it begins with the first.
@@ -131,7 +131,10 @@
     }
 
     /// What long samples have gained since; it counts as kept from here on.
-    pub fn pieces<'a>(&mut self, drafts: impl Iterator<Item = (u32, &'a Draft)>) -> Vec<Piece> {
+    pub fn pieces<'a>(
+        &mut self,
+        drafts: impl Iterator<Item = (u32, &'a Draft)>,
+    ) -> Vec<DraftDelta> {
         let mut bytes = 0;
         let mut pieces = Vec::new();
         for (index, draft) in drafts {
@@ -141,7 +144,7 @@
             }
             let text = draft.text[mark.bytes..].to_owned();
             bytes += text.len();
-            pieces.push(Piece {
+            pieces.push(DraftDelta {
                 index,
                 from: mark.last,
                 last: draft.last,
--- a/crates/batch/src/ledger.rs
+++ b/crates/batch/src/ledger.rs
@@ -2,9 +2,9 @@
 
 use kernel::Millis;
 
+use crate::DraftDelta;
 use crate::Entry;
 use crate::Groups;
-use crate::Piece;
 
 /// Most bytes of text in one segment: platforms take values of up to a megabyte, which base64
 /// makes a third longer.
@@ -25,7 +25,7 @@
     /// Its results, in the order of their positions; there may be none.
     pub entries: Vec<Entry>,
     /// What samples that are not whole have gained since the segment before.
-    pub pieces: Vec<Piece>,
+    pub deltas: Vec<DraftDelta>,
 }
 
 /// What the owner does next.
@@ -136,7 +136,7 @@
 
     /// Says what to do; `gained` is told which samples have ended, and tells what the others have
     /// gained, when a segment is made.
-    pub fn next(&mut self, now: Millis, gained: impl FnOnce(&[bool]) -> Vec<Piece>) -> Next {
+    pub fn next(&mut self, now: Millis, gained: impl FnOnce(&[bool]) -> Vec<DraftDelta>) -> Next {
         if let Some(segment) = &self.segment {
             return Next::Write(segment.clone());
         }
@@ -158,7 +158,7 @@
             seq: self.seq,
             first: self.listed.len() as u32,
             entries: self.cut(),
-            pieces,
+            deltas: pieces,
         };
         self.segment = Some(segment.clone());
         Next::Write(segment)
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -27,7 +27,7 @@
 pub use confirmation::Confirmation;
 pub use confirmation::Permit;
 pub use draft::Draft;
-pub use draft::Piece;
+pub use draft::DraftDelta;
 pub use groups::Groups;
 pub use ledger::Ledger;
 pub use ledger::Segment;
--- a/crates/batch/tests/ledger.rs
+++ b/crates/batch/tests/ledger.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use batch::Draft;
+use batch::DraftDelta;
 use batch::Entry;
 use batch::Groups;
 use batch::Ledger;
 use batch::Outcome;
-use batch::Piece;
 use batch::Sample;
 use batch::Spec;
 use batch::draft::Kept;
@@ -213,7 +213,7 @@
 
     let mut draft = Draft::default();
     for piece in pieces.clone() {
-        draft.join(piece);
+        draft.apply(piece);
     }
 
     assert_eq!(draft, grown(90));
@@ -234,14 +234,14 @@
     let mut other = grown(30);
     other.versions = vec![2];
     let second = kept.pieces([(0, &other)].into_iter());
-    let stray = Piece {
+    let stray = DraftDelta {
         from: 77,
         ..first[0].clone()
     };
 
     let mut draft = Draft::default();
     for piece in first.into_iter().chain(second).chain([stray]) {
-        draft.join(piece);
+        draft.apply(piece);
     }
 
     assert_eq!(draft, other);
@@ -258,7 +258,7 @@
         let next = ledger.next(now, |_| kept.pieces([(0, &draft)].into_iter()));
         if let Next::Write(segment) = next {
             ledger.written();
-            written.push((now, segment.entries.len(), segment.pieces.len()));
+            written.push((now, segment.entries.len(), segment.deltas.len()));
         }
     }
 
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use batch::DraftDelta;
 use batch::Entry;
 use batch::Head;
 use batch::Owner;
-use batch::Piece;
 use batch::Spec;
 use batch::keys;
 use batch::record;
@@ -359,12 +359,13 @@
 
 /// What the owner before has kept of samples that are not whole, in the order in which they gained it, and
 /// a number for the next segment.
-async fn kept(app: &App, step: &str) -> Result<(Vec<Piece>, u32), PlatError> {
+async fn kept(app: &App, step: &str) -> Result<(Vec<DraftDelta>, u32), PlatError> {
     let kept = app.plat.list(&keys::drafts(step)).await?;
     let mut all = Vec::new();
     let mut seq = 0;
     for item in &kept.items {
-        let pieces: Vec<Piece> = record::decode(&item.value).map_err(|_| PlatError::Garbled)?;
+        let pieces: Vec<DraftDelta> =
+            record::decode(&item.value).map_err(|_| PlatError::Garbled)?;
         all.extend(pieces);
         seq = keys::number(step, &item.key).map_or(seq, |last| last + 1);
     }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use batch::DraftDelta;
 use batch::Entry;
 use batch::Head;
-use batch::Piece;
 use batch::Spec;
 use kernel::Millis;
 use kernel::Set;
@@ -93,7 +93,7 @@
     /// The results that are listed.
     pub segments: Vec<Vec<Entry>>,
     /// What is kept of samples that are not whole.
-    pub pieces: Vec<Piece>,
+    pub pieces: Vec<DraftDelta>,
     /// A number for the next segment.
     pub seq: u32,
 }
@@ -116,7 +116,7 @@
         if let Some(draft) = work.drafts.get(piece.index as usize) {
             let index = piece.index;
             let mut draft = draft.lock();
-            draft.join(piece);
+            draft.apply(piece);
             work.kept.lock().note(index, &draft);
         }
     }
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -7,13 +7,13 @@
 
 use batch::Confirmation;
 use batch::Draft;
+use batch::DraftDelta;
 use batch::Entry;
 use batch::Groups;
 use batch::Head;
 use batch::Ledger;
 use batch::Outcome;
 use batch::Permit;
-use batch::Piece;
 use batch::Sample;
 use batch::Spec;
 use batch::draft::Kept;
@@ -293,7 +293,7 @@
     }
 
     /// What samples that have not ended have gained since the platform was told of them.
-    pub(super) fn gained(&self, ended: &[bool]) -> Vec<Piece> {
+    pub(super) fn gained(&self, ended: &[bool]) -> Vec<DraftDelta> {
         let drafts = self.drafts.iter().zip(ended).enumerate();
         let open = drafts.filter(|(_, (_, ended))| !**ended);
         let drafts: Vec<_> = open
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -70,8 +70,8 @@
         let value = record::encode(&segment.entries)?;
         puts.push(Put::new(keys::segment(step, segment.first), value));
     }
-    if !segment.pieces.is_empty() {
-        let value = record::encode(&segment.pieces)?;
+    if !segment.deltas.is_empty() {
+        let value = record::encode(&segment.deltas)?;
         puts.push(Put::new(keys::draft(step, segment.seq), value));
     }
     Ok(puts)
