--- a/crates/batch/src/draft.rs
+++ b/crates/batch/src/draft.rs
@@ -100,24 +100,24 @@
 /// # Examples
 ///
 /// ```
-/// use batch::{Draft, draft::Kept};
+/// use batch::{Draft, draft::Checkpoints};
 ///
 /// let mut draft = Draft::default();
 /// (1..=30).for_each(|number| assert!(draft.add(number, "x", 1)));
-/// let mut kept = Kept::default();
-/// let first = kept.pieces([(0, &draft)].into_iter());
+/// let mut kept = Checkpoints::default();
+/// let first = kept.take_deltas([(0, &draft)].into_iter());
 /// assert_eq!((first[0].from, first[0].last), (0, 30));
 /// // It has gained nothing since.
-/// assert!(kept.pieces([(0, &draft)].into_iter()).is_empty());
+/// assert!(kept.take_deltas([(0, &draft)].into_iter()).is_empty());
 /// ```
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct Checkpoints {
     marks: Map<u32, Mark>,
 }
 
-impl Kept {
+impl Checkpoints {
     /// Notes that the platform has all of a sample's text.
-    pub fn note(&mut self, index: u32, draft: &Draft) {
+    pub fn mark_saved(&mut self, index: u32, draft: &Draft) {
         let mark = Mark {
             last: draft.last,
             bytes: draft.text.len(),
@@ -126,12 +126,12 @@
     }
 
     /// Notes that a sample begins anew.
-    pub fn forget(&mut self, index: u32) {
+    pub fn reset(&mut self, index: u32) {
         self.marks.remove(&index);
     }
 
     /// What long samples have gained since; it counts as kept from here on.
-    pub fn pieces<'a>(
+    pub fn take_deltas<'a>(
         &mut self,
         drafts: impl Iterator<Item = (u32, &'a Draft)>,
     ) -> Vec<DraftDelta> {
@@ -151,7 +151,7 @@
                 text,
                 versions: draft.versions.clone(),
             });
-            self.note(index, draft);
+            self.mark_saved(index, draft);
         }
         pieces
     }
--- a/crates/batch/tests/ledger.rs
+++ b/crates/batch/tests/ledger.rs
@@ -10,7 +10,7 @@
 use batch::Outcome;
 use batch::Sample;
 use batch::Spec;
-use batch::draft::Kept;
+use batch::draft::Checkpoints;
 use batch::ledger::Next;
 use proptest::prelude::*;
 
@@ -205,10 +205,10 @@
 // Cause: the pieces that the platform has make the text up to the last of them.
 #[test]
 fn a_sample_comes_back_from_its_pieces() {
-    let mut kept = Kept::default();
+    let mut kept = Checkpoints::default();
     let mut pieces = Vec::new();
     for events in [10, 30, 33, 41, 90] {
-        pieces.extend(kept.pieces([(4, &grown(events))].into_iter()));
+        pieces.extend(kept.take_deltas([(4, &grown(events))].into_iter()));
     }
 
     let mut draft = Draft::default();
@@ -228,12 +228,12 @@
 // event that is not the last is left out.
 #[test]
 fn a_sample_that_began_anew_is_not_joined_to_what_it_was() {
-    let mut kept = Kept::default();
-    let first = kept.pieces([(0, &grown(40))].into_iter());
-    kept.forget(0);
+    let mut kept = Checkpoints::default();
+    let first = kept.take_deltas([(0, &grown(40))].into_iter());
+    kept.reset(0);
     let mut other = grown(30);
     other.versions = vec![2];
-    let second = kept.pieces([(0, &other)].into_iter());
+    let second = kept.take_deltas([(0, &other)].into_iter());
     let stray = DraftDelta {
         from: 77,
         ..first[0].clone()
@@ -251,11 +251,11 @@
 #[test]
 fn what_long_samples_have_gained_is_written_without_results() {
     let mut ledger = alone(3, 400);
-    let mut kept = Kept::default();
+    let mut kept = Checkpoints::default();
     let mut written = Vec::new();
     for now in (1_000..5_000).step_by(50) {
         let draft = grown(now / 40);
-        let next = ledger.next(now, |_| kept.pieces([(0, &draft)].into_iter()));
+        let next = ledger.next(now, |_| kept.take_deltas([(0, &draft)].into_iter()));
         if let Next::Write(segment) = next {
             ledger.written();
             written.push((now, segment.entries.len(), segment.deltas.len()));
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -117,7 +117,7 @@
             let index = piece.index;
             let mut draft = draft.lock();
             draft.apply(piece);
-            work.kept.lock().note(index, &draft);
+            work.kept.lock().mark_saved(index, &draft);
         }
     }
     start(app, work, "taken over");
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -179,7 +179,7 @@
                 let single = self.work.route(self.app).is_some_and(|route| route.single);
                 if single {
                     *draft.lock() = Draft::default();
-                    self.work.kept.lock().forget(index);
+                    self.work.kept.lock().reset(index);
                 }
             }
             Ended::Unrun | Ended::Moved | Ended::Stale | Ended::Broken(_) => (),
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -16,7 +16,7 @@
 use batch::Permit;
 use batch::Sample;
 use batch::Spec;
-use batch::draft::Kept;
+use batch::draft::Checkpoints;
 use batch::keys;
 use kernel::Map;
 use kernel::Millis;
@@ -52,7 +52,7 @@
     /// What each sample has so far, by its place in the step.
     pub(super) drafts: Vec<Mutex<Draft>>,
     /// How far the platform has them.
-    pub(super) kept: Mutex<Kept>,
+    pub(super) kept: Mutex<Checkpoints>,
     /// When the step was opened, on this instance's clock.
     pub(super) opened: Millis,
     pub(super) ledger: Mutex<Ledger>,
@@ -285,7 +285,7 @@
             let mut have = self.drafts[index].lock();
             if !ledger.has_ended(index as u32) && draft.last > have.last {
                 *have = draft;
-                self.kept.lock().forget(index as u32);
+                self.kept.lock().reset(index as u32);
                 taken += 1;
             }
         }
@@ -300,7 +300,7 @@
             .map(|(index, (draft, _))| (index as u32, draft.lock()))
             .collect();
         let drafts = drafts.iter().map(|(index, draft)| (*index, &**draft));
-        self.kept.lock().pieces(drafts)
+        self.kept.lock().take_deltas(drafts)
     }
 
     pub(super) fn entry(
