--- a/crates/batch/src/draft.rs
+++ b/crates/batch/src/draft.rs
@@ -31,7 +31,7 @@
     /// The versions of the weights that made them, in their order.
     pub versions: Vec<u64>,
     /// Whether the text is whole.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Draft {
--- a/crates/batch/src/ledger.rs
+++ b/crates/batch/src/ledger.rs
@@ -53,7 +53,7 @@
 /// let names: Vec<_> = (0..7).map(|_| "a".into()).collect();
 /// let mut ledger = Ledger::new(batch::Groups::new(names.iter(), 1), 100);
 /// let entry = Entry {
-///     index: 1, id: "b".into(), outcome: Outcome::Whole, text: "x".into(), versions: vec![3],
+///     index: 1, id: "b".into(), outcome: Outcome::Completed, text: "x".into(), versions: vec![3],
 ///     score: None,
 /// };
 /// assert!(ledger.finish(entry.clone(), 0));
--- a/crates/batch/src/record.rs
+++ b/crates/batch/src/record.rs
@@ -261,7 +261,8 @@
 #[derive(Serialize, Deserialize)]
 pub enum Outcome {
     /// It is whole.
-    Whole,
+    #[serde(rename = "Whole")]
+    Completed,
     /// It was given up.
     Failed,
 }
--- a/crates/batch/src/window.rs
+++ b/crates/batch/src/window.rs
@@ -17,7 +17,7 @@
 /// use batch::{Entry, Outcome, Window};
 ///
 /// let entry = |index| Entry {
-///     index, id: "a".into(), outcome: Outcome::Whole, text: "x".into(), versions: vec![1], score: None,
+///     index, id: "a".into(), outcome: Outcome::Completed, text: "x".into(), versions: vec![1], score: None,
 /// };
 /// let mut window = Window::from(40);
 /// assert!(window.add(40, vec![entry(7), entry(3)]));
--- a/crates/batch/tests/ledger.rs
+++ b/crates/batch/tests/ledger.rs
@@ -18,7 +18,7 @@
     Entry {
         index,
         id: format!("s{index}").into(),
-        outcome: Outcome::Whole,
+        outcome: Outcome::Completed,
         text: text.into(),
         versions: vec![1],
         score: None,
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -82,7 +82,7 @@
         again.record(
             work.print(&work.spec.samples[index]),
             draft.last,
-            draft.whole,
+            draft.complete,
             now,
         );
     }
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -86,7 +86,7 @@
             .filter(|job| !ledger.has_ended(job.index));
         // An earlier step may have left over texts that are whole already.
         let (texts, jobs): (Vec<_>, _) =
-            jobs.partition(|job| work.drafts[job.index as usize].lock().whole);
+            jobs.partition(|job| work.drafts[job.index as usize].lock().complete);
         drop(ledger);
         let jobs = place::order(jobs, work.head.wanted);
         let todo = jobs.into_iter().map(|job| Todo {
@@ -229,7 +229,7 @@
 
     fn finish(&mut self, index: u32, score: Option<Arc<str>>) {
         let draft = self.work.drafts[index as usize].lock().clone();
-        self.enter(index, Outcome::Whole, draft, score);
+        self.enter(index, Outcome::Completed, draft, score);
     }
 
     fn fail(&mut self, index: u32) {
@@ -238,7 +238,7 @@
 
     fn enter(&mut self, index: u32, outcome: Outcome, draft: Draft, score: Option<Arc<str>>) {
         let word = match outcome {
-            Outcome::Whole => "whole",
+            Outcome::Completed => "whole",
             Outcome::Failed => "failed",
         };
         metrics::counter!(meter::SAMPLES, "outcome" => word).increment(1);
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -132,7 +132,7 @@
         };
         let ended = self.attempt(sample, draft, &place).await;
         if ended == Ended::Whole {
-            draft.lock().whole = true;
+            draft.lock().complete = true;
             self.app.crashes.whole(|| self.mark(sample));
             let events = draft.lock().last;
             self.app.fleet.lock().whole(sample.expected, events);
