--- a/crates/batch/src/ledger.rs
+++ b/crates/batch/src/ledger.rs
@@ -30,7 +30,7 @@
 
 /// What the owner does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Write this segment, under the condition that its key does not exist.
     Write(Segment),
     /// Wait until this time, or until another sample has ended.
@@ -48,7 +48,7 @@
 /// # Examples
 ///
 /// ```
-/// use batch::{Entry, Ledger, Outcome, ledger::Next};
+/// use batch::{Entry, Ledger, Outcome, ledger::Action};
 ///
 /// let names: Vec<_> = (0..7).map(|_| "a".into()).collect();
 /// let mut ledger = Ledger::new(batch::Groups::new(names.iter(), 1), 100);
@@ -58,10 +58,10 @@
 /// };
 /// assert!(ledger.finish(entry.clone(), 0));
 /// assert!(!ledger.finish(entry, 0));
-/// assert_eq!(ledger.next(50, |_| Vec::new()), Next::Wait(100));
-/// let Next::Write(segment) = ledger.next(100, |_| Vec::new()) else { panic!() };
-/// assert_eq!(ledger.next(200, |_| Vec::new()), Next::Write(segment));
-/// ledger.written();
+/// assert_eq!(ledger.next_action(50, |_| Vec::new()), Action::Wait(100));
+/// let Action::Write(segment) = ledger.next_action(100, |_| Vec::new()) else { panic!() };
+/// assert_eq!(ledger.next_action(200, |_| Vec::new()), Action::Write(segment));
+/// ledger.mark_written();
 /// assert_eq!(ledger.listed().len(), 1);
 /// ```
 #[derive(Debug)]
@@ -109,7 +109,7 @@
     }
 
     /// Goes on with a number for the next segment that no earlier owner has used.
-    pub fn number(&mut self, seq: u32) {
+    pub fn set_next_seq(&mut self, seq: u32) {
         self.seq = seq;
     }
 
@@ -136,15 +136,19 @@
 
     /// Says what to do; `gained` is told which samples have ended, and tells what the others have
     /// gained, when a segment is made.
-    pub fn next(&mut self, now: Millis, gained: impl FnOnce(&[bool]) -> Vec<DraftDelta>) -> Next {
+    pub fn next_action(
+        &mut self,
+        now: Millis,
+        gained: impl FnOnce(&[bool]) -> Vec<DraftDelta>,
+    ) -> Action {
         if let Some(segment) = &self.segment {
-            return Next::Write(segment.clone());
+            return Action::Write(segment.clone());
         }
         let due = self.since + self.gather;
         let listed = !self.waiting.is_empty() && (now >= due || self.urgent);
         let idle = match self.waiting.is_empty() {
-            true => Next::Idle,
-            false => Next::Wait(due),
+            true => Action::Idle,
+            false => Action::Wait(due),
         };
         if !listed && now < self.made + KEEP {
             return idle;
@@ -161,7 +165,7 @@
             deltas: pieces,
         };
         self.segment = Some(segment.clone());
-        Next::Write(segment)
+        Action::Write(segment)
     }
 
     /// Takes as many results as fit into one segment, at least one if there is one.
@@ -179,7 +183,7 @@
     }
 
     /// Notes that the offered segment is at the platform.
-    pub fn written(&mut self) {
+    pub fn mark_written(&mut self) {
         if let Some(segment) = self.segment.take() {
             self.listed.extend(segment.entries);
             self.seq += 1;
@@ -193,7 +197,7 @@
 
     /// Tells whether a segment was offered that may or may not be at the platform by now. Others may
     /// have read its results there.
-    pub fn is_open(&self) -> bool {
+    pub fn has_pending_write(&self) -> bool {
         self.segment.is_some()
     }
 
@@ -203,7 +207,7 @@
     }
 
     /// The samples of groups that are not listed whole.
-    pub fn left_over(&self) -> Vec<u32> {
+    pub fn incomplete_samples(&self) -> Vec<u32> {
         self.groups
             .left_over(self.listed.iter().map(|entry| entry.index))
     }
--- a/crates/batch/tests/ledger.rs
+++ b/crates/batch/tests/ledger.rs
@@ -11,7 +11,7 @@
 use batch::Sample;
 use batch::Spec;
 use batch::draft::Checkpoints;
-use batch::ledger::Next;
+use batch::ledger::Action;
 use proptest::prelude::*;
 
 fn entry(index: u32, text: &str) -> Entry {
@@ -32,9 +32,9 @@
 }
 
 fn writes(ledger: &mut Ledger, now: u64) -> Option<batch::Segment> {
-    match ledger.next(now, |_| Vec::new()) {
-        Next::Write(segment) => Some(segment),
-        Next::Wait(_) | Next::Idle => None,
+    match ledger.next_action(now, |_| Vec::new()) {
+        Action::Write(segment) => Some(segment),
+        Action::Wait(_) | Action::Idle => None,
     }
 }
 
@@ -57,10 +57,10 @@
 fn nothing_is_listed_before_it_is_written() {
     let mut ledger = alone(1, 0);
     ledger.finish(entry(0, "a"), 0);
-    ledger.next(1, |_| Vec::new());
+    ledger.next_action(1, |_| Vec::new());
     assert!(ledger.listed().is_empty());
 
-    ledger.written();
+    ledger.mark_written();
 
     assert_eq!(ledger.listed().len(), 1);
     assert!(ledger.is_done());
@@ -168,7 +168,7 @@
                         let there = there.or_insert_with(|| segment.entries.clone());
                         prop_assert_eq!(&*there, &segment.entries);
                         if matches!(step, Step::Write) {
-                            ledger.written();
+                            ledger.mark_written();
                         }
                     }
                 }
@@ -255,9 +255,9 @@
     let mut written = Vec::new();
     for now in (1_000..5_000).step_by(50) {
         let draft = grown(now / 40);
-        let next = ledger.next(now, |_| kept.take_deltas([(0, &draft)].into_iter()));
-        if let Next::Write(segment) = next {
-            ledger.written();
+        let next = ledger.next_action(now, |_| kept.take_deltas([(0, &draft)].into_iter()));
+        if let Action::Write(segment) = next {
+            ledger.mark_written();
             written.push((now, segment.entries.len(), segment.deltas.len()));
         }
     }
@@ -278,7 +278,7 @@
         let now = 1_000 + u64::from(index) * 50;
         ledger.finish(entry(index, "a"), now);
         if writes(&mut ledger, now).is_some() {
-            ledger.written();
+            ledger.mark_written();
             written.push(index);
         }
     }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -73,7 +73,7 @@
 
 /// Remembers the samples of groups that an ended step has left over.
 fn remember(app: &App, work: &Work) {
-    let left = work.ledger.lock().left_over();
+    let left = work.ledger.lock().incomplete_samples();
     let now = app.clock.now();
     let mut again = app.again.lock();
     for index in left {
@@ -109,7 +109,7 @@
         for segment in left.segments {
             ledger.restore(segment);
         }
-        ledger.number(left.seq);
+        ledger.set_next_seq(left.seq);
         work.listed.send_replace(ledger.listed().len());
     }
     for piece in left.pieces {
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -9,7 +9,7 @@
 
 use batch::Draft;
 use batch::Outcome;
-use batch::ledger::Next;
+use batch::ledger::Action;
 use kernel::Map;
 use kernel::Millis;
 use place::Job;
@@ -266,7 +266,7 @@
             return false;
         }
         let gained = |ended: &[bool]| self.work.gained(ended);
-        if let Next::Write(segment) = ledger.next(self.app.clock.now(), gained) {
+        if let Action::Write(segment) = ledger.next_action(self.app.clock.now(), gained) {
             let (app, work) = (self.app.clone(), self.work.clone());
             self.writes
                 .spawn(async move { write_segment(&app, &work, &segment).await });
@@ -278,7 +278,7 @@
         match written {
             Written::Kept => {
                 let mut ledger = self.work.ledger.lock();
-                ledger.written();
+                ledger.mark_written();
                 let count = ledger.listed().len();
                 self.work.listed.send_replace(count);
                 log::info!(target: "owner", id = &*self.work.step, listed = count,
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -213,7 +213,7 @@
     /// Tells whether nobody else can have listed results that are not known here.
     pub(super) async fn is_sure(&self, app: &App) -> bool {
         // A write that is under way may be at the platform, where others have read it already.
-        if self.is_lost() || self.ledger.lock().is_open() {
+        if self.is_lost() || self.ledger.lock().has_pending_write() {
             return false;
         }
         if self.ledger.lock().is_done() || self.has_ended() {
