--- a/crates/batch/src/keys.rs
+++ b/crates/batch/src/keys.rs
@@ -1,7 +1,7 @@
 //! The keys under which steps are kept at the platform.
 
 /// The heads of all steps.
-pub const HEADS: &str = "snipeway/head/";
+pub const HEADS_PREFIX: &str = "snipeway/head/";
 
 /// Longest name of a step that can be part of a key, in bytes: platforms take keys of 200.
 const LONGEST: usize = 100;
@@ -11,22 +11,22 @@
 /// # Examples
 ///
 /// ```
-/// assert!(batch::keys::is_name("7c41e09b52d6a3f8"));
-/// assert!(!batch::keys::is_name("../a"));
+/// assert!(batch::keys::is_valid_name("7c41e09b52d6a3f8"));
+/// assert!(!batch::keys::is_valid_name("../a"));
 /// ```
-pub fn is_name(step: &str) -> bool {
+pub fn is_valid_name(step: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     !step.is_empty() && step.len() <= LONGEST && step.bytes().all(plain)
 }
 
 /// The key of a step's head.
 pub fn head(step: &str) -> String {
-    format!("{HEADS}{step}")
+    format!("{HEADS_PREFIX}{step}")
 }
 
 /// The step whose head has a key.
-pub fn step(key: &str) -> Option<&str> {
-    key.strip_prefix(HEADS)
+pub fn step_of_head(key: &str) -> Option<&str> {
+    key.strip_prefix(HEADS_PREFIX)
 }
 
 /// The key that says that a step has ended.
@@ -35,7 +35,7 @@
 }
 
 /// The prefix of the parts of a step's samples.
-pub fn spec(step: &str) -> String {
+pub fn spec_prefix(step: &str) -> String {
     format!("snipeway/spec/{step}/")
 }
 
@@ -45,7 +45,7 @@
 }
 
 /// The prefix of a step's results.
-pub fn segments(step: &str) -> String {
+pub fn segments_prefix(step: &str) -> String {
     format!("snipeway/result/{step}/")
 }
 
@@ -62,15 +62,15 @@
 /// ```
 /// use batch::keys;
 ///
-/// assert_eq!(keys::first("job", &keys::segment("job", 41)), Some(41));
-/// assert_eq!(keys::first("job", &keys::head("job")), None);
+/// assert_eq!(keys::segment_start("job", &keys::segment("job", 41)), Some(41));
+/// assert_eq!(keys::segment_start("job", &keys::head("job")), None);
 /// ```
-pub fn first(step: &str, key: &str) -> Option<u32> {
-    key.strip_prefix(&segments(step))?.parse().ok()
+pub fn segment_start(step: &str, key: &str) -> Option<u32> {
+    key.strip_prefix(&segments_prefix(step))?.parse().ok()
 }
 
 /// The prefix of what is kept of samples that are not whole yet.
-pub fn drafts(step: &str) -> String {
+pub fn drafts_prefix(step: &str) -> String {
     format!("snipeway/draft/{step}/")
 }
 
@@ -80,6 +80,6 @@
 }
 
 /// The number of the segment with which something was kept that has a key.
-pub fn number(step: &str, key: &str) -> Option<u32> {
-    key.strip_prefix(&drafts(step))?.parse().ok()
+pub fn draft_seq(step: &str, key: &str) -> Option<u32> {
+    key.strip_prefix(&drafts_prefix(step))?.parse().ok()
 }
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -88,7 +88,7 @@
 
 impl Looks {
     async fn turn(&mut self, app: &Arc<App>, targets: &Targets) -> Result<(), PlatError> {
-        let heads = app.plat.stale(keys::HEADS).await?;
+        let heads = app.plat.stale(keys::HEADS_PREFIX).await?;
         if !heads.items.is_empty() {
             let entries = app.plat.stale(member::INSTANCES).await?;
             let live: Set<_> = entries
@@ -109,7 +109,7 @@
     fn decode<'a>(&self, items: &'a [Item]) -> Vec<Found<'a>> {
         let mut found = Vec::with_capacity(items.len());
         for item in items {
-            let Some(step) = keys::step(&item.key) else {
+            let Some(step) = keys::step_of_head(&item.key) else {
                 continue;
             };
             match record::decode(&item.value) {
@@ -221,8 +221,8 @@
 }
 
 async fn try_reclaim(app: &Arc<App>, settled: &mut Set<Arc<str>>) -> Result<(), PlatError> {
-    for item in app.plat.stale(keys::HEADS).await?.items {
-        let Some(step) = keys::step(&item.key).map(Arc::<str>::from) else {
+    for item in app.plat.stale(keys::HEADS_PREFIX).await?.items {
+        let Some(step) = keys::step_of_head(&item.key).map(Arc::<str>::from) else {
             continue;
         };
         let Ok(head) = record::decode::<Head>(&item.value) else {
@@ -338,10 +338,10 @@
 
 /// Reads what the owner before has left. It can list nothing more, so what is read is all there is.
 async fn load(app: &App, step: &str, head: &Head) -> Result<(Spec, Left), PlatError> {
-    let parts = app.plat.list(&keys::spec(step)).await?;
+    let parts = app.plat.list(&keys::spec_prefix(step)).await?;
     let spec = Spec::join(parts.items.iter().map(|item| &*item.value), head.total);
     let spec = spec.map_err(|_| PlatError::Garbled)?;
-    let listed = app.plat.list(&keys::segments(step)).await?;
+    let listed = app.plat.list(&keys::segments_prefix(step)).await?;
     let segments: Result<Vec<Vec<Entry>>, _> = listed
         .items
         .iter()
@@ -360,14 +360,14 @@
 /// What the owner before has kept of samples that are not whole, in the order in which they gained it, and
 /// a number for the next segment.
 async fn kept(app: &App, step: &str) -> Result<(Vec<DraftDelta>, u32), PlatError> {
-    let kept = app.plat.list(&keys::drafts(step)).await?;
+    let kept = app.plat.list(&keys::drafts_prefix(step)).await?;
     let mut all = Vec::new();
     let mut seq = 0;
     for item in &kept.items {
         let pieces: Vec<DraftDelta> =
             record::decode(&item.value).map_err(|_| PlatError::Garbled)?;
         all.extend(pieces);
-        seq = keys::number(step, &item.key).map_or(seq, |last| last + 1);
+        seq = keys::draft_seq(step, &item.key).map_or(seq, |last| last + 1);
     }
     Ok((all, seq))
 }
@@ -376,7 +376,11 @@
 /// interrupted removal goes on later, and says until then that the step has ended.
 async fn sweep(app: &App, step: &str, head: &Item) -> Result<(), PlatError> {
     let mut gone = Vec::new();
-    for prefix in [keys::spec(step), keys::segments(step), keys::drafts(step)] {
+    for prefix in [
+        keys::spec_prefix(step),
+        keys::segments_prefix(step),
+        keys::drafts_prefix(step),
+    ] {
         let range = app.plat.list(&prefix).await?;
         gone.extend(range.items.into_iter().map(|item| item.key));
     }
--- a/crates/node/src/shelf.rs
+++ b/crates/node/src/shelf.rs
@@ -107,7 +107,7 @@
 
     /// Begins anew at a segment that does not begin behind a position, as near to it as it is found.
     async fn seek(&self, plat: &Client, read: &mut Results, from: usize) -> Result<(), PlatError> {
-        let prefix = keys::segments(&self.step);
+        let prefix = keys::segments_prefix(&self.step);
         for back in BACK {
             let Some(before) = from.checked_sub(back + 1) else {
                 break;
@@ -115,7 +115,7 @@
             let after = keys::segment(&self.step, before as u32);
             let page = plat.page(&prefix, Some(after)).await?;
             let first = page.items.first();
-            let first = first.and_then(|item| keys::first(&self.step, &item.key));
+            let first = first.and_then(|item| keys::segment_start(&self.step, &item.key));
             if let Some(first) = first.filter(|first| *first as usize <= from) {
                 read.window = Window::from(first as usize);
                 return self.take(read, &page);
@@ -128,7 +128,7 @@
     /// Reads page after page until there is a result for a position or none is left. The last answer is
     /// the newest state, so nothing means that there is nothing.
     async fn reach(&self, plat: &Client, read: &mut Results, from: usize) -> Result<(), PlatError> {
-        let prefix = keys::segments(&self.step);
+        let prefix = keys::segments_prefix(&self.step);
         while read.window.end() <= from {
             let last = read.window.newest();
             let after = last.map(|last| keys::segment(&self.step, last as u32));
@@ -145,7 +145,7 @@
     /// Waits for the next segment, from the last known revision on: a segment that is there
     /// already ends the wait at once, so that one call does for both.
     async fn wait(&self, plat: &Client, read: &mut Results, wait: Millis) -> Result<(), PlatError> {
-        let prefix = keys::segments(&self.step);
+        let prefix = keys::segments_prefix(&self.step);
         let Ok((changes, rev)) = plat.poll(&prefix, read.rev, wait).await else {
             // What follows reads the newest state.
             return Ok(());
@@ -169,7 +169,7 @@
 
     /// Takes in a segment if it is the next one.
     fn add(&self, read: &mut Results, item: &Item) -> Result<(), PlatError> {
-        let first = keys::first(&self.step, &item.key).map(|first| first as usize);
+        let first = keys::segment_start(&self.step, &item.key).map(|first| first as usize);
         let Some(first) = first.filter(|first| *first == read.window.end()) else {
             return Ok(());
         };
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -46,7 +46,7 @@
 /// The names under which a step may be kept that somebody asks for, the likeliest first. One that was accepted
 /// for nobody in particular, or before there were teams, is anybody's.
 fn names(step: &Arc<str>, principal: &Principal) -> Vec<Arc<str>> {
-    if !keys::is_name(step) {
+    if !keys::is_valid_name(step) {
         return Vec::new();
     }
     match principal {
@@ -181,7 +181,7 @@
 
 /// Reads a step's samples part by part until the one that is asked for.
 async fn read_body(app: &App, step: &str, sample: &str) -> Result<Option<Vec<u8>>, PlatError> {
-    let prefix = keys::spec(step);
+    let prefix = keys::spec_prefix(step);
     let mut parts = Parts::default();
     let mut after = None;
     loop {
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -109,7 +109,7 @@
     if app.is_leaving() {
         return Refusal::Unrun.reply();
     }
-    if !keys::is_name(&caller.id) {
+    if !keys::is_valid_name(&caller.id) {
         return Refusal::Wrong.reply();
     }
     let submission = Submission {
@@ -133,7 +133,7 @@
 
 /// Accepts a step that another instance hands over; [`None`] when that one had better take it.
 pub async fn handed(app: &Arc<App>, submission: Submission) -> Option<Accepted> {
-    if app.is_leaving() || app.works.len() >= MOST || !keys::is_name(&submission.id) {
+    if app.is_leaving() || app.works.len() >= MOST || !keys::is_valid_name(&submission.id) {
         return None;
     }
     Some(take(app, submission, Origin::Peer).await)
@@ -319,7 +319,7 @@
 /// listed, and it may have ended since.
 async fn known(app: &Arc<App>, id: &Arc<str>, item: &plat::Item) -> Result<(), PlatError> {
     // It may have been accepted under its former name.
-    let id = &keys::step(&item.key).map_or_else(|| id.clone(), Arc::from);
+    let id = &keys::step_of_head(&item.key).map_or_else(|| id.clone(), Arc::from);
     let head = match claim::read(item) {
         Ok(head) => head,
         Err(error) => {
