--- a/crates/batch/src/record.rs
+++ b/crates/batch/src/record.rs
@@ -153,28 +153,28 @@
 /// # Examples
 ///
 /// ```
-/// use batch::{Sample, Spec, record::Parts};
+/// use batch::{Sample, Spec, record::SpecDecoder};
 ///
 /// let sample = |id: &str| Sample {
 ///     id: id.into(), group: "g".into(), path: "/a".into(), headers: Vec::new(), body: vec![1],
 ///     expected: 1, prompt: 1, scoring: None,
 /// };
 /// let spec = Spec { samples: vec![sample("a"), sample("b")] };
-/// let mut parts = Parts::default();
+/// let mut parts = SpecDecoder::default();
 /// let mut found = Vec::new();
-/// for value in spec.parts()? {
+/// for value in spec.encode_parts()? {
 ///     found.extend(parts.add(&value)?);
 /// }
 /// assert_eq!(found, spec.samples);
 /// # Ok::<(), batch::RecordError>(())
 /// ```
 #[derive(Debug, Default)]
-pub struct Parts {
+pub struct SpecDecoder {
     next: u32,
     bytes: Vec<u8>,
 }
 
-impl Parts {
+impl SpecDecoder {
     /// Takes in the next part; gives the samples that are whole with it.
     ///
     /// # Errors
@@ -202,7 +202,7 @@
     /// # Errors
     ///
     /// Returns [`RecordError`].
-    pub fn parts(&self) -> Result<Vec<Vec<u8>>, RecordError> {
+    pub fn encode_parts(&self) -> Result<Vec<Vec<u8>>, RecordError> {
         let mut parts = Vec::new();
         let mut first = 0;
         while first < self.samples.len() {
@@ -240,11 +240,11 @@
     /// # Errors
     ///
     /// Returns [`RecordError`], also when a part is missing.
-    pub fn join<'a>(
+    pub fn decode_parts<'a>(
         values: impl Iterator<Item = &'a [u8]>,
         total: u32,
     ) -> Result<Self, RecordError> {
-        let mut parts = Parts::default();
+        let mut parts = SpecDecoder::default();
         let mut samples = Vec::new();
         for value in values {
             samples.extend(parts.add(value)?);
--- a/crates/batch/tests/ledger.rs
+++ b/crates/batch/tests/ledger.rs
@@ -95,10 +95,10 @@
         samples: (0..4).map(sample).collect(),
     };
 
-    let parts = spec.parts().unwrap();
+    let parts = spec.encode_parts().unwrap();
 
     assert!(parts.len() > 1 && parts.iter().all(|part| part.len() <= 512 << 10));
-    let join = |parts: &[Vec<u8>]| Spec::join(parts.iter().map(Vec::as_slice), 4);
+    let join = |parts: &[Vec<u8>]| Spec::decode_parts(parts.iter().map(Vec::as_slice), 4);
     assert_eq!(join(&parts).unwrap(), spec);
     assert!(join(&parts[1..]).is_err());
     assert!(join(&parts[..parts.len() - 1]).is_err());
@@ -124,9 +124,9 @@
         ],
     };
 
-    let parts = spec.parts().unwrap();
+    let parts = spec.encode_parts().unwrap();
 
-    let join = |parts: &[Vec<u8>]| Spec::join(parts.iter().map(Vec::as_slice), 3);
+    let join = |parts: &[Vec<u8>]| Spec::decode_parts(parts.iter().map(Vec::as_slice), 3);
     assert!(parts.len() >= 4, "{}", parts.len());
     assert_eq!(join(&parts).unwrap(), spec);
     assert!(join(&parts[..2]).is_err());
--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -127,7 +127,7 @@
     head: &Head,
     spec: &Spec,
 ) -> Result<Done, PlatError> {
-    let parts = spec.parts().map_err(|_| PlatError::Garbled)?;
+    let parts = spec.encode_parts().map_err(|_| PlatError::Garbled)?;
     let mut puts: Vec<_> = parts
         .into_iter()
         .enumerate()
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -339,7 +339,7 @@
 /// Reads what the owner before has left. It can list nothing more, so what is read is all there is.
 async fn load(app: &App, step: &str, head: &Head) -> Result<(Spec, Left), PlatError> {
     let parts = app.plat.list(&keys::spec_prefix(step)).await?;
-    let spec = Spec::join(parts.items.iter().map(|item| &*item.value), head.total);
+    let spec = Spec::decode_parts(parts.items.iter().map(|item| &*item.value), head.total);
     let spec = spec.map_err(|_| PlatError::Garbled)?;
     let listed = app.plat.list(&keys::segments_prefix(step)).await?;
     let segments: Result<Vec<Vec<Entry>>, _> = listed
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use batch::keys;
-use batch::record::Parts;
+use batch::record::SpecDecoder;
 use http::StatusCode;
 use kernel::Millis;
 use net::Reply;
@@ -182,7 +182,7 @@
 /// Reads a step's samples part by part until the one that is asked for.
 async fn read_body(app: &App, step: &str, sample: &str) -> Result<Option<Vec<u8>>, PlatError> {
     let prefix = keys::spec_prefix(step);
-    let mut parts = Parts::default();
+    let mut parts = SpecDecoder::default();
     let mut after = None;
     loop {
         let page = app.plat.page(&prefix, after).await?;
