--- a/crates/batch/src/record.rs
+++ b/crates/batch/src/record.rs
@@ -116,7 +116,7 @@
 
 impl Sample {
     /// A number that differs between samples whose requests differ, though their names be alike.
-    pub fn print(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.id.hash(&mut hasher);
         self.path.hash(&mut hasher);
