--- a/crates/batch/src/record.rs
+++ b/crates/batch/src/record.rs
@@ -56,7 +56,8 @@
     /// The model that generates its samples.
     pub model: Arc<str>,
     /// The oldest version of the weights that may generate its tokens.
-    pub least: u64,
+    #[serde(rename = "least")]
+    pub min_version: u64,
     /// Groups that the trainer waits for.
     pub wanted: u32,
     /// Its samples.
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -57,7 +57,7 @@
         let mut all = self.all.lock();
         let demand = all.entry(head.model.clone()).or_default();
         let samples = u64::from(head.total);
-        demand.opened(head.least, head.work, samples, head.opened);
+        demand.opened(head.min_version, head.work, samples, head.opened);
     }
 }
 
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -126,7 +126,7 @@
         let want = Want {
             service,
             model: Some(&self.work.head.model),
-            least: self.work.head.least,
+            least: self.work.head.min_version,
             queue: 0,
             domain: &self.app.settings.domain,
             kin: self.kin.get(&todo.job.group).map(|kin| &**kin),
@@ -170,7 +170,7 @@
             principal: self.work.principal(self.app),
             service,
             model: self.work.head.model.clone(),
-            least: self.work.head.least,
+            least: self.work.head.min_version,
             single: route.single,
             engine: engine.clone(),
             permit,
--- a/crates/node/src/owner/looks.rs
+++ b/crates/node/src/owner/looks.rs
@@ -44,7 +44,7 @@
             return;
         }
         self.looked = now;
-        let (model, least) = (&work.head.model, work.head.least);
+        let (model, least) = (&work.head.model, work.head.min_version);
         let roster = app.roster.lock();
         let fleet = app.fleet.lock();
         let mine = |one: &&Arc<Listed>| {
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -270,7 +270,7 @@
             let fits = draft
                 .versions
                 .iter()
-                .all(|version| *version >= self.head.least);
+                .all(|version| *version >= self.head.min_version);
             let longer = left.get(&print).is_none_or(|have| have.last < draft.last);
             if fits && longer {
                 left.insert(print, draft);
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -217,7 +217,7 @@
         host: submission.host.clone(),
         path: submission.path.clone(),
         model: submitted.model.clone(),
-        least: submitted.least,
+        min_version: submitted.least,
         wanted: submitted.wanted,
         total: submitted.samples.len() as u32,
         work: samples.map(|one| u64::from(one.expected.max(1))).sum(),
@@ -257,7 +257,7 @@
         let age = app.clock.now() - since;
         match tried {
             Ok(Tried::Open(open)) => {
-                log::info!(target: "steps", id = &*id, samples = head.total, work = head.work, least = head.least,
+                log::info!(target: "steps", id = &*id, samples = head.total, work = head.work, least = head.min_version,
                     model = &*head.model, revision = open.rev(), took_ms = age; "step accepted");
                 metrics::counter!(meter::STEPS, "outcome" => "accepted").increment(1);
                 owner::begin(&app, &id, head, spec, open);
