--- a/crates/batch/src/window.rs
+++ b/crates/batch/src/window.rs
@@ -19,12 +19,12 @@
 /// let entry = |index| Entry {
 ///     index, id: "a".into(), outcome: Outcome::Completed, text: "x".into(), versions: vec![1], score: None,
 /// };
-/// let mut window = Window::from(40);
+/// let mut window = Window::starting_at(40);
 /// assert!(window.add(40, vec![entry(7), entry(3)]));
 /// assert!(!window.add(50, vec![entry(9)]));
 /// assert_eq!(window.end(), 42);
-/// assert_eq!(window.since(41).unwrap().len(), 1);
-/// assert!(window.since(39).is_none());
+/// assert_eq!(window.entries_from(41).unwrap().len(), 1);
+/// assert!(window.entries_from(39).is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Window {
@@ -37,7 +37,7 @@
 
 impl Window {
     /// Makes an empty window at a position.
-    pub fn from(first: usize) -> Self {
+    pub fn starting_at(first: usize) -> Self {
         Self {
             first,
             ..Self::default()
@@ -50,17 +50,17 @@
     }
 
     /// The position at which the newest segment begins, if there is one.
-    pub fn newest(&self) -> Option<usize> {
+    pub fn newest_segment(&self) -> Option<usize> {
         self.newest
     }
 
     /// Tells whether it has the results from a position on, or ends there.
-    pub fn reaches(&self, from: usize) -> bool {
+    pub fn covers(&self, from: usize) -> bool {
         (self.first..=self.end()).contains(&from)
     }
 
     /// The results from a position on; [`None`] when it does not reach there.
-    pub fn since(&self, from: usize) -> Option<&[Entry]> {
+    pub fn entries_from(&self, from: usize) -> Option<&[Entry]> {
         self.entries.get(from.checked_sub(self.first)?..)
     }
 
--- a/crates/node/src/shelf.rs
+++ b/crates/node/src/shelf.rs
@@ -88,8 +88,9 @@
         let plat = &app.plat;
         let mut read = self.read.lock().await;
         read.used = app.clock.now();
-        if from < self.total as usize && read.window.since(from).is_none_or(<[_]>::is_empty) {
-            if !read.window.reaches(from) {
+        if from < self.total as usize && read.window.entries_from(from).is_none_or(<[_]>::is_empty)
+        {
+            if !read.window.covers(from) {
                 self.seek(plat, &mut read, from).await?;
             } else if read.rev > 0 && wait > 0 {
                 self.wait(plat, &mut read, wait).await?;
@@ -98,7 +99,7 @@
             self.reach(plat, &mut read, from).await?;
         }
         read.window.trim(from);
-        let entries = read.window.since(from).unwrap_or_default().to_vec();
+        let entries = read.window.entries_from(from).unwrap_or_default().to_vec();
         Ok(Page {
             total: self.total,
             entries,
@@ -117,7 +118,7 @@
             let first = page.items.first();
             let first = first.and_then(|item| keys::segment_start(&self.step, &item.key));
             if let Some(first) = first.filter(|first| *first as usize <= from) {
-                read.window = Window::from(first as usize);
+                read.window = Window::starting_at(first as usize);
                 return self.take(read, &page);
             }
         }
@@ -130,7 +131,7 @@
     async fn reach(&self, plat: &Client, read: &mut Results, from: usize) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
         while read.window.end() <= from {
-            let last = read.window.newest();
+            let last = read.window.newest_segment();
             let after = last.map(|last| keys::segment(&self.step, last as u32));
             let page = plat.page(&prefix, after).await?;
             self.take(read, &page)?;
