--- a/crates/batch/src/score.rs
+++ b/crates/batch/src/score.rs
@@ -21,25 +21,25 @@
 
 /// What came of asking for a score once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum AttemptResult {
     /// A whole success, with its signature.
     Scored(Arc<str>),
     /// The scorer itself says that it failed at this sample.
     Failed,
     /// Anything else: cut, late, garbled or unsigned answers, other failures, no upstream with a free
     /// place. It says nothing of the sample.
-    Nothing,
+    Inconclusive,
 }
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Decision {
     /// The sample has this score.
     Score(Arc<str>),
     /// The sample cannot be scored and has failed.
     Fail,
     /// Ask again after this pause.
-    Again(Millis),
+    Retry(Millis),
 }
 
 /// The tries to get the score of one sample.
@@ -51,22 +51,22 @@
 /// # Examples
 ///
 /// ```
-/// use batch::score::{Answer, Next, Tries};
+/// use batch::score::{AttemptResult, Decision, Retries};
 ///
-/// let mut tries = Tries::new(2);
-/// assert_eq!(tries.next(Answer::Nothing), Next::Again(25));
-/// assert_eq!(tries.next(Answer::Nothing), Next::Again(50));
-/// assert_eq!(tries.next(Answer::Failed), Next::Again(0));
-/// assert_eq!(tries.next(Answer::Failed), Next::Fail);
+/// let mut tries = Retries::new(2);
+/// assert_eq!(tries.decide(AttemptResult::Inconclusive), Decision::Retry(25));
+/// assert_eq!(tries.decide(AttemptResult::Inconclusive), Decision::Retry(50));
+/// assert_eq!(tries.decide(AttemptResult::Failed), Decision::Retry(0));
+/// assert_eq!(tries.decide(AttemptResult::Failed), Decision::Fail);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Tries {
+pub struct Retries {
     most: u32,
     failures: u32,
     pauses: u32,
 }
 
-impl Tries {
+impl Retries {
     /// Makes the tries of a sample that has failed after `most` failures of the scorer.
     pub fn new(most: u32) -> Self {
         Self {
@@ -78,31 +78,31 @@
 
     /// Lets the scorer fail as often as a route allows that is in force now; never less often than one
     /// before. When no configuration had the route at the first try, the sample was given up too early.
-    pub fn allow(&mut self, most: u32) {
+    pub fn raise_limit(&mut self, most: u32) {
         self.most = self.most.max(most);
     }
 
     /// Says what follows from an answer.
-    pub fn next(&mut self, answer: Answer) -> Next {
+    pub fn decide(&mut self, answer: AttemptResult) -> Decision {
         match answer {
-            Answer::Scored(signature) => Next::Score(signature),
-            Answer::Failed => self.fail(),
-            Answer::Nothing => self.pause(),
+            AttemptResult::Scored(signature) => Decision::Score(signature),
+            AttemptResult::Failed => self.fail(),
+            AttemptResult::Inconclusive => self.pause(),
         }
     }
 
-    fn fail(&mut self) -> Next {
+    fn fail(&mut self) -> Decision {
         self.failures += 1;
         self.pauses = 0;
         match self.failures < self.most {
-            true => Next::Again(0),
-            false => Next::Fail,
+            true => Decision::Retry(0),
+            false => Decision::Fail,
         }
     }
 
-    fn pause(&mut self) -> Next {
+    fn pause(&mut self) -> Decision {
         let pause = SHORTEST << self.pauses.min(DOUBLINGS);
         self.pauses += 1;
-        Next::Again(pause.min(LONGEST))
+        Decision::Retry(pause.min(LONGEST))
     }
 }
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use batch::Scoring;
-use batch::score::Answer;
-use batch::score::Next;
-use batch::score::Tries;
+use batch::score::AttemptResult;
+use batch::score::Decision;
+use batch::score::Retries;
 use bytes::Bytes;
 use http::StatusCode;
 use kernel::Millis;
@@ -52,7 +52,7 @@
         }
     };
     let body = Bytes::from(scoring.body.clone());
-    let mut tries = Tries::new(most);
+    let mut tries = Retries::new(most);
     let mut asked = 0;
     let score = loop {
         if app.clock.now() >= until {
@@ -62,9 +62,9 @@
             sleep(HOLD).await;
             continue;
         };
-        let mut answer = Answer::Nothing;
+        let mut answer = AttemptResult::Inconclusive;
         if let Some(route) = route(app, scoring) {
-            tries.allow(route.attempts);
+            tries.raise_limit(route.attempts);
             let sent = Sent::scoring(
                 app,
                 head.clone(),
@@ -78,10 +78,10 @@
             answer = ask(sent, &route).await;
         }
         asked += 1;
-        match tries.next(answer) {
-            Next::Score(score) => break Some(score),
-            Next::Fail => break None,
-            Next::Again(pause) => sleep(Duration::from_millis(pause)).await,
+        match tries.decide(answer) {
+            Decision::Score(score) => break Some(score),
+            Decision::Fail => break None,
+            Decision::Retry(pause) => sleep(Duration::from_millis(pause)).await,
         }
     };
     let outcome = if score.is_some() { "scored" } else { "failed" };
@@ -96,14 +96,14 @@
     plan.as_ref()?.find(&scoring.host, &scoring.path).cloned()
 }
 
-async fn ask(sent: Sent, route: &Route) -> Answer {
+async fn ask(sent: Sent, route: &Route) -> AttemptResult {
     match forward::score(Arc::new(sent), route, LIMIT).await {
         Passed::Answer { answer, signature } if answer.status().is_success() => {
-            Answer::Scored(signature)
+            AttemptResult::Scored(signature)
         }
         Passed::Answer { answer, .. } if answer.status() == StatusCode::INTERNAL_SERVER_ERROR => {
-            Answer::Failed
+            AttemptResult::Failed
         }
-        Passed::Answer { .. } | Passed::Refused(_) => Answer::Nothing,
+        Passed::Answer { .. } | Passed::Refused(_) => AttemptResult::Inconclusive,
     }
 }
