--- a/crates/batch/src/confirmation.rs
+++ b/crates/batch/src/confirmation.rs
@@ -1,113 +1,116 @@
-//! Until when an instance that runs a step may begin samples of it.
+//! How long the owner of a step may start samples after the step was last known to be open.
 //!
-//! A step may be ended at any instance, so the one that runs it may begin a sample only for a while after
-//! the platform has said that the step is open. While nobody reaches the platform nobody can have an end
-//! acknowledged, and the step goes on.
+//! A step may be ended at any instance, so its owner may start samples only for a limited time
+//! after the platform confirmed that the step is open. While no instance reaches the platform, no
+//! end of a step can be acknowledged, and the step continues.
 
 use kernel::Millis;
 
-/// Part of the time in which the end of a step has to be in force for which word of an open step lets samples
-/// begin. The rest is for what has begun by then: a connection that is still opened, and the way.
-const LASTS: (Millis, Millis) = (2, 3);
+/// Fraction of the time within which the end of a step takes effect during which a confirmation
+/// lets samples start. The rest covers samples already started: opening a connection and network
+/// latency.
+const PERMIT_FRACTION: (Millis, Millis) = (2, 3);
 
-/// Part of that time after which the platform is asked: word that comes with the first answer, or with a second one
-/// half a second later, comes before the last has lapsed.
-const ASKED: (Millis, Millis) = (3, 10);
+/// Fraction of that time after which the platform is asked again: a confirmation from the first
+/// answer, or from a second one half a second later, arrives before the previous one expires.
+const CHECK_FRACTION: (Millis, Millis) = (3, 10);
 
-/// Part of that time after which a question that has no answer is asked once more.
-const AGAIN: (Millis, Millis) = (1, 10);
+/// Fraction of that time after which an unanswered check is repeated.
+const RETRY_FRACTION: (Millis, Millis) = (1, 10);
 
-/// Word of a step that is run here.
+/// The last confirmation that a step owned by this instance is open.
 ///
 /// # Examples
 ///
 /// ```
 /// use batch::Confirmation;
 ///
-/// let mut word = Confirmation::new(3_000, 100);
-/// let permit = word.permit(1_000).unwrap();
+/// let mut confirmation = Confirmation::new(3_000, 100);
+/// let permit = confirmation.permit(1_000).unwrap();
 /// assert_eq!(permit.until(), 2_100);
-/// assert!(word.permit(2_100).is_none());
-/// assert!(!word.is_due(900));
-/// assert!(word.is_due(1_000));
+/// assert!(confirmation.permit(2_100).is_none());
+/// assert!(!confirmation.is_check_due(900));
+/// assert!(confirmation.is_check_due(1_000));
 ///
-/// word.hear(2_050);
-/// assert!(word.permit(2_100).is_some());
+/// confirmation.confirm(2_050);
+/// assert!(confirmation.permit(2_100).is_some());
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Confirmation {
-    /// Time in which the end of a step has to be in force.
-    bound: Millis,
-    /// When the platform was last asked that said that the step is open.
-    heard: Millis,
-    /// When nobody reached the platform.
-    away: Option<Millis>,
-    /// When it was last asked.
-    asked: Millis,
+    /// Time within which the end of a step takes effect.
+    end_bound: Millis,
+    /// When the last check that found the step open was sent.
+    confirmed_at: Millis,
+    /// When the last check during which no instance reached the platform was sent.
+    outage_at: Option<Millis>,
+    /// When the last check was sent.
+    checked_at: Millis,
 }
 
-/// Leave to begin samples of a step, which is known to be open.
+/// Permission to start samples of a step that is known to be open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     until: Millis,
 }
 
 impl Permit {
-    /// The time by which what is begun has to be sent.
+    /// The time before which a started sample must be sent.
     pub fn until(self) -> Millis {
         self.until
     }
 }
 
 impl Confirmation {
-    /// Makes the word of a step that was open when the platform was asked at a time, where the end of a step has to
-    /// be in force within `bound` milliseconds.
-    pub fn new(bound: Millis, heard: Millis) -> Self {
+    /// Creates the confirmation of a step that a check sent at `confirmed_at` found open, where
+    /// the end of a step takes effect within `end_bound` milliseconds.
+    pub fn new(end_bound: Millis, confirmed_at: Millis) -> Self {
         Self {
-            bound,
-            heard,
-            away: None,
-            asked: heard,
+            end_bound,
+            confirmed_at,
+            outage_at: None,
+            checked_at: confirmed_at,
         }
     }
 
-    fn part(&self, (part, of): (Millis, Millis)) -> Millis {
-        self.bound * part / of
+    fn fraction(&self, (part, of): (Millis, Millis)) -> Millis {
+        self.end_bound * part / of
     }
 
-    /// Notes that the step was open when the platform was asked.
+    /// Records that a check sent at `asked` found the step open.
     pub fn confirm(&mut self, asked: Millis) {
-        self.heard = self.heard.max(asked);
+        self.confirmed_at = self.confirmed_at.max(asked);
     }
 
-    /// Notes that neither this instance nor others reached the platform when they asked it.
+    /// Records that neither this instance nor others reached the platform with a check sent at
+    /// `asked`.
     pub fn record_outage(&mut self, asked: Millis) {
-        self.away = self.away.max(Some(asked));
+        self.outage_at = self.outage_at.max(Some(asked));
     }
 
-    /// When the platform was last asked that said that the step is open.
+    /// When the last check that found the step open was sent.
     pub fn confirmed_at(&self) -> Millis {
-        self.heard
+        self.confirmed_at
     }
 
-    /// When nobody can have ended the step, as far as is known here.
-    fn last(&self) -> Millis {
-        self.away.unwrap_or(0).max(self.heard)
+    /// The last time at which the step cannot have been ended, as far as this instance knows.
+    fn last_open(&self) -> Millis {
+        self.outage_at.unwrap_or(0).max(self.confirmed_at)
     }
 
-    /// Leave to begin samples now; [`None`] when the step may have ended meanwhile.
+    /// Returns a permit to start samples now, or [`None`] when the step may have ended meanwhile.
     pub fn permit(&self, now: Millis) -> Option<Permit> {
-        let until = self.last() + self.part(LASTS);
+        let until = self.last_open() + self.fraction(PERMIT_FRACTION);
         (now < until).then_some(Permit { until })
     }
 
-    /// Tells whether the platform is to be asked now.
+    /// Returns whether the platform has to be asked now.
     pub fn is_check_due(&self, now: Millis) -> bool {
-        now >= self.last() + self.part(ASKED) && now >= self.asked + self.part(AGAIN)
+        now >= self.last_open() + self.fraction(CHECK_FRACTION)
+            && now >= self.checked_at + self.fraction(RETRY_FRACTION)
     }
 
-    /// Notes that the platform is asked.
+    /// Records that a check is sent now.
     pub fn start_check(&mut self, now: Millis) {
-        self.asked = now;
+        self.checked_at = now;
     }
 }
--- a/crates/batch/src/keys.rs
+++ b/crates/batch/src/keys.rs
@@ -1,12 +1,12 @@
-//! The keys under which steps are kept at the platform.
+//! Keys under which steps are stored at the platform.
 
-/// The heads of all steps.
+/// Prefix of the heads of all steps.
 pub const HEADS_PREFIX: &str = "snipeway/head/";
 
-/// Longest name of a step that can be part of a key, in bytes: platforms take keys of 200.
-const LONGEST: usize = 100;
+/// Maximum length of a step name in bytes: platforms accept keys of 200 bytes.
+const MAX_NAME_BYTES: usize = 100;
 
-/// Tells whether a step's name can be part of a key.
+/// Returns whether a step name can be part of a key.
 ///
 /// # Examples
 ///
@@ -15,8 +15,8 @@
 /// assert!(!batch::keys::is_valid_name("../a"));
 /// ```
 pub fn is_valid_name(step: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    !step.is_empty() && step.len() <= LONGEST && step.bytes().all(plain)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    !step.is_empty() && step.len() <= MAX_NAME_BYTES && step.bytes().all(allowed)
 }
 
 /// The key of a step's head.
@@ -24,17 +24,17 @@
     format!("{HEADS_PREFIX}{step}")
 }
 
-/// The step whose head has a key.
+/// The step whose head is stored under a key, or [`None`] if it is not the key of a head.
 pub fn step_of_head(key: &str) -> Option<&str> {
     key.strip_prefix(HEADS_PREFIX)
 }
 
-/// The key that says that a step has ended.
+/// The key that marks a step as ended.
 pub fn end(step: &str) -> String {
     format!("snipeway/end/{step}")
 }
 
-/// The prefix of the parts of a step's samples.
+/// Prefix of the parts of a step's samples.
 pub fn spec_prefix(step: &str) -> String {
     format!("snipeway/spec/{step}/")
 }
@@ -44,18 +44,18 @@
     format!("snipeway/spec/{step}/{part:04}")
 }
 
-/// The prefix of a step's results.
+/// Prefix of the segments of a step's results.
 pub fn segments_prefix(step: &str) -> String {
     format!("snipeway/result/{step}/")
 }
 
-/// The key of the segment of a step's results that begins at a position, so that a reader finds the
-/// results from any position on without those before it.
+/// The key of the segment of results that starts at position `first`. The position in the key lets
+/// a reader find the results from any position on without reading those before it.
 pub fn segment(step: &str, first: u32) -> String {
     format!("snipeway/result/{step}/{first:06}")
 }
 
-/// The position at which the segment of a step's results begins that has a key.
+/// The position at which the segment stored under a key starts.
 ///
 /// # Examples
 ///
@@ -69,17 +69,17 @@
     key.strip_prefix(&segments_prefix(step))?.parse().ok()
 }
 
-/// The prefix of what is kept of samples that are not whole yet.
+/// Prefix of the drafts of a step's incomplete samples.
 pub fn drafts_prefix(step: &str) -> String {
     format!("snipeway/draft/{step}/")
 }
 
-/// The key of what is kept of such samples with one segment.
+/// The key of the draft deltas that were written with segment `seq`.
 pub fn draft(step: &str, seq: u32) -> String {
     format!("snipeway/draft/{step}/{seq:06}")
 }
 
-/// The number of the segment with which something was kept that has a key.
+/// The number of the segment with which the draft deltas stored under a key were written.
 pub fn draft_seq(step: &str, key: &str) -> Option<u32> {
     key.strip_prefix(&drafts_prefix(step))?.parse().ok()
 }
--- a/crates/batch/src/ledger.rs
+++ b/crates/batch/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What the owner of a step knows of it.
+//! The owner's view of the results of its step.
 
 use kernel::Millis;
 
@@ -6,34 +6,35 @@
 use crate::Entry;
 use crate::Groups;
 
-/// Most bytes of text in one segment: platforms take values of up to a megabyte, which base64
+/// Maximum bytes of text in one segment: platforms accept values of up to a megabyte, which base64
 /// makes a third longer.
-const SEGMENT: usize = 512 << 10;
+const MAX_SEGMENT_BYTES: usize = 512 << 10;
 
-/// Time between two writes of what samples have gained when no results come, in milliseconds. It is what
-/// a kill costs the longest samples of a step at most, beside the time until somebody goes on with it;
-/// a write a second for the few seconds of a step in which only long samples run.
-const KEEP: Millis = 800;
+/// Time between two writes of draft deltas while no results arrive, in milliseconds. It bounds what
+/// a kill costs the longest samples of a step, apart from the time until another instance takes the
+/// step over. It costs about one write a second for the few seconds of a step in which only long
+/// samples run.
+const CHECKPOINT_INTERVAL: Millis = 800;
 
-/// Results that are written together under one key.
+/// Results and draft deltas that are written together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Segment {
-    /// Its number among the segments of its step; what is kept of samples stands under it.
+    /// The number of the segment in its step; part of the key of its draft deltas.
     pub seq: u32,
-    /// The position of its first result; its results stand under it.
+    /// The position of its first result; part of the key of its results.
     pub first: u32,
-    /// Its results, in the order of their positions; there may be none.
+    /// Its results, in the order of their positions; may be empty.
     pub entries: Vec<Entry>,
-    /// What samples that are not whole have gained since the segment before.
+    /// Output that incomplete samples have gained since the previous segment.
     pub deltas: Vec<DraftDelta>,
 }
 
-/// What the owner does next.
+/// What the owner has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write this segment, under the condition that its key does not exist.
+    /// Write this segment, on the condition that its keys do not exist.
     Write(Segment),
-    /// Wait until this time, or until another sample has ended.
+    /// Wait until this time, or until another sample ends.
     Wait(Millis),
     /// Nothing is waiting to be written.
     Idle,
@@ -41,9 +42,9 @@
 
 /// The results of one step, as its owner knows them.
 ///
-/// A position is given by the write that lists it, so it never changes. A segment whose write may
-/// or may not have taken effect is offered again unchanged until it is known to be there: other
-/// content under the same position would let two readers see different results there.
+/// The write that lists a result fixes its position, so a position never changes. A segment whose
+/// write may or may not have taken effect is returned again unchanged until it is known to be
+/// stored: other content at the same position would let two readers see different results there.
 ///
 /// # Examples
 ///
@@ -66,153 +67,154 @@
 /// ```
 #[derive(Debug)]
 pub struct Ledger {
-    gather: Millis,
+    max_delay: Millis,
     groups: Groups,
     ended: Vec<bool>,
     listed: Vec<Entry>,
-    waiting: Vec<Entry>,
-    since: Millis,
-    /// Whether the trainer can go on with one of those that wait.
+    pending: Vec<Entry>,
+    pending_since: Millis,
+    /// Whether a pending result lets the trainer continue.
     urgent: bool,
-    segment: Option<Segment>,
-    seq: u32,
-    /// When the last segment was made.
-    made: Millis,
+    /// The segment whose write has not been confirmed.
+    unconfirmed: Option<Segment>,
+    next_seq: u32,
+    /// When draft deltas were last collected.
+    checkpointed_at: Millis,
 }
 
 impl Ledger {
-    /// Makes the ledger of a step, which writes results together that come within `gather`
-    /// milliseconds, except for those with which the trainer can go on.
-    pub fn new(groups: Groups, gather: Millis) -> Self {
+    /// Creates the ledger of a step. Results that arrive within `max_delay` milliseconds are
+    /// written together, except for those that let the trainer continue.
+    pub fn new(groups: Groups, max_delay: Millis) -> Self {
         Self {
-            gather,
-            ended: vec![false; groups.samples()],
+            max_delay,
+            ended: vec![false; groups.sample_count()],
             groups,
             listed: Vec::new(),
-            waiting: Vec::new(),
-            since: 0,
+            pending: Vec::new(),
+            pending_since: 0,
             urgent: false,
-            segment: None,
-            seq: 0,
-            made: 0,
+            unconfirmed: None,
+            next_seq: 0,
+            checkpointed_at: 0,
         }
     }
 
-    /// Takes in a segment that an owner before has written; they come in order.
+    /// Adds a segment that an earlier owner wrote; segments must be restored in order.
     pub fn restore(&mut self, entries: Vec<Entry>) {
         for entry in &entries {
-            if self.mark(entry.index) {
-                self.groups.end(entry.index);
+            if self.mark_ended(entry.index) {
+                self.groups.mark_ended(entry.index);
             }
         }
         self.listed.extend(entries);
     }
 
-    /// Goes on with a number for the next segment that no earlier owner has used.
+    /// Sets the number of the next segment, which no earlier owner may have used.
     pub fn set_next_seq(&mut self, seq: u32) {
-        self.seq = seq;
+        self.next_seq = seq;
     }
 
-    /// Marks a sample as ended; tells whether it was not before.
-    fn mark(&mut self, index: u32) -> bool {
+    /// Marks a sample as ended; returns whether it was not before.
+    fn mark_ended(&mut self, index: u32) -> bool {
         match self.ended.get_mut(index as usize) {
             Some(ended) => !std::mem::replace(ended, true),
             None => false,
         }
     }
 
-    /// Takes in the result of a sample; tells whether it is the first one.
+    /// Adds the result of a sample; returns whether it is the first one for that sample.
     pub fn finish(&mut self, entry: Entry, now: Millis) -> bool {
-        if !self.mark(entry.index) {
+        if !self.mark_ended(entry.index) {
             return false;
         }
-        if self.waiting.is_empty() {
-            self.since = now;
+        if self.pending.is_empty() {
+            self.pending_since = now;
         }
-        self.urgent |= self.groups.end(entry.index);
-        self.waiting.push(entry);
+        self.urgent |= self.groups.mark_ended(entry.index);
+        self.pending.push(entry);
         true
     }
 
-    /// Says what to do; `gained` is told which samples have ended, and tells what the others have
-    /// gained, when a segment is made.
+    /// Returns what to do next. When a new segment may be due, `collect_deltas` is called with the
+    /// flags of ended samples and returns what the other samples have gained.
     pub fn next_action(
         &mut self,
         now: Millis,
-        gained: impl FnOnce(&[bool]) -> Vec<DraftDelta>,
+        collect_deltas: impl FnOnce(&[bool]) -> Vec<DraftDelta>,
     ) -> Action {
-        if let Some(segment) = &self.segment {
+        if let Some(segment) = &self.unconfirmed {
             return Action::Write(segment.clone());
         }
-        let due = self.since + self.gather;
-        let listed = !self.waiting.is_empty() && (now >= due || self.urgent);
-        let idle = match self.waiting.is_empty() {
+        let due = self.pending_since + self.max_delay;
+        let results_due = !self.pending.is_empty() && (now >= due || self.urgent);
+        let idle = match self.pending.is_empty() {
             true => Action::Idle,
             false => Action::Wait(due),
         };
-        if !listed && now < self.made + KEEP {
+        if !results_due && now < self.checkpointed_at + CHECKPOINT_INTERVAL {
             return idle;
         }
-        self.made = now;
-        let pieces = gained(&self.ended);
-        if !listed && pieces.is_empty() {
+        self.checkpointed_at = now;
+        let deltas = collect_deltas(&self.ended);
+        if !results_due && deltas.is_empty() {
             return idle;
         }
         let segment = Segment {
-            seq: self.seq,
+            seq: self.next_seq,
             first: self.listed.len() as u32,
-            entries: self.cut(),
-            deltas: pieces,
+            entries: self.take_entries(),
+            deltas,
         };
-        self.segment = Some(segment.clone());
+        self.unconfirmed = Some(segment.clone());
         Action::Write(segment)
     }
 
-    /// Takes as many results as fit into one segment, at least one if there is one.
-    fn cut(&mut self) -> Vec<Entry> {
+    /// Removes as many pending results as fit into one segment, at least one if there is one.
+    fn take_entries(&mut self) -> Vec<Entry> {
         let mut bytes = 0;
-        let fits = self.waiting.iter().take_while(|entry| {
+        let fits = self.pending.iter().take_while(|entry| {
             let first = bytes == 0;
             bytes += entry.text.len();
-            first || bytes <= SEGMENT
+            first || bytes <= MAX_SEGMENT_BYTES
         });
         let count = fits.count();
-        // What is left waits no longer than it has.
-        self.urgent &= count < self.waiting.len();
-        self.waiting.drain(..count).collect()
+        // Results that do not fit stay urgent.
+        self.urgent &= count < self.pending.len();
+        self.pending.drain(..count).collect()
     }
 
-    /// Notes that the offered segment is at the platform.
+    /// Records that the last returned segment is stored at the platform.
     pub fn mark_written(&mut self) {
-        if let Some(segment) = self.segment.take() {
+        if let Some(segment) = self.unconfirmed.take() {
             self.listed.extend(segment.entries);
-            self.seq += 1;
+            self.next_seq += 1;
         }
     }
 
-    /// The results that are at the platform, by position.
+    /// The results that are stored at the platform, by position.
     pub fn listed(&self) -> &[Entry] {
         &self.listed
     }
 
-    /// Tells whether a segment was offered that may or may not be at the platform by now. Others may
-    /// have read its results there.
+    /// Returns whether there is a segment that may or may not be stored at the platform by now.
+    /// Others may already have read its results there.
     pub fn has_pending_write(&self) -> bool {
-        self.segment.is_some()
+        self.unconfirmed.is_some()
     }
 
-    /// Tells whether a sample has ended.
+    /// Returns whether a sample has ended.
     pub fn has_ended(&self, index: u32) -> bool {
         self.ended.get(index as usize).copied().unwrap_or(true)
     }
 
-    /// The samples of groups that are not listed whole.
+    /// All samples of the groups that are not completely listed.
     pub fn incomplete_samples(&self) -> Vec<u32> {
         self.groups
-            .left_over(self.listed.iter().map(|entry| entry.index))
+            .incomplete_samples(self.listed.iter().map(|entry| entry.index))
     }
 
-    /// Tells whether every sample has ended and is listed.
+    /// Returns whether every sample has ended and is listed.
     pub fn is_done(&self) -> bool {
         self.listed.len() == self.ended.len()
     }
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,18 +1,21 @@
-//! Steps that outlive every process.
+//! Durable state of steps: records, result listing and ownership.
 //!
-//! All that a step promises is at the platform before it is said: its samples when it is accepted,
-//! each result when it is listed. One instance at a time owns a step and runs its samples; a write
-//! of the owner carries the revision of the step's head, which taking over changes, so that two
-//! instances that both believe they own a step cannot both list results.
+//! A step's data is stored at the platform before any caller is told of it: samples when the step
+//! is accepted, each result when it is listed. One instance at a time owns a step and runs its
+//! samples. Every write by the owner is conditional on the revision of the step's head, which
+//! changes on a takeover, so two instances that both believe they own a step cannot both list
+//! results.
 //!
-//! - [`record`] has what is kept at the platform, and under which keys.
-//! - [`again`] has what ended steps have left over.
-//! - [`draft`] has what samples have so far.
-//! - [`groups`] says when a step's trainer can go on.
-//! - [`ledger`] has what the owner knows of its step.
-//! - [`word`] says until when samples of a step may begin.
-//! - [`window`] has what is read of a step's results elsewhere.
-//! - [`score`] says what follows from an answer of a scorer.
+//! - [`record`] defines the stored records and their encoding, [`keys`] the keys they are stored
+//!   under.
+//! - [`leftovers`] remembers unfinished samples of ended steps.
+//! - [`draft`] holds the partial output of samples and tracks what of it is stored.
+//! - [`groups`] decides when the trainer of a step can continue.
+//! - [`ledger`] is the owner's view of the results of its step.
+//! - [`confirmation`] limits how long samples may be started after the step was last known to be
+//!   open.
+//! - [`window`] caches results read by instances that do not own the step.
+//! - [`score`] decides on retries of scoring requests.
 
 pub mod confirmation;
 pub mod draft;
--- a/crates/batch/src/record.rs
+++ b/crates/batch/src/record.rs
@@ -1,4 +1,4 @@
-//! What the platform keeps of a step.
+//! Records of a step that are stored at the platform, and their encoding.
 
 use std::hash::DefaultHasher;
 use std::hash::Hash;
@@ -9,45 +9,47 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Bytes of one part of a step's samples: platforms take values of up to a megabyte, which base64
-/// makes a third longer, and whoever looks for one sample has one part at a time in memory.
-const PART: usize = 512 << 10;
+/// Maximum bytes of one part of a step's samples: platforms accept values of up to a megabyte,
+/// which base64 makes a third longer, and a reader that looks for one sample holds one part in
+/// memory.
+const MAX_PART_BYTES: usize = 512 << 10;
 
-/// Bytes of a part beside its samples, at most.
-const FRAME: usize = 64;
+/// Maximum encoding overhead of a part, in bytes.
+const MAX_OVERHEAD_BYTES: usize = 64;
 
-/// A record cannot be written or read.
+/// An error while encoding or decoding a record.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum RecordError {
-    /// It cannot be encoded.
+    /// The record cannot be encoded.
     #[error("could not encode a record")]
     Encode(#[from] rmp_serde::encode::Error),
-    /// It cannot be decoded.
+    /// The record cannot be decoded.
     #[error("could not decode a record")]
     Decode(#[from] rmp_serde::decode::Error),
-    /// Parts of it are missing.
+    /// Parts of the record are missing.
     #[error("parts of a record are missing")]
     Missing,
 }
 
-/// One start of an instance.
+/// One run of an instance, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Owner {
-    /// The instance.
+    /// The name of the instance.
     pub instance: Arc<str>,
-    /// Which of its starts.
+    /// Identifies the start among those of the instance.
     pub start: u64,
 }
 
-/// What is kept of a step beside its samples; it changes with its owner.
+/// The record of a step without its samples; rewritten when the step changes its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Head {
-    /// Who runs its samples.
+    /// The instance that runs its samples.
     pub owner: Owner,
-    /// When it was opened, in milliseconds since 1970 on the clock of who accepted it.
+    /// When it was opened, in milliseconds since 1970 on the clock of the instance that accepted
+    /// it.
     pub opened: Millis,
     /// The host under which it was submitted.
     pub host: Arc<str>,
@@ -55,21 +57,21 @@
     pub path: Arc<str>,
     /// The model that generates its samples.
     pub model: Arc<str>,
-    /// The oldest version of the weights that may generate its tokens.
+    /// The oldest weight version that may generate its tokens.
     #[serde(rename = "least")]
     pub min_version: u64,
-    /// Groups that the trainer waits for.
+    /// Number of groups that must complete before the trainer continues.
     pub wanted: u32,
-    /// Its samples.
+    /// Number of samples.
     pub total: u32,
-    /// The sum of what its samples are expected to have, in what their senders count; each counts
-    /// for one at least.
+    /// The sum of the expected lengths of its samples, in the unit that their senders use; each
+    /// counts as at least one.
     pub work: u64,
-    /// The team that it belongs to; records of versions before teams have none.
+    /// The team that it belongs to; missing in records written by versions without teams.
     #[serde(default)]
     pub team: Option<Arc<str>>,
-    /// The revision that it had when it was ended, once it has ended. It stands last and is left out before, so
-    /// that versions without it read the heads of open steps.
+    /// The revision of the head when the step was ended. It is the last field and is omitted while
+    /// the step is open, so that versions without it can read the heads of open steps.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<i64>,
 }
@@ -78,45 +80,46 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Sample {
-    /// Its name.
+    /// The name of the sample.
     pub id: Arc<str>,
-    /// Samples of one group share their prompt, and count only together.
+    /// The group of the sample. Samples of a group share their prompt and only count together.
     pub group: Arc<str>,
-    /// The path of its request.
+    /// The path of the request.
     pub path: Arc<str>,
-    /// Headers of its request.
+    /// Headers of the request.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
-    /// The body of its request.
+    /// The body of the request.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// Tokens that it is expected to have; 0 when nobody has said.
+    /// Expected number of tokens; 0 if unknown.
     pub expected: u32,
-    /// Tokens of its prompt; 0 when nobody has said.
+    /// Number of prompt tokens; 0 if unknown.
     pub prompt: u32,
-    /// The request that scores it, if it has one.
+    /// The request that scores the sample, if there is one.
     #[serde(default)]
     pub scoring: Option<Scoring>,
 }
 
-/// A request that scores a sample once its text is whole.
+/// A request that scores a sample once its text is complete.
 ///
-/// It goes through the route of its own host and path, like a call that may be repeated.
+/// It is sent through the route of its own host and path, like an idempotent call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Scoring {
     /// The name of the request.
     pub id: Arc<str>,
-    /// Its host.
+    /// The host of the request.
     pub host: Arc<str>,
-    /// Its path.
+    /// The path of the request.
     pub path: Arc<str>,
-    /// Its body.
+    /// The body of the request.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
 impl Sample {
-    /// A number that differs between samples whose requests differ, though their names be alike.
+    /// A hash of the sample's name and request: samples of the same name whose requests differ have
+    /// different fingerprints.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.id.hash(&mut hasher);
@@ -135,21 +138,22 @@
     pub samples: Vec<Sample>,
 }
 
-/// One value of the platform with some of a step's samples.
+/// One stored value with some of a step's samples.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 struct Part {
-    /// The place of its first sample in the step.
+    /// The index of its first sample in the step.
     first: u32,
-    /// Whether the next part goes on with the bytes of this one, since they do not fit into one value.
+    /// Whether the bytes continue in the next part because they do not fit into one value.
     more: bool,
     #[serde(with = "serde_bytes")]
     bytes: Vec<u8>,
 }
 
-/// Puts a step's samples together from their parts, which come in order.
+/// Decodes a step's samples from their parts, which must be added in order.
 ///
-/// Each part can be read alone, so that whoever looks for one sample keeps no more than that one.
+/// Samples are returned part by part, so a reader that looks for one sample need not hold all of
+/// them in memory.
 ///
 /// # Examples
 ///
@@ -161,54 +165,54 @@
 ///     expected: 1, prompt: 1, scoring: None,
 /// };
 /// let spec = Spec { samples: vec![sample("a"), sample("b")] };
-/// let mut parts = SpecDecoder::default();
+/// let mut decoder = SpecDecoder::default();
 /// let mut found = Vec::new();
 /// for value in spec.encode_parts()? {
-///     found.extend(parts.add(&value)?);
+///     found.extend(decoder.add(&value)?);
 /// }
 /// assert_eq!(found, spec.samples);
 /// # Ok::<(), batch::RecordError>(())
 /// ```
 #[derive(Debug, Default)]
 pub struct SpecDecoder {
-    next: u32,
-    bytes: Vec<u8>,
+    next_index: u32,
+    buffer: Vec<u8>,
 }
 
 impl SpecDecoder {
-    /// Takes in the next part; gives the samples that are whole with it.
+    /// Adds the next part and returns the samples that it completes.
     ///
     /// # Errors
     ///
-    /// Returns [`RecordError`], also when a part before it is missing.
+    /// Returns [`RecordError`] if the part is invalid or does not follow the previous one.
     pub fn add(&mut self, value: &[u8]) -> Result<Vec<Sample>, RecordError> {
         let part: Part = decode(value)?;
-        if part.first != self.next {
+        if part.first != self.next_index {
             return Err(RecordError::Missing);
         }
-        self.bytes.extend_from_slice(&part.bytes);
+        self.buffer.extend_from_slice(&part.bytes);
         if part.more {
             return Ok(Vec::new());
         }
-        let bytes = std::mem::take(&mut self.bytes);
+        let bytes = std::mem::take(&mut self.buffer);
         let samples: Vec<Sample> = decode(&bytes)?;
-        self.next += samples.len() as u32;
+        self.next_index += samples.len() as u32;
         Ok(samples)
     }
 }
 
 impl Spec {
-    /// Encodes the samples in parts that fit into one value of the platform each.
+    /// Encodes the samples as parts that each fit into one value of the platform.
     ///
     /// # Errors
     ///
-    /// Returns [`RecordError`].
+    /// Returns [`RecordError`] if a sample cannot be encoded.
     pub fn encode_parts(&self) -> Result<Vec<Vec<u8>>, RecordError> {
         let mut parts = Vec::new();
         let mut first = 0;
         while first < self.samples.len() {
-            let (count, bytes) = self.some(first)?;
-            let mut chunks = bytes.chunks(PART).peekable();
+            let (count, bytes) = self.encode_part(first)?;
+            let mut chunks = bytes.chunks(MAX_PART_BYTES).peekable();
             while let Some(chunk) = chunks.next() {
                 parts.push(encode(&Part {
                     first: first as u32,
@@ -221,14 +225,15 @@
         Ok(parts)
     }
 
-    /// Encodes as many samples from one on as fit into a part, at least one; gives their number too.
-    fn some(&self, first: usize) -> Result<(usize, Vec<u8>), RecordError> {
+    /// Encodes as many samples from index `first` on as fit into a part, at least one; also returns
+    /// their number.
+    fn encode_part(&self, first: usize) -> Result<(usize, Vec<u8>), RecordError> {
         let rest = &self.samples[first..];
         let mut bytes = 0;
         let mut count = 0;
         for sample in rest {
             bytes += encode(sample)?.len();
-            if count > 0 && bytes > PART - FRAME {
+            if count > 0 && bytes > MAX_PART_BYTES - MAX_OVERHEAD_BYTES {
                 break;
             }
             count += 1;
@@ -236,19 +241,19 @@
         Ok((count, encode(&&rest[..count])?))
     }
 
-    /// Decodes a step's `total` samples from their parts.
+    /// Decodes the `total` samples of a step from their parts.
     ///
     /// # Errors
     ///
-    /// Returns [`RecordError`], also when a part is missing.
+    /// Returns [`RecordError`] if a part is invalid or missing.
     pub fn decode_parts<'a>(
         values: impl Iterator<Item = &'a [u8]>,
         total: u32,
     ) -> Result<Self, RecordError> {
-        let mut parts = SpecDecoder::default();
+        let mut decoder = SpecDecoder::default();
         let mut samples = Vec::new();
         for value in values {
-            samples.extend(parts.add(value)?);
+            samples.extend(decoder.add(value)?);
         }
         match samples.len() == total as usize {
             true => Ok(Self { samples }),
@@ -261,10 +266,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is whole.
+    /// Its text is complete, and so is its score if it needs one.
     #[serde(rename = "Whole")]
     Completed,
-    /// It was given up.
+    /// The sample was given up.
     Failed,
 }
 
@@ -272,17 +277,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Entry {
-    /// The sample's place in the step.
+    /// The index of the sample in the step.
     pub index: u32,
-    /// The sample's name.
+    /// The name of the sample.
     pub id: Arc<str>,
-    /// How it ended.
+    /// How the sample ended.
     pub outcome: Outcome,
-    /// The data of its events, separated by line feeds.
+    /// The data of the events, separated by line feeds.
     pub text: Arc<str>,
-    /// The versions of the weights that generated it.
+    /// The weight versions that generated the text.
     pub versions: Vec<u64>,
-    /// The signature of the scorer's answer, for a sample that brings a request for it.
+    /// The signature of the scorer's response, for a sample with a scoring request.
     #[serde(default)]
     pub score: Option<Arc<str>>,
 }
@@ -291,7 +296,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`RecordError`].
+/// Returns [`RecordError`] if the value cannot be encoded.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, RecordError> {
     Ok(rmp_serde::to_vec(value)?)
 }
@@ -300,7 +305,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`RecordError`].
+/// Returns [`RecordError`] if the bytes are not a valid encoding.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, RecordError> {
     Ok(rmp_serde::from_slice(bytes)?)
 }
--- a/crates/batch/src/score.rs
+++ b/crates/batch/src/score.rs
@@ -1,90 +1,91 @@
-//! What follows from a scorer's answer.
+//! Retries of scoring requests.
 //!
-//! Load pattern: the samples of a step become whole over seconds, dozens of them within one, and each
-//! wants a score of a plain service whose places callers use as well. A few requests fail always, and
-//! for seconds no upstream of the service may be there, so that many samples wait at the same time.
+//! Load pattern: the samples of a step complete over seconds, dozens of them within one second, and
+//! each needs a score from a plain service whose slots are also used by callers. A few requests
+//! always fail, and for seconds the service may have no upstream, so many samples wait at once.
 
 use std::sync::Arc;
 
 use kernel::Millis;
 
-/// Pause after the first answer that says nothing of the sample: about the time in which a place of a
-/// plain service becomes free.
-const SHORTEST: Millis = 25;
+/// Pause after the first inconclusive attempt: about the time until a slot of a plain service
+/// becomes free.
+const MIN_PAUSE: Millis = 25;
 
-/// Longest pause between two tries. With all upstreams of a service gone for seconds, the samples that
-/// wait look for a free place this often, which costs no message while there is none.
-const LONGEST: Millis = 400;
+/// Longest pause between two attempts. While a service has no upstream for seconds, waiting samples
+/// look for a free slot this often, which sends no message as long as there is none.
+const MAX_PAUSE: Millis = 400;
 
-/// Doublings after which the pause is the longest.
-const DOUBLINGS: u32 = 4;
+/// Number of doublings after which the pause has reached its maximum.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// What came of asking for a score once.
+/// Result of one attempt to get a score.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// A whole success, with its signature.
+    /// The scorer answered completely and successfully, with this signature.
     Scored(Arc<str>),
-    /// The scorer itself says that it failed at this sample.
+    /// The scorer itself reported that it failed on this sample.
     Failed,
-    /// Anything else: cut, late, garbled or unsigned answers, other failures, no upstream with a free
-    /// place. It says nothing of the sample.
+    /// Anything else: a truncated, late, malformed or unsigned answer, another failure, or no
+    /// upstream with a free slot. It says nothing about the sample.
     Inconclusive,
 }
 
-/// What to do next.
+/// What to do after an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The sample has this score.
+    /// Accept this score.
     Score(Arc<str>),
-    /// The sample cannot be scored and has failed.
+    /// Give up: the sample cannot be scored and counts as failed.
     Fail,
-    /// Ask again after this pause.
+    /// Retry after this pause.
     Retry(Millis),
 }
 
-/// The tries to get the score of one sample.
+/// Attempts to get the score of one sample.
 ///
-/// Only the scorer's own failures count against a sample, and they follow each other at once: a sample
-/// that can never be scored must not hold its group up. Everything else is tried again until the step
-/// gives the sample up, with growing pauses.
+/// Only failures reported by the scorer count against a sample, and they are retried without a
+/// pause: a sample that can never be scored must not hold up its group. Everything else is retried
+/// with growing pauses until the step gives the sample up.
 ///
 /// # Examples
 ///
 /// ```
 /// use batch::score::{AttemptResult, Decision, Retries};
 ///
-/// let mut tries = Retries::new(2);
-/// assert_eq!(tries.decide(AttemptResult::Inconclusive), Decision::Retry(25));
-/// assert_eq!(tries.decide(AttemptResult::Inconclusive), Decision::Retry(50));
-/// assert_eq!(tries.decide(AttemptResult::Failed), Decision::Retry(0));
-/// assert_eq!(tries.decide(AttemptResult::Failed), Decision::Fail);
+/// let mut retries = Retries::new(2);
+/// assert_eq!(retries.decide(AttemptResult::Inconclusive), Decision::Retry(25));
+/// assert_eq!(retries.decide(AttemptResult::Inconclusive), Decision::Retry(50));
+/// assert_eq!(retries.decide(AttemptResult::Failed), Decision::Retry(0));
+/// assert_eq!(retries.decide(AttemptResult::Failed), Decision::Fail);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Retries {
-    most: u32,
+    max_failures: u32,
     failures: u32,
     pauses: u32,
 }
 
 impl Retries {
-    /// Makes the tries of a sample that has failed after `most` failures of the scorer.
-    pub fn new(most: u32) -> Self {
+    /// Creates the retries of a sample that fails after `max_failures` failures of the scorer.
+    pub fn new(max_failures: u32) -> Self {
         Self {
-            most: most.max(1),
+            max_failures: max_failures.max(1),
             failures: 0,
             pauses: 0,
         }
     }
 
-    /// Lets the scorer fail as often as a route allows that is in force now; never less often than one
-    /// before. When no configuration had the route at the first try, the sample was given up too early.
-    pub fn raise_limit(&mut self, most: u32) {
-        self.most = self.most.max(most);
+    /// Raises the number of allowed failures to that of the current route; never lowers it. If no
+    /// configuration had the route at the first attempt, the initial limit would give the sample
+    /// up too early.
+    pub fn raise_limit(&mut self, max_failures: u32) {
+        self.max_failures = self.max_failures.max(max_failures);
     }
 
-    /// Says what follows from an answer.
-    pub fn decide(&mut self, answer: AttemptResult) -> Decision {
-        match answer {
+    /// Decides what to do after an attempt.
+    pub fn decide(&mut self, result: AttemptResult) -> Decision {
+        match result {
             AttemptResult::Scored(signature) => Decision::Score(signature),
             AttemptResult::Failed => self.fail(),
             AttemptResult::Inconclusive => self.pause(),
@@ -94,15 +95,15 @@
     fn fail(&mut self) -> Decision {
         self.failures += 1;
         self.pauses = 0;
-        match self.failures < self.most {
+        match self.failures < self.max_failures {
             true => Decision::Retry(0),
             false => Decision::Fail,
         }
     }
 
     fn pause(&mut self) -> Decision {
-        let pause = SHORTEST << self.pauses.min(DOUBLINGS);
+        let pause = MIN_PAUSE << self.pauses.min(MAX_DOUBLINGS);
         self.pauses += 1;
-        Decision::Retry(pause.min(LONGEST))
+        Decision::Retry(pause.min(MAX_PAUSE))
     }
 }
--- a/crates/batch/src/window.rs
+++ b/crates/batch/src/window.rs
@@ -1,15 +1,16 @@
-//! The part of a step's results that an instance has read for its readers.
+//! Cache of a step's results on an instance that does not own the step.
 //!
-//! Load pattern: a step of thousands of results is some ten megabytes of text, and its trainer reads it
-//! page by page, each page at another instance with a tenth of a core. An instance that read all results
-//! before it answered needed longer than any reader waits, and began anew for the next one.
+//! Load pattern: a step of thousands of results is some ten megabytes of text, and its trainer
+//! reads it page by page, each page from a different instance with a tenth of a core. An instance
+//! that read all results before it answered took longer than any reader waits, and started over
+//! for the next one.
 
 use crate::Entry;
 
-/// Bytes of text beyond which results before those that are asked for are dropped: two answers.
-const MOST: usize = 2 << 20;
+/// Bytes of text above which results before the requested position are dropped: two responses.
+const MAX_TEXT_BYTES: usize = 2 << 20;
 
-/// Results without gaps, as they stand at the platform.
+/// A contiguous range of results as stored at the platform.
 ///
 /// # Examples
 ///
@@ -17,7 +18,8 @@
 /// use batch::{Entry, Outcome, Window};
 ///
 /// let entry = |index| Entry {
-///     index, id: "a".into(), outcome: Outcome::Completed, text: "x".into(), versions: vec![1], score: None,
+///     index, id: "a".into(), outcome: Outcome::Completed, text: "x".into(), versions: vec![1],
+///     score: None,
 /// };
 /// let mut window = Window::starting_at(40);
 /// assert!(window.add(40, vec![entry(7), entry(3)]));
@@ -29,14 +31,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     first: usize,
-    /// The position at which the newest segment begins.
-    newest: Option<usize>,
+    /// Position of the first result of the newest segment.
+    newest_segment: Option<usize>,
     entries: Vec<Entry>,
-    bytes: usize,
+    text_bytes: usize,
 }
 
 impl Window {
-    /// Makes an empty window at a position.
+    /// Creates an empty window that starts at a position.
     pub fn starting_at(first: usize) -> Self {
         Self {
             first,
@@ -44,45 +46,45 @@
         }
     }
 
-    /// The position behind the last result.
+    /// The position after the last result.
     pub fn end(&self) -> usize {
         self.first + self.entries.len()
     }
 
-    /// The position at which the newest segment begins, if there is one.
+    /// Position of the first result of the newest segment, if there is one.
     pub fn newest_segment(&self) -> Option<usize> {
-        self.newest
+        self.newest_segment
     }
 
-    /// Tells whether it has the results from a position on, or ends there.
-    pub fn covers(&self, from: usize) -> bool {
-        (self.first..=self.end()).contains(&from)
+    /// Returns whether a position is inside the window or at its end.
+    pub fn covers(&self, position: usize) -> bool {
+        (self.first..=self.end()).contains(&position)
     }
 
-    /// The results from a position on; [`None`] when it does not reach there.
-    pub fn entries_from(&self, from: usize) -> Option<&[Entry]> {
-        self.entries.get(from.checked_sub(self.first)?..)
+    /// The results from a position on, or [`None`] when the window does not cover it.
+    pub fn entries_from(&self, position: usize) -> Option<&[Entry]> {
+        self.entries.get(position.checked_sub(self.first)?..)
     }
 
-    /// Takes in a segment that begins at a position, if it goes on there.
+    /// Appends a segment if it starts at the end of the window; returns whether it did.
     pub fn add(&mut self, first: usize, entries: Vec<Entry>) -> bool {
         if first != self.end() {
             return false;
         }
-        self.newest = Some(first);
-        self.bytes += entries.iter().map(|entry| entry.text.len()).sum::<usize>();
+        self.newest_segment = Some(first);
+        self.text_bytes += entries.iter().map(|entry| entry.text.len()).sum::<usize>();
         self.entries.extend(entries);
         true
     }
 
-    /// Drops results before a position once there is much text.
-    pub fn trim(&mut self, from: usize) {
-        if self.bytes <= MOST {
+    /// Drops results before a position if the window holds too much text.
+    pub fn trim(&mut self, position: usize) {
+        if self.text_bytes <= MAX_TEXT_BYTES {
             return;
         }
-        let count = from.saturating_sub(self.first).min(self.entries.len());
-        let gone = self.entries.drain(..count);
-        self.bytes -= gone.map(|entry| entry.text.len()).sum::<usize>();
+        let count = position.saturating_sub(self.first).min(self.entries.len());
+        let dropped = self.entries.drain(..count);
+        self.text_bytes -= dropped.map(|entry| entry.text.len()).sum::<usize>();
         self.first += count;
     }
 }
--- a/crates/batch/tests/confirmation.rs
+++ b/crates/batch/tests/confirmation.rs
@@ -1,114 +1,116 @@
-//! Samples begin while their step is known to be open.
+//! Tests of how long samples may be started after their step was last known to be open.
 
 use batch::Confirmation;
 use kernel::Millis;
 use proptest::prelude::*;
 
-/// Time in which the end of a step has to be in force, in milliseconds.
-const BOUND: Millis = 3_000;
+/// Time within which the end of a step takes effect, in milliseconds.
+const END_BOUND: Millis = 3_000;
 
-/// What a question to the platform comes to, and after how long.
+/// How a check at the platform ends, and after how many milliseconds.
 #[derive(Clone, Copy, Debug)]
-enum Came {
+enum CheckEnd {
     Answer(Millis),
-    Away(Millis),
-    Nothing(Millis),
+    Outage(Millis),
+    NoAnswer(Millis),
 }
 
-/// A word, and the question that is under way.
-struct Asked {
-    word: Confirmation,
-    under_way: Option<(Millis, Came)>,
+/// A confirmation and the check in flight.
+struct Checker {
+    confirmation: Confirmation,
+    in_flight: Option<(Millis, CheckEnd)>,
 }
 
-impl Asked {
-    /// Moves on to a time; the step ends at `end`.
-    fn step(&mut self, now: Millis, end: Millis, next: &mut impl Iterator<Item = Came>) {
-        if let Some((asked, came)) = self.under_way {
-            let (Came::Answer(took) | Came::Away(took) | Came::Nothing(took)) = came;
-            if now < asked + took {
+impl Checker {
+    /// Advances to `now`; the step ends at `end`.
+    fn advance(&mut self, now: Millis, end: Millis, next: &mut impl Iterator<Item = CheckEnd>) {
+        if let Some((sent, result)) = self.in_flight {
+            let (CheckEnd::Answer(took) | CheckEnd::Outage(took) | CheckEnd::NoAnswer(took)) =
+                result;
+            if now < sent + took {
                 return;
             }
-            self.under_way = None;
-            match came {
-                Came::Answer(_) if asked < end => self.word.confirm(asked),
-                Came::Away(_) => self.word.record_outage(asked),
-                Came::Answer(_) | Came::Nothing(_) => (),
+            self.in_flight = None;
+            match result {
+                CheckEnd::Answer(_) if sent < end => self.confirmation.confirm(sent),
+                CheckEnd::Outage(_) => self.confirmation.record_outage(sent),
+                CheckEnd::Answer(_) | CheckEnd::NoAnswer(_) => (),
             }
         }
-        if self.word.is_check_due(now) {
-            self.word.start_check(now);
-            self.under_way = next.next().map(|came| (now, came));
+        if self.confirmation.is_check_due(now) {
+            self.confirmation.start_check(now);
+            self.in_flight = next.next().map(|result| (now, result));
         }
     }
 }
 
-fn asked() -> Asked {
-    Asked {
-        word: Confirmation::new(BOUND, 0),
-        under_way: None,
+fn checker() -> Checker {
+    Checker {
+        confirmation: Confirmation::new(END_BOUND, 0),
+        in_flight: None,
     }
 }
 
-fn without_outage() -> impl Strategy<Value = Came> {
+fn without_outage() -> impl Strategy<Value = CheckEnd> {
     prop_oneof![
-        (1..1_500_u64).prop_map(Came::Answer),
-        (1..1_500_u64).prop_map(Came::Nothing),
+        (1..1_500_u64).prop_map(CheckEnd::Answer),
+        (1..1_500_u64).prop_map(CheckEnd::NoAnswer),
     ]
 }
 
 proptest! {
-    /// Guards against samples that begin long after the end of their step, whatever becomes of questions.
+    /// Guards against samples that start long after the end of their step, whatever the checks
+    /// return.
     #[test]
-    fn nothing_begins_two_thirds_of_the_bound_after_the_end(
+    fn no_sample_starts_later_than_two_thirds_of_the_bound_after_the_end(
         end in 1..20_000_u64,
-        came in prop::collection::vec(without_outage(), 1..100),
+        results in prop::collection::vec(without_outage(), 1..100),
     ) {
-        let mut asked = asked();
-        let mut came = came.into_iter();
+        let mut checker = checker();
+        let mut results = results.into_iter();
 
-        for now in 0..end + 2 * BOUND {
-            asked.step(now, end, &mut came);
-            if let Some(permit) = asked.word.permit(now) {
+        for now in 0..end + 2 * END_BOUND {
+            checker.advance(now, end, &mut results);
+            if let Some(permit) = checker.confirmation.permit(now) {
                 prop_assert!(now < permit.until());
-                prop_assert!(permit.until() <= end + BOUND * 2 / 3);
+                prop_assert!(permit.until() <= end + END_BOUND * 2 / 3);
             }
         }
     }
 
-    /// Guards against steps that stand still while the platform answers, or while it is away for all.
+    /// Guards against steps that stall while the platform answers, or while no instance reaches it.
     #[test]
-    fn an_open_step_goes_on_while_there_is_word(
-        came in prop::collection::vec(
+    fn an_open_step_continues_while_checks_succeed_or_no_instance_reaches_the_platform(
+        results in prop::collection::vec(
             prop_oneof![
-                (1..900_u64).prop_map(Came::Answer),
-                (1..1_000_u64).prop_map(Came::Away),
+                (1..900_u64).prop_map(CheckEnd::Answer),
+                (1..1_000_u64).prop_map(CheckEnd::Outage),
             ],
             100,
         ),
     ) {
-        let mut asked = asked();
-        let mut came = came.into_iter();
+        let mut checker = checker();
+        let mut results = results.into_iter();
 
         for now in 0..20_000 {
-            asked.step(now, Millis::MAX, &mut came);
-            prop_assert!(asked.word.permit(now).is_some(), "at {now}");
+            checker.advance(now, Millis::MAX, &mut results);
+            prop_assert!(checker.confirmation.permit(now).is_some(), "at {now}");
         }
     }
 }
 
-/// Guards against a platform that is asked all the time while it is away.
+/// Guards against checks sent without a pause during an outage of the platform.
 #[test]
-fn an_outage_costs_no_more_questions_than_a_calm_time() {
-    let mut asked = asked();
+fn an_outage_causes_no_more_checks_than_normal_operation() {
+    let mut checker = checker();
     let mut count = 0;
-    let mut came = std::iter::repeat_with(|| {
+    let mut results = std::iter::repeat_with(|| {
         count += 1;
-        Came::Away(1)
+        CheckEnd::Outage(1)
     });
 
     for now in 0..9_001 {
-        asked.step(now, Millis::MAX, &mut came);
+        checker.advance(now, Millis::MAX, &mut results);
     }
 
     assert!(count <= 10, "{count}");
--- a/crates/batch/tests/ledger.rs
+++ b/crates/batch/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Positions of results never change, whatever happens to writes and owners.
+//! Tests of the ledger, of encoded samples and of checkpoints.
 
 use std::collections::BTreeMap;
 
@@ -25,37 +25,36 @@
     }
 }
 
-/// A ledger whose samples are a group each, all of which are waited for.
-fn alone(total: u32, gather: u64) -> Ledger {
+/// A ledger in which each sample is a group of its own, all of which are required.
+fn single_sample_groups(total: u32, max_delay: u64) -> Ledger {
     let names: Vec<_> = (0..total).map(|at| format!("g{at}").into()).collect();
-    Ledger::new(Groups::new(names.iter(), total), gather)
+    Ledger::new(Groups::new(names.iter(), total), max_delay)
 }
 
-fn writes(ledger: &mut Ledger, now: u64) -> Option<batch::Segment> {
+fn next_segment(ledger: &mut Ledger, now: u64) -> Option<batch::Segment> {
     match ledger.next_action(now, |_| Vec::new()) {
         Action::Write(segment) => Some(segment),
         Action::Wait(_) | Action::Idle => None,
     }
 }
 
-// Symptom: two readers see different results at one position.
-// Sequence: a write is not answered, and another sample ends before it is repeated.
-// Cause: the repeated write must have the same content.
+// Guards against two readers that see different results at one position: a write is not answered,
+// and another sample ends before it is repeated. The repeated write must have the same content.
 #[test]
-fn an_unclear_segment_is_offered_again_unchanged() {
-    let mut ledger = alone(3, 0);
+fn an_unconfirmed_segment_is_returned_again_unchanged() {
+    let mut ledger = single_sample_groups(3, 0);
     ledger.finish(entry(0, "a"), 0);
-    let first = writes(&mut ledger, 1);
+    let first = next_segment(&mut ledger, 1);
 
     ledger.finish(entry(1, "b"), 2);
-    let again = writes(&mut ledger, 3);
+    let repeated = next_segment(&mut ledger, 3);
 
-    assert_eq!(first, again);
+    assert_eq!(first, repeated);
 }
 
 #[test]
 fn nothing_is_listed_before_it_is_written() {
-    let mut ledger = alone(1, 0);
+    let mut ledger = single_sample_groups(1, 0);
     ledger.finish(entry(0, "a"), 0);
     ledger.next_action(1, |_| Vec::new());
     assert!(ledger.listed().is_empty());
@@ -67,20 +66,20 @@
 }
 
 #[test]
-fn a_segment_stays_below_what_the_platform_takes() {
-    let mut ledger = alone(3, 0);
+fn a_segment_stays_below_the_value_limit_of_the_platform() {
+    let mut ledger = single_sample_groups(3, 0);
     let text = "x".repeat(400 << 10);
     for index in 0..3 {
         ledger.finish(entry(index, &text), 0);
     }
 
-    let segment = writes(&mut ledger, 1).unwrap();
+    let segment = next_segment(&mut ledger, 1).unwrap();
 
     assert_eq!(segment.entries.len(), 1);
 }
 
 #[test]
-fn the_samples_of_a_step_come_back_from_their_parts() {
+fn samples_are_decoded_from_their_parts() {
     let sample = |at: usize| Sample {
         id: format!("s{at}").into(),
         group: "g".into(),
@@ -98,14 +97,14 @@
     let parts = spec.encode_parts().unwrap();
 
     assert!(parts.len() > 1 && parts.iter().all(|part| part.len() <= 512 << 10));
-    let join = |parts: &[Vec<u8>]| Spec::decode_parts(parts.iter().map(Vec::as_slice), 4);
-    assert_eq!(join(&parts).unwrap(), spec);
-    assert!(join(&parts[1..]).is_err());
-    assert!(join(&parts[..parts.len() - 1]).is_err());
+    let decode = |parts: &[Vec<u8>]| Spec::decode_parts(parts.iter().map(Vec::as_slice), 4);
+    assert_eq!(decode(&parts).unwrap(), spec);
+    assert!(decode(&parts[1..]).is_err());
+    assert!(decode(&parts[..parts.len() - 1]).is_err());
 }
 
 #[test]
-fn a_sample_that_is_larger_than_a_part_comes_back_from_several() {
+fn a_sample_larger_than_a_part_is_decoded_from_several() {
     let sample = |id: &str, bytes: usize| Sample {
         id: id.into(),
         group: "g".into(),
@@ -126,60 +125,60 @@
 
     let parts = spec.encode_parts().unwrap();
 
-    let join = |parts: &[Vec<u8>]| Spec::decode_parts(parts.iter().map(Vec::as_slice), 3);
+    let decode = |parts: &[Vec<u8>]| Spec::decode_parts(parts.iter().map(Vec::as_slice), 3);
     assert!(parts.len() >= 4, "{}", parts.len());
-    assert_eq!(join(&parts).unwrap(), spec);
-    assert!(join(&parts[..2]).is_err());
+    assert_eq!(decode(&parts).unwrap(), spec);
+    assert!(decode(&parts[..2]).is_err());
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum Event {
     Finish(u32),
     Write,
-    Lose,
+    LoseAnswer,
     Crash,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => (0_u32..6).prop_map(Step::Finish),
-        3 => Just(Step::Write),
-        1 => Just(Step::Lose),
-        1 => Just(Step::Crash),
+        4 => (0_u32..6).prop_map(Event::Finish),
+        3 => Just(Event::Write),
+        1 => Just(Event::LoseAnswer),
+        1 => Just(Event::Crash),
     ]
 }
 
 proptest! {
-    /// Owners finish, write, lose answers and die in any order; the platform keeps what was
-    /// written under a number that did not exist. Each sample is listed at most once, and what a
-    /// reader has seen at a position stays there.
+    /// Owners finish samples, write, lose answers and crash in any order, and the platform stores a
+    /// segment only under a key that does not exist. Each sample is listed at most once, and a
+    /// result that was readable at a position stays there.
     #[test]
-    fn positions_never_change(steps in proptest::collection::vec(step(), 1..60)) {
-        let mut kept: BTreeMap<u32, Vec<Entry>> = BTreeMap::new();
-        let mut ledger = alone(6, 0);
+    fn positions_never_change(events in proptest::collection::vec(event(), 1..60)) {
+        let mut stored: BTreeMap<u32, Vec<Entry>> = BTreeMap::new();
+        let mut ledger = single_sample_groups(6, 0);
         let mut seen: Vec<Entry> = Vec::new();
-        for (now, step) in steps.into_iter().enumerate() {
+        for (now, event) in events.into_iter().enumerate() {
             let now = now as u64;
-            match step {
-                Step::Finish(index) => drop(ledger.finish(entry(index, &now.to_string()), now)),
-                Step::Write | Step::Lose => {
-                    if let Some(segment) = writes(&mut ledger, now) {
-                        let there = kept.entry(segment.first);
-                        let there = there.or_insert_with(|| segment.entries.clone());
-                        prop_assert_eq!(&*there, &segment.entries);
-                        if matches!(step, Step::Write) {
+            match event {
+                Event::Finish(index) => drop(ledger.finish(entry(index, &now.to_string()), now)),
+                Event::Write | Event::LoseAnswer => {
+                    if let Some(segment) = next_segment(&mut ledger, now) {
+                        let at_position = stored.entry(segment.first);
+                        let at_position = at_position.or_insert_with(|| segment.entries.clone());
+                        prop_assert_eq!(&*at_position, &segment.entries);
+                        if matches!(event, Event::Write) {
                             ledger.mark_written();
                         }
                     }
                 }
-                Step::Crash => {
-                    ledger = alone(6, 0);
-                    for entries in kept.values() {
+                Event::Crash => {
+                    ledger = single_sample_groups(6, 0);
+                    for entries in stored.values() {
                         ledger.restore(entries.clone());
                     }
                 }
             }
-            let all: Vec<_> = kept.values().flatten().cloned().collect();
+            let all: Vec<_> = stored.values().flatten().cloned().collect();
             prop_assert_eq!(&all[..seen.len()], &seen[..]);
             prop_assert!(all.starts_with(ledger.listed()));
             let mut indexes: Vec<_> = all.iter().map(|entry| entry.index).collect();
@@ -191,7 +190,7 @@
     }
 }
 
-fn grown(events: u64) -> Draft {
+fn draft_of(events: u64) -> Draft {
     let mut draft = Draft::default();
     for number in 1..=events {
         assert!(draft.add(number, &format!("{number}"), 1));
@@ -199,91 +198,89 @@
     draft
 }
 
-// Symptom: the longest samples of every open step begin anew after all processes were killed, and their
-// trainers give the steps up.
-// Sequence: the owner writes what a sample has gained some times, and is killed.
-// Cause: the pieces that the platform has make the text up to the last of them.
+// Guards against the longest samples of every open step starting over after all processes were
+// killed, so that their trainers give the steps up: the owner writes several deltas of a sample and
+// is killed. The stored deltas must restore the text up to the last of them.
 #[test]
-fn a_sample_comes_back_from_its_pieces() {
-    let mut kept = Checkpoints::default();
-    let mut pieces = Vec::new();
+fn a_sample_is_restored_from_its_deltas() {
+    let mut checkpoints = Checkpoints::default();
+    let mut deltas = Vec::new();
     for events in [10, 30, 33, 41, 90] {
-        pieces.extend(kept.take_deltas([(4, &grown(events))].into_iter()));
+        deltas.extend(checkpoints.take_deltas([(4, &draft_of(events))].into_iter()));
     }
 
     let mut draft = Draft::default();
-    for piece in pieces.clone() {
-        draft.apply(piece);
+    for delta in deltas.clone() {
+        draft.apply(delta);
     }
 
-    assert_eq!(draft, grown(90));
-    // Ten are too few, and three more are not worth a write.
-    let lasts: Vec<_> = pieces.iter().map(|piece| piece.last).collect();
+    assert_eq!(draft, draft_of(90));
+    // 10 events are too few for a checkpoint, and so is a gain of 3.
+    let lasts: Vec<_> = deltas.iter().map(|delta| delta.last).collect();
     assert_eq!(lasts, [30, 41, 90]);
 }
 
-// Symptom: a text has another run's events in its midst.
-// Sequence: a sample of one version begins anew under another one after some of it was written.
-// Cause: a piece that begins with the first event replaces what there was; one that goes on behind an
-// event that is not the last is left out.
+// Guards against a text that mixes the events of two runs: a sample starts over under another
+// weight version after some of it was written. A delta that starts with the first event must
+// replace the draft, and one that does not follow its last event must be ignored.
 #[test]
-fn a_sample_that_began_anew_is_not_joined_to_what_it_was() {
-    let mut kept = Checkpoints::default();
-    let first = kept.take_deltas([(0, &grown(40))].into_iter());
-    kept.reset(0);
-    let mut other = grown(30);
+fn a_restarted_sample_is_not_mixed_with_its_earlier_run() {
+    let mut checkpoints = Checkpoints::default();
+    let first = checkpoints.take_deltas([(0, &draft_of(40))].into_iter());
+    checkpoints.reset(0);
+    let mut other = draft_of(30);
     other.versions = vec![2];
-    let second = kept.take_deltas([(0, &other)].into_iter());
-    let stray = DraftDelta {
+    let second = checkpoints.take_deltas([(0, &other)].into_iter());
+    let gap = DraftDelta {
         from: 77,
         ..first[0].clone()
     };
 
     let mut draft = Draft::default();
-    for piece in first.into_iter().chain(second).chain([stray]) {
-        draft.apply(piece);
+    for delta in first.into_iter().chain(second).chain([gap]) {
+        draft.apply(delta);
     }
 
     assert_eq!(draft, other);
 }
 
-// Load: a step in whose last seconds only long samples run, and no results come.
+// Load: in the last seconds of a step only long samples run, and no results arrive.
 #[test]
-fn what_long_samples_have_gained_is_written_without_results() {
-    let mut ledger = alone(3, 400);
-    let mut kept = Checkpoints::default();
+fn deltas_of_long_samples_are_written_without_results() {
+    let mut ledger = single_sample_groups(3, 400);
+    let mut checkpoints = Checkpoints::default();
     let mut written = Vec::new();
     for now in (1_000..5_000).step_by(50) {
-        let draft = grown(now / 40);
-        let next = ledger.next_action(now, |_| kept.take_deltas([(0, &draft)].into_iter()));
+        let draft = draft_of(now / 40);
+        let next = ledger.next_action(now, |_| checkpoints.take_deltas([(0, &draft)].into_iter()));
         if let Action::Write(segment) = next {
             ledger.mark_written();
             written.push((now, segment.entries.len(), segment.deltas.len()));
         }
     }
 
-    // One each 0.8 s, without results.
+    // One write each 0.8 s, without results.
     assert_eq!(written.len(), 5, "{written:?}");
     assert!(written.iter().all(|one| (one.1, one.2) == (0, 1)));
 }
 
-// Load: a step of 20 groups of 4, of which 18 are waited for; a result comes each 50 ms, the groups side
-// by side, so that most of them become whole with the last results.
+// Load: a step of 20 groups of 4, of which 18 are required. A result arrives each 50 ms,
+// round-robin over the groups, so most groups complete with the last results.
 #[test]
-fn results_with_which_nobody_can_go_on_are_written_together() {
+fn results_that_do_not_let_the_trainer_continue_are_written_together() {
     let names: Vec<_> = (0..80).map(|at| format!("g{}", at % 20).into()).collect();
     let mut ledger = Ledger::new(Groups::new(names.iter(), 18), 400);
     let mut written = Vec::new();
     for index in 0..80 {
         let now = 1_000 + u64::from(index) * 50;
         ledger.finish(entry(index, "a"), now);
-        if writes(&mut ledger, now).is_some() {
+        if next_segment(&mut ledger, now).is_some() {
             ledger.mark_written();
             written.push(index);
         }
     }
 
-    // One each 0.4 s, and then the 18th group and each behind it at once.
+    // One write each 0.4 s, then the 18th group and each group after it at once.
     assert!(written.len() <= 13, "{written:?}");
     assert_eq!(written[written.len() - 3..], [77, 78, 79]);
 }
--- a/crates/batch/tests/score.rs
+++ b/crates/batch/tests/score.rs
@@ -1,38 +1,38 @@
-//! Tries to get the score of a sample.
+//! Tests of retrying scoring requests.
 
 use batch::score::AttemptResult;
 use batch::score::Decision;
 use batch::score::Retries;
 
-// Symptom: a sample fails after one failure of its scorer, though the route of the request allows three.
-// Sequence: no configuration has that route at the first try; a newer one does.
-// Cause: fixing the number of failures at the first try.
+// Guards against a sample that fails after one failure of its scorer although the route allows
+// three: the route is missing from the configuration at the first attempt and added later, so the
+// limit must not be fixed at the first attempt.
 #[test]
-fn a_route_that_comes_later_says_how_often_a_scorer_may_fail() {
-    let mut tries = Retries::new(1);
-    let waits = tries.decide(AttemptResult::Inconclusive);
+fn a_route_added_later_raises_the_failure_limit() {
+    let mut retries = Retries::new(1);
+    let first = retries.decide(AttemptResult::Inconclusive);
 
-    tries.raise_limit(3);
-    let after = [
+    retries.raise_limit(3);
+    let decisions = [
         AttemptResult::Failed,
         AttemptResult::Failed,
         AttemptResult::Failed,
     ]
-    .map(|answer| tries.decide(answer));
+    .map(|result| retries.decide(result));
 
-    assert!(matches!(waits, Decision::Retry(_)));
+    assert!(matches!(first, Decision::Retry(_)));
     assert_eq!(
-        after,
+        decisions,
         [Decision::Retry(0), Decision::Retry(0), Decision::Fail]
     );
 }
 
 #[test]
-fn a_route_that_allows_less_takes_nothing_back() {
-    let mut tries = Retries::new(2);
+fn a_lower_limit_does_not_reduce_the_allowed_failures() {
+    let mut retries = Retries::new(2);
 
-    tries.raise_limit(1);
+    retries.raise_limit(1);
 
-    assert_eq!(tries.decide(AttemptResult::Failed), Decision::Retry(0));
-    assert_eq!(tries.decide(AttemptResult::Failed), Decision::Fail);
+    assert_eq!(retries.decide(AttemptResult::Failed), Decision::Retry(0));
+    assert_eq!(retries.decide(AttemptResult::Failed), Decision::Fail);
 }
