--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -11,7 +11,7 @@
 use route::prefix::blocks;
 use step::Assembly;
 use step::assembly::Partial;
-use step::run::Begin;
+use step::run::Assignment;
 use step::run::Kept;
 use wire::engine::GENERATE;
 use wire::engine::Generate;
@@ -60,7 +60,7 @@
 }
 
 /// Makes one attempt at a sample, and hands what came of it to the step.
-pub(super) async fn make(app: &Arc<App>, work: &Work, begin: Begin) {
+pub(super) async fn make(app: &Arc<App>, work: &Work, begin: Assignment) {
     let (index, ordinal) = (begin.index, begin.ordinal);
     let held = app.book.read().by_name(work.customer()).cloned();
     let Some(held) = held else {
@@ -93,7 +93,7 @@
 }
 
 /// What a sample asks for: the same for each attempt of its step.
-fn sent(work: &Work, begin: &Begin) -> Sent {
+fn sent(work: &Work, begin: &Assignment) -> Sent {
     let (customer, model) = (work.customer().as_bytes(), &work.dispatcher.name);
     let how = format!("{} {} {}", begin.index, begin.tokens, begin.prompt);
     Sent {
@@ -107,7 +107,12 @@
     work.run.lock().fail(index, ordinal, partial);
 }
 
-async fn acquire(app: &App, work: &Work, held: &InForce, begin: &Begin) -> Result<Permit, Millis> {
+async fn acquire(
+    app: &App,
+    work: &Work,
+    held: &InForce,
+    begin: &Assignment,
+) -> Result<Permit, Millis> {
     let contract = &held.stored.contract;
     let left = begin.tokens.saturating_sub(begin.partial.tokens);
     let entry = Entry {
@@ -132,7 +137,7 @@
 async fn run(
     app: &Arc<App>,
     work: &Work,
-    begin: Begin,
+    begin: Assignment,
     sent: Sent,
     permit: Permit,
     passage: &Passage,
--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -54,7 +54,7 @@
 
 /// What a sample's next attempt is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Begin {
+pub struct Assignment {
     /// The sample.
     pub index: u32,
     /// Its group.
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Todo {
     /// Begin this attempt.
-    Begin(Begin),
+    Begin(Assignment),
     /// Nothing waits now; ask again when something changes.
     Wait,
     /// The trainer holds every sample.
@@ -245,7 +245,7 @@
         self.slots.iter().enumerate().filter_map(waits).collect()
     }
 
-    fn start(&mut self, sample: Waiting) -> Begin {
+    fn start(&mut self, sample: Waiting) -> Assignment {
         let ordinal = self.next;
         self.next += 1;
         let slot = &mut self.slots[sample.index as usize];
@@ -261,7 +261,7 @@
         };
         self.counts.begun += 1;
         self.counts.resumed += u64::from(partial.tokens > 0);
-        Begin {
+        Assignment {
             index: sample.index,
             group: sample.group,
             ordinal,
--- a/crates/step/tests/run.rs
+++ b/crates/step/tests/run.rs
@@ -11,7 +11,7 @@
 use step::Spec;
 use step::assembly::Partial;
 use step::cursor::CursorError;
-use step::run::Begin;
+use step::run::Assignment;
 use step::run::Kept;
 use step::run::Todo;
 use step::spec::SpecError;
@@ -32,7 +32,7 @@
     Run::new(spec.clone(), policy, cursor, trainer)
 }
 
-fn begin(run: &mut Run, now: u64) -> Option<Begin> {
+fn begin(run: &mut Run, now: u64) -> Option<Assignment> {
     match run.begin() {
         Todo::Begin(begin) => {
             run.sent(begin.index, begin.ordinal, now);
@@ -42,7 +42,7 @@
     }
 }
 
-fn sample(begin: &Begin, tokens: u32, version: u64) -> Sample {
+fn sample(begin: &Assignment, tokens: u32, version: u64) -> Sample {
     Sample {
         index: begin.index,
         group: begin.group,
@@ -337,7 +337,7 @@
         let mut trainer = Trainer { cursor: Cursor::empty(6), got: Vec::new(), version: 1 };
         let fresh = |t: &Trainer| run(&spec, "longest", &t.cursor, t.version);
         let mut runs = [fresh(&trainer), fresh(&trainer)];
-        let mut open: [Vec<(Begin, u64)>; 2] = [Vec::new(), Vec::new()];
+        let mut open: [Vec<(Assignment, u64)>; 2] = [Vec::new(), Vec::new()];
         let mut now = 0;
         for event in events {
             now += 10;
