--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -19,7 +19,7 @@
 use parking_lot::Mutex;
 use step::Cursor;
 use step::Run;
-use step::run::Todo;
+use step::run::Task;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use wire::caller::Batch;
@@ -242,13 +242,13 @@
         while !app.drain.is_begun() {
             self.sure().await;
             let todo = match self.quiet() > PAUSED {
-                true => Todo::Wait,
+                true => Task::Wait,
                 false => self.todo(),
             };
             match todo {
-                Todo::Begin(begin) => sample::make(app, self, begin).await,
+                Task::Start(begin) => sample::make(app, self, begin).await,
                 // All may yet come back, when the trainer returns from a checkpoint.
-                Todo::Wait | Todo::Over => {
+                Task::Wait | Task::Done => {
                     let _ = tokio::time::timeout(IDLE, self.todo.notified()).await;
                 }
             }
@@ -257,15 +257,15 @@
 
     /// Gives out a sample to begin, unless enough wait for an engine already: which one goes first
     /// is chosen as late as possible, when more is known of their lengths.
-    fn todo(&self) -> Todo {
+    fn todo(&self) -> Task {
         let slots = self
             .dispatcher
             .all(|all| all.iter().map(|u| u.spec.slots).sum::<u32>());
         let width = (slots as usize * AHEAD).div_ceil(100);
         let mut run = self.run.lock();
         match run.running() < width {
-            true => run.begin(),
-            false => Todo::Wait,
+            true => run.next_task(),
+            false => Task::Wait,
         }
     }
 
--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -75,13 +75,13 @@
 
 /// What a step says to a worker that asks for something to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Todo {
+pub enum Task {
     /// Begin this attempt.
-    Begin(Assignment),
+    Start(Assignment),
     /// Nothing waits now; ask again when something changes.
     Wait,
     /// The trainer holds every sample.
-    Over,
+    Done,
 }
 
 /// What became of an attempt's sample.
@@ -211,14 +211,14 @@
     }
 
     /// Gives a worker something to do.
-    pub fn begin(&mut self) -> Todo {
+    pub fn next_task(&mut self) -> Task {
         let waiting = self.waiting();
         if waiting.is_empty() {
             let over = self.slots.iter().all(|slot| matches!(slot, Slot::Held));
-            return if over { Todo::Over } else { Todo::Wait };
+            return if over { Task::Done } else { Task::Wait };
         }
         let at = self.decide.pick(&waiting).min(waiting.len() - 1);
-        Todo::Begin(self.start(waiting[at]))
+        Task::Start(self.start(waiting[at]))
     }
 
     fn waiting(&self) -> Vec<Waiting> {
--- a/crates/step/tests/run.rs
+++ b/crates/step/tests/run.rs
@@ -13,7 +13,7 @@
 use step::cursor::CursorError;
 use step::run::Assignment;
 use step::run::Kept;
-use step::run::Todo;
+use step::run::Task;
 use step::spec::SpecError;
 use yare::parameterized;
 
@@ -33,12 +33,12 @@
 }
 
 fn begin(run: &mut Run, now: u64) -> Option<Assignment> {
-    match run.begin() {
-        Todo::Begin(begin) => {
+    match run.next_task() {
+        Task::Start(begin) => {
             run.sent(begin.index, begin.ordinal, now);
             Some(begin)
         }
-        Todo::Wait | Todo::Over => None,
+        Task::Wait | Task::Done => None,
     }
 }
 
@@ -87,7 +87,7 @@
     assert_eq!((first.samples.len(), first.done), (3, false));
     assert_eq!((second.samples.len(), second.done), (1, true));
     run.pull(&second.cursor, 1, 3, 10);
-    assert_eq!(run.begin(), Todo::Over);
+    assert_eq!(run.next_task(), Task::Done);
 }
 
 // Symptom: samples are missing from a step, or the step never ends.
@@ -139,7 +139,7 @@
     let spec = spec(1, 2, 1);
     let full = Cursor::parse("Aw", 2).unwrap();
     let mut run = run(&spec, "longest", &full, 1);
-    assert_eq!(run.begin(), Todo::Over);
+    assert_eq!(run.next_task(), Task::Done);
 
     run.pull(&Cursor::empty(2), 1, 9, 0);
 
@@ -270,7 +270,7 @@
         let next = begin(&mut run, 0).unwrap();
         run.progress(next.index, next.ordinal, 100);
     }
-    let Todo::Begin(_waits) = run.begin() else {
+    let Task::Start(_waits) = run.next_task() else {
         panic!("nothing to begin");
     };
 
