--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -12,7 +12,7 @@
 use step::Assembly;
 use step::assembly::Partial;
 use step::run::Assignment;
-use step::run::Kept;
+use step::run::FinishResult;
 use wire::engine::GENERATE;
 use wire::engine::Generate;
 
@@ -195,11 +195,11 @@
     work.todo.notify_one();
 }
 
-fn settle(app: &App, work: &Work, kept: Kept) {
+fn settle(app: &App, work: &Work, kept: FinishResult) {
     match kept {
-        Kept::Won => work.ready.notify_waiters(),
-        Kept::Lost => (),
-        Kept::Stale => {
+        FinishResult::Accepted => work.ready.notify_waiters(),
+        FinishResult::Superseded => (),
+        FinishResult::Stale => {
             let instance = app.settings.me.name.to_string();
             let customer = work.customer().to_string();
             metrics::counter!(meter::STALE, "instance" => instance, "customer" => customer)
--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -86,11 +86,11 @@
 
 /// What became of an attempt's sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum FinishResult {
     /// It is the sample.
-    Won,
+    Accepted,
     /// The attempt had been given up; its result is dropped.
-    Lost,
+    Superseded,
     /// It is older than the bound already and is made again.
     Stale,
 }
@@ -307,12 +307,12 @@
     }
 
     /// Takes a whole sample in.
-    pub fn finish(&mut self, ordinal: u32, sample: Sample, now: Millis) -> Kept {
+    pub fn finish(&mut self, ordinal: u32, sample: Sample, now: Millis) -> FinishResult {
         let index = sample.index;
         let Some(live) = self.live(index, ordinal) else {
             self.counts.lost += 1;
             self.counts.wasted += u64::from(sample.tokens);
-            return Kept::Lost;
+            return FinishResult::Superseded;
         };
         let sent = live.sent.unwrap_or(now);
         let span = now.saturating_sub(sent) as f64 / 1_000.0;
@@ -323,10 +323,10 @@
         self.lengths.saw(sample.group, sample.tokens);
         if sample.staleness(self.trainer) > self.spec.bound {
             self.remake(index, sample.tokens);
-            return Kept::Stale;
+            return FinishResult::Stale;
         }
         self.slots[index as usize] = Slot::Finished(Arc::new(sample));
-        Kept::Won
+        FinishResult::Accepted
     }
 
     fn remake(&mut self, index: u32, tokens: u32) {
--- a/crates/step/tests/run.rs
+++ b/crates/step/tests/run.rs
@@ -12,7 +12,7 @@
 use step::assembly::Partial;
 use step::cursor::CursorError;
 use step::run::Assignment;
-use step::run::Kept;
+use step::run::FinishResult;
 use step::run::Task;
 use step::spec::SpecError;
 use yare::parameterized;
@@ -77,7 +77,7 @@
     while let Some(next) = begin(&mut run, 0) {
         assert_eq!(
             run.finish(next.ordinal, sample(&next, 10, 1), 10),
-            Kept::Won
+            FinishResult::Accepted
         );
     }
 
@@ -204,7 +204,10 @@
     let late = run.finish(first.ordinal, sample(&first, 10, 1), 1);
     let won = run.finish(second.ordinal, sample(&second, 12, 1), 1);
 
-    assert_eq!((late, won), (Kept::Lost, Kept::Won));
+    assert_eq!(
+        (late, won),
+        (FinishResult::Superseded, FinishResult::Accepted)
+    );
     assert_eq!(second.partial, partial(5, 1));
     assert!(!run.progress(first.index, first.ordinal, 3));
 }
