--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -53,7 +53,7 @@
             .work
             .run
             .lock()
-            .progress(self.index, self.ordinal, tokens);
+            .record_progress(self.index, self.ordinal, tokens);
         let moved = self.work.moves.lock().remove(&(self.index, self.ordinal));
         wanted && !moved
     }
@@ -163,7 +163,7 @@
         floor: begin.version,
         deadline: app.clock.now() + LIMIT,
     };
-    work.run.lock().sent(index, ordinal, work.clock.now());
+    work.run.lock().mark_sent(index, ordinal, work.clock.now());
     let before = begin.partial.tokens;
     let mut assembly = Assembly::resume(attempt, begin.partial);
     let mut progress = Progress {
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -150,9 +150,9 @@
             instance: instance.clone(),
             customer: self.customer.clone(),
             total: run.spec().total(),
-            held: run.held() as u32,
-            ready: run.ready() as u32,
-            running: run.running() as u32,
+            held: run.held_count() as u32,
+            ready: run.finished_count() as u32,
+            running: run.running_count() as u32,
             counts: run.counts(),
             events: self.notes.lock().clone(),
         }
@@ -263,7 +263,7 @@
             .all(|all| all.iter().map(|u| u.spec.slots).sum::<u32>());
         let width = (slots as usize * AHEAD).div_ceil(100);
         let mut run = self.run.lock();
-        match run.running() < width {
+        match run.running_count() < width {
             true => run.next_task(),
             false => Task::Wait,
         }
@@ -273,7 +273,7 @@
     async fn review(&self, app: &App) {
         while !self.is_cancelled() {
             tokio::time::sleep(REVIEW).await;
-            let moves = self.run.lock().review(self.clock.now());
+            let moves = self.run.lock().pick_moves(self.clock.now());
             for (index, ordinal) in moves {
                 self.note(format!("sample {index} is moved off a slow engine"));
                 self.moves.lock().insert((index, ordinal));
--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -173,14 +173,14 @@
     }
 
     /// The trainer's weight version, as it said last.
-    pub fn trainer(&self) -> Version {
+    pub fn trainer_version(&self) -> Version {
         self.trainer
     }
 
     /// Notes that the trainer is at a weight version now.
     ///
     /// The time between versions tells how many more will come while a sample runs.
-    pub fn train(&mut self, version: Version, now: Millis) {
+    pub fn set_trainer_version(&mut self, version: Version, now: Millis) {
         if version <= self.trainer {
             return;
         }
@@ -291,14 +291,14 @@
 
     /// Notes that an engine got an attempt; its speed counts from here, not from when it began to
     /// wait for an engine.
-    pub fn sent(&mut self, index: u32, ordinal: u32, now: Millis) {
+    pub fn mark_sent(&mut self, index: u32, ordinal: u32, now: Millis) {
         if let Some(live) = self.live(index, ordinal) {
             live.sent = Some(now);
         }
     }
 
     /// Notes how far an attempt is; tells whether it is still wanted.
-    pub fn progress(&mut self, index: u32, ordinal: u32, tokens: u32) -> bool {
+    pub fn record_progress(&mut self, index: u32, ordinal: u32, tokens: u32) -> bool {
         let Some(live) = self.live(index, ordinal) else {
             return false;
         };
@@ -352,7 +352,7 @@
     }
 
     /// Names the running samples to stop and resume elsewhere.
-    pub fn review(&mut self, now: Millis) -> Vec<(u32, u32)> {
+    pub fn pick_moves(&mut self, now: Millis) -> Vec<(u32, u32)> {
         let runs = |(index, slot): (usize, &Slot)| {
             let Slot::Running(live) = slot else {
                 return None;
@@ -381,7 +381,7 @@
     /// Answers a pull: takes the trainer's word of what it holds, and hands out at most `limit`
     /// finished samples that it does not hold and that are within the bound now.
     pub fn pull(&mut self, cursor: &Cursor, trainer: Version, limit: usize, now: Millis) -> Batch {
-        self.train(trainer, now);
+        self.set_trainer_version(trainer, now);
         self.sync(cursor);
         let mut next = cursor.clone();
         let mut samples = Vec::new();
@@ -422,19 +422,19 @@
     }
 
     /// Samples that are finished and not yet known to be with the trainer.
-    pub fn ready(&self) -> usize {
+    pub fn finished_count(&self) -> usize {
         let finished = |slot: &&Slot| matches!(slot, Slot::Finished(_));
         self.slots.iter().filter(finished).count()
     }
 
     /// Samples that run.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         let running = |slot: &&Slot| matches!(slot, Slot::Running(_));
         self.slots.iter().filter(running).count()
     }
 
     /// Samples that the trainer holds.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         let held = |slot: &&Slot| matches!(slot, Slot::Held);
         self.slots.iter().filter(held).count()
     }
--- a/crates/step/tests/run.rs
+++ b/crates/step/tests/run.rs
@@ -35,7 +35,7 @@
 fn begin(run: &mut Run, now: u64) -> Option<Assignment> {
     match run.next_task() {
         Task::Start(begin) => {
-            run.sent(begin.index, begin.ordinal, now);
+            run.mark_sent(begin.index, begin.ordinal, now);
             Some(begin)
         }
         Task::Wait | Task::Done => None,
@@ -175,8 +175,8 @@
 fn a_sample_is_begun_on_weights_that_will_still_do_when_it_ends() {
     let spec = spec(1, 1, 1);
     let mut run = run(&spec, "longest", &Cursor::empty(1), 1);
-    run.train(2, 10_000);
-    run.train(3, 20_000);
+    run.set_trainer_version(2, 10_000);
+    run.set_trainer_version(3, 20_000);
 
     let short = begin(&mut run, 20_000).unwrap();
     run.fail(short.index, short.ordinal, Partial::default());
@@ -209,7 +209,7 @@
         (FinishResult::Superseded, FinishResult::Accepted)
     );
     assert_eq!(second.partial, partial(5, 1));
-    assert!(!run.progress(first.index, first.ordinal, 3));
+    assert!(!run.record_progress(first.index, first.ordinal, 3));
 }
 
 #[test]
@@ -246,12 +246,12 @@
     for _ in 0..5 {
         let next = begin(&mut run, 0).unwrap();
         let tokens = if next.index == 2 { 10 } else { 100 };
-        run.progress(next.index, next.ordinal, tokens);
+        run.record_progress(next.index, next.ordinal, tokens);
     }
 
     let mut moves = Vec::new();
     for _ in 0..5 {
-        let chosen = run.review(1_000);
+        let chosen = run.pick_moves(1_000);
         moves.push(chosen.len());
         for (index, ordinal) in chosen {
             run.fail(index, ordinal, partial(10, 1));
@@ -271,13 +271,13 @@
     let mut run = run(&spec, "longest", &Cursor::empty(6), 1);
     for _ in 0..5 {
         let next = begin(&mut run, 0).unwrap();
-        run.progress(next.index, next.ordinal, 100);
+        run.record_progress(next.index, next.ordinal, 100);
     }
     let Task::Start(_waits) = run.next_task() else {
         panic!("nothing to begin");
     };
 
-    assert_eq!(run.review(1_000), []);
+    assert_eq!(run.pick_moves(1_000), []);
 }
 
 #[parameterized(
