--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -18,7 +18,7 @@
 use step::Assembly;
 use step::Chunk;
 use step::assembly::Contradiction;
-use step::assembly::Placed;
+use step::assembly::Placement;
 use wire::engine::GENERATE;
 use wire::engine::Generate;
 use wire::engine::RUNNING;
@@ -192,9 +192,9 @@
     };
     let chunk: Chunk = serde_json::from_str(&data).map_err(|_| Why::Garbled)?;
     match assembly.place(attempt, chunk) {
-        Placed::Next(text) => Ok(Some(text)),
-        Placed::Held | Placed::Dropped => Ok(None),
-        Placed::Contradiction(fault) => Err(Why::Contradiction(fault)),
+        Placement::Appended(text) => Ok(Some(text)),
+        Placement::Buffered | Placement::Dropped => Ok(None),
+        Placement::Contradiction(fault) => Err(Why::Contradiction(fault)),
     }
 }
 
--- a/crates/step/src/assembly.rs
+++ b/crates/step/src/assembly.rs
@@ -24,11 +24,11 @@
 
 /// What became of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Placed {
+pub enum Placement {
     /// This text follows what was there before; pass it on.
-    Next(String),
+    Appended(String),
     /// It is held until the chunks before it come.
-    Held,
+    Buffered,
     /// It was there already, or belongs to an attempt that was given up.
     Dropped,
     /// The engine contradicts itself: its stream cannot be trusted.
@@ -142,29 +142,29 @@
     }
 
     /// Places a chunk that came in the stream of `attempt`.
-    pub fn place(&mut self, attempt: AttemptId, chunk: Chunk) -> Placed {
+    pub fn place(&mut self, attempt: AttemptId, chunk: Chunk) -> Placement {
         if attempt != self.attempt {
-            return Placed::Dropped;
+            return Placement::Dropped;
         }
         if let Err(fault) = self.check(&chunk) {
-            return Placed::Contradiction(fault);
+            return Placement::Contradiction(fault);
         }
         if chunk.offset > self.done.tokens {
             return self.hold(chunk);
         }
         if chunk.offset < self.done.tokens {
-            return Placed::Dropped;
+            return Placement::Dropped;
         }
         let mut text = String::new();
         if let Err(fault) = self.append(chunk, &mut text) {
-            return Placed::Contradiction(fault);
+            return Placement::Contradiction(fault);
         }
         while let Some(chunk) = self.held.remove(&self.done.tokens) {
             if let Err(fault) = self.append(chunk, &mut text) {
-                return Placed::Contradiction(fault);
+                return Placement::Contradiction(fault);
             }
         }
-        Placed::Next(text)
+        Placement::Appended(text)
     }
 
     fn check(&self, chunk: &Chunk) -> Result<(), Contradiction> {
@@ -181,12 +181,12 @@
         Ok(())
     }
 
-    fn hold(&mut self, chunk: Chunk) -> Placed {
+    fn hold(&mut self, chunk: Chunk) -> Placement {
         if self.held.len() >= HELD {
-            return Placed::Contradiction(Contradiction::Gap);
+            return Placement::Contradiction(Contradiction::Gap);
         }
         self.held.entry(chunk.offset).or_insert(chunk);
-        Placed::Held
+        Placement::Buffered
     }
 
     fn append(&mut self, chunk: Chunk, text: &mut String) -> Result<(), Contradiction> {
--- a/crates/step/tests/assembly.rs
+++ b/crates/step/tests/assembly.rs
@@ -7,7 +7,7 @@
 use step::Chunk;
 use step::Span;
 use step::assembly::Contradiction;
-use step::assembly::Placed;
+use step::assembly::Placement;
 use yare::parameterized;
 
 fn attempt(ordinal: u32) -> AttemptId {
@@ -37,8 +37,8 @@
     let late = open.place(attempt(0), chunk(2, "XX", 1, true));
     let next = open.place(attempt(1), chunk(2, "cd", 2, true));
 
-    assert_eq!(late, Placed::Dropped);
-    assert_eq!(next, Placed::Next("cd".into()));
+    assert_eq!(late, Placement::Dropped);
+    assert_eq!(next, Placement::Appended("cd".into()));
     let sample = open.close().unwrap().sample(0, 0);
     assert_eq!(sample.text, "abcd");
     let span = |from, to, version| Span { from, to, version };
@@ -77,7 +77,7 @@
 
     let placed = open.place(attempt(0), next);
 
-    assert_eq!(placed, Placed::Contradiction(expected));
+    assert_eq!(placed, Placement::Contradiction(expected));
 }
 
 #[test]
@@ -87,7 +87,7 @@
 
     let placed = open.place(attempt(0), chunk(2, "c", 1, false));
 
-    assert_eq!(placed, Placed::Contradiction(Contradiction::AfterEnd));
+    assert_eq!(placed, Placement::Contradiction(Contradiction::AfterEnd));
 }
 
 #[test]
@@ -97,7 +97,7 @@
         .map(|offset| open.place(attempt(0), chunk(offset, "x", 1, false)))
         .collect();
 
-    assert!(placed.contains(&Placed::Contradiction(Contradiction::Gap)));
+    assert!(placed.contains(&Placement::Contradiction(Contradiction::Gap)));
 }
 
 proptest! {
@@ -118,7 +118,7 @@
         let picked = order.iter().map(|index| index.get(&chunks).clone());
         for next in picked.chain(chunks.iter().cloned()) {
             let placed = open.place(attempt(0), next);
-            prop_assert!(!matches!(placed, Placed::Contradiction(_)), "{placed:?}");
+            prop_assert!(!matches!(placed, Placement::Contradiction(_)), "{placed:?}");
         }
         let sample = open.close().unwrap().sample(0, 0);
         prop_assert_eq!(sample.text, parts.concat());
