--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -123,9 +123,9 @@
     let spec = Spec {
         model: open.model,
         prompts: open.groups,
-        samples: open.samples,
-        tokens: open.max_tokens,
-        bound: contract.staleness,
+        group_size: open.samples,
+        max_tokens: open.max_tokens,
+        max_staleness: contract.staleness,
     };
     let checked = spec.check();
     checked.map_err(|error| no(Type::BadRequest).because(error.to_string()))?;
--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -150,7 +150,7 @@
         Self {
             slots: (0..spec.total()).map(slot).collect(),
             moves: vec![0; spec.total() as usize],
-            lengths: Lengths::new(spec.prompts.len(), spec.tokens.div_ceil(FIRST_PART)),
+            lengths: Lengths::new(spec.prompts.len(), spec.max_tokens.div_ceil(FIRST_PART)),
             decide: (policy.make)(),
             trainer,
             trained: None,
@@ -204,9 +204,9 @@
             _ => 0.0,
         };
         // With a bound of 0 the trainer's own version is the newest there is: no room to keep.
-        let ahead = (ahead.floor() as u64).min(self.spec.bound);
+        let ahead = (ahead.floor() as u64).min(self.spec.max_staleness);
         (self.trainer + ahead)
-            .saturating_sub(self.spec.bound)
+            .saturating_sub(self.spec.max_staleness)
             .min(self.trainer)
     }
 
@@ -266,7 +266,7 @@
             group: sample.group,
             ordinal,
             prompt: self.spec.prompt(sample.index),
-            tokens: self.spec.tokens,
+            tokens: self.spec.max_tokens,
             version: self.floor(sample.expect - f64::from(sample.so_far)),
             priority: self.priority(),
             partial,
@@ -321,7 +321,7 @@
             self.speed += SMOOTH * (f64::from(made) / span - self.speed);
         }
         self.lengths.saw(sample.group, sample.tokens);
-        if sample.staleness(self.trainer) > self.spec.bound {
+        if sample.staleness(self.trainer) > self.spec.max_staleness {
             self.remake(index, sample.tokens);
             return FinishResult::Stale;
         }
@@ -343,7 +343,7 @@
             return;
         }
         let oldest = partial.spans.iter().map(|span| span.version).min();
-        let old = oldest.is_some_and(|v| self.trainer.saturating_sub(v) > self.spec.bound);
+        let old = oldest.is_some_and(|v| self.trainer.saturating_sub(v) > self.spec.max_staleness);
         if old {
             self.remake(index, partial.tokens);
             return;
@@ -392,7 +392,7 @@
             let Slot::Finished(sample) = &self.slots[index] else {
                 continue;
             };
-            if sample.staleness(trainer) > self.spec.bound {
+            if sample.staleness(trainer) > self.spec.max_staleness {
                 let tokens = sample.tokens;
                 self.remake(index as u32, tokens);
                 continue;
--- a/crates/step/src/spec.rs
+++ b/crates/step/src/spec.rs
@@ -21,11 +21,14 @@
     /// One prompt a group.
     pub prompts: Vec<Arc<str>>,
     /// Samples in each group.
-    pub samples: u32,
+    #[serde(rename = "samples")]
+    pub group_size: u32,
     /// Most tokens in a sample.
-    pub tokens: u32,
+    #[serde(rename = "tokens")]
+    pub max_tokens: u32,
     /// Weight versions that a sample may be behind the trainer at delivery.
-    pub bound: u64,
+    #[serde(rename = "bound")]
+    pub max_staleness: u64,
 }
 
 /// What is wrong with a [`Spec`].
@@ -56,14 +59,14 @@
         if self.prompts.is_empty() {
             return Err(SpecError::NoGroups);
         }
-        if self.samples == 0 {
+        if self.group_size == 0 {
             return Err(SpecError::NoSamples);
         }
-        let total = self.prompts.len() as u64 * u64::from(self.samples);
+        let total = self.prompts.len() as u64 * u64::from(self.group_size);
         if total > u64::from(MAX_SAMPLES) {
             return Err(SpecError::Samples);
         }
-        if self.tokens == 0 || self.tokens > MAX_TOKENS {
+        if self.max_tokens == 0 || self.max_tokens > MAX_TOKENS {
             return Err(SpecError::Tokens);
         }
         Ok(())
@@ -71,12 +74,12 @@
 
     /// Samples in the step.
     pub fn total(&self) -> u32 {
-        self.prompts.len() as u32 * self.samples
+        self.prompts.len() as u32 * self.group_size
     }
 
     /// The group of a sample; samples of a group are neighbours.
     pub fn group(&self, index: u32) -> u32 {
-        index / self.samples.max(1)
+        index / self.group_size.max(1)
     }
 
     /// The prompt of a sample.
--- a/crates/step/tests/run.rs
+++ b/crates/step/tests/run.rs
@@ -17,13 +17,13 @@
 use step::spec::SpecError;
 use yare::parameterized;
 
-fn spec(groups: usize, samples: u32, bound: u64) -> Spec {
+fn spec(groups: usize, group_size: u32, max_staleness: u64) -> Spec {
     Spec {
         model: "fitting".parse::<Name>().unwrap(),
         prompts: (0..groups).map(|g| format!("case {g}").into()).collect(),
-        samples,
-        tokens: 800,
-        bound,
+        group_size,
+        max_tokens: 800,
+        max_staleness,
     }
 }
 
@@ -293,7 +293,7 @@
     no_groups = { spec(0, 1, 1), SpecError::NoGroups },
     no_samples = { spec(1, 0, 1), SpecError::NoSamples },
     many = { spec(2, 65_536, 1), SpecError::Samples },
-    tokens = { Spec { tokens: 0, ..spec(1, 1, 1) }, SpecError::Tokens },
+    tokens = { Spec { max_tokens: 0, ..spec(1, 1, 1) }, SpecError::Tokens },
 )]
 fn bad_specs_are_refused(spec: Spec, expected: SpecError) {
     assert_eq!(spec.check(), Err(expected));
@@ -369,7 +369,7 @@
                     if !lost {
                         for sample in &batch.samples {
                             prop_assert!(!trainer.got.contains(&sample.index));
-                            prop_assert!(sample.staleness(trainer.version) <= spec.bound);
+                            prop_assert!(sample.staleness(trainer.version) <= spec.max_staleness);
                             trainer.got.push(sample.index);
                         }
                         trainer.cursor = batch.cursor;
