--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -73,7 +73,7 @@
         give_back(work, index, ordinal, begin.partial, PLACE).await;
         return;
     }
-    let passage = match limits::pass_sample(app, &held, f64::from(begin.tokens)) {
+    let passage = match limits::pass_sample(app, &held, f64::from(begin.max_tokens)) {
         Ok(passage) => passage,
         Err(after) => {
             give_back(work, index, ordinal, begin.partial, after.min(PLACE)).await;
@@ -95,7 +95,7 @@
 /// What a sample asks for: the same for each attempt of its step.
 fn sent(work: &Work, begin: &Assignment) -> Sent {
     let (customer, model) = (work.customer().as_bytes(), &work.dispatcher.name);
-    let how = format!("{} {} {}", begin.index, begin.tokens, begin.prompt);
+    let how = format!("{} {} {}", begin.index, begin.max_tokens, begin.prompt);
     Sent {
         print: Print::new("POST", model, GENERATE, customer, how.as_bytes()),
         id: work.request.to_string(),
@@ -114,7 +114,7 @@
     begin: &Assignment,
 ) -> Result<Permit, Millis> {
     let contract = &held.stored.contract;
-    let left = begin.tokens.saturating_sub(begin.partial.tokens);
+    let left = begin.max_tokens.saturating_sub(begin.partial.tokens);
     let entry = Entry {
         customer: contract.customer.clone(),
         weight: contract.weight,
@@ -126,7 +126,7 @@
     avoid.extend(sent(work, begin).apart(app));
     let ask = Ask {
         blocks: blocks(&begin.prompt),
-        version: begin.version,
+        version: begin.min_version,
         avoid,
     };
     let deadline = app.clock.now() + LIMIT;
@@ -153,14 +153,14 @@
             prompt: begin.prompt.clone(),
             resume: String::new(),
             offset: 0,
-            max_tokens: begin.tokens,
+            max_tokens: begin.max_tokens,
             priority: begin.priority,
             seed: Some(u64::from(index)),
             temperature: None,
             top_p: None,
             stop: Vec::new(),
         },
-        floor: begin.version,
+        floor: begin.min_version,
         deadline: app.clock.now() + LIMIT,
     };
     work.run.lock().mark_sent(index, ordinal, work.clock.now());
--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -66,9 +66,9 @@
     /// What earlier attempts left, to resume from.
     pub partial: Partial,
     /// Tokens at most, over all attempts.
-    pub tokens: u32,
+    pub max_tokens: u32,
     /// Lowest weight version that may produce it, so that it is fresh when it ends.
-    pub version: Version,
+    pub min_version: Version,
     /// Priority at the engine, 0 to [`MAX_PRIORITY`].
     pub priority: u8,
 }
@@ -266,8 +266,8 @@
             group: sample.group,
             ordinal,
             prompt: self.spec.prompt(sample.index),
-            tokens: self.spec.max_tokens,
-            version: self.floor(sample.expect - f64::from(sample.so_far)),
+            max_tokens: self.spec.max_tokens,
+            min_version: self.floor(sample.expect - f64::from(sample.so_far)),
             priority: self.priority(),
             partial,
         }
--- a/crates/step/tests/run.rs
+++ b/crates/step/tests/run.rs
@@ -182,12 +182,12 @@
     run.fail(short.index, short.ordinal, Partial::default());
     let mut long = run;
     long.fail(0, 0, Partial::default());
-    let floor_short = short.version;
+    let floor_short = short.min_version;
 
     assert_eq!(floor_short, 2);
     let again = begin(&mut long, 20_000).unwrap();
     long.fail(again.index, again.ordinal, partial(700, 3));
-    assert_eq!(begin(&mut long, 20_000).unwrap().version, 2);
+    assert_eq!(begin(&mut long, 20_000).unwrap().min_version, 2);
 }
 
 // Symptom: a sample comes twice into a step, or words of two runs are mixed.
@@ -347,7 +347,7 @@
             match event {
                 Event::Begin { on } => {
                     if let Some(next) = begin(&mut runs[on], now) {
-                        let made_by = next.version.max(trainer.version - 1);
+                        let made_by = next.min_version.max(trainer.version - 1);
                         open[on].push((next, made_by));
                     }
                 }
