--- a/crates/step/src/sample.rs
+++ b/crates/step/src/sample.rs
@@ -57,14 +57,14 @@
 
 impl Sample {
     /// The oldest version that produced a token of it.
-    pub fn oldest(&self) -> Version {
+    pub fn oldest_version(&self) -> Version {
         let versions = self.spans.iter().map(|span| span.version);
         versions.min().unwrap_or(0)
     }
 
     /// How many versions it is behind a trainer at `version`.
     pub fn staleness(&self, version: Version) -> u64 {
-        version.saturating_sub(self.oldest())
+        version.saturating_sub(self.oldest_version())
     }
 }
 
--- a/crates/step/tests/assembly.rs
+++ b/crates/step/tests/assembly.rs
@@ -43,7 +43,7 @@
     assert_eq!(sample.text, "abcd");
     let span = |from, to, version| Span { from, to, version };
     assert_eq!(sample.spans, [span(0, 2, 1), span(2, 4, 2)]);
-    assert_eq!(sample.oldest(), 1);
+    assert_eq!(sample.oldest_version(), 1);
 }
 
 // Symptom: a shorter answer is taken for a whole one.
