--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -292,7 +292,7 @@
 impl Sink for Events<'_> {
     async fn take(&mut self, text: String, assembly: &Assembly) -> bool {
         // The last piece goes with the tokens and versions, once all is known to be whole.
-        if assembly.is_whole() {
+        if assembly.is_complete() {
             self.last = text;
             return true;
         }
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -164,7 +164,7 @@
             Ok(None) => (),
             Err(why) => return End::Early(attempt.fail(), why),
         }
-        if assembly.is_whole() {
+        if assembly.is_complete() {
             attempt.answer();
             return End::Whole;
         }
--- a/crates/step/src/assembly.rs
+++ b/crates/step/src/assembly.rs
@@ -212,7 +212,7 @@
     }
 
     /// Tells whether every token up to the last is there.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.end.is_some()
     }
 
@@ -222,7 +222,7 @@
     ///
     /// Returns the open assembly when a chunk is missing.
     pub fn close(self) -> Result<Assembly<Whole>, Box<Self>> {
-        if !self.is_whole() {
+        if !self.is_complete() {
             return Err(Box::new(self));
         }
         Ok(Assembly {
