--- a/crates/step/src/assembly.rs
+++ b/crates/step/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Putting the chunks of a completion together.
+//! Reassembly of the chunks of a completion.
 
 use std::collections::BTreeMap;
 use std::marker::PhantomData;
@@ -9,64 +9,65 @@
 use crate::Sample;
 use crate::Span;
 use crate::Version;
-use crate::sample::extend;
+use crate::sample::extend_spans;
 
-/// Most chunks that are held back because one before them is missing.
-const HELD: usize = 256;
+/// Maximum number of chunks buffered while an earlier one is missing.
+const MAX_BUFFERED_CHUNKS: usize = 256;
 
-/// Chunks are still missing.
+/// State of an [`Assembly`] that may still miss chunks.
 #[derive(Clone, Copy, Debug)]
-pub enum Open {}
+pub enum Incomplete {}
 
-/// Every token up to the last is there.
+/// State of an [`Assembly`] that has every token up to the last.
 #[derive(Clone, Copy, Debug)]
-pub enum Whole {}
+pub enum Complete {}
 
-/// What became of a chunk.
+/// The result of adding a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// This text follows what was there before; pass it on.
+    /// The chunk, and any buffered chunks after it, extended the text by this; pass it on.
     Appended(String),
-    /// It is held until the chunks before it come.
+    /// The chunk is buffered until the chunks before it arrive.
     Buffered,
-    /// It was there already, or belongs to an attempt that was given up.
+    /// The chunk is a duplicate, or belongs to an attempt that was given up.
     Dropped,
-    /// The engine contradicts itself: its stream cannot be trusted.
+    /// The engine contradicted itself, so its stream cannot be trusted.
     Contradiction(Contradiction),
 }
 
-/// How an engine contradicted itself.
+/// An inconsistency in the stream of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Contradiction {
-    /// A version below the one it stated for earlier tokens of the same attempt.
+    /// A weight version older than the one of earlier tokens of the same attempt.
     #[error("the engine went back to an older weight version within a stream")]
     Version,
-    /// A chunk that overlaps what is there without repeating it.
+    /// A chunk that overlaps the received text without repeating it.
     #[error("the engine sent a chunk that overlaps another")]
     Overlap,
-    /// Tokens after its last chunk.
+    /// Tokens after the last chunk.
     #[error("the engine went on after its last chunk")]
     AfterEnd,
-    /// Too many chunks without the one that comes next.
+    /// Too many chunks buffered without the next one.
     #[error("the engine left out a chunk")]
     Gap,
 }
 
-/// What is there of a completion when an attempt ends early: enough to go on elsewhere.
+/// The output of an attempt that ended early, from which another engine can resume.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Partial {
     /// The text so far.
     pub text: String,
-    /// Tokens in it.
+    /// Number of tokens in the text.
     pub tokens: u32,
-    /// The versions that produced it.
+    /// The weight versions that produced the text.
     pub spans: Vec<Span>,
 }
 
 /// The chunks of one completion.
 ///
-/// Only a whole assembly becomes a [`Sample`]; a stream that was cut stays [`Open`].
+/// Only a complete assembly becomes a [`Sample`]; one whose stream was truncated stays
+/// [`Incomplete`].
 ///
 /// # Examples
 ///
@@ -76,7 +77,7 @@
 /// use step::Chunk;
 ///
 /// let attempt = RequestId::from_bits(1).attempt(0);
-/// let mut open = Assembly::new(attempt);
+/// let mut assembly = Assembly::new(attempt);
 /// let chunk = |offset, text: &str, finish: Option<&str>| Chunk {
 ///     offset,
 ///     tokens: 1,
@@ -84,17 +85,17 @@
 ///     version: 3,
 ///     finish: finish.map(Into::into),
 /// };
-/// open.place(attempt, chunk(1, "b", Some("stop")));
-/// open.place(attempt, chunk(0, "a", None));
-/// let Ok(whole) = open.close() else { panic!("a chunk is missing") };
-/// assert_eq!(whole.sample(0, 0).text, "ab");
+/// assembly.place(attempt, chunk(1, "b", Some("stop")));
+/// assembly.place(attempt, chunk(0, "a", None));
+/// let Ok(complete) = assembly.close() else { panic!("a chunk is missing") };
+/// assert_eq!(complete.sample(0, 0).text, "ab");
 /// ```
 #[derive(Clone, Debug)]
-pub struct Assembly<S = Open> {
+pub struct Assembly<S = Incomplete> {
     attempt: AttemptId,
-    done: Partial,
+    output: Partial,
     version: Version,
-    held: BTreeMap<u32, Chunk>,
+    buffered: BTreeMap<u32, Chunk>,
     end: Option<End>,
     state: PhantomData<S>,
 }
@@ -105,63 +106,63 @@
     finish: String,
 }
 
-impl Assembly<Open> {
-    /// Begins a completion.
+impl Assembly<Incomplete> {
+    /// Starts a completion.
     pub fn new(attempt: AttemptId) -> Self {
         Self::resume(attempt, Partial::default())
     }
 
-    /// Begins with what an earlier attempt left.
+    /// Starts from the partial output of an earlier attempt.
     pub fn resume(attempt: AttemptId, partial: Partial) -> Self {
         Self {
             attempt,
-            done: partial,
+            output: partial,
             version: 0,
-            held: BTreeMap::new(),
+            buffered: BTreeMap::new(),
             end: None,
             state: PhantomData,
         }
     }
 
-    /// Goes on with another attempt; chunks of the former are dropped from now on.
+    /// Continues with another attempt; chunks of the previous one are dropped from now on.
     pub fn restart(&mut self, attempt: AttemptId) {
         self.attempt = attempt;
         self.version = 0;
-        self.held.clear();
+        self.buffered.clear();
         self.end = None;
     }
 
-    /// What is there without gaps.
+    /// The text received without gaps so far.
     pub fn partial(&self) -> &Partial {
-        &self.done
+        &self.output
     }
 
-    /// The version of the newest chunk of this attempt; 0 before the first.
+    /// The weight version of the last appended chunk of this attempt; 0 before the first.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Places a chunk that came in the stream of `attempt`.
+    /// Adds a chunk that was received in the stream of `attempt`.
     pub fn place(&mut self, attempt: AttemptId, chunk: Chunk) -> Placement {
         if attempt != self.attempt {
             return Placement::Dropped;
         }
-        if let Err(fault) = self.check(&chunk) {
-            return Placement::Contradiction(fault);
+        if let Err(error) = self.check(&chunk) {
+            return Placement::Contradiction(error);
         }
-        if chunk.offset > self.done.tokens {
-            return self.hold(chunk);
+        if chunk.offset > self.output.tokens {
+            return self.buffer(chunk);
         }
-        if chunk.offset < self.done.tokens {
+        if chunk.offset < self.output.tokens {
             return Placement::Dropped;
         }
         let mut text = String::new();
-        if let Err(fault) = self.append(chunk, &mut text) {
-            return Placement::Contradiction(fault);
+        if let Err(error) = self.append(chunk, &mut text) {
+            return Placement::Contradiction(error);
         }
-        while let Some(chunk) = self.held.remove(&self.done.tokens) {
-            if let Err(fault) = self.append(chunk, &mut text) {
-                return Placement::Contradiction(fault);
+        while let Some(chunk) = self.buffered.remove(&self.output.tokens) {
+            if let Err(error) = self.append(chunk, &mut text) {
+                return Placement::Contradiction(error);
             }
         }
         Placement::Appended(text)
@@ -174,77 +175,77 @@
         if self.end.as_ref().is_some_and(|end| to > end.tokens) {
             return Err(Contradiction::AfterEnd);
         }
-        // A chunk that begins before the end of what is there repeats old tokens, or overlaps.
-        if chunk.offset < self.done.tokens && to > self.done.tokens {
+        // A chunk that starts before the end of the received text repeats old tokens, or overlaps.
+        if chunk.offset < self.output.tokens && to > self.output.tokens {
             return Err(Contradiction::Overlap);
         }
         Ok(())
     }
 
-    fn hold(&mut self, chunk: Chunk) -> Placement {
-        if self.held.len() >= HELD {
+    fn buffer(&mut self, chunk: Chunk) -> Placement {
+        if self.buffered.len() >= MAX_BUFFERED_CHUNKS {
             return Placement::Contradiction(Contradiction::Gap);
         }
-        self.held.entry(chunk.offset).or_insert(chunk);
+        self.buffered.entry(chunk.offset).or_insert(chunk);
         Placement::Buffered
     }
 
     fn append(&mut self, chunk: Chunk, text: &mut String) -> Result<(), Contradiction> {
-        // Versions are compared in the order of the tokens, not of arrival: a chunk that was
-        // overtaken names an older version rightly.
+        // Versions are compared in token order, not in order of arrival: a chunk that arrives late
+        // may rightly have an older version.
         if chunk.version < self.version {
             return Err(Contradiction::Version);
         }
-        let from = self.done.tokens;
+        let from = self.output.tokens;
         self.version = chunk.version;
-        self.done.tokens += chunk.tokens;
-        self.done.text.push_str(&chunk.text);
+        self.output.tokens += chunk.tokens;
+        self.output.text.push_str(&chunk.text);
         text.push_str(&chunk.text);
-        extend(&mut self.done.spans, from, chunk.tokens, chunk.version);
+        extend_spans(&mut self.output.spans, from, chunk.tokens, chunk.version);
         if let Some(finish) = chunk.finish {
-            if !self.held.is_empty() {
+            if !self.buffered.is_empty() {
                 return Err(Contradiction::AfterEnd);
             }
-            let tokens = self.done.tokens;
+            let tokens = self.output.tokens;
             self.end = Some(End { tokens, finish });
         }
         Ok(())
     }
 
-    /// Tells whether every token up to the last is there.
+    /// Returns whether every token up to the last was received.
     pub fn is_complete(&self) -> bool {
         self.end.is_some()
     }
 
-    /// Closes the assembly.
+    /// Marks the assembly as complete.
     ///
     /// # Errors
     ///
-    /// Returns the open assembly when a chunk is missing.
-    pub fn close(self) -> Result<Assembly<Whole>, Box<Self>> {
+    /// Returns the assembly unchanged when a chunk is missing.
+    pub fn close(self) -> Result<Assembly<Complete>, Box<Self>> {
         if !self.is_complete() {
             return Err(Box::new(self));
         }
         Ok(Assembly {
             attempt: self.attempt,
-            done: self.done,
+            output: self.output,
             version: self.version,
-            held: self.held,
+            buffered: self.buffered,
             end: self.end,
             state: PhantomData,
         })
     }
 }
 
-impl Assembly<Whole> {
-    /// Makes the sample at `index` of a step out of the completion.
+impl Assembly<Complete> {
+    /// Converts the completion into the sample at `index` of a step.
     pub fn sample(self, index: u32, group: u32) -> Sample {
         Sample {
             index,
             group,
-            text: self.done.text,
-            tokens: self.done.tokens,
-            spans: self.done.spans,
+            text: self.output.text,
+            tokens: self.output.tokens,
+            spans: self.output.spans,
             finish: self.end.map(|end| end.finish).unwrap_or_default(),
             score: None,
         }
--- a/crates/step/src/cursor.rs
+++ b/crates/step/src/cursor.rs
@@ -1,4 +1,4 @@
-//! What a trainer holds of a step, in its own words.
+//! The samples of a step that its trainer holds, as stated by the trainer.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
 
 /// The samples of a step that a trainer has received.
 ///
-/// The service hands a cursor out with each batch: everything that the trainer's pull named, and
-/// the batch. The trainer keeps it with the batch and sends it with the next pull. So the cursor
-/// that arrives always describes what the trainer took, whichever answers were lost, doubled or
-/// came from an instance that had lost the step: the receiver holds the truth, and no two
-/// instances have to agree on anything for a sample to be delivered exactly once. A trainer that
-/// returns from a checkpoint sends the cursor of the checkpoint and receives the rest again.
+/// The service returns a cursor with each batch: the samples in the cursor of the pull, plus those
+/// of the batch. The trainer stores it with the batch and sends it with the next pull. The cursor
+/// of a pull therefore always describes what the trainer received, even if responses were lost,
+/// duplicated or came from an instance that no longer owned the step. The trainer's state is
+/// authoritative, so instances need no agreement to deliver each sample exactly once. A trainer
+/// that restarts from a checkpoint sends the cursor of the checkpoint and receives the rest again.
 ///
-/// As text it is unpadded URL-safe base64 of one bit a sample: 684 bytes for 4,096 samples.
+/// The text form is unpadded URL-safe base64 with one bit per sample: 684 bytes for 4,096 samples.
 ///
 /// # Examples
 ///
@@ -34,20 +34,20 @@
     total: u32,
 }
 
-/// A text is no cursor of this step.
+/// An error while parsing a cursor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum CursorError {
-    /// It is not base64.
+    /// The text is not base64.
     #[error("the cursor is not base64")]
-    Code,
-    /// It has another number of samples.
+    InvalidBase64,
+    /// The cursor belongs to a step with another number of samples.
     #[error("the cursor belongs to a step with another number of samples")]
     Length,
 }
 
 impl Cursor {
-    /// Makes the cursor of a trainer that holds nothing of a step with `total` samples.
+    /// Creates the cursor of a trainer that holds no samples of a step with `total` samples.
     pub fn empty(total: u32) -> Self {
         Self {
             bits: vec![0; total.div_ceil(8) as usize],
@@ -55,24 +55,24 @@
         }
     }
 
-    /// Reads a cursor; an empty text is the empty cursor.
+    /// Parses a cursor; an empty text is the empty cursor.
     ///
     /// # Errors
     ///
-    /// Returns [`CursorError`] when the text is no cursor of a step with `total` samples.
+    /// Returns [`CursorError`] if the text is not a cursor of a step with `total` samples.
     pub fn parse(text: &str, total: u32) -> Result<Self, CursorError> {
         if text.is_empty() {
             return Ok(Self::empty(total));
         }
         let bits = URL_SAFE_NO_PAD
             .decode(text)
-            .map_err(|_| CursorError::Code)?;
+            .map_err(|_| CursorError::InvalidBase64)?;
         if bits.len() != total.div_ceil(8) as usize {
             return Err(CursorError::Length);
         }
         let cursor = Self { bits, total };
-        let beyond = (total..total.next_multiple_of(8)).any(|index| cursor.bit(index));
-        if beyond {
+        let bits_beyond_total = (total..total.next_multiple_of(8)).any(|index| cursor.bit(index));
+        if bits_beyond_total {
             return Err(CursorError::Length);
         }
         Ok(cursor)
@@ -83,7 +83,7 @@
         byte.is_some_and(|byte| byte & (1 << (index % 8)) != 0)
     }
 
-    /// Tells whether the trainer holds the sample.
+    /// Returns whether the trainer holds the sample.
     pub fn contains(&self, index: u32) -> bool {
         index < self.total && self.bit(index)
     }
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Samples that the trainer holds.
+    /// Number of samples that the trainer holds.
     pub fn count(&self) -> u32 {
         self.bits.iter().map(|byte| byte.count_ones()).sum()
     }
 
-    /// Tells whether the trainer holds every sample.
+    /// Returns whether the trainer holds every sample.
     pub fn is_full(&self) -> bool {
         self.count() == self.total
     }
--- a/crates/step/src/lib.rs
+++ b/crates/step/src/lib.rs
@@ -1,9 +1,10 @@
-//! Steps: groups of samples for a trainer, each whole, named, fresh and delivered exactly once.
+//! Steps: groups of samples for a trainer. Each sample is complete, identified, within the
+//! staleness bound and delivered exactly once.
 //!
-//! [`Assembly`] puts an engine's chunks together into a whole [`Sample`]. [`Run`] is the state of
-//! a step on the instance that works on it: which samples wait, run or are finished, and what
-//! comes next. [`Cursor`] is the trainer's own word of what it holds; since every pull carries
-//! it, any instance can go on with a step and none can deliver a sample twice.
+//! [`Assembly`] reassembles the chunks of an engine's stream into a complete [`Sample`]. [`Run`] is
+//! the state of a step on the instance that works on it: which samples wait, run or are finished,
+//! and which task comes next. [`Cursor`] is the trainer's own record of the samples it holds. Every
+//! pull carries it, so any instance can continue a step and none can deliver a sample twice.
 
 pub mod assembly;
 pub mod cursor;
@@ -22,5 +23,5 @@
 pub use sample::Span;
 pub use spec::Spec;
 
-/// A weight version of a model; higher is newer.
+/// A weight version of a model; higher numbers are newer.
 pub type Version = u64;
--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -12,220 +12,234 @@
 use crate::Spec;
 use crate::Version;
 use crate::assembly::Partial;
-use crate::length::Lengths;
-use crate::policy::Decide;
+use crate::length::LengthPredictor;
 use crate::policy::Running;
+use crate::policy::Scheduler;
 use crate::policy::Waiting;
 
-/// Part of the token limit that a sample of an unknown group is expected to have.
-const FIRST_PART: u32 = 8;
+/// Divisor of the token limit that gives the initially predicted length of a sample.
+const INITIAL_LENGTH_DIVISOR: u32 = 8;
 
-/// Tokens a second that an engine is expected to make before one was seen.
-const FIRST_SPEED: f64 = 50.0;
+/// Assumed tokens per second of an engine before any rate was observed.
+const INITIAL_TOKEN_RATE: f64 = 50.0;
 
-/// Weight of the newest observation in means.
-const SMOOTH: f64 = 0.2;
+/// Weight of the newest observation in exponential moving averages.
+const SMOOTHING_FACTOR: f64 = 0.2;
 
-/// Highest priority of a sample at an engine; a step's last samples have it.
+/// Maximum priority of a sample at an engine, which the last samples of a step approach.
 pub const MAX_PRIORITY: u8 = 9;
 
-/// Where one sample stands.
+/// The state of one sample.
 #[derive(Clone, Debug)]
 enum Slot {
-    /// To be begun, or resumed with what an earlier attempt left.
+    /// Waits to be started, or resumed from the output of an earlier attempt.
     Waiting(Partial),
-    /// An attempt runs.
-    Running(Live),
-    /// Whole, and not yet known to be with the trainer.
+    /// An attempt is running.
+    Running(Attempt),
+    /// Complete, but not known to be received by the trainer.
     Finished(Arc<Sample>),
-    /// With the trainer.
-    Held,
+    /// Received by the trainer.
+    Delivered,
 }
 
 /// A running attempt.
 #[derive(Clone, Debug)]
-struct Live {
+struct Attempt {
     ordinal: u32,
-    /// When an engine got it; [`None`] while it waits for one.
-    sent: Option<Millis>,
-    tokens: u32,
-    so_far: u32,
+    /// When it was sent to an engine; [`None`] while it waits for one.
+    sent_at: Option<Millis>,
+    /// Number of tokens that this attempt generated.
+    new_tokens: u32,
+    /// Number of tokens of the earlier attempts that it resumes.
+    resumed_tokens: u32,
 }
 
-/// What a sample's next attempt is to do.
+/// The next attempt at a sample.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
-    /// The sample.
+    /// Index of the sample in the step.
     pub index: u32,
-    /// Its group.
+    /// Index of its group.
     pub group: u32,
     /// The ordinal of the attempt, unique in the step on this instance.
     pub ordinal: u32,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// What earlier attempts left, to resume from.
+    /// The output of earlier attempts, to resume from.
     pub partial: Partial,
-    /// Tokens at most, over all attempts.
+    /// Maximum number of tokens over all attempts.
     pub max_tokens: u32,
-    /// Lowest weight version that may produce it, so that it is fresh when it ends.
+    /// The lowest weight version that may produce the sample, so that it is still within the
+    /// staleness bound when it ends.
     pub min_version: Version,
     /// Priority at the engine, 0 to [`MAX_PRIORITY`].
     pub priority: u8,
 }
 
-/// What a step says to a worker that asks for something to do.
+/// What a worker has to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Task {
-    /// Begin this attempt.
+    /// Start this attempt.
     Start(Assignment),
-    /// Nothing waits now; ask again when something changes.
+    /// No sample waits now; ask again when something changes.
     Wait,
     /// The trainer holds every sample.
     Done,
 }
 
-/// What became of an attempt's sample.
+/// What became of the sample of a finished attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishResult {
-    /// It is the sample.
+    /// It was accepted as the result of the sample.
     Accepted,
-    /// The attempt had been given up; its result is dropped.
+    /// The attempt had been given up; its sample was dropped.
     Superseded,
-    /// It is older than the bound already and is made again.
+    /// It already exceeds the staleness bound and will be generated again.
     Stale,
 }
 
-/// A batch for the trainer.
+/// A batch of samples for the trainer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
     /// The samples.
     pub samples: Vec<Arc<Sample>>,
-    /// What the trainer holds when it has taken them.
+    /// The samples that the trainer holds once it has received the batch.
     pub cursor: Cursor,
-    /// Whether it then holds all.
+    /// Whether the trainer then holds every sample.
     pub done: bool,
 }
 
-/// What happened in a step, for `explain` and the metrics.
+/// Counters of a step, for `explain` and the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Counts {
-    /// Attempts begun.
+    /// Attempts started.
     pub begun: u64,
-    /// Attempts that resumed another.
+    /// Attempts that resumed an earlier one.
     pub resumed: u64,
     /// Attempts moved off a slow engine.
     pub moved: u64,
-    /// Samples made again because they were older than the bound.
+    /// Samples generated again because they exceeded the staleness bound.
     pub stale: u64,
     /// Results of attempts that had been given up.
     pub lost: u64,
-    /// Tokens that were generated and thrown away.
+    /// Tokens that were generated and discarded.
     pub wasted: u64,
 }
 
 /// The state of a step on the instance that works on it.
 pub struct Run {
     spec: Spec,
-    decide: Box<dyn Decide>,
+    scheduler: Box<dyn Scheduler>,
     slots: Vec<Slot>,
     /// How often each sample was moved, over all its attempts.
-    moves: Vec<u32>,
-    lengths: Lengths,
-    trainer: Version,
-    trained: Option<Millis>,
-    pace: Option<f64>,
-    speed: f64,
-    next: u32,
+    move_counts: Vec<u32>,
+    lengths: LengthPredictor,
+    trainer_version: Version,
+    /// When the trainer last reported a new version.
+    version_changed: Option<Millis>,
+    /// Average time between two versions of the trainer, in milliseconds.
+    version_interval: Option<f64>,
+    /// Average tokens per second of an attempt.
+    token_rate: f64,
+    next_ordinal: u32,
     counts: Counts,
 }
 
 impl Run {
-    /// Begins a step for a trainer that holds what `cursor` says and trains on `trainer`.
-    pub fn new(spec: Spec, policy: &Policy, cursor: &Cursor, trainer: Version) -> Self {
+    /// Creates the state of a step for a trainer that holds the samples in `cursor` and is at
+    /// weight version `trainer_version`.
+    pub fn new(spec: Spec, policy: &Policy, cursor: &Cursor, trainer_version: Version) -> Self {
         let slot = |index| match cursor.contains(index) {
-            true => Slot::Held,
+            true => Slot::Delivered,
             false => Slot::Waiting(Partial::default()),
         };
         Self {
             slots: (0..spec.total()).map(slot).collect(),
-            moves: vec![0; spec.total() as usize],
-            lengths: Lengths::new(spec.prompts.len(), spec.max_tokens.div_ceil(FIRST_PART)),
-            decide: (policy.make)(),
-            trainer,
-            trained: None,
-            pace: None,
-            speed: FIRST_SPEED,
-            next: 0,
+            move_counts: vec![0; spec.total() as usize],
+            lengths: LengthPredictor::new(
+                spec.prompts.len(),
+                spec.max_tokens.div_ceil(INITIAL_LENGTH_DIVISOR),
+            ),
+            scheduler: (policy.make)(),
+            trainer_version,
+            version_changed: None,
+            version_interval: None,
+            token_rate: INITIAL_TOKEN_RATE,
+            next_ordinal: 0,
             counts: Counts::default(),
             spec,
         }
     }
 
-    /// What the trainer asked for.
+    /// The specification of the step.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// What happened so far.
+    /// The counters so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The trainer's weight version, as it said last.
+    /// The weight version that the trainer last reported.
     pub fn trainer_version(&self) -> Version {
-        self.trainer
+        self.trainer_version
     }
 
-    /// Notes that the trainer is at a weight version now.
+    /// Records that the trainer is at a weight version now.
     ///
-    /// The time between versions tells how many more will come while a sample runs.
+    /// The time between versions predicts how many more will follow while a sample runs.
     pub fn set_trainer_version(&mut self, version: Version, now: Millis) {
-        if version <= self.trainer {
+        if version <= self.trainer_version {
             return;
         }
-        if let Some(before) = self.trained {
-            let span = now.saturating_sub(before) as f64;
-            let each = span / (version - self.trainer) as f64;
-            let pace = self.pace.get_or_insert(each);
-            *pace += SMOOTH * (each - *pace);
+        if let Some(before) = self.version_changed {
+            let elapsed = now.saturating_sub(before) as f64;
+            let interval = elapsed / (version - self.trainer_version) as f64;
+            let average = self.version_interval.get_or_insert(interval);
+            *average += SMOOTHING_FACTOR * (interval - *average);
         }
-        self.trainer = version;
-        self.trained = Some(now);
+        self.trainer_version = version;
+        self.version_changed = Some(now);
     }
 
-    /// Lowest version that may begin a sample with so many tokens left.
+    /// The lowest weight version that may start a sample with `remaining` tokens to generate.
     ///
-    /// The bound is checked again at delivery; here it is checked with room for the versions that
-    /// will come while the sample runs, so that few are made in vain.
-    fn floor(&self, left: f64) -> Version {
-        let ahead = match self.pace {
-            Some(pace) if pace > 0.0 => left / self.speed * 1_000.0 / pace,
+    /// The staleness bound is checked again at delivery. This check leaves room for the versions
+    /// expected while the sample runs, so that few samples are generated in vain.
+    fn min_version(&self, remaining: f64) -> Version {
+        let ahead = match self.version_interval {
+            Some(interval) if interval > 0.0 => remaining / self.token_rate * 1_000.0 / interval,
             _ => 0.0,
         };
-        // With a bound of 0 the trainer's own version is the newest there is: no room to keep.
+        // With a bound of 0, the trainer's own version is the newest there is, so there is no room
+        // to leave.
         let ahead = (ahead.floor() as u64).min(self.spec.max_staleness);
-        (self.trainer + ahead)
+        (self.trainer_version + ahead)
             .saturating_sub(self.spec.max_staleness)
-            .min(self.trainer)
+            .min(self.trainer_version)
     }
 
-    /// Gives a worker something to do.
+    /// Returns the next task for a worker.
     pub fn next_task(&mut self) -> Task {
         let waiting = self.waiting();
         if waiting.is_empty() {
-            let over = self.slots.iter().all(|slot| matches!(slot, Slot::Held));
-            return if over { Task::Done } else { Task::Wait };
+            let done = self
+                .slots
+                .iter()
+                .all(|slot| matches!(slot, Slot::Delivered));
+            return if done { Task::Done } else { Task::Wait };
         }
-        let at = self.decide.pick(&waiting).min(waiting.len() - 1);
-        Task::Start(self.start(waiting[at]))
+        let at = self.scheduler.pick_next(&waiting).min(waiting.len() - 1);
+        Task::Start(self.start_attempt(waiting[at]))
     }
 
     fn waiting(&self) -> Vec<Waiting> {
-        let mut probed = vec![false; self.spec.prompts.len()];
+        let mut group_running = vec![false; self.spec.prompts.len()];
         for (index, slot) in self.slots.iter().enumerate() {
             if matches!(slot, Slot::Running(_)) {
-                probed[self.spec.group(index as u32) as usize] = true;
+                group_running[self.spec.group(index as u32) as usize] = true;
             }
         }
         let waits = |(index, slot): (usize, &Slot)| {
@@ -236,26 +250,26 @@
             Some(Waiting {
                 index: index as u32,
                 group,
-                so_far: partial.tokens,
-                expect: self.lengths.expect(group, partial.tokens),
-                known: self.lengths.knows(group),
-                probed: probed[group as usize],
+                generated: partial.tokens,
+                predicted: self.lengths.expect(group, partial.tokens),
+                measured: self.lengths.has_observed(group),
+                group_running: group_running[group as usize],
             })
         };
         self.slots.iter().enumerate().filter_map(waits).collect()
     }
 
-    fn start(&mut self, sample: Waiting) -> Assignment {
-        let ordinal = self.next;
-        self.next += 1;
+    fn start_attempt(&mut self, sample: Waiting) -> Assignment {
+        let ordinal = self.next_ordinal;
+        self.next_ordinal += 1;
         let slot = &mut self.slots[sample.index as usize];
-        let live = Live {
+        let attempt = Attempt {
             ordinal,
-            sent: None,
-            tokens: 0,
-            so_far: sample.so_far,
+            sent_at: None,
+            new_tokens: 0,
+            resumed_tokens: sample.generated,
         };
-        let partial = match std::mem::replace(slot, Slot::Running(live)) {
+        let partial = match std::mem::replace(slot, Slot::Running(attempt)) {
             Slot::Waiting(partial) => partial,
             _ => Partial::default(),
         };
@@ -267,122 +281,133 @@
             ordinal,
             prompt: self.spec.prompt(sample.index),
             max_tokens: self.spec.max_tokens,
-            min_version: self.floor(sample.expect - f64::from(sample.so_far)),
+            min_version: self.min_version(sample.predicted - f64::from(sample.generated)),
             priority: self.priority(),
             partial,
         }
     }
 
-    /// The priority rises as the step nears its end, when each sample left holds up all.
+    /// The priority of a new attempt. It rises as the step nears its end, when each remaining
+    /// sample delays the whole step.
     fn priority(&self) -> u8 {
         let total = self.slots.len().max(1);
-        let open = |slot: &&Slot| matches!(slot, Slot::Waiting(_) | Slot::Running(_));
-        let left = self.slots.iter().filter(open).count();
-        let done = (total - left) * usize::from(MAX_PRIORITY) / total;
-        done as u8
+        let unfinished = |slot: &&Slot| matches!(slot, Slot::Waiting(_) | Slot::Running(_));
+        let remaining = self.slots.iter().filter(unfinished).count();
+        let priority = (total - remaining) * usize::from(MAX_PRIORITY) / total;
+        priority as u8
     }
 
-    fn live(&mut self, index: u32, ordinal: u32) -> Option<&mut Live> {
+    fn running_attempt(&mut self, index: u32, ordinal: u32) -> Option<&mut Attempt> {
         match self.slots.get_mut(index as usize) {
-            Some(Slot::Running(live)) if live.ordinal == ordinal => Some(live),
+            Some(Slot::Running(attempt)) if attempt.ordinal == ordinal => Some(attempt),
             _ => None,
         }
     }
 
-    /// Notes that an engine got an attempt; its speed counts from here, not from when it began to
-    /// wait for an engine.
+    /// Records that an attempt was sent to an engine. Its token rate is measured from here, not
+    /// from when it began to wait for an engine.
     pub fn mark_sent(&mut self, index: u32, ordinal: u32, now: Millis) {
-        if let Some(live) = self.live(index, ordinal) {
-            live.sent = Some(now);
+        if let Some(attempt) = self.running_attempt(index, ordinal) {
+            attempt.sent_at = Some(now);
         }
     }
 
-    /// Notes how far an attempt is; tells whether it is still wanted.
+    /// Records that an attempt has reached `tokens` tokens; returns whether it is still wanted.
     pub fn record_progress(&mut self, index: u32, ordinal: u32, tokens: u32) -> bool {
-        let Some(live) = self.live(index, ordinal) else {
+        let Some(attempt) = self.running_attempt(index, ordinal) else {
             return false;
         };
-        live.tokens = tokens.saturating_sub(live.so_far);
+        attempt.new_tokens = tokens.saturating_sub(attempt.resumed_tokens);
         true
     }
 
-    /// Takes a whole sample in.
+    /// Adds the complete sample of an attempt.
     pub fn finish(&mut self, ordinal: u32, sample: Sample, now: Millis) -> FinishResult {
         let index = sample.index;
-        let Some(live) = self.live(index, ordinal) else {
+        let Some(attempt) = self.running_attempt(index, ordinal) else {
             self.counts.lost += 1;
             self.counts.wasted += u64::from(sample.tokens);
             return FinishResult::Superseded;
         };
-        let sent = live.sent.unwrap_or(now);
-        let span = now.saturating_sub(sent) as f64 / 1_000.0;
-        let made = sample.tokens.saturating_sub(live.so_far);
-        if span > 0.0 && made > 0 {
-            self.speed += SMOOTH * (f64::from(made) / span - self.speed);
+        let sent_at = attempt.sent_at.unwrap_or(now);
+        let seconds = now.saturating_sub(sent_at) as f64 / 1_000.0;
+        let new_tokens = sample.tokens.saturating_sub(attempt.resumed_tokens);
+        if seconds > 0.0 && new_tokens > 0 {
+            self.token_rate +=
+                SMOOTHING_FACTOR * (f64::from(new_tokens) / seconds - self.token_rate);
         }
-        self.lengths.saw(sample.group, sample.tokens);
-        if sample.staleness(self.trainer) > self.spec.max_staleness {
-            self.remake(index, sample.tokens);
+        self.lengths.observe(sample.group, sample.tokens);
+        if sample.staleness(self.trainer_version) > self.spec.max_staleness {
+            self.discard_stale(index, sample.tokens);
             return FinishResult::Stale;
         }
         self.slots[index as usize] = Slot::Finished(Arc::new(sample));
         FinishResult::Accepted
     }
 
-    fn remake(&mut self, index: u32, tokens: u32) {
+    /// Discards a stale sample, which is then generated again.
+    fn discard_stale(&mut self, index: u32, tokens: u32) {
         self.counts.stale += 1;
         self.counts.wasted += u64::from(tokens);
         self.slots[index as usize] = Slot::Waiting(Partial::default());
     }
 
-    /// Takes back an attempt that ended early; what it left is resumed unless it is too old.
+    /// Takes back an attempt that ended early. A later attempt resumes from its output unless that
+    /// exceeds the staleness bound.
     pub fn fail(&mut self, index: u32, ordinal: u32, partial: Partial) {
-        if self.live(index, ordinal).is_none() {
+        if self.running_attempt(index, ordinal).is_none() {
             self.counts.lost += 1;
             self.counts.wasted += u64::from(partial.tokens);
             return;
         }
         let oldest = partial.spans.iter().map(|span| span.version).min();
-        let old = oldest.is_some_and(|v| self.trainer.saturating_sub(v) > self.spec.max_staleness);
-        if old {
-            self.remake(index, partial.tokens);
+        let stale = oldest
+            .is_some_and(|v| self.trainer_version.saturating_sub(v) > self.spec.max_staleness);
+        if stale {
+            self.discard_stale(index, partial.tokens);
             return;
         }
         self.slots[index as usize] = Slot::Waiting(partial);
     }
 
-    /// Names the running samples to stop and resume elsewhere.
+    /// Returns the index and the ordinal of the attempts to stop and resume at another engine.
     pub fn pick_moves(&mut self, now: Millis) -> Vec<(u32, u32)> {
         let runs = |(index, slot): (usize, &Slot)| {
-            let Slot::Running(live) = slot else {
+            let Slot::Running(attempt) = slot else {
                 return None;
             };
-            let age = now.saturating_sub(live.sent?);
+            let age_ms = now.saturating_sub(attempt.sent_at?);
             Some(Running {
                 index: index as u32,
-                speed: f64::from(live.tokens) * 1_000.0 / age.max(1) as f64,
-                moves: self.moves[index],
-                age,
+                rate: f64::from(attempt.new_tokens) * 1_000.0 / age_ms.max(1) as f64,
+                moves: self.move_counts[index],
+                age_ms,
             })
         };
         let running: Vec<_> = self.slots.iter().enumerate().filter_map(runs).collect();
-        let chosen = self.decide.moves(&running);
+        let chosen = self.scheduler.pick_moves(&running);
         let mut moves = Vec::new();
         for index in chosen {
-            if let Some(Slot::Running(live)) = self.slots.get(index as usize) {
-                self.moves[index as usize] += 1;
+            if let Some(Slot::Running(attempt)) = self.slots.get(index as usize) {
+                self.move_counts[index as usize] += 1;
                 self.counts.moved += 1;
-                moves.push((index, live.ordinal));
+                moves.push((index, attempt.ordinal));
             }
         }
         moves
     }
 
-    /// Answers a pull: takes the trainer's word of what it holds, and hands out at most `limit`
-    /// finished samples that it does not hold and that are within the bound now.
-    pub fn pull(&mut self, cursor: &Cursor, trainer: Version, limit: usize, now: Millis) -> Batch {
-        self.set_trainer_version(trainer, now);
-        self.sync(cursor);
+    /// Answers a pull: records which samples the trainer holds, and returns at most `limit`
+    /// finished samples that it does not hold and that are within the staleness bound now.
+    pub fn pull(
+        &mut self,
+        cursor: &Cursor,
+        trainer_version: Version,
+        limit: usize,
+        now: Millis,
+    ) -> Batch {
+        self.set_trainer_version(trainer_version, now);
+        self.apply_cursor(cursor);
         let mut next = cursor.clone();
         let mut samples = Vec::new();
         for index in 0..self.slots.len() {
@@ -392,9 +417,9 @@
             let Slot::Finished(sample) = &self.slots[index] else {
                 continue;
             };
-            if sample.staleness(trainer) > self.spec.max_staleness {
+            if sample.staleness(trainer_version) > self.spec.max_staleness {
                 let tokens = sample.tokens;
-                self.remake(index as u32, tokens);
+                self.discard_stale(index as u32, tokens);
                 continue;
             }
             next.insert(index as u32);
@@ -408,34 +433,34 @@
         }
     }
 
-    /// Brings the slots in line with what the trainer holds.
-    fn sync(&mut self, cursor: &Cursor) {
+    /// Updates the slots to match the samples that the trainer holds.
+    fn apply_cursor(&mut self, cursor: &Cursor) {
         for (index, slot) in self.slots.iter_mut().enumerate() {
             let held = cursor.contains(index as u32);
             match slot {
-                Slot::Held if !held => *slot = Slot::Waiting(Partial::default()),
-                Slot::Held => (),
-                _ if held => *slot = Slot::Held,
+                Slot::Delivered if !held => *slot = Slot::Waiting(Partial::default()),
+                Slot::Delivered => (),
+                _ if held => *slot = Slot::Delivered,
                 _ => (),
             }
         }
     }
 
-    /// Samples that are finished and not yet known to be with the trainer.
+    /// Number of samples that are finished but not known to be received by the trainer.
     pub fn finished_count(&self) -> usize {
         let finished = |slot: &&Slot| matches!(slot, Slot::Finished(_));
         self.slots.iter().filter(finished).count()
     }
 
-    /// Samples that run.
+    /// Number of samples that are running.
     pub fn running_count(&self) -> usize {
         let running = |slot: &&Slot| matches!(slot, Slot::Running(_));
         self.slots.iter().filter(running).count()
     }
 
-    /// Samples that the trainer holds.
+    /// Number of samples that the trainer holds.
     pub fn held_count(&self) -> usize {
-        let held = |slot: &&Slot| matches!(slot, Slot::Held);
+        let held = |slot: &&Slot| matches!(slot, Slot::Delivered);
         self.slots.iter().filter(held).count()
     }
 }
