--- a/crates/batch/src/record.rs
+++ b/crates/batch/src/record.rs
@@ -61,7 +61,8 @@
     #[serde(rename = "least")]
     pub min_version: u64,
     /// Number of groups that must complete before the trainer continues.
-    pub wanted: u32,
+    #[serde(rename = "wanted")]
+    pub required_groups: u32,
     /// Number of samples.
     pub total: u32,
     /// The sum of the expected lengths of its samples, in the unit that their senders use; each
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -78,7 +78,7 @@
         opened: Millis,
     ) -> Self {
         let groups = spec.samples.iter().map(|sample| &sample.group);
-        let ledger = Ledger::new(Groups::new(groups, head.wanted), GATHER);
+        let ledger = Ledger::new(Groups::new(groups, head.required_groups), GATHER);
         let drafts = spec.samples.iter().map(|_| Mutex::default());
         Self {
             drafts: drafts.collect(),
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -218,7 +218,7 @@
         path: submission.path.clone(),
         model: submitted.model.clone(),
         min_version: submitted.least,
-        wanted: submitted.wanted,
+        required_groups: submitted.wanted,
         total: submitted.samples.len() as u32,
         work: samples.map(|one| u64::from(one.expected.max(1))).sum(),
         team: submission.team.clone(),
