--- a/crates/batch/src/draft.rs
+++ b/crates/batch/src/draft.rs
@@ -63,12 +63,12 @@
     /// Applies a stored delta of the same sample. A delta that starts at the first event replaces
     /// the draft; one that does not continue the draft is ignored.
     pub fn apply(&mut self, delta: DraftDelta) {
-        if delta.from == 0 {
+        if delta.after_event == 0 {
             *self = Self::default();
         }
-        if delta.from == self.last {
+        if delta.after_event == self.last {
             self.text.push_str(&delta.text);
-            self.last = delta.last;
+            self.last = delta.last_event;
             self.versions = delta.versions;
         }
     }
@@ -81,9 +81,11 @@
     /// The index of the sample in the step.
     pub index: u32,
     /// The number of the event that the delta follows; 0 if it starts with the first event.
-    pub from: u64,
+    #[serde(rename = "from")]
+    pub after_event: u64,
     /// The number of its last event.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_event: u64,
     /// The text to append, including the line feed before it if there is one.
     pub text: String,
     /// The weight versions that generated all events of the sample up to `last`.
@@ -107,7 +109,7 @@
 /// (1..=30).for_each(|number| assert!(draft.add(number, "x", 1)));
 /// let mut checkpoints = Checkpoints::default();
 /// let first = checkpoints.take_deltas([(0, &draft)].into_iter());
-/// assert_eq!((first[0].from, first[0].last), (0, 30));
+/// assert_eq!((first[0].after_event, first[0].last_event), (0, 30));
 /// // Nothing was gained since.
 /// assert!(checkpoints.take_deltas([(0, &draft)].into_iter()).is_empty());
 /// ```
@@ -150,8 +152,8 @@
             bytes += text.len();
             deltas.push(DraftDelta {
                 index,
-                from: saved.last,
-                last: draft.last,
+                after_event: saved.last,
+                last_event: draft.last,
                 text,
                 versions: draft.versions.clone(),
             });
--- a/crates/batch/tests/ledger.rs
+++ b/crates/batch/tests/ledger.rs
@@ -216,7 +216,7 @@
 
     assert_eq!(draft, draft_of(90));
     // 10 events are too few for a checkpoint, and so is a gain of 3.
-    let lasts: Vec<_> = deltas.iter().map(|delta| delta.last).collect();
+    let lasts: Vec<_> = deltas.iter().map(|delta| delta.last_event).collect();
     assert_eq!(lasts, [30, 41, 90]);
 }
 
@@ -232,7 +232,7 @@
     other.versions = vec![2];
     let second = checkpoints.take_deltas([(0, &other)].into_iter());
     let gap = DraftDelta {
-        from: 77,
+        after_event: 77,
         ..first[0].clone()
     };
 
