--- a/crates/batch/src/draft.rs
+++ b/crates/batch/src/draft.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Draft {
     /// The number of the last event; 0 if there is none.
-    pub last: u64,
+    pub last_event: u64,
     /// The data of the events, separated by line feeds.
     pub text: String,
     /// The weight versions that generated the events, in order of first use.
@@ -46,17 +46,17 @@
     /// assert_eq!((&*draft.text, &*draft.versions), ("a\nb", &[7][..]));
     /// ```
     pub fn add(&mut self, number: u64, data: &str, version: u64) -> bool {
-        if number != self.last + 1 {
+        if number != self.last_event + 1 {
             return false;
         }
-        if self.last > 0 {
+        if self.last_event > 0 {
             self.text.push('\n');
         }
         self.text.push_str(data);
         if !self.versions.contains(&version) {
             self.versions.push(version);
         }
-        self.last = number;
+        self.last_event = number;
         true
     }
 
@@ -66,9 +66,9 @@
         if delta.after_event == 0 {
             *self = Self::default();
         }
-        if delta.after_event == self.last {
+        if delta.after_event == self.last_event {
             self.text.push_str(&delta.text);
-            self.last = delta.last_event;
+            self.last_event = delta.last_event;
             self.versions = delta.versions;
         }
     }
@@ -122,7 +122,7 @@
     /// Records that all text of a sample is stored at the platform.
     pub fn mark_saved(&mut self, index: u32, draft: &Draft) {
         let saved = SavedLength {
-            last: draft.last,
+            last: draft.last_event,
             text_bytes: draft.text.len(),
         };
         self.saved.insert(index, saved);
@@ -142,8 +142,8 @@
         let mut deltas = Vec::new();
         for (index, draft) in drafts {
             let saved = self.saved.get(&index).copied().unwrap_or_default();
-            if draft.last < MIN_EVENTS
-                || draft.last < saved.last + MIN_GAINED_EVENTS
+            if draft.last_event < MIN_EVENTS
+                || draft.last_event < saved.last + MIN_GAINED_EVENTS
                 || bytes > MAX_WRITE_BYTES
             {
                 continue;
@@ -153,7 +153,7 @@
             deltas.push(DraftDelta {
                 index,
                 after_event: saved.last,
-                last_event: draft.last,
+                last_event: draft.last_event,
                 text,
                 versions: draft.versions.clone(),
             });
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -81,7 +81,7 @@
         let draft = work.drafts[index].lock();
         again.record(
             work.print(&work.spec.samples[index]),
-            draft.last,
+            draft.last_event,
             draft.complete,
             now,
         );
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -74,7 +74,7 @@
         let samples = work.spec.samples.iter().enumerate();
         let jobs = samples
             .map(|(index, sample)| {
-                let begun = work.drafts[index].lock().last > 0;
+                let begun = work.drafts[index].lock().last_event > 0;
                 let index = index as u32;
                 Job {
                     index,
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -131,7 +131,7 @@
             domain: &self.app.settings.domain,
             kin: self.kin.get(&todo.job.group).map(|kin| &**kin),
             avoid: &todo.avoid,
-            taken: memory.taken(sample.prompt, draft.last),
+            taken: memory.taken(sample.prompt, draft.last_event),
             memory,
         };
         let mut apart = self.app.crashes.apart(|| self.mark(todo));
@@ -178,7 +178,7 @@
         let work = self.work.clone();
         let index = todo.job.index;
         log::info!(target: "owner", id = &*self.sample(&todo).id, step = &*work.step,
-            upstream = &*engine.id, first = work.drafts[index as usize].lock().last,
+            upstream = &*engine.id, first = work.drafts[index as usize].lock().last_event,
             heard_ms = work.unheard(self.app); "sample begun");
         let stay = self.app.crashes.stay(|| self.mark(&todo), &engine.id);
         self.runs.spawn(async move {
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -254,7 +254,7 @@
         let prints = all.map(|(sample, draft)| (self.print(sample), draft));
         let left = prints.filter(|(print, _)| samples.contains(print));
         let left = left.map(|(print, draft)| (print, draft.lock().clone()));
-        let left: Vec<_> = left.filter(|(_, draft)| draft.last > 0).collect();
+        let left: Vec<_> = left.filter(|(_, draft)| draft.last_event > 0).collect();
         if !left.is_empty() {
             self.handed.store(true, Ordering::Relaxed);
             self.bell.notify_one();
@@ -271,7 +271,9 @@
                 .versions
                 .iter()
                 .all(|version| *version >= self.head.min_version);
-            let longer = left.get(&print).is_none_or(|have| have.last < draft.last);
+            let longer = left
+                .get(&print)
+                .is_none_or(|have| have.last_event < draft.last_event);
             if fits && longer {
                 left.insert(print, draft);
             }
@@ -283,7 +285,7 @@
                 continue;
             };
             let mut have = self.drafts[index].lock();
-            if !ledger.has_ended(index as u32) && draft.last > have.last {
+            if !ledger.has_ended(index as u32) && draft.last_event > have.last_event {
                 *have = draft;
                 self.kept.lock().reset(index as u32);
                 taken += 1;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -124,7 +124,7 @@
     /// Runs the sample on from what it has. The place at the engine was taken by whoever chose it.
     pub async fn go(&self, sample: &Sample, draft: &Mutex<Draft>) -> Ended {
         let begun = self.app.clock.now();
-        let first = draft.lock().last;
+        let first = draft.lock().last_event;
         let memory = self.app.memory(&self.service);
         let place = Place {
             run: self,
@@ -134,7 +134,7 @@
         if ended == Ended::Whole {
             draft.lock().complete = true;
             self.app.crashes.whole(|| self.mark(sample));
-            let events = draft.lock().last;
+            let events = draft.lock().last_event;
             self.app.fleet.lock().whole(sample.expected, events);
         }
         if !matches!(
@@ -163,7 +163,7 @@
             Ended::Broken(why) => why,
         };
         log::info!(target: "run", id = &*sample.id, step = &**self.work.name(),
-            upstream = &*self.engine.id, first, to = draft.lock().last, took_ms = took,
+            upstream = &*self.engine.id, first, to = draft.lock().last_event, took_ms = took,
             outcome; "run ended");
         metrics::counter!(crate::meter::ATTEMPTS, "outcome" => outcome).increment(1);
         ended
@@ -175,7 +175,7 @@
     }
 
     async fn attempt(&self, sample: &Sample, draft: &Mutex<Draft>, place: &Place<'_>) -> Ended {
-        let last = draft.lock().last;
+        let last = draft.lock().last_event;
         let dialect = &self.app.dialect;
         let request = match dialect.sample(sample, &self.host, &self.engine, last, &self.principal)
         {
@@ -261,7 +261,7 @@
             let next = timeout(SILENCE, events.next()).await;
             let block = match next {
                 Ok(Next::Block(block)) => block,
-                Ok(Next::End) if draft.lock().last > 0 => return Ended::Whole,
+                Ok(Next::End) if draft.lock().last_event > 0 => return Ended::Whole,
                 Ok(Next::End) => return Ended::Broken("empty"),
                 Ok(Next::Broken) => return Ended::Broken(STREAM),
                 Err(_) => return Ended::Broken("silent"),
@@ -308,12 +308,12 @@
             domain: &self.app.settings.domain,
             kin: None,
             avoid: &[],
-            taken: memory.taken(sample.prompt, draft.last),
+            taken: memory.taken(sample.prompt, draft.last_event),
             memory,
         };
         let roster = self.app.roster.lock();
         let fleet = self.app.fleet.lock();
-        let left = fleet.left(sample.expected, draft.last);
+        let left = fleet.left(sample.expected, draft.last_event);
         let now = self.app.clock.now();
         fleet
             .better(&roster, &want, &self.engine.id, left, now)
@@ -328,7 +328,7 @@
 /// the end, the sample is asked for again and again until its step is over.
 async fn rest(draft: &Mutex<Draft>, events: &mut Events) -> Ended {
     match timeout(SILENCE, events.next()).await {
-        Ok(Next::End) if draft.lock().last > 0 => Ended::Whole,
+        Ok(Next::End) if draft.lock().last_event > 0 => Ended::Whole,
         _ => Ended::Broken("no version"),
     }
 }
