--- a/crates/batch/src/word.rs
+++ b/crates/batch/src/word.rs
@@ -27,7 +27,7 @@
 ///
 /// let mut confirmation = Confirmation::new(3_000, 100);
 /// let permit = confirmation.permit(1_000).unwrap();
-/// assert_eq!(permit.until(), 2_100);
+/// assert_eq!(permit.deadline(), 2_100);
 /// assert!(confirmation.permit(2_100).is_none());
 /// assert!(!confirmation.is_check_due(900));
 /// assert!(confirmation.is_check_due(1_000));
@@ -50,13 +50,13 @@
 /// Permission to start samples of a step that is known to be open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    until: Millis,
+    deadline: Millis,
 }
 
 impl Permit {
     /// The time before which a started sample must be sent.
-    pub fn until(self) -> Millis {
-        self.until
+    pub fn deadline(self) -> Millis {
+        self.deadline
     }
 }
 
@@ -99,8 +99,8 @@
 
     /// Returns a permit to start samples now, or [`None`] when the step may have ended meanwhile.
     pub fn permit(&self, now: Millis) -> Option<Permit> {
-        let until = self.last_open() + self.fraction(PERMIT_FRACTION);
-        (now < until).then_some(Permit { until })
+        let deadline = self.last_open() + self.fraction(PERMIT_FRACTION);
+        (now < deadline).then_some(Permit { deadline })
     }
 
     /// Returns whether the platform has to be asked now.
--- a/crates/batch/tests/word.rs
+++ b/crates/batch/tests/word.rs
@@ -72,8 +72,8 @@
         for now in 0..end + 2 * END_BOUND {
             checker.advance(now, end, &mut results);
             if let Some(permit) = checker.confirmation.permit(now) {
-                prop_assert!(now < permit.until());
-                prop_assert!(permit.until() <= end + END_BOUND * 2 / 3);
+                prop_assert!(now < permit.deadline());
+                prop_assert!(permit.deadline() <= end + END_BOUND * 2 / 3);
             }
         }
     }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -187,7 +187,7 @@
             }
         };
         // The process may have been paused since it was begun. From here on the time limit bounds what is sent.
-        let left = self.permit.until().saturating_sub(self.app.clock.now());
+        let left = self.permit.deadline().saturating_sub(self.app.clock.now());
         if left == 0 {
             return Ended::Stale;
         }
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -111,7 +111,7 @@
     /// Tells whether it may be sent now.
     fn is_permitted(&self) -> bool {
         let now = self.app.clock.now();
-        self.permit.is_none_or(|permit| now < permit.until())
+        self.permit.is_none_or(|permit| now < permit.deadline())
     }
 
     /// How it is known when upstreams crash under it.
