--- a/crates/batch/src/draft.rs
+++ b/crates/batch/src/draft.rs
@@ -88,7 +88,7 @@
     pub last_event: u64,
     /// The text to append, including the line feed before it if there is one.
     pub text: String,
-    /// The weight versions that generated all events of the sample up to `last`.
+    /// The weight versions that generated all events of the sample up to `last_event`.
     pub versions: Vec<u64>,
 }
 
