--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -8,31 +8,33 @@
 //!
 //! - [`record`] defines the stored records and their encoding, [`keys`] the keys they are stored
 //!   under.
-//! - [`again`] remembers unfinished samples of ended steps.
+//! - [`leftovers`] remembers unfinished samples of ended steps.
 //! - [`draft`] holds the partial output of samples and tracks what of it is stored.
 //! - [`groups`] decides when the trainer of a step can continue.
 //! - [`ledger`] is the owner's view of the results of its step.
-//! - [`word`] limits how long samples may be started after the step was last known to be
+//! - [`confirmation`] limits how long samples may be started after the step was last known to be
 //!   open.
 //! - [`window`] caches results read by instances that do not own the step.
 //! - [`score`] decides on retries of scoring requests.
 
-pub mod again;
+pub mod confirmation;
 pub mod draft;
 pub mod groups;
 pub mod keys;
 pub mod ledger;
+pub mod leftovers;
 pub mod record;
 pub mod score;
 pub mod window;
-pub mod word;
 
-pub use again::Leftovers;
+pub use confirmation::Confirmation;
+pub use confirmation::Permit;
 pub use draft::Draft;
 pub use draft::DraftDelta;
 pub use groups::Groups;
 pub use ledger::Ledger;
 pub use ledger::Segment;
+pub use leftovers::Leftovers;
 pub use record::Entry;
 pub use record::Head;
 pub use record::Outcome;
@@ -42,5 +44,3 @@
 pub use record::Scoring;
 pub use record::Spec;
 pub use window::Window;
-pub use word::Confirmation;
-pub use word::Permit;
