--- a/crates/once/src/key.rs
+++ b/crates/once/src/key.rs
@@ -19,7 +19,7 @@
 /// The hash of a request's method, path and body, by which a key used for another request shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Print(u64);
+pub struct Fingerprint(u64);
 
 /// Why a text is no `Idempotency-Key`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
     }
 }
 
-impl Print {
+impl Fingerprint {
     /// Hashes a request.
     pub fn new(method: &str, path: &str, body: &[u8]) -> Self {
         let parts = [method.as_bytes(), path.as_bytes(), body];
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -14,8 +14,8 @@
 pub mod record;
 pub mod shard;
 
+pub use key::Fingerprint;
 pub use key::Key;
-pub use key::Print;
 pub use record::Outcome;
 pub use record::Record;
 pub use record::Segment;
--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::Fingerprint;
 use crate::Key;
-use crate::Print;
 
 /// Largest body of an answer that the journal keeps, in bytes.
 pub const MAX_BODY: usize = 4_096;
@@ -32,7 +32,8 @@
         /// The key.
         key: Key,
         /// The request.
-        print: Print,
+        #[serde(rename = "print")]
+        fingerprint: Fingerprint,
         /// Who may run it.
         attempt: AttemptId,
         /// When, in milliseconds since 1970 by the writer's clock.
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -7,9 +7,9 @@
 use kernel::Map;
 use kernel::Millis;
 
+use crate::Fingerprint;
 use crate::Key;
 use crate::Outcome;
-use crate::Print;
 use crate::Record;
 use crate::Segment;
 
@@ -22,7 +22,7 @@
 /// What the journal knows of a key.
 #[derive(Clone, Debug)]
 struct Entry {
-    print: Print,
+    fingerprint: Fingerprint,
     attempt: AttemptId,
     at: Millis,
     /// The segment that has its intent.
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 struct Waiting {
     key: Key,
-    print: Print,
+    fingerprint: Fingerprint,
     at: Millis,
 }
 
@@ -102,13 +102,13 @@
 ///
 /// ```
 /// use kernel::RequestId;
-/// use once::{Answer, Key, Print, Shard, Work};
+/// use once::{Answer, Key, Fingerprint, Shard, Work};
 /// use once::shard::Wrote;
 ///
 /// let mut shard = Shard::new(60_000);
 /// let key = Key::new("aarhus", "portal", "order-1")?;
 /// let attempt = RequestId::from_bits(1).attempt(0);
-/// shard.ask(key, Print::new("POST", "/orders", b""), attempt, 0);
+/// shard.ask(key, Fingerprint::new("POST", "/orders", b""), attempt, 0);
 /// assert_eq!(shard.next(0), Work::Load { from: 1 });
 /// shard.loaded(0, Vec::new());
 /// let Work::Write { head: 0, .. } = shard.next(0) else { panic!() };
@@ -155,14 +155,14 @@
     /// Asks for the right to run; the answer comes out of [`Shard::take`].
     ///
     /// `now` is wall-clock time, since the record outlives this process.
-    pub fn ask(&mut self, key: Key, print: Print, attempt: AttemptId, now: Millis) {
+    pub fn ask(&mut self, key: Key, fingerprint: Fingerprint, attempt: AttemptId, now: Millis) {
         if self.waiting.len() >= BACKLOG {
             self.answers.insert(attempt, Answer::Refused);
             return;
         }
         let waiting = Waiting {
             key,
-            print,
+            fingerprint,
             at: now,
         };
         if self.phase == Phase::Ready {
@@ -268,7 +268,7 @@
         if self.is_freeing(asked.key, entry.attempt) {
             return None;
         }
-        if entry.print != asked.print {
+        if entry.fingerprint != asked.fingerprint {
             return Some(Answer::Mismatch);
         }
         Some(match &entry.outcome {
@@ -326,7 +326,7 @@
             taken.push(waiting.key);
             records.push(Record::Intent {
                 key: waiting.key,
-                print: waiting.print,
+                fingerprint: waiting.fingerprint,
                 attempt: *attempt,
                 at: waiting.at,
             });
@@ -406,13 +406,13 @@
         match record {
             Record::Intent {
                 key,
-                print,
+                fingerprint,
                 attempt,
                 at,
             } => {
                 // Only a writer that had read all before could write this, so the key was free.
                 self.entries.entry(*key).or_insert(Entry {
-                    print: *print,
+                    fingerprint: *fingerprint,
                     attempt: *attempt,
                     at: *at,
                     seq,
--- a/crates/once/tests/forgotten.rs
+++ b/crates/once/tests/forgotten.rs
@@ -8,9 +8,9 @@
 use kernel::Map;
 use kernel::RequestId;
 use once::Answer;
+use once::Fingerprint;
 use once::Key;
 use once::Outcome;
-use once::Print;
 use once::Shard;
 use proptest::prelude::*;
 
@@ -25,8 +25,8 @@
     RequestId::from_bits(bits).attempt(0)
 }
 
-fn print() -> Print {
-    Print::new("POST", "/orders", b"blazer")
+fn print() -> Fingerprint {
+    Fingerprint::new("POST", "/orders", b"blazer")
 }
 
 fn outcome() -> Outcome {
--- a/crates/once/tests/shard.rs
+++ b/crates/once/tests/shard.rs
@@ -7,9 +7,9 @@
 use kernel::AttemptId;
 use kernel::RequestId;
 use once::Answer;
+use once::Fingerprint;
 use once::Key;
 use once::Outcome;
-use once::Print;
 use once::Shard;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -24,8 +24,8 @@
     RequestId::from_bits(bits).attempt(0)
 }
 
-fn print() -> Print {
-    Print::new("POST", "/orders", b"blazer")
+fn print() -> Fingerprint {
+    Fingerprint::new("POST", "/orders", b"blazer")
 }
 
 fn outcome() -> Outcome {
@@ -88,7 +88,7 @@
 
     shard.ask(
         key("k"),
-        Print::new("POST", "/orders", b"cap"),
+        Fingerprint::new("POST", "/orders", b"cap"),
         attempt(2),
         0,
     );
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -15,9 +15,9 @@
 use net::Reply;
 use net::body;
 use once::Answer;
+use once::Fingerprint;
 use once::Key;
 use once::Outcome;
-use once::Print;
 use once::record::MAX_BODY;
 use route::Ran;
 use wire::Problem;
@@ -78,7 +78,7 @@
     let outbound = &mut job.outbound;
     horizon(app, &outbound.headers)?;
     outbound.patience = AFTERMATH;
-    let print = Print::new(outbound.method.as_str(), &outbound.path, &outbound.body);
+    let print = Fingerprint::new(outbound.method.as_str(), &outbound.path, &outbound.body);
     let attempt = trace.id.attempt(0);
     let answer = app
         .journal
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -16,9 +16,9 @@
 use kernel::Millis;
 use kernel::rank;
 use once::Answer;
+use once::Fingerprint;
 use once::Key;
 use once::Outcome;
-use once::Print;
 use once::Record;
 use once::Shard;
 use parking_lot::Mutex;
@@ -112,7 +112,7 @@
         &self,
         app: &Arc<App>,
         key: Key,
-        print: Print,
+        print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
     ) -> Answer {
@@ -131,7 +131,7 @@
         &self,
         app: &App,
         key: Key,
-        print: Print,
+        print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
     ) -> Answer {
@@ -158,7 +158,7 @@
     pub async fn ask_here(
         &self,
         key: Key,
-        print: Print,
+        print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
         own: Own,
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -2,8 +2,8 @@
 
 use http::StatusCode;
 use kernel::RequestId;
+use once::Fingerprint;
 use once::Key;
-use once::Print;
 use once::Record;
 use once::Segment;
 use plat::Put;
@@ -305,7 +305,7 @@
     let shard = key.shard(2);
     let record = Record::Intent {
         key,
-        print: Print::new("POST", "/orders", b"blazer"),
+        fingerprint: Fingerprint::new("POST", "/orders", b"blazer"),
         attempt: RequestId::fresh().attempt(0),
         at: rig.running().next().unwrap().app.clock.wall(),
     };
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -12,8 +12,8 @@
 use kernel::AttemptId;
 use kernel::Name;
 use once::Answer;
+use once::Fingerprint;
 use once::Key;
-use once::Print;
 use once::Record;
 use serde::Deserialize;
 use serde::Serialize;
@@ -101,7 +101,7 @@
         /// The key.
         key: Key,
         /// The request.
-        print: Print,
+        print: Fingerprint,
         /// The attempt.
         attempt: AttemptId,
         /// Milliseconds until the caller's deadline.
