--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -32,7 +32,7 @@
 
 /// What the journal says to an attempt that asks for the right to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Decision {
     /// The intent is written: this attempt, and no other, may run the request.
     Run,
     /// The request ran before, with this answer.
@@ -102,7 +102,7 @@
 ///
 /// ```
 /// use kernel::RequestId;
-/// use once::{Answer, Key, Fingerprint, Shard, Work};
+/// use once::{Decision, Key, Fingerprint, Shard, Work};
 /// use once::shard::Wrote;
 ///
 /// let mut shard = Shard::new(60_000);
@@ -113,7 +113,7 @@
 /// shard.loaded(0, Vec::new());
 /// let Work::Write { head: 0, .. } = shard.next(0) else { panic!() };
 /// shard.wrote(Wrote::Done(5));
-/// assert_eq!(shard.take(attempt), Some(Answer::Run));
+/// assert_eq!(shard.take(attempt), Some(Decision::Run));
 /// # Ok::<(), once::key::KeyError>(())
 /// ```
 #[derive(Debug)]
@@ -130,7 +130,7 @@
     waiting: BTreeMap<AttemptId, Waiting>,
     order: VecDeque<AttemptId>,
     notes: VecDeque<Record>,
-    answers: Map<AttemptId, Answer>,
+    decisions: Map<AttemptId, Decision>,
 }
 
 impl Shard {
@@ -148,7 +148,7 @@
             waiting: BTreeMap::new(),
             order: VecDeque::new(),
             notes: VecDeque::new(),
-            answers: Map::default(),
+            decisions: Map::default(),
         }
     }
 
@@ -157,7 +157,7 @@
     /// `now` is wall-clock time, since the record outlives this process.
     pub fn ask(&mut self, key: Key, fingerprint: Fingerprint, attempt: AttemptId, now: Millis) {
         if self.waiting.len() >= BACKLOG {
-            self.answers.insert(attempt, Answer::Refused);
+            self.decisions.insert(attempt, Decision::Refused);
             return;
         }
         let waiting = Waiting {
@@ -169,10 +169,10 @@
             match self.known(attempt, &waiting) {
                 // Another instance may have given the key back since the last read. Without a new
                 // one this instance would call it in doubt until it next writes to the shard.
-                Some(Answer::Unknown) => self.phase = Phase::Behind,
+                Some(Decision::Unknown) => self.phase = Phase::Behind,
                 // What is known for good needs no call of the platform.
                 Some(answer) => {
-                    self.answers.insert(attempt, answer);
+                    self.decisions.insert(attempt, answer);
                     return;
                 }
                 None => (),
@@ -183,8 +183,8 @@
     }
 
     /// Takes the answer of an attempt, once there is one.
-    pub fn take(&mut self, attempt: AttemptId) -> Option<Answer> {
-        self.answers.remove(&attempt)
+    pub fn take(&mut self, attempt: AttemptId) -> Option<Decision> {
+        self.decisions.remove(&attempt)
     }
 
     /// Gives up an attempt of this instance for good: it will not run.
@@ -201,7 +201,7 @@
     /// Nothing is given back: the instance that asked may have found the intent by itself and run
     /// the request. Only the attempt's own instance knows that it will not run.
     pub fn withdraw(&mut self, attempt: AttemptId) {
-        self.answers.remove(&attempt);
+        self.decisions.remove(&attempt);
         if self.waiting.remove(&attempt).is_some() {
             self.order.retain(|other| *other != attempt);
         }
@@ -209,7 +209,7 @@
 
     /// Tells whether an attempt waits, or has an answer that it has not taken.
     pub fn waits(&self, attempt: AttemptId) -> bool {
-        self.waiting.contains_key(&attempt) || self.answers.contains_key(&attempt)
+        self.waiting.contains_key(&attempt) || self.decisions.contains_key(&attempt)
     }
 
     /// Records the answer of a request that ran.
@@ -259,21 +259,21 @@
         self.notes.contains(&free)
     }
 
-    fn known(&self, attempt: AttemptId, asked: &Waiting) -> Option<Answer> {
+    fn known(&self, attempt: AttemptId, asked: &Waiting) -> Option<Decision> {
         let entry = self.entries.get(&asked.key)?;
         if entry.attempt == attempt {
-            return Some(Answer::Run);
+            return Some(Decision::Run);
         }
         // Its right is about to be given back: wait for that rather than call the key in doubt.
         if self.is_freeing(asked.key, entry.attempt) {
             return None;
         }
         if entry.fingerprint != asked.fingerprint {
-            return Some(Answer::Mismatch);
+            return Some(Decision::Mismatch);
         }
         Some(match &entry.outcome {
-            Some(outcome) => Answer::Ran(outcome.clone()),
-            None => Answer::Unknown,
+            Some(outcome) => Decision::Ran(outcome.clone()),
+            None => Decision::Unknown,
         })
     }
 
@@ -463,7 +463,7 @@
             match self.known(attempt, waiting) {
                 Some(answer) => {
                     self.waiting.remove(&attempt);
-                    self.answers.insert(attempt, answer);
+                    self.decisions.insert(attempt, answer);
                 }
                 None => rest.push_back(attempt),
             }
--- a/crates/once/tests/forgotten.rs
+++ b/crates/once/tests/forgotten.rs
@@ -7,7 +7,7 @@
 use kernel::AttemptId;
 use kernel::Map;
 use kernel::RequestId;
-use once::Answer;
+use once::Decision;
 use once::Fingerprint;
 use once::Key;
 use once::Outcome;
@@ -44,7 +44,7 @@
 }
 
 /// Asks and carries the shard on until it has nothing to do.
-fn ask(platform: &mut Platform, shard: &mut Shard, text: &str, bits: u128, now: u64) -> Answer {
+fn ask(platform: &mut Platform, shard: &mut Shard, text: &str, bits: u128, now: u64) -> Decision {
     shard.ask(key(text), print(), attempt(bits), now);
     settle(platform, shard, now);
     shard.take(attempt(bits)).unwrap()
@@ -68,8 +68,8 @@
     ask(&mut platform, &mut shard, "other", 3, KEEP + 10_000);
     let third = ask(&mut platform, &mut shard, "k", 4, KEEP + 10_000);
 
-    assert_eq!(second, Answer::Run);
-    assert_eq!(third, Answer::Ran(outcome()));
+    assert_eq!(second, Decision::Run);
+    assert_eq!(third, Decision::Ran(outcome()));
 }
 
 // An instance that had not read for long held an expired use against the one after it, forgot both, and ran the
@@ -87,8 +87,8 @@
     ask(&mut platform, &mut first, "other", 4, KEEP + 10_000);
     let late = ask(&mut platform, &mut second, "k", 5, KEEP + 10_000);
 
-    assert_eq!((early, again), (Answer::Unknown, Answer::Run));
-    assert_eq!(late, Answer::Unknown);
+    assert_eq!((early, again), (Decision::Unknown, Decision::Run));
+    assert_eq!(late, Decision::Unknown);
 }
 
 /// Something that one of two instances does after a while.
@@ -127,7 +127,7 @@
             now += act.pause;
             let (shard, name) = (&mut shards[act.instance], ["a", "b", "c"][act.key]);
             let bits = at as u128 + 1;
-            if ask(&mut platform, shard, name, bits, now) != Answer::Run {
+            if ask(&mut platform, shard, name, bits, now) != Decision::Run {
                 continue;
             }
 
--- a/crates/once/tests/shard.rs
+++ b/crates/once/tests/shard.rs
@@ -6,7 +6,7 @@
 use common::Platform;
 use kernel::AttemptId;
 use kernel::RequestId;
-use once::Answer;
+use once::Decision;
 use once::Fingerprint;
 use once::Key;
 use once::Outcome;
@@ -43,7 +43,7 @@
 }
 
 /// Asks and carries the shard on until it has nothing to do.
-fn ask(platform: &mut Platform, shard: &mut Shard, text: &str, bits: u128, now: u64) -> Answer {
+fn ask(platform: &mut Platform, shard: &mut Shard, text: &str, bits: u128, now: u64) -> Decision {
     shard.ask(key(text), print(), attempt(bits), now);
     settle(platform, shard, now);
     shard.take(attempt(bits)).unwrap()
@@ -63,8 +63,8 @@
     settle(&mut platform, &mut first, 0);
     let after = ask(&mut platform, &mut second, "k", 3, 0);
 
-    assert_eq!((run, before), (Answer::Run, Answer::Unknown));
-    assert_eq!(after, Answer::Run);
+    assert_eq!((run, before), (Decision::Run, Decision::Unknown));
+    assert_eq!(after, Decision::Run);
 }
 
 #[test]
@@ -76,9 +76,9 @@
     shard.done(key("k"), outcome());
     let third = ask(&mut platform, &mut shard, "k", 3, 0);
 
-    assert_eq!(first, Answer::Run);
-    assert_eq!(second, Answer::Unknown);
-    assert_eq!(third, Answer::Ran(outcome()));
+    assert_eq!(first, Decision::Run);
+    assert_eq!(second, Decision::Unknown);
+    assert_eq!(third, Decision::Ran(outcome()));
 }
 
 #[test]
@@ -93,7 +93,7 @@
         0,
     );
 
-    assert_eq!(shard.take(attempt(2)), Some(Answer::Mismatch));
+    assert_eq!(shard.take(attempt(2)), Some(Decision::Mismatch));
 }
 
 // Symptom: an order runs on two instances.
@@ -112,8 +112,8 @@
     settle(&mut platform, &mut one, 0);
     settle(&mut platform, &mut two, 0);
 
-    assert_eq!(one.take(attempt(1)), Some(Answer::Run));
-    assert_eq!(two.take(attempt(2)), Some(Answer::Unknown));
+    assert_eq!(one.take(attempt(1)), Some(Decision::Run));
+    assert_eq!(two.take(attempt(2)), Some(Decision::Unknown));
 }
 
 // Symptom: an order runs though its caller was told "not run", or is refused for ever.
@@ -136,7 +136,7 @@
     platform.land();
 
     assert_eq!(early, None);
-    assert_eq!(shard.take(attempt(1)), Some(Answer::Run));
+    assert_eq!(shard.take(attempt(1)), Some(Decision::Run));
     let intents = platform.segments.iter().flat_map(|s| &s.records).count();
     assert_eq!(intents, 1);
 }
@@ -154,8 +154,8 @@
     let second = ask(&mut platform, &mut two, "k", 2, 0);
     settle(&mut platform, &mut one, 0);
 
-    assert_eq!(second, Answer::Run);
-    assert_eq!(one.take(attempt(1)), Some(Answer::Unknown));
+    assert_eq!(second, Decision::Run);
+    assert_eq!(one.take(attempt(1)), Some(Decision::Unknown));
 }
 
 // Symptom: a caller is told "not run" and the order runs all the same.
@@ -178,7 +178,7 @@
     let again = ask(&mut platform, &mut shard, "k", 2, 0);
 
     assert_eq!(shard.take(attempt(1)), None);
-    assert_eq!(again, Answer::Run);
+    assert_eq!(again, Decision::Run);
 }
 
 // Symptom: an order runs twice.
@@ -198,8 +198,8 @@
     settle(&mut platform, &mut peer, 0);
     let other = ask(&mut platform, &mut peer, "k", 2, 0);
 
-    assert_eq!(mine, Answer::Run);
-    assert_eq!(other, Answer::Unknown);
+    assert_eq!(mine, Decision::Run);
+    assert_eq!(other, Decision::Unknown);
 }
 
 // Symptom: an order that provably did not run is called in doubt when it is sent again at once.
@@ -216,7 +216,7 @@
     settle(&mut platform, &mut shard, 0);
 
     assert_eq!(early, None);
-    assert_eq!(shard.take(attempt(2)), Some(Answer::Run));
+    assert_eq!(shard.take(attempt(2)), Some(Decision::Run));
 }
 
 // Symptom: the journal grows without end, or forgets a key that is still in use.
@@ -231,7 +231,7 @@
     ask(&mut platform, &mut shard, "new", 3, KEEP + 1);
     let mid = ask(&mut platform, &mut shard, "mid", 4, KEEP + 1);
 
-    assert_eq!(mid, Answer::Unknown);
+    assert_eq!(mid, Decision::Unknown);
     assert_eq!(platform.segments.len(), 2);
     assert_eq!(shard.len(), 2);
 }
@@ -344,7 +344,7 @@
             }
             open.retain(|o| match shards[o.by].take(o.attempt) {
                 Some(answer) => {
-                    runs[o.key] += u32::from(answer == Answer::Run);
+                    runs[o.key] += u32::from(answer == Decision::Run);
                     false
                 }
                 None => true,
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -14,7 +14,7 @@
 use net::Call;
 use net::Reply;
 use net::body;
-use once::Answer;
+use once::Decision;
 use once::Fingerprint;
 use once::Key;
 use once::Outcome;
@@ -86,11 +86,11 @@
         .await;
     trace.note(format!("journal: {}", word(&answer)));
     match answer {
-        Answer::Run => (),
-        Answer::Ran(outcome) => return Ok(replay(outcome)),
-        Answer::Unknown => return Err(Problem::new(Type::KeyInDoubt, Ran::Unknown)),
-        Answer::Mismatch => return Err(no(Type::KeyMismatch)),
-        Answer::Refused => return Err(no(Type::Journal).after(JOURNAL)),
+        Decision::Run => (),
+        Decision::Ran(outcome) => return Ok(replay(outcome)),
+        Decision::Unknown => return Err(Problem::new(Type::KeyInDoubt, Ran::Unknown)),
+        Decision::Mismatch => return Err(no(Type::KeyMismatch)),
+        Decision::Refused => return Err(no(Type::Journal).after(JOURNAL)),
     }
     let left = outbound.deadline.saturating_sub(app.clock.now());
     let app = app.clone();
@@ -117,13 +117,13 @@
     }
 }
 
-fn word(answer: &Answer) -> &'static str {
+fn word(answer: &Decision) -> &'static str {
     match answer {
-        Answer::Run => "may run",
-        Answer::Ran(_) => "ran before; its answer is given again",
-        Answer::Unknown => "may have run before",
-        Answer::Mismatch => "the key names another request",
-        Answer::Refused => "could not be written",
+        Decision::Run => "may run",
+        Decision::Ran(_) => "ran before; its answer is given again",
+        Decision::Unknown => "may have run before",
+        Decision::Mismatch => "the key names another request",
+        Decision::Refused => "could not be written",
     }
 }
 
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -15,7 +15,7 @@
 use kernel::AttemptId;
 use kernel::Millis;
 use kernel::rank;
-use once::Answer;
+use once::Decision;
 use once::Fingerprint;
 use once::Key;
 use once::Outcome;
@@ -115,9 +115,9 @@
         print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
-    ) -> Answer {
+    ) -> Decision {
         let answer = self.ask_any(app, key, print, attempt, deadline).await;
-        if answer == Answer::Refused {
+        if answer == Decision::Refused {
             // The intent may have been written all the same, by the peer or here, and the answer
             // lost. Unless the right is given back, the key stays in doubt for as long as it is
             // kept, though its caller heard that nothing ran.
@@ -134,7 +134,7 @@
         print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
-    ) -> Answer {
+    ) -> Decision {
         let (at, _) = self.cell(key);
         let left = deadline.saturating_sub(self.clock.now()).min(WAIT);
         if let Some(writer) = writer(app, at) {
@@ -162,10 +162,10 @@
         attempt: AttemptId,
         deadline: Millis,
         own: Own,
-    ) -> Answer {
+    ) -> Decision {
         let (_, cell) = self.cell(key);
         if cell.failures.load(Ordering::Relaxed) >= AWAY {
-            return Answer::Refused;
+            return Decision::Refused;
         }
         let end = deadline.min(self.clock.now() + WAIT);
         cell.shard
@@ -181,10 +181,10 @@
         let answer = self.answer(cell, attempt, end).await;
         // With an answer there is nothing left to abandon.
         drop(abandon);
-        answer.unwrap_or(Answer::Refused)
+        answer.unwrap_or(Decision::Refused)
     }
 
-    async fn answer(&self, cell: &Cell, attempt: AttemptId, end: Millis) -> Option<Answer> {
+    async fn answer(&self, cell: &Cell, attempt: AttemptId, end: Millis) -> Option<Decision> {
         loop {
             let news = cell.news.notified();
             tokio::pin!(news);
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -11,7 +11,7 @@
 use hmac::Mac;
 use kernel::AttemptId;
 use kernel::Name;
-use once::Answer;
+use once::Decision;
 use once::Fingerprint;
 use once::Key;
 use once::Record;
@@ -121,7 +121,7 @@
     Noted,
 }
 
-/// [`Answer`] as it travels.
+/// [`Decision`] as it travels.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Verdict {
@@ -137,19 +137,19 @@
     Refused,
 }
 
-impl From<Answer> for Verdict {
-    fn from(answer: Answer) -> Self {
+impl From<Decision> for Verdict {
+    fn from(answer: Decision) -> Self {
         match answer {
-            Answer::Run => Self::Run,
-            Answer::Ran(outcome) => Self::Ran(outcome),
-            Answer::Unknown => Self::Unknown,
-            Answer::Mismatch => Self::Mismatch,
-            Answer::Refused => Self::Refused,
+            Decision::Run => Self::Run,
+            Decision::Ran(outcome) => Self::Ran(outcome),
+            Decision::Unknown => Self::Unknown,
+            Decision::Mismatch => Self::Mismatch,
+            Decision::Refused => Self::Refused,
         }
     }
 }
 
-impl From<Verdict> for Answer {
+impl From<Verdict> for Decision {
     fn from(verdict: Verdict) -> Self {
         match verdict {
             Verdict::Run => Self::Run,
