--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -19,6 +19,6 @@
 pub use record::Outcome;
 pub use record::Record;
 pub use record::Segment;
+pub use shard::Action;
 pub use shard::Decision;
 pub use shard::Shard;
-pub use shard::Work;
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -47,7 +47,7 @@
 
 /// What a [`Shard`] wants done next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum Action {
     /// Read the head and every segment from this ordinal on, then call [`Shard::loaded`].
     Load {
         /// The first ordinal that is missing.
@@ -56,7 +56,7 @@
     /// Write this segment if the head still has this revision, then call [`Shard::wrote`].
     Write {
         /// The revision that the write is conditional on; 0 when there is no head.
-        head: i64,
+        head_revision: i64,
         /// What to write.
         segment: Segment,
     },
@@ -102,16 +102,16 @@
 ///
 /// ```
 /// use kernel::RequestId;
-/// use once::{Decision, Key, Fingerprint, Shard, Work};
+/// use once::{Decision, Key, Fingerprint, Shard, Action};
 /// use once::shard::Wrote;
 ///
 /// let mut shard = Shard::new(60_000);
 /// let key = Key::new("aarhus", "portal", "order-1")?;
 /// let attempt = RequestId::from_bits(1).attempt(0);
 /// shard.ask(key, Fingerprint::new("POST", "/orders", b""), attempt, 0);
-/// assert_eq!(shard.next(0), Work::Load { from: 1 });
+/// assert_eq!(shard.next_action(0), Action::Load { from: 1 });
 /// shard.loaded(0, Vec::new());
-/// let Work::Write { head: 0, .. } = shard.next(0) else { panic!() };
+/// let Action::Write { head_revision: 0, .. } = shard.next_action(0) else { panic!() };
 /// shard.wrote(Wrote::Done(5));
 /// assert_eq!(shard.take(attempt), Some(Decision::Run));
 /// # Ok::<(), once::key::KeyError>(())
@@ -120,7 +120,7 @@
 pub struct Shard {
     keep: Millis,
     phase: Phase,
-    head: i64,
+    head_revision: i64,
     next: u64,
     floor: u64,
     entries: Map<Key, Entry>,
@@ -139,7 +139,7 @@
         Self {
             keep,
             phase: Phase::Behind,
-            head: 0,
+            head_revision: 0,
             next: 1,
             floor: 1,
             entries: Map::default(),
@@ -278,24 +278,24 @@
     }
 
     /// Says what to do next and assumes that it is being done.
-    pub fn next(&mut self, now: Millis) -> Work {
+    pub fn next_action(&mut self, now: Millis) -> Action {
         if self.is_idle() {
-            return Work::Idle;
+            return Action::Idle;
         }
         match self.phase {
             Phase::Behind => {
                 self.phase = Phase::Loading;
-                Work::Load { from: self.next }
+                Action::Load { from: self.next }
             }
-            Phase::Loading | Phase::Writing(_) => Work::Idle,
+            Phase::Loading | Phase::Writing(_) => Action::Idle,
             Phase::Ready => self.write(now),
         }
     }
 
-    fn write(&mut self, now: Millis) -> Work {
+    fn write(&mut self, now: Millis) -> Action {
         let records = self.group();
         if records.is_empty() {
-            return Work::Idle;
+            return Action::Idle;
         }
         let segment = Segment {
             seq: self.next,
@@ -303,8 +303,8 @@
             records,
         };
         self.phase = Phase::Writing(segment.clone());
-        Work::Write {
-            head: self.head,
+        Action::Write {
+            head_revision: self.head_revision,
             segment,
         }
     }
@@ -344,7 +344,7 @@
             .map_or(self.next, |(seq, _)| (*seq).max(self.floor))
     }
 
-    /// Takes in what a [`Work::Load`] read: the head's revision, 0 when there is none, and the
+    /// Takes in what a [`Action::Load`] read: the head's revision, 0 when there is none, and the
     /// segments in the order of their ordinals.
     pub fn loaded(&mut self, head: i64, segments: Vec<Segment>) {
         for segment in segments {
@@ -352,7 +352,7 @@
                 self.merge(&segment);
             }
         }
-        self.head = head;
+        self.head_revision = head;
         self.phase = Phase::Ready;
         self.settle();
     }
@@ -373,7 +373,7 @@
         // revision, and the next write of this shard, by whomever, changes that.
         if let Wrote::Done(head) = wrote {
             self.merge(&segment);
-            self.head = head;
+            self.head_revision = head;
             self.phase = Phase::Ready;
             self.settle();
         }
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code, reason = "each test file uses its own part")]
 #![allow(unreachable_pub, reason = "a module of several test programs")]
 
+use once::Action;
 use once::Segment;
 use once::Shard;
-use once::Work;
 use once::shard::Wrote;
 
 /// How the platform treats one call.
@@ -50,15 +50,18 @@
 
     /// Carries out what a shard wants next; tells whether there was anything.
     pub fn serve(&mut self, shard: &mut Shard, fault: Fault, now: u64) -> bool {
-        match shard.next(now) {
-            Work::Idle => return false,
-            Work::Load { from } if fault == Fault::None => {
+        match shard.next_action(now) {
+            Action::Idle => return false,
+            Action::Load { from } if fault == Fault::None => {
                 let missing = self.segments.iter().filter(|s| s.seq >= from);
                 shard.loaded(self.head, missing.cloned().collect());
             }
-            Work::Load { .. } => shard.unread(),
-            Work::Write { head, segment } => {
-                let wrote = self.write(head, segment, fault);
+            Action::Load { .. } => shard.unread(),
+            Action::Write {
+                head_revision,
+                segment,
+            } => {
+                let wrote = self.write(head_revision, segment, fault);
                 shard.wrote(wrote);
             }
         }
--- a/crates/serve/src/journal/driver.rs
+++ b/crates/serve/src/journal/driver.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use kernel::Millis;
+use once::Action;
 use once::Segment;
-use once::Work;
 use once::shard::Wrote;
 use plat::Client;
 use plat::Done;
@@ -50,17 +50,20 @@
         let mut wrote = Instant::now() - GAP;
         loop {
             self.gather(wrote).await;
-            let work = self.cell.shard.lock().next(self.clock.wall());
+            let work = self.cell.shard.lock().next_action(self.clock.wall());
             let done = match work {
-                Work::Idle if self.is_away() => self.probe().await,
-                Work::Idle => {
+                Action::Idle if self.is_away() => self.probe().await,
+                Action::Idle => {
                     self.cell.work.notified().await;
                     continue;
                 }
-                Work::Load { from } => self.load(from).await,
-                Work::Write { head, segment } => {
+                Action::Load { from } => self.load(from).await,
+                Action::Write {
+                    head_revision,
+                    segment,
+                } => {
                     wrote = Instant::now();
-                    self.write(head, &segment).await
+                    self.write(head_revision, &segment).await
                 }
             };
             self.cell.news.notify_waiters();
