--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -47,7 +47,8 @@
         outcome: Outcome,
     },
     /// The attempt did not run, so the key may be used again.
-    Free {
+    #[serde(rename = "Free")]
+    Release {
         /// The key.
         key: Key,
         /// The attempt that gives its right back.
@@ -59,7 +60,7 @@
     /// The key that the record is about.
     pub fn key(&self) -> Key {
         match self {
-            Self::Intent { key, .. } | Self::Done { key, .. } | Self::Free { key, .. } => *key,
+            Self::Intent { key, .. } | Self::Done { key, .. } | Self::Release { key, .. } => *key,
         }
     }
 }
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -108,12 +108,12 @@
 /// let mut shard = Shard::new(60_000);
 /// let key = Key::new("aarhus", "portal", "order-1")?;
 /// let attempt = RequestId::from_bits(1).attempt(0);
-/// shard.ask(key, Fingerprint::new("POST", "/orders", b""), attempt, 0);
+/// shard.claim(key, Fingerprint::new("POST", "/orders", b""), attempt, 0);
 /// assert_eq!(shard.next_action(0), Action::Load { from: 1 });
 /// shard.load_finished(0, Vec::new());
 /// let Action::Write { head_revision: 0, .. } = shard.next_action(0) else { panic!() };
 /// shard.write_finished(WriteResult::Committed(5));
-/// assert_eq!(shard.take(attempt), Some(Decision::Run));
+/// assert_eq!(shard.take_decision(attempt), Some(Decision::Run));
 /// # Ok::<(), once::key::KeyError>(())
 /// ```
 #[derive(Debug)]
@@ -129,7 +129,7 @@
     keys: BTreeMap<u64, Vec<Key>>,
     waiting: BTreeMap<AttemptId, Waiting>,
     order: VecDeque<AttemptId>,
-    notes: VecDeque<Record>,
+    unwritten: VecDeque<Record>,
     decisions: Map<AttemptId, Decision>,
 }
 
@@ -147,15 +147,15 @@
             keys: BTreeMap::new(),
             waiting: BTreeMap::new(),
             order: VecDeque::new(),
-            notes: VecDeque::new(),
+            unwritten: VecDeque::new(),
             decisions: Map::default(),
         }
     }
 
-    /// Asks for the right to run; the answer comes out of [`Shard::take`].
+    /// Asks for the right to run; the answer comes out of [`Shard::take_decision`].
     ///
     /// `now` is wall-clock time, since the record outlives this process.
-    pub fn ask(&mut self, key: Key, fingerprint: Fingerprint, attempt: AttemptId, now: Millis) {
+    pub fn claim(&mut self, key: Key, fingerprint: Fingerprint, attempt: AttemptId, now: Millis) {
         if self.waiting.len() >= BACKLOG {
             self.decisions.insert(attempt, Decision::Refused);
             return;
@@ -183,7 +183,7 @@
     }
 
     /// Takes the answer of an attempt, once there is one.
-    pub fn take(&mut self, attempt: AttemptId) -> Option<Decision> {
+    pub fn take_decision(&mut self, attempt: AttemptId) -> Option<Decision> {
         self.decisions.remove(&attempt)
     }
 
@@ -191,16 +191,16 @@
     ///
     /// The intent may have been written, or may yet be; it is given back, so that the key can be
     /// used again.
-    pub fn give_up(&mut self, key: Key, attempt: AttemptId) {
-        self.withdraw(attempt);
-        self.free(key, attempt);
+    pub fn abandon(&mut self, key: Key, attempt: AttemptId) {
+        self.stop_waiting(attempt);
+        self.release(key, attempt);
     }
 
     /// Stops waiting on behalf of another instance.
     ///
     /// Nothing is given back: the instance that asked may have found the intent by itself and run
     /// the request. Only the attempt's own instance knows that it will not run.
-    pub fn withdraw(&mut self, attempt: AttemptId) {
+    pub fn stop_waiting(&mut self, attempt: AttemptId) {
         self.decisions.remove(&attempt);
         if self.waiting.remove(&attempt).is_some() {
             self.order.retain(|other| *other != attempt);
@@ -208,28 +208,28 @@
     }
 
     /// Tells whether an attempt waits, or has an answer that it has not taken.
-    pub fn waits(&self, attempt: AttemptId) -> bool {
+    pub fn is_pending(&self, attempt: AttemptId) -> bool {
         self.waiting.contains_key(&attempt) || self.decisions.contains_key(&attempt)
     }
 
     /// Records the answer of a request that ran.
-    pub fn done(&mut self, key: Key, outcome: Outcome) {
-        self.note(Record::Done { key, outcome });
+    pub fn record_outcome(&mut self, key: Key, outcome: Outcome) {
+        self.append(Record::Done { key, outcome });
     }
 
     /// Gives back the right to run: the attempt proved that it did not run.
-    pub fn free(&mut self, key: Key, attempt: AttemptId) {
-        self.note(Record::Free { key, attempt });
+    pub fn release(&mut self, key: Key, attempt: AttemptId) {
+        self.append(Record::Release { key, attempt });
     }
 
     /// Writes a record with the next group.
-    pub fn note(&mut self, record: Record) {
+    pub fn append(&mut self, record: Record) {
         if let Record::Done { key, outcome } = &record
             && let Some(entry) = self.entries.get_mut(key)
         {
             entry.outcome = Some(outcome.clone());
         }
-        self.notes.push_back(record);
+        self.unwritten.push_back(record);
     }
 
     /// Keys that are known.
@@ -244,19 +244,19 @@
 
     /// Tells whether there is anything to write.
     pub fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.notes.is_empty()
+        self.waiting.is_empty() && self.unwritten.is_empty()
     }
 
     /// Tells whether there are records to write and nobody waits for them: outcomes only.
-    pub fn is_lazy(&self) -> bool {
+    pub fn has_only_outcomes(&self) -> bool {
         let outcome = |note: &Record| matches!(note, Record::Done { .. });
-        self.waiting.is_empty() && !self.notes.is_empty() && self.notes.iter().all(outcome)
+        self.waiting.is_empty() && !self.unwritten.is_empty() && self.unwritten.iter().all(outcome)
     }
 
     /// Tells whether the right of an attempt is being given back.
     fn is_freeing(&self, key: Key, attempt: AttemptId) -> bool {
-        let free = Record::Free { key, attempt };
-        self.notes.contains(&free)
+        let free = Record::Release { key, attempt };
+        self.unwritten.contains(&free)
     }
 
     fn known(&self, attempt: AttemptId, asked: &Waiting) -> Option<Decision> {
@@ -331,7 +331,7 @@
                 at: waiting.at,
             });
         }
-        let notes = self.notes.iter().take(GROUP).cloned();
+        let notes = self.unwritten.iter().take(GROUP).cloned();
         records.extend(notes);
         records
     }
@@ -392,7 +392,7 @@
                 newest = newest.max(*at);
                 keys.push(*key);
             }
-            self.notes.retain(|note| note != record);
+            self.unwritten.retain(|note| note != record);
         }
         // A segment without intents gets the time of the one before it.
         let before = self.ages.values().next_back().copied().unwrap_or(0);
@@ -424,7 +424,7 @@
                     entry.outcome = Some(outcome.clone());
                 }
             }
-            Record::Free { key, attempt } => {
+            Record::Release { key, attempt } => {
                 let same = |entry: &Entry| entry.attempt == *attempt && entry.outcome.is_none();
                 if self.entries.get(key).is_some_and(same) {
                     self.entries.remove(key);
--- a/crates/once/tests/forgotten.rs
+++ b/crates/once/tests/forgotten.rs
@@ -45,13 +45,13 @@
 
 /// Asks and carries the shard on until it has nothing to do.
 fn ask(platform: &mut Platform, shard: &mut Shard, text: &str, bits: u128, now: u64) -> Decision {
-    shard.ask(key(text), print(), attempt(bits), now);
+    shard.claim(key(text), print(), attempt(bits), now);
     settle(platform, shard, now);
-    shard.take(attempt(bits)).unwrap()
+    shard.take_decision(attempt(bits)).unwrap()
 }
 
 fn give_back(platform: &mut Platform, shard: &mut Shard, text: &str, bits: u128, now: u64) {
-    shard.free(key(text), attempt(bits));
+    shard.release(key(text), attempt(bits));
     settle(platform, shard, now);
 }
 
@@ -62,7 +62,7 @@
     ask(&mut platform, &mut shard, "k", 1, 0);
     give_back(&mut platform, &mut shard, "k", 1, 0);
     let second = ask(&mut platform, &mut shard, "k", 2, KEEP - 10_000);
-    shard.done(key("k"), outcome());
+    shard.record_outcome(key("k"), outcome());
 
     // The first use expires with this write.
     ask(&mut platform, &mut shard, "other", 3, KEEP + 10_000);
--- a/crates/once/tests/shard.rs
+++ b/crates/once/tests/shard.rs
@@ -44,9 +44,9 @@
 
 /// Asks and carries the shard on until it has nothing to do.
 fn ask(platform: &mut Platform, shard: &mut Shard, text: &str, bits: u128, now: u64) -> Decision {
-    shard.ask(key(text), print(), attempt(bits), now);
+    shard.claim(key(text), print(), attempt(bits), now);
     settle(platform, shard, now);
-    shard.take(attempt(bits)).unwrap()
+    shard.take_decision(attempt(bits)).unwrap()
 }
 
 // Symptom: a key stays in doubt at one instance though another has given it back.
@@ -59,7 +59,7 @@
     let run = ask(&mut platform, &mut first, "k", 1, 0);
     let before = ask(&mut platform, &mut second, "k", 2, 0);
 
-    first.free(key("k"), attempt(1));
+    first.release(key("k"), attempt(1));
     settle(&mut platform, &mut first, 0);
     let after = ask(&mut platform, &mut second, "k", 3, 0);
 
@@ -73,7 +73,7 @@
 
     let first = ask(&mut platform, &mut shard, "k", 1, 0);
     let second = ask(&mut platform, &mut shard, "k", 2, 0);
-    shard.done(key("k"), outcome());
+    shard.record_outcome(key("k"), outcome());
     let third = ask(&mut platform, &mut shard, "k", 3, 0);
 
     assert_eq!(first, Decision::Run);
@@ -86,14 +86,14 @@
     let (mut platform, mut shard) = (Platform::default(), Shard::new(KEEP));
     ask(&mut platform, &mut shard, "k", 1, 0);
 
-    shard.ask(
+    shard.claim(
         key("k"),
         Fingerprint::new("POST", "/orders", b"cap"),
         attempt(2),
         0,
     );
 
-    assert_eq!(shard.take(attempt(2)), Some(Decision::Mismatch));
+    assert_eq!(shard.take_decision(attempt(2)), Some(Decision::Mismatch));
 }
 
 // Symptom: an order runs on two instances.
@@ -104,16 +104,16 @@
 fn one_of_two_instances_wins() {
     let mut platform = Platform::default();
     let (mut one, mut two) = (Shard::new(KEEP), Shard::new(KEEP));
-    one.ask(key("k"), print(), attempt(1), 0);
-    two.ask(key("k"), print(), attempt(2), 0);
+    one.claim(key("k"), print(), attempt(1), 0);
+    two.claim(key("k"), print(), attempt(2), 0);
     platform.serve(&mut one, Fault::None, 0);
     platform.serve(&mut two, Fault::None, 0);
 
     settle(&mut platform, &mut one, 0);
     settle(&mut platform, &mut two, 0);
 
-    assert_eq!(one.take(attempt(1)), Some(Decision::Run));
-    assert_eq!(two.take(attempt(2)), Some(Decision::Unknown));
+    assert_eq!(one.take_decision(attempt(1)), Some(Decision::Run));
+    assert_eq!(two.take_decision(attempt(2)), Some(Decision::Unknown));
 }
 
 // Symptom: an order runs though its caller was told "not run", or is refused for ever.
@@ -127,16 +127,16 @@
 )]
 fn a_lost_answer_is_read_back(fault: Fault) {
     let (mut platform, mut shard) = (Platform::default(), Shard::new(KEEP));
-    shard.ask(key("k"), print(), attempt(1), 0);
+    shard.claim(key("k"), print(), attempt(1), 0);
     platform.serve(&mut shard, Fault::None, 0);
 
     platform.serve(&mut shard, fault, 0);
-    let early = shard.take(attempt(1));
+    let early = shard.take_decision(attempt(1));
     settle(&mut platform, &mut shard, 0);
     platform.land();
 
     assert_eq!(early, None);
-    assert_eq!(shard.take(attempt(1)), Some(Decision::Run));
+    assert_eq!(shard.take_decision(attempt(1)), Some(Decision::Run));
     let intents = platform.segments.iter().flat_map(|s| &s.records).count();
     assert_eq!(intents, 1);
 }
@@ -148,14 +148,14 @@
 fn a_paused_writer_is_fenced() {
     let mut platform = Platform::default();
     let (mut one, mut two) = (Shard::new(KEEP), Shard::new(KEEP));
-    one.ask(key("k"), print(), attempt(1), 0);
+    one.claim(key("k"), print(), attempt(1), 0);
     platform.serve(&mut one, Fault::None, 0);
 
     let second = ask(&mut platform, &mut two, "k", 2, 0);
     settle(&mut platform, &mut one, 0);
 
     assert_eq!(second, Decision::Run);
-    assert_eq!(one.take(attempt(1)), Some(Decision::Unknown));
+    assert_eq!(one.take_decision(attempt(1)), Some(Decision::Unknown));
 }
 
 // Symptom: a caller is told "not run" and the order runs all the same.
@@ -168,16 +168,16 @@
 )]
 fn an_attempt_that_gave_up_frees_the_key(fault: Fault) {
     let (mut platform, mut shard) = (Platform::default(), Shard::new(KEEP));
-    shard.ask(key("k"), print(), attempt(1), 0);
+    shard.claim(key("k"), print(), attempt(1), 0);
     platform.serve(&mut shard, Fault::None, 0);
     platform.serve(&mut shard, fault, 0);
 
-    shard.give_up(key("k"), attempt(1));
+    shard.abandon(key("k"), attempt(1));
     platform.land();
     settle(&mut platform, &mut shard, 0);
     let again = ask(&mut platform, &mut shard, "k", 2, 0);
 
-    assert_eq!(shard.take(attempt(1)), None);
+    assert_eq!(shard.take_decision(attempt(1)), None);
     assert_eq!(again, Decision::Run);
 }
 
@@ -190,11 +190,11 @@
 fn a_peer_does_not_give_back_what_it_asked_for_another() {
     let mut platform = Platform::default();
     let (mut peer, mut own) = (Shard::new(KEEP), Shard::new(KEEP));
-    peer.ask(key("k"), print(), attempt(1), 0);
+    peer.claim(key("k"), print(), attempt(1), 0);
     settle(&mut platform, &mut peer, 0);
     let mine = ask(&mut platform, &mut own, "k", 1, 0);
 
-    peer.withdraw(attempt(1));
+    peer.stop_waiting(attempt(1));
     settle(&mut platform, &mut peer, 0);
     let other = ask(&mut platform, &mut peer, "k", 2, 0);
 
@@ -209,14 +209,14 @@
 fn a_key_that_is_being_given_back_is_waited_for() {
     let (mut platform, mut shard) = (Platform::default(), Shard::new(KEEP));
     ask(&mut platform, &mut shard, "k", 1, 0);
-    shard.free(key("k"), attempt(1));
+    shard.release(key("k"), attempt(1));
 
-    shard.ask(key("k"), print(), attempt(2), 0);
-    let early = shard.take(attempt(2));
+    shard.claim(key("k"), print(), attempt(2), 0);
+    let early = shard.take_decision(attempt(2));
     settle(&mut platform, &mut shard, 0);
 
     assert_eq!(early, None);
-    assert_eq!(shard.take(attempt(2)), Some(Decision::Run));
+    assert_eq!(shard.take_decision(attempt(2)), Some(Decision::Run));
 }
 
 // Symptom: the journal grows without end, or forgets a key that is still in use.
@@ -313,7 +313,7 @@
                 Step::Ask { on, by, key: which } => {
                     bits += 1;
                     let attempt = attempt(bits);
-                    shards[by].ask(key(KEYS[which]), print(), attempt, 0);
+                    shards[by].claim(key(KEYS[which]), print(), attempt, 0);
                     open.push(Open { attempt, on, by, key: which });
                 }
                 Step::Serve { on, fault } => {
@@ -322,18 +322,18 @@
                 Step::Return { on } => {
                     let away = open.iter_mut().find(|o| o.on == on && o.by != on);
                     if let Some(away) = away {
-                        shards[away.by].withdraw(away.attempt);
+                        shards[away.by].stop_waiting(away.attempt);
                         away.by = on;
-                        shards[on].ask(key(KEYS[away.key]), print(), away.attempt, 0);
+                        shards[on].claim(key(KEYS[away.key]), print(), away.attempt, 0);
                     }
                 }
                 Step::GiveUp { on } => {
                     if let Some(at) = open.iter().position(|o| o.on == on) {
                         let gone = open.remove(at);
                         if gone.by != on {
-                            shards[gone.by].withdraw(gone.attempt);
+                            shards[gone.by].stop_waiting(gone.attempt);
                         }
-                        shards[on].give_up(key(KEYS[gone.key]), gone.attempt);
+                        shards[on].abandon(key(KEYS[gone.key]), gone.attempt);
                     }
                 }
                 Step::Land => platform.land(),
@@ -342,7 +342,7 @@
                     open.retain(|o| o.on != on);
                 }
             }
-            open.retain(|o| match shards[o.by].take(o.attempt) {
+            open.retain(|o| match shards[o.by].take_decision(o.attempt) {
                 Some(answer) => {
                     runs[o.key] += u32::from(answer == Decision::Run);
                     false
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -170,7 +170,7 @@
         let end = deadline.min(self.clock.now() + WAIT);
         cell.shard
             .lock()
-            .ask(key, print, attempt, self.clock.wall());
+            .claim(key, print, attempt, self.clock.wall());
         let abandon = Abandon {
             cell,
             key,
@@ -189,7 +189,7 @@
             let news = cell.news.notified();
             tokio::pin!(news);
             news.as_mut().enable();
-            if let Some(answer) = cell.shard.lock().take(attempt) {
+            if let Some(answer) = cell.shard.lock().take_decision(attempt) {
                 return Some(answer);
             }
             let left = end.saturating_sub(self.clock.now());
@@ -210,7 +210,7 @@
     /// Gives back the right to run. It is under way when this returns, so that the same key can
     /// be sent again at once.
     pub async fn free(&self, app: &App, key: Key, attempt: AttemptId) {
-        self.note(app, Record::Free { key, attempt }).await;
+        self.note(app, Record::Release { key, attempt }).await;
     }
 
     async fn note(&self, app: &App, record: Record) {
@@ -227,7 +227,7 @@
     /// Writes a record without a peer.
     pub fn note_here(&self, record: Record) {
         let (_, cell) = self.cell(record.key());
-        cell.shard.lock().note(record);
+        cell.shard.lock().append(record);
         cell.work.notify_one();
     }
 
@@ -264,12 +264,12 @@
 impl Drop for Abandon<'_> {
     fn drop(&mut self) {
         let mut shard = self.cell.shard.lock();
-        if !shard.waits(self.attempt) {
+        if !shard.is_pending(self.attempt) {
             return;
         }
         match self.own {
-            Own::Mine => shard.give_up(self.key, self.attempt),
-            Own::Peers => shard.withdraw(self.attempt),
+            Own::Mine => shard.abandon(self.key, self.attempt),
+            Own::Peers => shard.stop_waiting(self.attempt),
         }
         drop(shard);
         self.cell.work.notify_one();
--- a/crates/serve/src/journal/driver.rs
+++ b/crates/serve/src/journal/driver.rs
@@ -80,7 +80,7 @@
         }
         // Whoever asks for a right to run ends the wait; another outcome does not.
         let end = tokio::time::Instant::now() + LAZY;
-        while self.cell.shard.lock().is_lazy() {
+        while self.cell.shard.lock().has_only_outcomes() {
             let work = self.cell.work.notified();
             if tokio::time::timeout_at(end, work).await.is_err() {
                 return;
