--- a/crates/once/src/key.rs
+++ b/crates/once/src/key.rs
@@ -87,11 +87,11 @@
 /// # Examples
 ///
 /// ```
-/// let at = once::key::created("01890a5d-ac96-774b-bcce-b302099a8057");
+/// let at = once::key::creation_time("01890a5d-ac96-774b-bcce-b302099a8057");
 /// assert_eq!(at, Some(1_688_096_058_518));
-/// assert_eq!(once::key::created("order-1"), None);
+/// assert_eq!(once::key::creation_time("order-1"), None);
 /// ```
-pub fn created(text: &str) -> Option<Millis> {
+pub fn creation_time(text: &str) -> Option<Millis> {
     let uuid = Uuid::parse_str(text).ok()?;
     let (seconds, nanos) = match uuid.get_version_num() {
         7 => uuid.get_timestamp()?.to_unix(),
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -57,7 +57,7 @@
 /// Refuses a key so old that the journal may have forgotten it.
 fn horizon(app: &App, headers: &HeaderMap) -> Result<(), Problem> {
     let text = headers.get(KEY).and_then(|value| value.to_str().ok());
-    let Some(created) = text.and_then(once::key::created) else {
+    let Some(created) = text.and_then(once::key::creation_time) else {
         return Ok(());
     };
     // Half of the time for which keys are kept: clocks may differ by the other half.
