--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -9,7 +9,7 @@
 use crate::Key;
 
 /// Largest body of an answer that the journal keeps, in bytes.
-pub const MAX_BODY: usize = 4_096;
+pub const MAX_BODY_BYTES: usize = 4_096;
 
 /// The recorded answer of a request that ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     pub status: u16,
     /// The content type.
     pub kind: Box<str>,
-    /// The body; [`None`] when it was longer than [`MAX_BODY`].
+    /// The body; [`None`] when it was longer than [`MAX_BODY_BYTES`].
     pub body: Option<Box<[u8]>>,
 }
 
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -18,7 +18,7 @@
 use once::Fingerprint;
 use once::Key;
 use once::Outcome;
-use once::record::MAX_BODY;
+use once::record::MAX_BODY_BYTES;
 use route::Ran;
 use wire::Problem;
 use wire::caller::KEY;
@@ -134,7 +134,7 @@
     Outcome {
         status: answer.status().as_u16(),
         kind: kind.into(),
-        body: (bytes.len() <= MAX_BODY).then(|| bytes.to_vec().into()),
+        body: (bytes.len() <= MAX_BODY_BYTES).then(|| bytes.to_vec().into()),
     }
 }
 
