--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -18,7 +18,8 @@
     /// The HTTP status.
     pub status: u16,
     /// The content type.
-    pub kind: Box<str>,
+    #[serde(rename = "kind")]
+    pub content_type: Box<str>,
     /// The body; [`None`] when it was longer than [`MAX_BODY_BYTES`].
     pub body: Option<Box<[u8]>>,
 }
--- a/crates/once/tests/shard.rs
+++ b/crates/once/tests/shard.rs
@@ -31,7 +31,7 @@
 fn outcome() -> Outcome {
     Outcome {
         status: 201,
-        kind: "text/plain".into(),
+        content_type: "text/plain".into(),
         body: Some(b"ok".to_vec().into()),
     }
 }
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -133,7 +133,7 @@
     let bytes = answer.body();
     Outcome {
         status: answer.status().as_u16(),
-        kind: kind.into(),
+        content_type: kind.into(),
         body: (bytes.len() <= MAX_BODY_BYTES).then(|| bytes.to_vec().into()),
     }
 }
@@ -145,7 +145,7 @@
     let mut reply = Response::new(body::full(bytes));
     *reply.status_mut() = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::OK);
     let headers = reply.headers_mut();
-    if let Ok(kind) = HeaderValue::from_str(&outcome.kind) {
+    if let Ok(kind) = HeaderValue::from_str(&outcome.content_type) {
         headers.insert(header::CONTENT_TYPE, kind);
     }
     let how = if whole { "whole" } else { "status-only" };
