--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -73,7 +73,8 @@
     /// The ordinal of the segment in its shard, from 1 without gaps.
     pub seq: u64,
     /// Lowest ordinal that is kept; those below have expired and are removed by this write.
-    pub floor: u64,
+    #[serde(rename = "floor")]
+    pub min_seq: u64,
     /// The records in the order of writing.
     pub records: Vec<Record>,
 }
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -122,7 +122,7 @@
     phase: Phase,
     head_revision: i64,
     next: u64,
-    floor: u64,
+    min_seq: u64,
     entries: Map<Key, Entry>,
     /// The newest time in each segment that is kept, by ordinal: what expiry goes by.
     ages: BTreeMap<u64, Millis>,
@@ -141,7 +141,7 @@
             phase: Phase::Behind,
             head_revision: 0,
             next: 1,
-            floor: 1,
+            min_seq: 1,
             entries: Map::default(),
             ages: BTreeMap::new(),
             keys: BTreeMap::new(),
@@ -299,7 +299,7 @@
         }
         let segment = Segment {
             seq: self.next,
-            floor: self.expired(now),
+            min_seq: self.expired(now),
             records,
         };
         self.phase = Phase::Writing(segment.clone());
@@ -341,7 +341,7 @@
         self.ages
             .iter()
             .find(|(_, at)| **at + self.keep >= now)
-            .map_or(self.next, |(seq, _)| (*seq).max(self.floor))
+            .map_or(self.next, |(seq, _)| (*seq).max(self.min_seq))
     }
 
     /// Takes in what a [`Action::Load`] read: the head's revision, 0 when there is none, and the
@@ -399,7 +399,7 @@
         self.ages.insert(segment.seq, newest.max(before));
         self.keys.insert(segment.seq, keys);
         self.next = segment.seq + 1;
-        self.drop_below(segment.floor);
+        self.drop_below(segment.min_seq);
     }
 
     fn apply(&mut self, record: &Record, seq: u64) {
@@ -434,10 +434,10 @@
     }
 
     fn drop_below(&mut self, floor: u64) {
-        if floor <= self.floor {
+        if floor <= self.min_seq {
             return;
         }
-        self.floor = floor;
+        self.min_seq = floor;
         let kept = self.keys.split_off(&floor);
         let old = std::mem::replace(&mut self.keys, kept);
         self.ages = self.ages.split_off(&floor);
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -35,7 +35,7 @@
             return WriteResult::Conflict;
         }
         self.head += 1;
-        self.segments.retain(|kept| kept.seq >= segment.floor);
+        self.segments.retain(|kept| kept.seq >= segment.min_seq);
         self.segments.push(segment);
         WriteResult::Committed(self.head)
     }
--- a/crates/serve/src/journal/driver.rs
+++ b/crates/serve/src/journal/driver.rs
@@ -174,7 +174,7 @@
         let seq = segment.seq.to_string();
         let expired = plat::Delete::Span(
             keys::segment(self.at, 0),
-            keys::segment(self.at, segment.floor),
+            keys::segment(self.at, segment.min_seq),
         );
         let txn = Txn {
             guards: vec![Guard::on(key.as_str(), head)],
@@ -182,7 +182,7 @@
                 Put::new(key, Bytes::from(seq).to_vec()),
                 Put::new(keys::segment(self.at, segment.seq), bytes),
             ],
-            deletes: match segment.floor {
+            deletes: match segment.min_seq {
                 0 | 1 => Vec::new(),
                 _ => vec![expired],
             },
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -311,7 +311,7 @@
     };
     let segment = Segment {
         seq: 1,
-        floor: 1,
+        min_seq: 1,
         records: vec![record],
     };
     // What an instance leaves at the platform that was killed after its write.
