--- a/crates/crash/src/watch.rs
+++ b/crates/crash/src/watch.rs
@@ -45,10 +45,10 @@
 /// use std::sync::Arc;
 ///
 /// use crash::Watch;
-/// use poison::{Mark, Print, Verdict};
+/// use poison::{Mark, Fingerprint, Verdict};
 ///
 /// let watch = Arc::new(Watch::default());
-/// let mark = || Mark::from(Print::new("GET", "shop.example", "/a", b"", b""));
+/// let mark = || Mark::from(Fingerprint::new("GET", "shop.example", "/a", b"", b""));
 /// assert_eq!(watch.verdict(mark), Verdict::Free);
 /// watch.crashed(mark(), &"i-1".into());
 /// assert_eq!(watch.verdict(mark), Verdict::Suspect);
@@ -245,7 +245,7 @@
 /// Writes what is believed of requests now and was not.
 fn tell(changes: Vec<Change>) {
     for change in changes {
-        let print = change.print.to_string();
+        let print = change.fingerprint.to_string();
         let what = match change.quarantined {
             true => "request quarantined",
             false => "request released",
--- a/crates/node/src/print.rs
+++ b/crates/node/src/print.rs
@@ -4,13 +4,13 @@
 use http::header::AUTHORIZATION;
 use http::header::HOST;
 use http::request::Parts;
+use poison::Fingerprint;
 use poison::Mark;
-use poison::Print;
 use team::Principal;
 
 /// What a request asks for. Its caller is its team, so that a second key does not begin the count anew, or
 /// what the request itself says of who sends it: addresses differ from one connection of a caller to the next.
-pub(crate) fn request(head: &Parts, principal: &Principal, body: &[u8]) -> Print {
+pub(crate) fn request(head: &Parts, principal: &Principal, body: &[u8]) -> Fingerprint {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or_else(|| head.uri.host()).unwrap_or_default();
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -21,7 +21,7 @@
         Principal::Team(team) => team.as_bytes(),
     };
     let host = host.to_ascii_lowercase();
-    Print::new(head.method.as_str(), &host, path, caller, body)
+    Fingerprint::new(head.method.as_str(), &host, path, caller, body)
 }
 
 /// How a request for a score is known. Steps bring such requests by the hundred, each with the text of its
@@ -44,8 +44,8 @@
         asked.extend_from_slice(format!("{name}\n{value}\n").as_bytes());
     }
     Mark {
-        own: Print::new("POST", &host, &sample.path, team, &sample.body),
-        kin: Print::new("POST", &host, &sample.path, b"kin", &asked),
+        own: Fingerprint::new("POST", &host, &sample.path, team, &sample.body),
+        kin: Fingerprint::new("POST", &host, &sample.path, b"kin", &asked),
     }
 }
 
--- a/crates/poison/src/print.rs
+++ b/crates/poison/src/fingerprint.rs
@@ -9,19 +9,19 @@
 /// The digest of what a request asks for: the same for each attempt, at every instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct Print(u128);
+pub struct Fingerprint(u128);
 
-impl Print {
+impl Fingerprint {
     /// Makes the digest of a request. `caller` is what the request says of who sends it, if it says so.
     ///
     /// # Examples
     ///
     /// ```
-    /// use poison::Print;
+    /// use poison::Fingerprint;
     ///
-    /// let one = Print::new("POST", "shop.example", "/plain/a?b=c", b"", b"body");
-    /// assert_eq!(one, Print::new("POST", "shop.example", "/plain/a?b=c", b"", b"body"));
-    /// assert_ne!(one, Print::new("POST", "shop.example", "/plain/a?b=c", b"Token k", b"body"));
+    /// let one = Fingerprint::new("POST", "shop.example", "/plain/a?b=c", b"", b"body");
+    /// assert_eq!(one, Fingerprint::new("POST", "shop.example", "/plain/a?b=c", b"", b"body"));
+    /// assert_ne!(one, Fingerprint::new("POST", "shop.example", "/plain/a?b=c", b"Token k", b"body"));
     /// ```
     pub fn new(method: &str, host: &str, path: &str, caller: &[u8], body: &[u8]) -> Self {
         let head = [method, host, path].map(str::as_bytes);
@@ -35,20 +35,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark {
     /// What it asks for, to the byte.
-    pub own: Print,
+    pub own: Fingerprint,
     /// What it has in common with work of other bytes that crashes upstreams as it does: the samples of
     /// one prompt, or requests for scores at one path.
-    pub kin: Print,
+    pub kin: Fingerprint,
 }
 
-impl From<Print> for Mark {
+impl From<Fingerprint> for Mark {
     /// A request that has nothing in common with others.
-    fn from(own: Print) -> Self {
+    fn from(own: Fingerprint) -> Self {
         Self { own, kin: own }
     }
 }
 
-impl fmt::Display for Print {
+impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}", self.0)
     }
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/ledger.rs
@@ -13,7 +13,7 @@
 use kernel::Millis;
 use kernel::Set;
 
-use crate::Print;
+use crate::Fingerprint;
 use crate::report::Crash;
 use crate::report::MOST;
 use crate::report::Report;
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The request.
-    pub print: Print,
+    pub fingerprint: Fingerprint,
     /// Crashes that count.
     pub crashes: usize,
     /// Whether it is quarantined now; else it has ceased to be.
@@ -130,27 +130,27 @@
 /// # Examples
 ///
 /// ```
-/// use poison::{Ledger, Print, Verdict};
+/// use poison::{Ledger, Fingerprint, Verdict};
 ///
-/// let print = Print::new("GET", "shop.example", "/a", b"", b"");
+/// let fingerprint = Fingerprint::new("GET", "shop.example", "/a", b"", b"");
 /// let mut ledger = Ledger::default();
 /// for upstream in ["i-1", "i-2"] {
-///     ledger.crashed(print, &upstream.into(), 1_000);
+///     ledger.crashed(fingerprint, &upstream.into(), 1_000);
 /// }
-/// assert_eq!(ledger.verdict(print, 1_000), Verdict::Suspect);
-/// ledger.crashed(print, &"i-3".into(), 1_000);
-/// assert_eq!(ledger.verdict(print, 1_000), Verdict::Unsettled(1_500));
-/// assert_eq!(ledger.verdict(print, 2_500), Verdict::Quarantined(598_500));
+/// assert_eq!(ledger.verdict(fingerprint, 1_000), Verdict::Suspect);
+/// ledger.crashed(fingerprint, &"i-3".into(), 1_000);
+/// assert_eq!(ledger.verdict(fingerprint, 1_000), Verdict::Unsettled(1_500));
+/// assert_eq!(ledger.verdict(fingerprint, 2_500), Verdict::Quarantined(598_500));
 /// ```
 #[derive(Debug, Default)]
 pub struct Ledger {
-    cases: Map<Print, Case>,
+    cases: Map<Fingerprint, Case>,
     /// The requests that were at an upstream when it crashed.
-    beside: Map<Arc<str>, Vec<Print>>,
+    beside: Map<Arc<str>, Vec<Fingerprint>>,
     /// What this instance has seen itself.
     own: Report,
     /// The upstreams at which suspects of this instance are.
-    places: Map<Arc<str>, Vec<Print>>,
+    places: Map<Arc<str>, Vec<Fingerprint>>,
     changes: Vec<Change>,
     /// Time for which a whole answer clears, beside what was before it, in milliseconds.
     cleared: Millis,
@@ -178,8 +178,8 @@
     }
 
     /// What may be done with a request. Times are in milliseconds since 1970.
-    pub fn verdict(&self, print: Print, now: Millis) -> Verdict {
-        let Some(case) = self.cases.get(&print) else {
+    pub fn verdict(&self, fingerprint: Fingerprint, now: Millis) -> Verdict {
+        let Some(case) = self.cases.get(&fingerprint) else {
             return Verdict::Free;
         };
         let total = case.total(now);
@@ -189,7 +189,7 @@
         if total < CRASHES {
             return Verdict::Suspect;
         }
-        let sole = self.sole(print, case, total, now);
+        let sole = self.sole(fingerprint, case, total, now);
         let Some(last) = sole.get(SOLE - 1) else {
             return Verdict::Suspect;
         };
@@ -201,9 +201,15 @@
 
     /// When upstreams crashed under a request while nothing else was there that crashes about as often, the
     /// earliest first. A crash less counts as often: what an instance sees reaches the others later.
-    fn sole(&self, print: Print, case: &Case, total: usize, now: Millis) -> Vec<Millis> {
-        let rival = |other: &Print| {
-            let other = self.cases.get(other).filter(|_| *other != print);
+    fn sole(
+        &self,
+        fingerprint: Fingerprint,
+        case: &Case,
+        total: usize,
+        now: Millis,
+    ) -> Vec<Millis> {
+        let rival = |other: &Fingerprint| {
+            let other = self.cases.get(other).filter(|_| *other != fingerprint);
             other.is_some_and(|other| other.total(now) + 1 >= total)
         };
         let alone = |upstream: &Arc<str>| {
@@ -218,52 +224,62 @@
     }
 
     /// Notes that an upstream crashed while a request of this instance was there.
-    pub fn crashed(&mut self, print: Print, upstream: &Arc<str>, now: Millis) {
+    pub fn crashed(&mut self, fingerprint: Fingerprint, upstream: &Arc<str>, now: Millis) {
         let crash = Crash {
-            print,
+            fingerprint,
             upstream: upstream.clone(),
             at: now,
         };
         if !self.learn(&crash, now) {
             return;
         }
-        self.judge(self.touched([print]), now);
+        self.judge(self.touched([fingerprint]), now);
         if self.own.crashes.len() >= MOST {
             // What crashes upstreams has to outlast a restart of all instances.
-            let total = |print| {
+            let total = |fingerprint| {
                 self.cases
-                    .get(&print)
+                    .get(&fingerprint)
                     .map_or(0, |case: &Case| case.total(now))
             };
             let crashes = &self.own.crashes;
             let lesser = crashes
                 .iter()
-                .position(|crash| total(crash.print) < CRASHES);
+                .position(|crash| total(crash.fingerprint) < CRASHES);
             self.own.crashes.remove(lesser.unwrap_or(0));
         }
         self.own.crashes.push(crash);
     }
 
     /// Notes that an upstream answered a request of this instance whole: it is not what crashes them.
-    pub fn whole(&mut self, print: Print, now: Millis) {
-        if !self.cases.contains_key(&print) {
+    pub fn whole(&mut self, fingerprint: Fingerprint, now: Millis) {
+        if !self.cases.contains_key(&fingerprint) {
             return;
         }
         let known = self.own.crashes.len();
-        self.own.crashes.retain(|crash| crash.print != print);
-        let crashes = self.cases.get(&print).map_or(0, |case| case.crashes.len());
+        self.own
+            .crashes
+            .retain(|crash| crash.fingerprint != fingerprint);
+        let crashes = self
+            .cases
+            .get(&fingerprint)
+            .map_or(0, |case| case.crashes.len());
         if known - self.own.crashes.len() < crashes {
             // Others know of it as well.
-            self.own.wholes.retain(|whole| whole.print != print);
+            self.own
+                .wholes
+                .retain(|whole| whole.fingerprint != fingerprint);
             if self.own.wholes.len() >= MOST {
                 self.own.wholes.remove(0);
             }
-            self.own.wholes.push(Whole { print, at: now });
+            self.own.wholes.push(Whole {
+                fingerprint,
+                at: now,
+            });
         }
-        if let Some(case) = self.cases.get_mut(&print) {
+        if let Some(case) = self.cases.get_mut(&fingerprint) {
             case.whole = case.whole.max(now);
         }
-        self.judge(self.touched([print]), now);
+        self.judge(self.touched([fingerprint]), now);
     }
 
     /// Takes in what another instance has seen; what is known already changes nothing.
@@ -276,13 +292,13 @@
             let at = whole.at.min(now);
             // The crashes before it may be heard of later.
             if now < at + KEEP {
-                let case = self.case(whole.print, now);
+                let case = self.case(whole.fingerprint, now);
                 case.whole = case.whole.max(at);
                 case.told = true;
             }
         }
-        let crashes = report.crashes.iter().map(|crash| crash.print);
-        let wholes = report.wholes.iter().map(|whole| whole.print);
+        let crashes = report.crashes.iter().map(|crash| crash.fingerprint);
+        let wholes = report.wholes.iter().map(|whole| whole.fingerprint);
         self.judge(self.touched(crashes.chain(wholes)), now);
     }
 
@@ -292,21 +308,21 @@
         if now >= at + KEEP {
             return false;
         }
-        if !self.case(crash.print, now).add(&crash.upstream, at) {
+        if !self.case(crash.fingerprint, now).add(&crash.upstream, at) {
             return false;
         }
         let beside = self.beside.entry(crash.upstream.clone()).or_default();
-        beside.push(crash.print);
+        beside.push(crash.fingerprint);
         true
     }
 
     /// What is known of a request, with room for it if nothing is.
-    fn case(&mut self, print: Print, now: Millis) -> &mut Case {
-        if !self.cases.contains_key(&print) && self.cases.len() >= CASES {
+    fn case(&mut self, fingerprint: Fingerprint, now: Millis) -> &mut Case {
+        if !self.cases.contains_key(&fingerprint) && self.cases.len() >= CASES {
             self.evict(now);
         }
         let cleared = self.cleared;
-        self.cases.entry(print).or_insert_with(|| Case {
+        self.cases.entry(fingerprint).or_insert_with(|| Case {
             cleared,
             ..Case::default()
         })
@@ -317,7 +333,7 @@
         if self.own.crashes.contains(crash) {
             return;
         }
-        if let Some(case) = self.cases.get_mut(&crash.print) {
+        if let Some(case) = self.cases.get_mut(&crash.fingerprint) {
             case.told = true;
         }
     }
@@ -326,11 +342,13 @@
     /// crash each must not push out what is quarantined.
     fn evict(&mut self, now: Millis) {
         let newest = |case: &Case| case.crashes.iter().map(|(_, at)| *at).max();
-        let order = |(print, case): (&Print, &Case)| (case.total(now), newest(case), *print);
+        let order = |(fingerprint, case): (&Fingerprint, &Case)| {
+            (case.total(now), newest(case), *fingerprint)
+        };
         let mut all: Vec<_> = self.cases.iter().map(order).collect();
         all.sort_unstable();
-        for (.., print) in all.into_iter().take(CASES / PART) {
-            self.cases.remove(&print);
+        for (.., fingerprint) in all.into_iter().take(CASES / PART) {
+            self.cases.remove(&fingerprint);
         }
         self.settle();
     }
@@ -348,16 +366,16 @@
     fn settle(&mut self) {
         let cases = &self.cases;
         self.beside.retain(|_, beside| {
-            beside.retain(|print| cases.contains_key(print));
+            beside.retain(|fingerprint| cases.contains_key(fingerprint));
             !beside.is_empty()
         });
     }
 
     /// The requests whose verdict may change with those of some: they and what was beside them.
-    fn touched(&self, prints: impl IntoIterator<Item = Print>) -> Set<Print> {
+    fn touched(&self, fingerprints: impl IntoIterator<Item = Fingerprint>) -> Set<Fingerprint> {
         let mut touched = Set::default();
-        for print in prints {
-            let crashes = self.cases.get(&print).map(|case| case.crashes.iter());
+        for fingerprint in fingerprints {
+            let crashes = self.cases.get(&fingerprint).map(|case| case.crashes.iter());
             for (upstream, _) in crashes.into_iter().flatten() {
                 touched.extend(self.beside.get(upstream).into_iter().flatten());
             }
@@ -366,19 +384,19 @@
     }
 
     /// Notes which of some requests are quarantined now and were not, or were and are not.
-    fn judge(&mut self, prints: Set<Print>, now: Millis) {
-        let judged = |print: Print| {
-            let case = self.cases.get(&print)?;
-            let quarantined = matches!(self.verdict(print, now), Verdict::Quarantined(_));
+    fn judge(&mut self, fingerprints: Set<Fingerprint>, now: Millis) {
+        let judged = |fingerprint: Fingerprint| {
+            let case = self.cases.get(&fingerprint)?;
+            let quarantined = matches!(self.verdict(fingerprint, now), Verdict::Quarantined(_));
             (quarantined != case.quarantined).then(|| Change {
-                print,
+                fingerprint,
                 crashes: case.total(now),
                 quarantined,
             })
         };
-        let changes: Vec<_> = prints.into_iter().filter_map(judged).collect();
+        let changes: Vec<_> = fingerprints.into_iter().filter_map(judged).collect();
         for change in &changes {
-            if let Some(case) = self.cases.get_mut(&change.print) {
+            if let Some(case) = self.cases.get_mut(&change.fingerprint) {
                 case.quarantined = change.quarantined;
             }
         }
@@ -401,17 +419,17 @@
     }
 
     /// Notes that a suspect of this instance is at an upstream.
-    pub fn enter(&mut self, print: Print, upstream: &Arc<str>) {
+    pub fn enter(&mut self, fingerprint: Fingerprint, upstream: &Arc<str>) {
         let place = self.places.entry(upstream.clone()).or_default();
-        place.push(print);
+        place.push(fingerprint);
     }
 
     /// Notes that a suspect of this instance has left an upstream.
-    pub fn leave(&mut self, print: Print, upstream: &str) {
+    pub fn leave(&mut self, fingerprint: Fingerprint, upstream: &str) {
         let Some(place) = self.places.get_mut(upstream) else {
             return;
         };
-        if let Some(at) = place.iter().position(|one| *one == print) {
+        if let Some(at) = place.iter().position(|one| *one == fingerprint) {
             place.swap_remove(at);
         }
         if place.is_empty() {
@@ -420,8 +438,8 @@
     }
 
     /// The upstreams at which other suspects of this instance are.
-    pub fn taken(&self, print: Print) -> impl Iterator<Item = &Arc<str>> {
-        let others = move |place: &&Vec<Print>| place.iter().any(|one| *one != print);
+    pub fn taken(&self, fingerprint: Fingerprint) -> impl Iterator<Item = &Arc<str>> {
+        let others = move |place: &&Vec<Fingerprint>| place.iter().any(|one| *one != fingerprint);
         let places = self.places.iter();
         places
             .filter(move |(_, place)| others(place))
--- a/crates/poison/src/report.rs
+++ b/crates/poison/src/report.rs
@@ -6,14 +6,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Print;
+use crate::Fingerprint;
 
 /// A request was at an upstream when that crashed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Crash {
     /// The request.
-    pub print: Print,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// The start of the upstream.
     pub upstream: Arc<str>,
     /// When, in milliseconds since 1970 at the instance that noticed.
@@ -25,7 +26,8 @@
 #[derive(Serialize, Deserialize)]
 pub struct Whole {
     /// The request.
-    pub print: Print,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// When, in milliseconds since 1970 at the instance that noticed.
     pub at: Millis,
 }
--- a/crates/poison/tests/forgotten.rs
+++ b/crates/poison/tests/forgotten.rs
@@ -2,8 +2,8 @@
 
 use kernel::Millis;
 use poison::Crash;
+use poison::Fingerprint;
 use poison::Ledger;
-use poison::Print;
 use poison::Report;
 use poison::Verdict;
 use poison::Whole;
@@ -19,13 +19,13 @@
 /// Time between two looks at what counts no more, in milliseconds.
 const TIDY: Millis = 1_000;
 
-fn print() -> Print {
-    Print::new("GET", "shop.example", "/a", b"", b"")
+fn print() -> Fingerprint {
+    Fingerprint::new("GET", "shop.example", "/a", b"", b"")
 }
 
 fn crashes(at: Millis) -> Report {
     let one = |number| Crash {
-        print: print(),
+        fingerprint: print(),
         upstream: format!("i-{number}").into(),
         at,
     };
@@ -37,7 +37,10 @@
 
 fn whole(at: Millis) -> Report {
     Report {
-        wholes: vec![Whole { print: print(), at }],
+        wholes: vec![Whole {
+            fingerprint: print(),
+            at,
+        }],
         ..Report::default()
     }
 }
--- a/crates/poison/tests/ledger.rs
+++ b/crates/poison/tests/ledger.rs
@@ -4,8 +4,8 @@
 
 use kernel::Millis;
 use poison::Crash;
+use poison::Fingerprint;
 use poison::Ledger;
-use poison::Print;
 use poison::Report;
 use poison::Verdict;
 use poison::Whole;
@@ -18,8 +18,8 @@
 /// A time of day, in milliseconds since 1970.
 const NOW: Millis = 1_750_000_000_000;
 
-fn print(name: &str) -> Print {
-    Print::new("GET", "shop.example", name, b"", b"")
+fn print(name: &str) -> Fingerprint {
+    Fingerprint::new("GET", "shop.example", name, b"", b"")
 }
 
 fn id(number: usize) -> Arc<str> {
@@ -34,7 +34,7 @@
 
 fn crash(name: &str, upstream: usize, at: Millis) -> Crash {
     Crash {
-        print: print(name),
+        fingerprint: print(name),
         upstream: id(upstream),
         at,
     }
@@ -232,7 +232,10 @@
     assert!(is_held(&ledger, "a", NOW + 400));
     let own = ledger.own();
     assert_eq!(own.crashes.len(), MOST);
-    let kept = own.crashes.iter().filter(|crash| crash.print == print("a"));
+    let kept = own
+        .crashes
+        .iter()
+        .filter(|crash| crash.fingerprint == print("a"));
     assert_eq!(kept.count(), CRASHES);
     assert!(ledger.len() <= 4_096, "{}", ledger.len());
     // A second of a part of a core is what all requests of an instance have.
@@ -309,7 +312,7 @@
     ) {
         let crashes = crashes.iter().map(|(name, at, time)| crash(&name.to_string(), *at, *time));
         let wholes = wholes.iter().map(|(name, time)| Whole {
-            print: print(&name.to_string()),
+            fingerprint: print(&name.to_string()),
             at: *time,
         });
         let report = Report { crashes: crashes.collect(), wholes: wholes.collect() };
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -15,7 +15,7 @@
 use net::body;
 use net::body::Sender;
 use net::events;
-use poison::Print;
+use poison::Fingerprint;
 use route::Attempt;
 use route::Kind;
 use route::Next;
@@ -211,7 +211,7 @@
     let how = format!("{max_tokens} {seed:?} {temperature:?} {top_p:?} {stop:?} {prompt}");
     let customer = job.entry.customer.as_bytes();
     Sent {
-        print: Print::new("POST", model, GENERATE, customer, how.as_bytes()),
+        print: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
         id: trace.id.to_string(),
     }
 }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -21,7 +21,7 @@
 use net::Reply;
 use net::SendError;
 use net::body;
-use poison::Print;
+use poison::Fingerprint;
 use route::Attempt;
 use route::Kind;
 use route::Next;
@@ -274,10 +274,10 @@
 }
 
 /// What a call asks for: the same for each attempt of a customer.
-fn print(entry: &Entry, dispatcher: &Dispatcher, outbound: &Outbound) -> Print {
+fn print(entry: &Entry, dispatcher: &Dispatcher, outbound: &Outbound) -> Fingerprint {
     let method = outbound.method.as_str();
     let customer = entry.customer.as_bytes();
-    Print::new(
+    Fingerprint::new(
         method,
         &dispatcher.name,
         &outbound.path,
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -6,7 +6,7 @@
 use contract::book::InForce;
 use kernel::Millis;
 use limit::order::Entry;
-use poison::Print;
+use poison::Fingerprint;
 use route::pool::Ask;
 use route::prefix::blocks;
 use step::Assembly;
@@ -97,7 +97,7 @@
     let (customer, model) = (work.customer().as_bytes(), &work.dispatcher.name);
     let how = format!("{} {} {}", begin.index, begin.tokens, begin.prompt);
     Sent {
-        print: Print::new("POST", model, GENERATE, customer, how.as_bytes()),
+        print: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
         id: work.request.to_string(),
     }
 }
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -10,7 +10,7 @@
 use net::SendError;
 use net::client::JsonError;
 use net::client::uri;
-use poison::Print;
+use poison::Fingerprint;
 use route::Kind;
 use route::pool::Ask;
 use step::Sample;
@@ -107,7 +107,7 @@
     let customer = contract.customer.as_bytes();
     let how = format!("{prompt} {text}");
     let sent = Sent {
-        print: Print::new("POST", scorer, SCORE, customer, how.as_bytes()),
+        print: Fingerprint::new("POST", scorer, SCORE, customer, how.as_bytes()),
         id: work.request.to_string(),
     };
     if app.crashes.holds(|| sent.print.into()) {
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -9,7 +9,7 @@
 use kernel::Name;
 use plat::PlatError;
 use plat::keys;
-use poison::Print;
+use poison::Fingerprint;
 use route::Ran;
 use route::Spec;
 use wire::Problem;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Sent {
     /// What it asks for.
-    pub(crate) print: Print,
+    pub(crate) print: Fingerprint,
     /// Its id, for lines.
     pub(crate) id: String,
 }
