--- a/crates/crash/src/ledgers.rs
+++ b/crates/crash/src/ledgers.rs
@@ -7,8 +7,8 @@
 
 use kernel::Millis;
 use poison::Change;
+use poison::Identity;
 use poison::Ledger;
-use poison::Mark;
 use poison::Seen;
 use poison::Verdict;
 
@@ -34,19 +34,19 @@
     }
 
     /// What may be done with a request: the less of what either ledger allows.
-    pub(crate) fn verdict(&self, mark: Mark, now: Millis) -> Verdict {
-        let own = self.own.verdict(mark.own, now);
-        own.max(self.kin.verdict(mark.kin, now))
+    pub(crate) fn verdict(&self, mark: Identity, now: Millis) -> Verdict {
+        let own = self.own.verdict(mark.exact, now);
+        own.max(self.kin.verdict(mark.group, now))
     }
 
-    pub(crate) fn crashed(&mut self, mark: Mark, upstream: &Arc<str>, now: Millis) {
-        self.own.crashed(mark.own, upstream, now);
-        self.kin.crashed(mark.kin, upstream, now);
+    pub(crate) fn crashed(&mut self, mark: Identity, upstream: &Arc<str>, now: Millis) {
+        self.own.crashed(mark.exact, upstream, now);
+        self.kin.crashed(mark.group, upstream, now);
     }
 
-    pub(crate) fn whole(&mut self, mark: Mark, now: Millis) {
-        self.own.whole(mark.own, now);
-        self.kin.whole(mark.kin, now);
+    pub(crate) fn whole(&mut self, mark: Identity, now: Millis) {
+        self.own.whole(mark.exact, now);
+        self.kin.whole(mark.group, now);
     }
 
     pub(crate) fn heard(&mut self, seen: &Seen, now: Millis) {
@@ -82,18 +82,18 @@
         }
     }
 
-    pub(crate) fn enter(&mut self, mark: Mark, upstream: &Arc<str>) {
-        self.own.enter(mark.own, upstream);
-        self.kin.enter(mark.kin, upstream);
+    pub(crate) fn enter(&mut self, mark: Identity, upstream: &Arc<str>) {
+        self.own.enter(mark.exact, upstream);
+        self.kin.enter(mark.group, upstream);
     }
 
-    pub(crate) fn leave(&mut self, mark: Mark, upstream: &str) {
-        self.own.leave(mark.own, upstream);
-        self.kin.leave(mark.kin, upstream);
+    pub(crate) fn leave(&mut self, mark: Identity, upstream: &str) {
+        self.own.leave(mark.exact, upstream);
+        self.kin.leave(mark.group, upstream);
     }
 
     /// The upstreams at which other suspects of this instance are.
-    pub(crate) fn taken(&self, mark: Mark) -> Vec<Arc<str>> {
-        self.own.taken(mark.own).cloned().collect()
+    pub(crate) fn taken(&self, mark: Identity) -> Vec<Arc<str>> {
+        self.own.taken(mark.exact).cloned().collect()
     }
 }
--- a/crates/crash/src/watch.rs
+++ b/crates/crash/src/watch.rs
@@ -8,7 +8,7 @@
 use kernel::Millis;
 use parking_lot::Mutex;
 use poison::Change;
-use poison::Mark;
+use poison::Identity;
 use poison::Seen;
 use poison::Verdict;
 use tokio::sync::Notify;
@@ -45,10 +45,10 @@
 /// use std::sync::Arc;
 ///
 /// use crash::Watch;
-/// use poison::{Mark, Fingerprint, Verdict};
+/// use poison::{Identity, Fingerprint, Verdict};
 ///
 /// let watch = Arc::new(Watch::default());
-/// let mark = || Mark::from(Fingerprint::new("GET", "shop.example", "/a", b"", b""));
+/// let mark = || Identity::from(Fingerprint::new("GET", "shop.example", "/a", b"", b""));
 /// assert_eq!(watch.verdict(mark), Verdict::Free);
 /// watch.crashed(mark(), &"i-1".into());
 /// assert_eq!(watch.verdict(mark), Verdict::Suspect);
@@ -74,7 +74,7 @@
 
 impl Watch {
     /// What may be done with a request. Its digest is made only where anything is known of any.
-    pub fn verdict(&self, mark: impl FnOnce() -> Mark) -> Verdict {
+    pub fn verdict(&self, mark: impl FnOnce() -> Identity) -> Verdict {
         let ledger = self.ledger.lock();
         match ledger.is_empty() {
             true => Verdict::Free,
@@ -85,7 +85,7 @@
     /// Waits until it is known whether a request may run, at most for `left` milliseconds; gives the time for
     /// which it may not. One that has no time to wait may: its caller must not be turned away for what another
     /// request has done.
-    pub async fn admit(&self, mark: Mark, left: Millis) -> Option<Millis> {
+    pub async fn admit(&self, mark: Identity, left: Millis) -> Option<Millis> {
         let until = self.clock.now() + left;
         loop {
             match self.verdict(|| mark) {
@@ -99,7 +99,7 @@
     }
 
     /// Tells whether a request has to wait, or may not run.
-    pub fn holds(&self, mark: impl FnOnce() -> Mark) -> bool {
+    pub fn holds(&self, mark: impl FnOnce() -> Identity) -> bool {
         match self.verdict(mark) {
             Verdict::Free | Verdict::Suspect => false,
             Verdict::Unsettled(_) | Verdict::Quarantined(_) => true,
@@ -108,7 +108,7 @@
 
     /// The upstreams that a request had better keep away from: suspects run apart from one another, so that
     /// the next crash tells the culprit from what was beside it.
-    pub fn apart(&self, mark: impl FnOnce() -> Mark) -> Vec<Arc<str>> {
+    pub fn apart(&self, mark: impl FnOnce() -> Identity) -> Vec<Arc<str>> {
         let ledger = self.ledger.lock();
         if ledger.is_empty() {
             return Vec::new();
@@ -123,7 +123,7 @@
     /// Notes that a request goes to an upstream, if it is a suspect.
     pub fn stay(
         self: &Arc<Self>,
-        mark: impl FnOnce() -> Mark,
+        mark: impl FnOnce() -> Identity,
         upstream: &Arc<str>,
     ) -> Option<Stay> {
         let mut ledger = self.ledger.lock();
@@ -143,7 +143,7 @@
     }
 
     /// Notes that an upstream has answered a request whole.
-    pub fn whole(&self, mark: impl FnOnce() -> Mark) {
+    pub fn whole(&self, mark: impl FnOnce() -> Identity) {
         if self.ledger.lock().is_empty() {
             return;
         }
@@ -172,7 +172,7 @@
     pub async fn broke(
         self: &Arc<Self>,
         id: &str,
-        mark: Mark,
+        mark: Identity,
         upstream: &Arc<str>,
         addr: SocketAddr,
         left: impl FnOnce() -> bool + Send + 'static,
@@ -189,7 +189,7 @@
     fn look(
         self: &Arc<Self>,
         id: &str,
-        mark: Mark,
+        mark: Identity,
         upstream: &Arc<str>,
         addr: SocketAddr,
         left: impl FnOnce() -> bool + Send + 'static,
@@ -203,7 +203,7 @@
                 (true, true) => "left",
                 (false, _) => "lives",
             };
-            let (own, kin) = (mark.own.to_string(), mark.kin.to_string());
+            let (own, kin) = (mark.exact.to_string(), mark.group.to_string());
             log::info!(target: "crash", id = id.as_str(), print = own.as_str(), kin = kin.as_str(),
                 upstream = &*upstream, outcome; "connection broke");
             if outcome == "crashed" {
@@ -213,7 +213,7 @@
     }
 
     /// Notes that an upstream has crashed while a request was there.
-    pub fn crashed(&self, mark: Mark, upstream: &Arc<str>) {
+    pub fn crashed(&self, mark: Identity, upstream: &Arc<str>) {
         metrics::counter!(CRASHES).increment(1);
         self.change(|ledger, now| ledger.crashed(mark, upstream, now));
         self.news.notify_one();
@@ -257,7 +257,7 @@
 /// A suspect at an upstream, for as long as it is there.
 pub struct Stay {
     watch: Arc<Watch>,
-    mark: Mark,
+    mark: Identity,
     upstream: Arc<str>,
 }
 
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -20,7 +20,7 @@
 use place::Fleet;
 use place::Memory;
 use plat::Client;
-use poison::Mark;
+use poison::Identity;
 use spread::Board;
 use spread::Have;
 use spread::Member;
@@ -183,7 +183,7 @@
     }
 
     /// Looks whether an upstream has crashed after the connection of a request broke there.
-    pub(crate) async fn broke(self: &Arc<Self>, id: &str, mark: Mark, one: &Listed) {
+    pub(crate) async fn broke(self: &Arc<Self>, id: &str, mark: Identity, one: &Listed) {
         let (app, start) = (self.clone(), one.id.clone());
         let left = move || {
             let roster = app.roster.lock();
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -13,7 +13,7 @@
 use place::Job;
 use place::Round;
 use place::Want;
-use poison::Mark;
+use poison::Identity;
 use table::Listed;
 use table::Plan;
 use table::Route;
@@ -95,7 +95,7 @@
         &self.work.spec.samples[todo.job.index as usize]
     }
 
-    fn mark(&self, todo: &Todo) -> Mark {
+    fn mark(&self, todo: &Todo) -> Identity {
         let head = &self.work.head;
         print::sample(&head.host, head.team.as_deref(), self.sample(todo))
     }
--- a/crates/node/src/print.rs
+++ b/crates/node/src/print.rs
@@ -5,7 +5,7 @@
 use http::header::HOST;
 use http::request::Parts;
 use poison::Fingerprint;
-use poison::Mark;
+use poison::Identity;
 use team::Principal;
 
 /// What a request asks for. Its caller is its team, so that a second key does not begin the count anew, or
@@ -26,15 +26,15 @@
 
 /// How a request for a score is known. Steps bring such requests by the hundred, each with the text of its
 /// own sample, so those of one path are kin.
-pub(crate) fn score(head: &Parts, principal: &Principal, body: &[u8]) -> Mark {
-    Mark {
-        own: request(head, principal, body),
-        kin: request(head, principal, b""),
+pub(crate) fn score(head: &Parts, principal: &Principal, body: &[u8]) -> Identity {
+    Identity {
+        exact: request(head, principal, body),
+        group: request(head, principal, b""),
     }
 }
 
 /// How a sample is known: samples of one path whose headers ask for the same are kin, whatever their bytes.
-pub(crate) fn sample(host: &str, team: Option<&str>, sample: &Sample) -> Mark {
+pub(crate) fn sample(host: &str, team: Option<&str>, sample: &Sample) -> Identity {
     let host = host.to_ascii_lowercase();
     let team = team.unwrap_or_default().as_bytes();
     let mut asked = team.to_vec();
@@ -43,9 +43,9 @@
         // A line feed stands in neither.
         asked.extend_from_slice(format!("{name}\n{value}\n").as_bytes());
     }
-    Mark {
-        own: Fingerprint::new("POST", &host, &sample.path, team, &sample.body),
-        kin: Fingerprint::new("POST", &host, &sample.path, b"kin", &asked),
+    Identity {
+        exact: Fingerprint::new("POST", &host, &sample.path, team, &sample.body),
+        group: Fingerprint::new("POST", &host, &sample.path, b"kin", &asked),
     }
 }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -14,7 +14,7 @@
 use kernel::Millis;
 use parking_lot::Mutex;
 use place::Want;
-use poison::Mark;
+use poison::Identity;
 use table::Listed;
 use team::Principal;
 use tokio::time::timeout;
@@ -169,7 +169,7 @@
         ended
     }
 
-    fn mark(&self, sample: &Sample) -> Mark {
+    fn mark(&self, sample: &Sample) -> Identity {
         let team = self.principal.team();
         print::sample(&self.host, team.map(|team| &**team), sample)
     }
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -16,7 +16,7 @@
 use parking_lot::Mutex;
 use place::Memory;
 use place::Want;
-use poison::Mark;
+use poison::Identity;
 use poison::Verdict;
 use table::Listed;
 use team::Principal;
@@ -51,7 +51,7 @@
     scores: bool,
     /// Leave to send it, for a request that belongs to a step.
     permit: Option<Permit>,
-    mark: OnceLock<Mark>,
+    mark: OnceLock<Identity>,
 }
 
 impl Sent {
@@ -115,7 +115,7 @@
     }
 
     /// How it is known when upstreams crash under it.
-    pub(crate) fn mark(&self) -> Mark {
+    pub(crate) fn mark(&self) -> Identity {
         *self.mark.get_or_init(|| match self.scores {
             true => print::score(&self.head, &self.principal, &self.body),
             false => print::request(&self.head, &self.principal, &self.body).into(),
--- a/crates/poison/src/fingerprint.rs
+++ b/crates/poison/src/fingerprint.rs
@@ -33,18 +33,21 @@
 
 /// How a request is known when upstreams crash under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct Identity {
     /// What it asks for, to the byte.
-    pub own: Fingerprint,
+    pub exact: Fingerprint,
     /// What it has in common with work of other bytes that crashes upstreams as it does: the samples of
     /// one prompt, or requests for scores at one path.
-    pub kin: Fingerprint,
+    pub group: Fingerprint,
 }
 
-impl From<Fingerprint> for Mark {
+impl From<Fingerprint> for Identity {
     /// A request that has nothing in common with others.
-    fn from(own: Fingerprint) -> Self {
-        Self { own, kin: own }
+    fn from(exact: Fingerprint) -> Self {
+        Self {
+            exact,
+            group: exact,
+        }
     }
 }
 
