--- a/crates/crash/src/ledgers.rs
+++ b/crates/crash/src/ledgers.rs
@@ -9,7 +9,7 @@
 use poison::Change;
 use poison::Identity;
 use poison::Ledger;
-use poison::Seen;
+use poison::Observations;
 use poison::Verdict;
 
 /// The two ledgers.
@@ -49,9 +49,9 @@
         self.kin.whole(mark.group, now);
     }
 
-    pub(crate) fn heard(&mut self, seen: &Seen, now: Millis) {
-        self.own.heard(&seen.own, now);
-        self.kin.heard(&seen.kin, now);
+    pub(crate) fn heard(&mut self, seen: &Observations, now: Millis) {
+        self.own.heard(&seen.exact, now);
+        self.kin.heard(&seen.group, now);
     }
 
     pub(crate) fn prune(&mut self, now: Millis) {
@@ -75,10 +75,10 @@
         self.own.quarantined().max(self.kin.quarantined())
     }
 
-    pub(crate) fn own(&self) -> Seen {
-        Seen {
-            own: self.own.own().clone(),
-            kin: self.kin.own().clone(),
+    pub(crate) fn own(&self) -> Observations {
+        Observations {
+            exact: self.own.own().clone(),
+            group: self.kin.own().clone(),
         }
     }
 
--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -15,8 +15,8 @@
 use plat::PlatError;
 use plat::Single;
 use plat::Txn;
+use poison::Observations;
 use poison::Report;
-use poison::Seen;
 use poison::ledger::KEEP;
 use tokio::time::sleep;
 
@@ -42,7 +42,7 @@
     mut reach: impl FnMut(Result<(), &PlatError>),
 ) {
     let mut single = Single::new(key);
-    let mut written = Seen::default();
+    let mut written = Observations::default();
     loop {
         watch.news().await;
         sleep(PAUSE).await;
@@ -54,7 +54,7 @@
             match write(&mut single, plat, &report).await {
                 Ok(()) => {
                     reach(Ok(()));
-                    let (crashes, wholes) = (report.own.crashes.len(), report.own.wholes.len());
+                    let (crashes, wholes) = (report.exact.crashes.len(), report.exact.wholes.len());
                     log::info!(target: "crash", crashes, wholes; "crashes told");
                     written = report;
                     break;
@@ -68,7 +68,7 @@
     }
 }
 
-async fn write(single: &mut Single, plat: &Client, report: &Seen) -> Result<(), PlatError> {
+async fn write(single: &mut Single, plat: &Client, report: &Observations) -> Result<(), PlatError> {
     let value = rmp_serde::to_vec(report).map_err(|_| PlatError::Garbled)?;
     single.write(plat, value).await
 }
@@ -93,11 +93,11 @@
 }
 
 /// Reads a record; one of the version before says nothing of what requests have in common.
-fn decode(item: &Item) -> Result<Seen, rmp_serde::decode::Error> {
+fn decode(item: &Item) -> Result<Observations, rmp_serde::decode::Error> {
     rmp_serde::from_slice(&item.value).or_else(|_| {
-        let own = rmp_serde::from_slice(&item.value)?;
-        let kin = Report::default();
-        Ok(Seen { own, kin })
+        let exact = rmp_serde::from_slice(&item.value)?;
+        let group = Report::default();
+        Ok(Observations { exact, group })
     })
 }
 
@@ -111,7 +111,7 @@
         let wholes = report.wholes.iter().map(|whole| whole.at);
         crashes.chain(wholes).max()
     };
-    let newest = times(&report.own).max(times(&report.kin));
+    let newest = times(&report.exact).max(times(&report.group));
     newest.is_none_or(|newest| newest + KEEP < now)
 }
 
--- a/crates/crash/src/watch.rs
+++ b/crates/crash/src/watch.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use poison::Change;
 use poison::Identity;
-use poison::Seen;
+use poison::Observations;
 use poison::Verdict;
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
@@ -220,7 +220,7 @@
     }
 
     /// Takes in what another instance has seen.
-    pub fn heard(&self, report: &Seen) {
+    pub fn heard(&self, report: &Observations) {
         self.change(|ledger, now| ledger.heard(report, now));
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// What this instance has seen itself.
-    pub fn own(&self) -> Seen {
+    pub fn own(&self) -> Observations {
         self.ledger.lock().own()
     }
 
--- a/crates/fleet/src/rumour.rs
+++ b/crates/fleet/src/rumour.rs
@@ -2,7 +2,7 @@
 
 use kernel::Map;
 use kernel::Name;
-use poison::Seen;
+use poison::Observations;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -51,7 +51,7 @@
         /// Milliseconds since 1970 at that instance.
         at: u64,
         /// What it has seen.
-        report: Seen,
+        report: Observations,
     },
     /// What customers ask of one instance, for the split of their limits.
     Demand {
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -6,7 +6,7 @@
 use kernel::Map;
 use kernel::Millis;
 use kernel::Name;
-use poison::Seen;
+use poison::Observations;
 
 use crate::Life;
 use crate::Member;
@@ -360,7 +360,7 @@
     }
 
     /// Reports to its peers what this instance has seen of crashes.
-    pub fn crashes(&mut self, at: u64, report: Seen) {
+    pub fn crashes(&mut self, at: u64, report: Observations) {
         let from = self.me.name.clone();
         self.broadcast.add(Rumour::Crashes { from, at, report });
     }
--- a/crates/fleet/tests/domains.rs
+++ b/crates/fleet/tests/domains.rs
@@ -9,7 +9,7 @@
 use fleet::view::PERIOD;
 use kernel::Millis;
 use kernel::Name;
-use poison::Seen;
+use poison::Observations;
 use proptest::prelude::*;
 
 /// Time within which all instances of two failure domains hear of what one has seen, in milliseconds.
@@ -86,7 +86,7 @@
         }
         if from == 0 && now >= seen && !told {
             views[0].demand(1, Vec::new());
-            views[0].crashes(now, Seen::default());
+            views[0].crashes(now, Observations::default());
             told = true;
         }
         for probe in views[from].tick(now) {
--- a/crates/poison/src/lib.rs
+++ b/crates/poison/src/lib.rs
@@ -14,6 +14,6 @@
 pub use ledger::Ledger;
 pub use ledger::Verdict;
 pub use report::Crash;
+pub use report::Observations;
 pub use report::Report;
-pub use report::Seen;
 pub use report::Whole;
--- a/crates/poison/src/report.rs
+++ b/crates/poison/src/report.rs
@@ -35,11 +35,13 @@
 /// What one instance has seen itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observations {
     /// By what requests ask for, to the byte.
-    pub own: Report,
+    #[serde(rename = "own")]
+    pub exact: Report,
     /// By what requests have in common.
-    pub kin: Report,
+    #[serde(rename = "kin")]
+    pub group: Report,
 }
 
 /// What one instance has seen itself of requests known in one way: at most [`MOST`] of each kind, the newest last.
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -16,7 +16,7 @@
 use http_body_util::Full;
 use kernel::Name;
 use net::SendError;
-use poison::Seen;
+use poison::Observations;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use wire::peer;
@@ -101,7 +101,7 @@
 /// Probes peers until the instance leaves.
 pub async fn run(app: Arc<App>) {
     let mut told = Vec::new();
-    let mut crashes = Seen::default();
+    let mut crashes = Observations::default();
     let mut turn = 0;
     loop {
         turn += 1;
@@ -119,7 +119,7 @@
 }
 
 /// Tells peers of crashes if there is something new.
-fn tell_crashes(app: &App, told: &mut Seen) {
+fn tell_crashes(app: &App, told: &mut Observations) {
     app.crashes.tidy();
     let report = app.crashes.own();
     if report != *told {
