--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -54,7 +54,8 @@
             match write(&mut single, plat, &report).await {
                 Ok(()) => {
                     reach(Ok(()));
-                    let (crashes, wholes) = (report.exact.crashes.len(), report.exact.wholes.len());
+                    let (crashes, wholes) =
+                        (report.exact.crashes.len(), report.exact.successes.len());
                     log::info!(target: "crash", crashes, wholes; "crashes told");
                     written = report;
                     break;
@@ -108,7 +109,7 @@
     };
     let times = |report: &Report| {
         let crashes = report.crashes.iter().map(|crash| crash.at);
-        let wholes = report.wholes.iter().map(|whole| whole.at);
+        let wholes = report.successes.iter().map(|whole| whole.at);
         crashes.chain(wholes).max()
     };
     let newest = times(&report.exact).max(times(&report.group));
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/ledger.rs
@@ -17,7 +17,7 @@
 use crate::report::Crash;
 use crate::report::MOST;
 use crate::report::Report;
-use crate::report::Whole;
+use crate::report::Success;
 
 /// Crashes after which a request runs no more: one may be chance and two a bad moment, and a service
 /// loses no more upstreams to a request than it takes to tell.
@@ -266,12 +266,12 @@
         if known - self.own.crashes.len() < crashes {
             // Others know of it as well.
             self.own
-                .wholes
+                .successes
                 .retain(|whole| whole.fingerprint != fingerprint);
-            if self.own.wholes.len() >= MOST {
-                self.own.wholes.remove(0);
+            if self.own.successes.len() >= MOST {
+                self.own.successes.remove(0);
             }
-            self.own.wholes.push(Whole {
+            self.own.successes.push(Success {
                 fingerprint,
                 at: now,
             });
@@ -288,7 +288,7 @@
             self.learn(crash, now);
             self.tell(crash);
         }
-        for whole in &report.wholes {
+        for whole in &report.successes {
             let at = whole.at.min(now);
             // The crashes before it may be heard of later.
             if now < at + KEEP {
@@ -298,7 +298,7 @@
             }
         }
         let crashes = report.crashes.iter().map(|crash| crash.fingerprint);
-        let wholes = report.wholes.iter().map(|whole| whole.fingerprint);
+        let wholes = report.successes.iter().map(|whole| whole.fingerprint);
         self.judge(self.touched(crashes.chain(wholes)), now);
     }
 
@@ -359,7 +359,7 @@
         self.cases
             .retain(|_, case| case.total(now) > 0 || now < case.whole + case.settled());
         self.own.crashes.retain(|crash| now < crash.at + KEEP);
-        self.own.wholes.retain(|whole| now < whole.at + KEEP);
+        self.own.successes.retain(|whole| now < whole.at + KEEP);
         self.settle();
     }
 
--- a/crates/poison/src/lib.rs
+++ b/crates/poison/src/lib.rs
@@ -16,4 +16,4 @@
 pub use report::Crash;
 pub use report::Observations;
 pub use report::Report;
-pub use report::Whole;
+pub use report::Success;
--- a/crates/poison/src/report.rs
+++ b/crates/poison/src/report.rs
@@ -24,7 +24,7 @@
 /// A request that had been at a crash was answered whole by an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Whole {
+pub struct Success {
     /// The request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
@@ -51,7 +51,8 @@
     /// Crashes.
     pub crashes: Vec<Crash>,
     /// Whole answers.
-    pub wholes: Vec<Whole>,
+    #[serde(rename = "wholes")]
+    pub successes: Vec<Success>,
 }
 
 /// Most entries of each kind in a report. With some 60 bytes each a report is 4 KB, and those of 400
--- a/crates/poison/tests/forgotten.rs
+++ b/crates/poison/tests/forgotten.rs
@@ -5,8 +5,8 @@
 use poison::Fingerprint;
 use poison::Ledger;
 use poison::Report;
+use poison::Success;
 use poison::Verdict;
-use poison::Whole;
 use poison::ledger::CRASHES;
 use poison::ledger::KEEP;
 use poison::ledger::SETTLE;
@@ -37,7 +37,7 @@
 
 fn whole(at: Millis) -> Report {
     Report {
-        wholes: vec![Whole {
+        successes: vec![Success {
             fingerprint: print(),
             at,
         }],
--- a/crates/poison/tests/ledger.rs
+++ b/crates/poison/tests/ledger.rs
@@ -7,8 +7,8 @@
 use poison::Fingerprint;
 use poison::Ledger;
 use poison::Report;
+use poison::Success;
 use poison::Verdict;
-use poison::Whole;
 use poison::ledger::CRASHES;
 use poison::ledger::KEEP;
 use poison::ledger::SETTLE;
@@ -311,11 +311,11 @@
         now in KEEP..NOW,
     ) {
         let crashes = crashes.iter().map(|(name, at, time)| crash(&name.to_string(), *at, *time));
-        let wholes = wholes.iter().map(|(name, time)| Whole {
+        let wholes = wholes.iter().map(|(name, time)| Success {
             fingerprint: print(&name.to_string()),
             at: *time,
         });
-        let report = Report { crashes: crashes.collect(), wholes: wholes.collect() };
+        let report = Report { crashes: crashes.collect(), successes: wholes.collect() };
         let mut ledger = Ledger::default();
 
         ledger.heard(&report, now);
