--- a/crates/crash/src/ledgers.rs
+++ b/crates/crash/src/ledgers.rs
@@ -23,7 +23,7 @@
     fn default() -> Self {
         Self {
             own: Ledger::default(),
-            kin: Ledger::kin(),
+            kin: Ledger::for_groups(),
         }
     }
 }
@@ -40,18 +40,18 @@
     }
 
     pub(crate) fn crashed(&mut self, mark: Identity, upstream: &Arc<str>, now: Millis) {
-        self.own.crashed(mark.exact, upstream, now);
-        self.kin.crashed(mark.group, upstream, now);
+        self.own.record_crash(mark.exact, upstream, now);
+        self.kin.record_crash(mark.group, upstream, now);
     }
 
     pub(crate) fn whole(&mut self, mark: Identity, now: Millis) {
-        self.own.whole(mark.exact, now);
-        self.kin.whole(mark.group, now);
+        self.own.record_success(mark.exact, now);
+        self.kin.record_success(mark.group, now);
     }
 
     pub(crate) fn heard(&mut self, seen: &Observations, now: Millis) {
-        self.own.heard(&seen.exact, now);
-        self.kin.heard(&seen.group, now);
+        self.own.merge(&seen.exact, now);
+        self.kin.merge(&seen.group, now);
     }
 
     pub(crate) fn prune(&mut self, now: Millis) {
@@ -62,8 +62,8 @@
     /// What is believed since the last call and was not before; of requests that have nothing in common with
     /// others once.
     pub(crate) fn changes(&mut self) -> Vec<Change> {
-        let mut changes = self.own.changes();
-        let kin = self.kin.changes();
+        let mut changes = self.own.take_changes();
+        let kin = self.kin.take_changes();
         let new = kin.into_iter().filter(|one| !changes.contains(one));
         let new: Vec<_> = new.collect();
         changes.extend(new);
@@ -72,13 +72,15 @@
 
     /// Requests that are quarantined; work with something in common counts once.
     pub(crate) fn quarantined(&self) -> usize {
-        self.own.quarantined().max(self.kin.quarantined())
+        self.own
+            .quarantined_count()
+            .max(self.kin.quarantined_count())
     }
 
     pub(crate) fn own(&self) -> Observations {
         Observations {
-            exact: self.own.own().clone(),
-            group: self.kin.own().clone(),
+            exact: self.own.local_report().clone(),
+            group: self.kin.local_report().clone(),
         }
     }
 
@@ -94,6 +96,6 @@
 
     /// The upstreams at which other suspects of this instance are.
     pub(crate) fn taken(&self, mark: Identity) -> Vec<Arc<str>> {
-        self.own.taken(mark.exact).cloned().collect()
+        self.own.upstreams_of_others(mark.exact).cloned().collect()
     }
 }
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/ledger.rs
@@ -135,10 +135,10 @@
 /// let fingerprint = Fingerprint::new("GET", "shop.example", "/a", b"", b"");
 /// let mut ledger = Ledger::default();
 /// for upstream in ["i-1", "i-2"] {
-///     ledger.crashed(fingerprint, &upstream.into(), 1_000);
+///     ledger.record_crash(fingerprint, &upstream.into(), 1_000);
 /// }
 /// assert_eq!(ledger.verdict(fingerprint, 1_000), Verdict::Suspect);
-/// ledger.crashed(fingerprint, &"i-3".into(), 1_000);
+/// ledger.record_crash(fingerprint, &"i-3".into(), 1_000);
 /// assert_eq!(ledger.verdict(fingerprint, 1_000), Verdict::Unsettled(1_500));
 /// assert_eq!(ledger.verdict(fingerprint, 2_500), Verdict::Quarantined(598_500));
 /// ```
@@ -160,7 +160,7 @@
     /// A ledger of what requests of different bytes have in common. A single whole answer clears that for as
     /// long as a crash counts: many sound requests may share it with one that crashes upstreams, and nobody
     /// may be turned away for what another one does.
-    pub fn kin() -> Self {
+    pub fn for_groups() -> Self {
         Self {
             cleared: KEEP,
             ..Self::default()
@@ -224,7 +224,7 @@
     }
 
     /// Notes that an upstream crashed while a request of this instance was there.
-    pub fn crashed(&mut self, fingerprint: Fingerprint, upstream: &Arc<str>, now: Millis) {
+    pub fn record_crash(&mut self, fingerprint: Fingerprint, upstream: &Arc<str>, now: Millis) {
         let crash = Crash {
             fingerprint,
             upstream: upstream.clone(),
@@ -251,7 +251,7 @@
     }
 
     /// Notes that an upstream answered a request of this instance whole: it is not what crashes them.
-    pub fn whole(&mut self, fingerprint: Fingerprint, now: Millis) {
+    pub fn record_success(&mut self, fingerprint: Fingerprint, now: Millis) {
         if !self.cases.contains_key(&fingerprint) {
             return;
         }
@@ -283,7 +283,7 @@
     }
 
     /// Takes in what another instance has seen; what is known already changes nothing.
-    pub fn heard(&mut self, report: &Report, now: Millis) {
+    pub fn merge(&mut self, report: &Report, now: Millis) {
         for crash in &report.crashes {
             self.learn(crash, now);
             self.tell(crash);
@@ -404,17 +404,17 @@
     }
 
     /// Takes the changes of belief since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// Requests that are quarantined.
-    pub fn quarantined(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.cases.values().filter(|case| case.quarantined).count()
     }
 
     /// What this instance has seen itself.
-    pub fn own(&self) -> &Report {
+    pub fn local_report(&self) -> &Report {
         &self.own
     }
 
@@ -438,7 +438,7 @@
     }
 
     /// The upstreams at which other suspects of this instance are.
-    pub fn taken(&self, fingerprint: Fingerprint) -> impl Iterator<Item = &Arc<str>> {
+    pub fn upstreams_of_others(&self, fingerprint: Fingerprint) -> impl Iterator<Item = &Arc<str>> {
         let others = move |place: &&Vec<Fingerprint>| place.iter().any(|one| *one != fingerprint);
         let places = self.places.iter();
         places
--- a/crates/poison/tests/forgotten.rs
+++ b/crates/poison/tests/forgotten.rs
@@ -61,7 +61,7 @@
     let mut ledger = Ledger::default();
 
     for report in reports {
-        ledger.heard(report, NOW + 20_000);
+        ledger.merge(report, NOW + 20_000);
     }
 
     let verdict = ledger.verdict(print(), NOW + 20_000);
@@ -78,12 +78,12 @@
 )]
 fn crashes_that_are_told_again_do_not_count_again(pause: Millis) {
     let mut ledger = Ledger::default();
-    ledger.heard(&crashes(NOW), NOW);
-    ledger.whole(print(), NOW + 1_000);
+    ledger.merge(&crashes(NOW), NOW);
+    ledger.record_success(print(), NOW + 1_000);
     let again = NOW + 1_000 + pause;
     tidy(&mut ledger, NOW + 1_000, again);
 
-    ledger.heard(&crashes(NOW), again);
+    ledger.merge(&crashes(NOW), again);
 
     assert_eq!(ledger.verdict(print(), again), Verdict::Free);
 }
@@ -92,11 +92,11 @@
 #[test]
 fn crashes_that_are_told_again_do_not_count_where_the_whole_answer_was_told() {
     let mut ledger = Ledger::default();
-    ledger.heard(&crashes(NOW), NOW);
-    ledger.heard(&whole(NOW + 1_000), NOW + 2_000);
+    ledger.merge(&crashes(NOW), NOW);
+    ledger.merge(&whole(NOW + 1_000), NOW + 2_000);
     tidy(&mut ledger, NOW + 2_000, NOW + 60_000);
 
-    ledger.heard(&crashes(NOW), NOW + 60_000);
+    ledger.merge(&crashes(NOW), NOW + 60_000);
 
     assert_eq!(ledger.verdict(print(), NOW + 60_000), Verdict::Free);
 }
@@ -114,7 +114,7 @@
     let mut ledger = Ledger::default();
     for at in 0..CRASHES {
         let time = NOW + apart * at as Millis;
-        ledger.crashed(print(), &format!("i-{at}").into(), time);
+        ledger.record_crash(print(), &format!("i-{at}").into(), time);
     }
     let mut now = NOW + KEEP;
     tidy(&mut ledger, NOW + apart * CRASHES as Millis, now);
@@ -123,7 +123,7 @@
     let mut more = 0;
     while ledger.verdict(print(), now) <= Verdict::Suspect {
         more += 1;
-        ledger.crashed(print(), &format!("j-{more}").into(), now);
+        ledger.record_crash(print(), &format!("j-{more}").into(), now);
         now += SETTLE;
     }
 
@@ -134,8 +134,8 @@
 #[test]
 fn a_whole_answer_is_forgotten_when_no_crash_before_it_can_count() {
     let mut ledger = Ledger::default();
-    ledger.heard(&whole(NOW), NOW);
-    ledger.heard(&crashes(NOW - 1_000), NOW);
+    ledger.merge(&whole(NOW), NOW);
+    ledger.merge(&crashes(NOW - 1_000), NOW);
 
     ledger.prune(NOW + KEEP + 1);
 
@@ -150,7 +150,7 @@
 fn a_whole_answer_of_any_time_is_taken_in(at: Millis) {
     let mut ledger = Ledger::default();
 
-    ledger.heard(&whole(at), NOW);
+    ledger.merge(&whole(at), NOW);
     ledger.prune(NOW + KEEP + 1);
 
     assert!(ledger.is_empty());
@@ -178,8 +178,8 @@
             tidy(&mut ledger, now, now + pause);
             now += pause;
             match word {
-                Word::Crashes => ledger.heard(&crashes(NOW), now),
-                Word::Whole => ledger.heard(&whole(NOW + 1_000), now),
+                Word::Crashes => ledger.merge(&crashes(NOW), now),
+                Word::Whole => ledger.merge(&whole(NOW + 1_000), now),
             }
             match word {
                 Word::Crashes => heard.0 = true,
--- a/crates/poison/tests/ledger.rs
+++ b/crates/poison/tests/ledger.rs
@@ -52,10 +52,10 @@
 fn crashes_that_three_instances_saw_make_three() {
     let mut ledger = Ledger::default();
 
-    ledger.crashed(print("a"), &id(1), NOW);
+    ledger.record_crash(print("a"), &id(1), NOW);
     for upstream in [2, 3] {
         assert_eq!(ledger.verdict(print("a"), NOW), Verdict::Suspect);
-        ledger.heard(&report(&[crash("a", upstream, NOW)]), NOW);
+        ledger.merge(&report(&[crash("a", upstream, NOW)]), NOW);
     }
 
     assert_eq!(ledger.verdict(print("a"), NOW), Verdict::Unsettled(SETTLE));
@@ -64,7 +64,7 @@
     assert_eq!(ledger.verdict(print("a"), settled), held);
     assert_eq!(ledger.verdict(print("b"), settled), Verdict::Free);
     ledger.prune(settled);
-    assert_eq!(ledger.changes().len(), 1);
+    assert_eq!(ledger.take_changes().len(), 1);
 }
 
 // A caller was refused for 0.4 s who was beside the culprit at three upstreams within 120 ms, since the culprit
@@ -75,17 +75,17 @@
     let mut ledger = Ledger::default();
     let times = [(1, NOW), (2, NOW + 40), (3, NOW + 80)];
     for (upstream, at) in times {
-        ledger.crashed(print("beside"), &id(upstream), at);
+        ledger.record_crash(print("beside"), &id(upstream), at);
     }
     let early = ledger.verdict(print("beside"), NOW + 90);
 
     let culprit = times.map(|(upstream, at)| crash("culprit", upstream, at));
-    ledger.heard(&report(&culprit), NOW + 510);
+    ledger.merge(&report(&culprit), NOW + 510);
 
     assert_eq!(early, Verdict::Unsettled(SETTLE - 50));
     assert_eq!(ledger.verdict(print("beside"), NOW + 510), Verdict::Suspect);
     assert!(!is_held(&ledger, "beside", NOW + 510));
-    assert!(ledger.changes().is_empty());
+    assert!(ledger.take_changes().is_empty());
 }
 
 // The same crash comes back with each read of the records, and two instances may see it of one upstream.
@@ -95,7 +95,7 @@
     let twice = report(&[crash("a", 1, NOW), crash("a", 1, NOW + 7)]);
 
     for _ in 0..5 {
-        ledger.heard(&twice, NOW + 10);
+        ledger.merge(&twice, NOW + 10);
     }
 
     assert_eq!(ledger.verdict(print("a"), NOW + 10), Verdict::Suspect);
@@ -107,13 +107,13 @@
 fn a_request_that_was_beside_the_culprit_each_time_is_not_blamed() {
     let mut ledger = Ledger::default();
     for upstream in 1..=3 {
-        ledger.heard(&report(&[crash("beside", upstream, NOW)]), NOW);
-        ledger.heard(&report(&[crash("culprit", upstream, NOW)]), NOW);
+        ledger.merge(&report(&[crash("beside", upstream, NOW)]), NOW);
+        ledger.merge(&report(&[crash("culprit", upstream, NOW)]), NOW);
     }
     let both = ["beside", "culprit"].map(|name| is_held(&ledger, name, NOW));
 
-    ledger.crashed(print("culprit"), &id(4), NOW);
-    ledger.crashed(print("culprit"), &id(5), NOW);
+    ledger.record_crash(print("culprit"), &id(4), NOW);
+    ledger.record_crash(print("culprit"), &id(5), NOW);
 
     assert_eq!(both, [false, false]);
     assert!(is_held(&ledger, "culprit", NOW));
@@ -125,14 +125,14 @@
 fn a_crash_that_is_not_known_yet_shifts_no_blame() {
     let mut ledger = Ledger::default();
     for upstream in 1..=2 {
-        ledger.crashed(print("culprit"), &id(upstream), NOW);
+        ledger.record_crash(print("culprit"), &id(upstream), NOW);
     }
 
     for upstream in 1..=3 {
-        ledger.heard(&report(&[crash("beside", upstream, NOW)]), NOW);
+        ledger.merge(&report(&[crash("beside", upstream, NOW)]), NOW);
     }
     let early = is_held(&ledger, "beside", NOW);
-    ledger.crashed(print("culprit"), &id(3), NOW);
+    ledger.record_crash(print("culprit"), &id(3), NOW);
 
     assert!(!early);
     assert!(!is_held(&ledger, "beside", NOW));
@@ -145,9 +145,9 @@
     for upstream in 1..=6 {
         let now = NOW + upstream as Millis * 1_000;
         for name in ["popular", "culprit"] {
-            ledger.crashed(print(name), &id(upstream), now);
+            ledger.record_crash(print(name), &id(upstream), now);
         }
-        ledger.whole(print("popular"), now + 100);
+        ledger.record_success(print("popular"), now + 100);
     }
 
     let now = NOW + 10_000;
@@ -160,19 +160,19 @@
 fn others_hear_that_a_request_ran_whole() {
     let (mut one, mut other) = (Ledger::default(), Ledger::default());
     for upstream in 1..=3 {
-        one.crashed(print("a"), &id(upstream), NOW);
+        one.record_crash(print("a"), &id(upstream), NOW);
     }
-    other.heard(one.own(), NOW);
+    other.merge(one.local_report(), NOW);
     let held = is_held(&other, "a", NOW);
     let now = NOW + SETTLE;
     one.prune(now);
 
-    other.whole(print("a"), now + 500);
-    one.heard(other.own(), now + 600);
+    other.record_success(print("a"), now + 500);
+    one.merge(other.local_report(), now + 600);
 
     assert!(held);
     assert_eq!(one.verdict(print("a"), now + 600), Verdict::Free);
-    let changes = one.changes();
+    let changes = one.take_changes();
     let changes: Vec<_> = changes.iter().map(|change| change.quarantined).collect();
     assert_eq!(changes, [true, false]);
 }
@@ -182,12 +182,12 @@
 fn a_quarantine_ends_when_its_crashes_are_old() {
     let mut ledger = Ledger::default();
     for (upstream, at) in [(1, NOW), (2, NOW + 1_000), (3, NOW + 2_000)] {
-        ledger.crashed(print("a"), &id(upstream), at);
+        ledger.record_crash(print("a"), &id(upstream), at);
     }
 
     let left = ledger.verdict(print("a"), NOW + 3_000);
     let later = ledger.verdict(print("a"), NOW + KEEP);
-    ledger.crashed(print("a"), &id(4), NOW + KEEP + 10);
+    ledger.record_crash(print("a"), &id(4), NOW + KEEP + 10);
 
     assert_eq!(left, Verdict::Quarantined(KEEP - 3_000));
     assert_eq!(later, Verdict::Suspect);
@@ -204,7 +204,7 @@
     let ahead = NOW + 10 * KEEP;
     let crashes: Vec<_> = (1..=3).map(|at| crash("a", at, ahead)).collect();
 
-    ledger.heard(&report(&crashes), NOW);
+    ledger.merge(&report(&crashes), NOW);
 
     let held = Verdict::Quarantined(KEEP - SETTLE);
     assert_eq!(ledger.verdict(print("a"), NOW + SETTLE), held);
@@ -216,13 +216,13 @@
 fn a_flood_of_crashes_stays_bounded_and_pushes_out_nothing_that_is_quarantined() {
     let mut ledger = Ledger::default();
     for upstream in 1..=3 {
-        ledger.crashed(print("a"), &id(upstream), NOW);
+        ledger.record_crash(print("a"), &id(upstream), NOW);
     }
     let begun = std::time::Instant::now();
 
     for at in 0..40_000 {
         let now = NOW + at / 100;
-        ledger.crashed(
+        ledger.record_crash(
             print(&format!("flood {at}")),
             &id(100 + at as usize / 12),
             now,
@@ -230,7 +230,7 @@
     }
 
     assert!(is_held(&ledger, "a", NOW + 400));
-    let own = ledger.own();
+    let own = ledger.local_report();
     assert_eq!(own.crashes.len(), MOST);
     let kept = own
         .crashes
@@ -250,14 +250,14 @@
     ledger.enter(a, &id(1));
     ledger.enter(b, &id(2));
 
-    let of_a: Vec<_> = ledger.taken(a).cloned().collect();
+    let of_a: Vec<_> = ledger.upstreams_of_others(a).cloned().collect();
     ledger.leave(a, "i-1");
-    let of_b: Vec<_> = ledger.taken(b).cloned().collect();
+    let of_b: Vec<_> = ledger.upstreams_of_others(b).cloned().collect();
     ledger.leave(a, "i-1");
 
     assert_eq!(of_a, [id(2)]);
     assert_eq!(of_b, [id(1)]);
-    assert_eq!(ledger.taken(b).count(), 0);
+    assert_eq!(ledger.upstreams_of_others(b).count(), 0);
 }
 
 /// What happens while a request crashes upstreams: beside which others each crash was, and in which order
@@ -285,9 +285,9 @@
             other.swap(at % len, to % len);
         }
         let (mut here, mut there) = (Ledger::default(), Ledger::default());
-        here.heard(&report(&all), NOW);
+        here.merge(&report(&all), NOW);
         for crash in other.iter().chain(&other[..other.len() / 2]) {
-            there.heard(&report(std::slice::from_ref(crash)), NOW);
+            there.merge(&report(std::slice::from_ref(crash)), NOW);
         }
 
         let names = (0..6).map(|name| format!("b{name}"));
@@ -318,10 +318,10 @@
         let report = Report { crashes: crashes.collect(), successes: wholes.collect() };
         let mut ledger = Ledger::default();
 
-        ledger.heard(&report, now);
+        ledger.merge(&report, now);
 
         prop_assert!(ledger.len() <= 9);
-        prop_assert!(ledger.own() == &Report::default());
+        prop_assert!(ledger.local_report() == &Report::default());
         ledger.prune(now + KEEP + 10_000);
         prop_assert!(ledger.is_empty());
     }
