--- a/crates/crash/src/watch.rs
+++ b/crates/crash/src/watch.rs
@@ -49,11 +49,11 @@
 ///
 /// let watch = Arc::new(Watch::default());
 /// let mark = || Identity::from(Fingerprint::new("GET", "shop.example", "/a", b"", b""));
-/// assert_eq!(watch.verdict(mark), Verdict::Free);
+/// assert_eq!(watch.verdict(mark), Verdict::Unrestricted);
 /// watch.crashed(mark(), &"i-1".into());
 /// assert_eq!(watch.verdict(mark), Verdict::Suspect);
 /// watch.whole(mark);
-/// assert_eq!(watch.verdict(mark), Verdict::Free);
+/// assert_eq!(watch.verdict(mark), Verdict::Unrestricted);
 /// ```
 pub struct Watch {
     clock: Clock,
@@ -77,7 +77,7 @@
     pub fn verdict(&self, mark: impl FnOnce() -> Identity) -> Verdict {
         let ledger = self.ledger.lock();
         match ledger.is_empty() {
-            true => Verdict::Free,
+            true => Verdict::Unrestricted,
             false => ledger.verdict(mark(), self.clock.wall()),
         }
     }
@@ -90,10 +90,10 @@
         loop {
             match self.verdict(|| mark) {
                 Verdict::Quarantined(left) => return Some(left),
-                Verdict::Unsettled(wait) if self.clock.now() + wait < until => {
+                Verdict::Undecided(wait) if self.clock.now() + wait < until => {
                     sleep(Duration::from_millis(wait)).await;
                 }
-                Verdict::Free | Verdict::Suspect | Verdict::Unsettled(_) => return None,
+                Verdict::Unrestricted | Verdict::Suspect | Verdict::Undecided(_) => return None,
             }
         }
     }
@@ -101,8 +101,8 @@
     /// Tells whether a request has to wait, or may not run.
     pub fn holds(&self, mark: impl FnOnce() -> Identity) -> bool {
         match self.verdict(mark) {
-            Verdict::Free | Verdict::Suspect => false,
-            Verdict::Unsettled(_) | Verdict::Quarantined(_) => true,
+            Verdict::Unrestricted | Verdict::Suspect => false,
+            Verdict::Undecided(_) | Verdict::Quarantined(_) => true,
         }
     }
 
@@ -115,7 +115,7 @@
         }
         let mark = mark();
         match ledger.verdict(mark, self.clock.wall()) {
-            Verdict::Free => Vec::new(),
+            Verdict::Unrestricted => Vec::new(),
             _ => ledger.taken(mark),
         }
     }
@@ -131,7 +131,7 @@
             return None;
         }
         let mark = mark();
-        if ledger.verdict(mark, self.clock.wall()) == Verdict::Free {
+        if ledger.verdict(mark, self.clock.wall()) == Verdict::Unrestricted {
             return None;
         }
         ledger.enter(mark, upstream);
@@ -179,7 +179,7 @@
     ) {
         let looking = self.look(id, mark, upstream, addr, left);
         let wait = match self.verdict(|| mark) {
-            Verdict::Free => WAIT,
+            Verdict::Unrestricted => WAIT,
             _ => CLOSING + LOOK,
         };
         // A look that takes longer goes on; one that panicked has noted nothing.
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -190,7 +190,7 @@
         self.may_repeat()
             && self.running.len() == 1
             && self.used.len() < self.attempts()
-            && self.sent.verdict() == Verdict::Free
+            && self.sent.verdict() == Verdict::Unrestricted
     }
 
     fn attempts(&self) -> usize {
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -130,7 +130,7 @@
     /// Waits until it is known whether it may run; gives the time for which it may not.
     pub(crate) async fn admit(&self) -> Option<Millis> {
         match self.verdict() {
-            Verdict::Free => None,
+            Verdict::Unrestricted => None,
             _ => self.app.crashes.admit(self.mark(), self.left()).await,
         }
     }
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/ledger.rs
@@ -57,13 +57,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
     /// It may run anywhere.
-    Free,
+    Unrestricted,
     /// An upstream crashed under it: it had better run where no other such request does, so that the next
     /// crash tells them apart.
     Suspect,
     /// Upstreams crashed under it often enough, and what else was there may not be known yet: it had better
     /// wait for so many milliseconds.
-    Unsettled(Millis),
+    Undecided(Millis),
     /// It may not run for so many milliseconds.
     Quarantined(Millis),
 }
@@ -139,7 +139,7 @@
 /// }
 /// assert_eq!(ledger.verdict(fingerprint, 1_000), Verdict::Suspect);
 /// ledger.record_crash(fingerprint, &"i-3".into(), 1_000);
-/// assert_eq!(ledger.verdict(fingerprint, 1_000), Verdict::Unsettled(1_500));
+/// assert_eq!(ledger.verdict(fingerprint, 1_000), Verdict::Undecided(1_500));
 /// assert_eq!(ledger.verdict(fingerprint, 2_500), Verdict::Quarantined(598_500));
 /// ```
 #[derive(Debug, Default)]
@@ -180,11 +180,11 @@
     /// What may be done with a request. Times are in milliseconds since 1970.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Millis) -> Verdict {
         let Some(case) = self.cases.get(&fingerprint) else {
-            return Verdict::Free;
+            return Verdict::Unrestricted;
         };
         let total = case.total(now);
         if total == 0 {
-            return Verdict::Free;
+            return Verdict::Unrestricted;
         }
         if total < CRASHES {
             return Verdict::Suspect;
@@ -194,7 +194,7 @@
             return Verdict::Suspect;
         };
         match (last + SETTLE).checked_sub(now) {
-            Some(wait @ 1..) => Verdict::Unsettled(wait),
+            Some(wait @ 1..) => Verdict::Undecided(wait),
             Some(0) | None => Verdict::Quarantined(until(case, now).saturating_sub(now)),
         }
     }
--- a/crates/poison/tests/forgotten.rs
+++ b/crates/poison/tests/forgotten.rs
@@ -65,7 +65,7 @@
     }
 
     let verdict = ledger.verdict(print(), NOW + 20_000);
-    assert_eq!(verdict, Verdict::Free);
+    assert_eq!(verdict, Verdict::Unrestricted);
 }
 
 // A request ran whole here; half a minute later another instance wrote its record anew, with the crashes from before,
@@ -85,7 +85,7 @@
 
     ledger.merge(&crashes(NOW), again);
 
-    assert_eq!(ledger.verdict(print(), again), Verdict::Free);
+    assert_eq!(ledger.verdict(print(), again), Verdict::Unrestricted);
 }
 
 // The same at an instance that had heard of the whole answer from another one.
@@ -98,7 +98,7 @@
 
     ledger.merge(&crashes(NOW), NOW + 60_000);
 
-    assert_eq!(ledger.verdict(print(), NOW + 60_000), Verdict::Free);
+    assert_eq!(ledger.verdict(print(), NOW + 60_000), Verdict::Unrestricted);
 }
 
 // After its quarantine a request ended more upstreams than the first time: its crashes are forgotten one by one, and those
--- a/crates/poison/tests/ledger.rs
+++ b/crates/poison/tests/ledger.rs
@@ -58,11 +58,11 @@
         ledger.merge(&report(&[crash("a", upstream, NOW)]), NOW);
     }
 
-    assert_eq!(ledger.verdict(print("a"), NOW), Verdict::Unsettled(SETTLE));
+    assert_eq!(ledger.verdict(print("a"), NOW), Verdict::Undecided(SETTLE));
     let settled = NOW + SETTLE;
     let held = Verdict::Quarantined(KEEP - SETTLE);
     assert_eq!(ledger.verdict(print("a"), settled), held);
-    assert_eq!(ledger.verdict(print("b"), settled), Verdict::Free);
+    assert_eq!(ledger.verdict(print("b"), settled), Verdict::Unrestricted);
     ledger.prune(settled);
     assert_eq!(ledger.take_changes().len(), 1);
 }
@@ -82,7 +82,7 @@
     let culprit = times.map(|(upstream, at)| crash("culprit", upstream, at));
     ledger.merge(&report(&culprit), NOW + 510);
 
-    assert_eq!(early, Verdict::Unsettled(SETTLE - 50));
+    assert_eq!(early, Verdict::Undecided(SETTLE - 50));
     assert_eq!(ledger.verdict(print("beside"), NOW + 510), Verdict::Suspect);
     assert!(!is_held(&ledger, "beside", NOW + 510));
     assert!(ledger.take_changes().is_empty());
@@ -151,7 +151,7 @@
     }
 
     let now = NOW + 10_000;
-    assert_eq!(ledger.verdict(print("popular"), now), Verdict::Free);
+    assert_eq!(ledger.verdict(print("popular"), now), Verdict::Unrestricted);
     assert!(is_held(&ledger, "culprit", now));
 }
 
@@ -171,7 +171,7 @@
     one.merge(other.local_report(), now + 600);
 
     assert!(held);
-    assert_eq!(one.verdict(print("a"), now + 600), Verdict::Free);
+    assert_eq!(one.verdict(print("a"), now + 600), Verdict::Unrestricted);
     let changes = one.take_changes();
     let changes: Vec<_> = changes.iter().map(|change| change.quarantined).collect();
     assert_eq!(changes, [true, false]);
