--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -17,7 +17,7 @@
 use plat::Txn;
 use poison::Observations;
 use poison::Report;
-use poison::ledger::KEEP;
+use poison::ledger::CRASH_TTL_MS;
 use tokio::time::sleep;
 
 use crate::Watch;
@@ -113,7 +113,7 @@
         crashes.chain(wholes).max()
     };
     let newest = times(&report.exact).max(times(&report.group));
-    newest.is_none_or(|newest| newest + KEEP < now)
+    newest.is_none_or(|newest| newest + CRASH_TTL_MS < now)
 }
 
 /// Takes in the record of an instance.
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/ledger.rs
@@ -35,7 +35,7 @@
 /// Time for which a crash counts, in milliseconds: ten minutes. Callers have given up by then, and an upstream
 /// that was mended gets the request again without anybody's doing; if it was not, as many crashes as the first time
 /// are enough, and one where those before were far apart.
-pub const KEEP: Millis = 600_000;
+pub const CRASH_TTL_MS: Millis = 600_000;
 
 /// Most requests that are remembered. A fleet of 600 upstreams that crash at the same moment with a dozen
 /// requests each leaves 7,200; most of those run whole elsewhere and are forgotten. With some 200 bytes
@@ -94,7 +94,7 @@
     /// Time for which a whole answer is remembered, in milliseconds.
     fn settled(&self) -> Millis {
         match self.told {
-            true => KEEP,
+            true => CRASH_TTL_MS,
             false => SETTLED.max(self.cleared),
         }
     }
@@ -106,7 +106,7 @@
             0 => 0,
             whole => whole + self.cleared,
         };
-        crashes.filter(move |(_, at)| *at > cleared && now < *at + KEEP)
+        crashes.filter(move |(_, at)| *at > cleared && now < *at + CRASH_TTL_MS)
     }
 
     fn total(&self, now: Millis) -> usize {
@@ -162,7 +162,7 @@
     /// may be turned away for what another one does.
     pub fn for_groups() -> Self {
         Self {
-            cleared: KEEP,
+            cleared: CRASH_TTL_MS,
             ..Self::default()
         }
     }
@@ -291,7 +291,7 @@
         for whole in &report.successes {
             let at = whole.at.min(now);
             // The crashes before it may be heard of later.
-            if now < at + KEEP {
+            if now < at + CRASH_TTL_MS {
                 let case = self.case(whole.fingerprint, now);
                 case.whole = case.whole.max(at);
                 case.told = true;
@@ -305,7 +305,7 @@
     fn learn(&mut self, crash: &Crash, now: Millis) -> bool {
         // A clock that is ahead must not keep a crash for longer than the others do.
         let at = crash.at.min(now);
-        if now >= at + KEEP {
+        if now >= at + CRASH_TTL_MS {
             return false;
         }
         if !self.case(crash.fingerprint, now).add(&crash.upstream, at) {
@@ -358,8 +358,12 @@
         self.judge(self.cases.keys().copied().collect(), now);
         self.cases
             .retain(|_, case| case.total(now) > 0 || now < case.whole + case.settled());
-        self.own.crashes.retain(|crash| now < crash.at + KEEP);
-        self.own.successes.retain(|whole| now < whole.at + KEEP);
+        self.own
+            .crashes
+            .retain(|crash| now < crash.at + CRASH_TTL_MS);
+        self.own
+            .successes
+            .retain(|whole| now < whole.at + CRASH_TTL_MS);
         self.settle();
     }
 
@@ -451,5 +455,5 @@
 fn until(case: &Case, now: Millis) -> Millis {
     let mut times: Vec<_> = case.counted(now).map(|(_, at)| *at).collect();
     times.sort_unstable_by(|a, b| b.cmp(a));
-    times.get(CRASHES - 1).map_or(now, |at| at + KEEP)
+    times.get(CRASHES - 1).map_or(now, |at| at + CRASH_TTL_MS)
 }
--- a/crates/poison/tests/forgotten.rs
+++ b/crates/poison/tests/forgotten.rs
@@ -7,8 +7,8 @@
 use poison::Report;
 use poison::Success;
 use poison::Verdict;
+use poison::ledger::CRASH_TTL_MS;
 use poison::ledger::CRASHES;
-use poison::ledger::KEEP;
 use poison::ledger::SETTLE;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -74,7 +74,7 @@
     soon = { 5_000 },
     later = { 30_000 },
     much_later = { 300_000 },
-    at_the_end = { KEEP - 10_000 },
+    at_the_end = { CRASH_TTL_MS - 10_000 },
 )]
 fn crashes_that_are_told_again_do_not_count_again(pause: Millis) {
     let mut ledger = Ledger::default();
@@ -116,7 +116,7 @@
         let time = NOW + apart * at as Millis;
         ledger.record_crash(print(), &format!("i-{at}").into(), time);
     }
-    let mut now = NOW + KEEP;
+    let mut now = NOW + CRASH_TTL_MS;
     tidy(&mut ledger, NOW + apart * CRASHES as Millis, now);
     assert!(ledger.verdict(print(), now) <= Verdict::Suspect);
 
@@ -137,7 +137,7 @@
     ledger.merge(&whole(NOW), NOW);
     ledger.merge(&crashes(NOW - 1_000), NOW);
 
-    ledger.prune(NOW + KEEP + 1);
+    ledger.prune(NOW + CRASH_TTL_MS + 1);
 
     assert!(ledger.is_empty());
 }
@@ -151,7 +151,7 @@
     let mut ledger = Ledger::default();
 
     ledger.merge(&whole(at), NOW);
-    ledger.prune(NOW + KEEP + 1);
+    ledger.prune(NOW + CRASH_TTL_MS + 1);
 
     assert!(ledger.is_empty());
 }
--- a/crates/poison/tests/ledger.rs
+++ b/crates/poison/tests/ledger.rs
@@ -9,8 +9,8 @@
 use poison::Report;
 use poison::Success;
 use poison::Verdict;
+use poison::ledger::CRASH_TTL_MS;
 use poison::ledger::CRASHES;
-use poison::ledger::KEEP;
 use poison::ledger::SETTLE;
 use poison::report::MOST;
 use proptest::prelude::*;
@@ -60,7 +60,7 @@
 
     assert_eq!(ledger.verdict(print("a"), NOW), Verdict::Undecided(SETTLE));
     let settled = NOW + SETTLE;
-    let held = Verdict::Quarantined(KEEP - SETTLE);
+    let held = Verdict::Quarantined(CRASH_TTL_MS - SETTLE);
     assert_eq!(ledger.verdict(print("a"), settled), held);
     assert_eq!(ledger.verdict(print("b"), settled), Verdict::Unrestricted);
     ledger.prune(settled);
@@ -186,14 +186,14 @@
     }
 
     let left = ledger.verdict(print("a"), NOW + 3_000);
-    let later = ledger.verdict(print("a"), NOW + KEEP);
-    ledger.record_crash(print("a"), &id(4), NOW + KEEP + 10);
+    let later = ledger.verdict(print("a"), NOW + CRASH_TTL_MS);
+    ledger.record_crash(print("a"), &id(4), NOW + CRASH_TTL_MS + 10);
 
-    assert_eq!(left, Verdict::Quarantined(KEEP - 3_000));
+    assert_eq!(left, Verdict::Quarantined(CRASH_TTL_MS - 3_000));
     assert_eq!(later, Verdict::Suspect);
-    let again = ledger.verdict(print("a"), NOW + KEEP + 10);
+    let again = ledger.verdict(print("a"), NOW + CRASH_TTL_MS + 10);
     assert!(matches!(again, Verdict::Quarantined(_)));
-    ledger.prune(NOW + KEEP * 2 + 20);
+    ledger.prune(NOW + CRASH_TTL_MS * 2 + 20);
     assert!(ledger.is_empty());
 }
 
@@ -201,12 +201,12 @@
 #[test]
 fn a_clock_that_is_ahead_holds_nothing_for_longer() {
     let mut ledger = Ledger::default();
-    let ahead = NOW + 10 * KEEP;
+    let ahead = NOW + 10 * CRASH_TTL_MS;
     let crashes: Vec<_> = (1..=3).map(|at| crash("a", at, ahead)).collect();
 
     ledger.merge(&report(&crashes), NOW);
 
-    let held = Verdict::Quarantined(KEEP - SETTLE);
+    let held = Verdict::Quarantined(CRASH_TTL_MS - SETTLE);
     assert_eq!(ledger.verdict(print("a"), NOW + SETTLE), held);
 }
 
@@ -308,7 +308,7 @@
     fn any_report_leaves_the_ledger_bounded(
         crashes in prop::collection::vec((0..9_usize, 0..9_usize, 0..u64::MAX), 0..60),
         wholes in prop::collection::vec((0..9_usize, 0..u64::MAX), 0..9),
-        now in KEEP..NOW,
+        now in CRASH_TTL_MS..NOW,
     ) {
         let crashes = crashes.iter().map(|(name, at, time)| crash(&name.to_string(), *at, *time));
         let wholes = wholes.iter().map(|(name, time)| Success {
@@ -322,7 +322,7 @@
 
         prop_assert!(ledger.len() <= 9);
         prop_assert!(ledger.local_report() == &Report::default());
-        ledger.prune(now + KEEP + 10_000);
+        ledger.prune(now + CRASH_TTL_MS + 10_000);
         prop_assert!(ledger.is_empty());
     }
 }
