--- a/crates/poison/src/fingerprint.rs
+++ b/crates/poison/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, whatever its attempts are called.
+//! Content digests that identify a request across attempts and instances.
 
 use std::fmt;
 
@@ -6,13 +6,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The digest of what a request asks for: the same for each attempt, at every instance.
+/// The digest of a request's content, which is the same for each attempt at every instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Makes the digest of a request. `caller` is what the request says of who sends it, if it says so.
+    /// Computes the digest of a request. `caller` identifies the sender; empty if the request does not name one.
     ///
     /// # Examples
     ///
@@ -31,18 +31,18 @@
     }
 }
 
-/// How a request is known when upstreams crash under it.
+/// The fingerprints under which the crashes of a request are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// What it asks for, to the byte.
+    /// The fingerprint of the exact request.
     pub exact: Fingerprint,
-    /// What it has in common with work of other bytes that crashes upstreams as it does: the samples of
-    /// one prompt, or requests for scores at one path.
+    /// The fingerprint shared by similar requests that differ in their bytes but may crash upstreams the same way:
+    /// the samples of one prompt, or the scoring requests to one path.
     pub group: Fingerprint,
 }
 
 impl From<Fingerprint> for Identity {
-    /// A request that has nothing in common with others.
+    /// Creates the identity of a request that belongs to no group.
     fn from(exact: Fingerprint) -> Self {
         Self {
             exact,
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/ledger.rs
@@ -1,11 +1,12 @@
-//! Which requests crash upstreams, as far as one instance knows.
+//! Decides which requests crash upstreams, from the crashes that one instance knows.
 //!
-//! Load pattern: one request among many crashes each upstream that begins to run it, and comes again, at
-//! any instance. Whatever else runs there breaks off as well. A connection that broke therefore says little of
-//! a request; what counts is how often upstreams crashed under it, and what else was there each time.
+//! Load pattern: one request among many crashes each upstream that starts to run it, and is retried at any
+//! instance. The crash also aborts all other requests at that upstream, so a broken connection says little about a
+//! single request. What counts is how often upstreams crashed while running it, and which other requests they ran
+//! at that moment.
 //!
-//! The verdict follows from the crashes that are known and from nothing else, so instances that know the
-//! same say the same, in whatever order they heard of it.
+//! A verdict depends only on the known crashes and successes, so instances with the same knowledge reach the same
+//! verdict, in whatever order they learned of them.
 
 use std::sync::Arc;
 
@@ -15,122 +16,126 @@
 
 use crate::Fingerprint;
 use crate::report::Crash;
-use crate::report::MOST;
+use crate::report::MAX_ENTRIES;
 use crate::report::Report;
 use crate::report::Success;
 
-/// Crashes after which a request runs no more: one may be chance and two a bad moment, and a service
-/// loses no more upstreams to a request than it takes to tell.
-pub const CRASHES: usize = 3;
+/// Number of crashes after which a request is quarantined. One or two may be coincidence, and a higher limit would
+/// cost the service more upstreams.
+pub const QUARANTINE_CRASHES: usize = 3;
 
-/// Crashes that nothing else accounts for, without which a request is not blamed. A request that was beside
-/// the culprit each time has none; two, since the culprit's last crash may not be known yet.
-const SOLE: usize = 2;
+/// Minimum number of crashes at which a request must be the only suspect to be quarantined. A request that ran beside
+/// the culprit each time has none. One is not enough, since the culprit's latest crash may not be known yet.
+const MIN_SOLE_CRASHES: usize = 2;
 
-/// Time after a crash from which it is known what else was there, in milliseconds: what another instance has
-/// seen is told within 150 ms, read within 850, and passed on twice. Two requests that went from one upstream
-/// to the next together, at two instances, had three crashes each within 120 ms, and each instance knew of its own.
-pub const SETTLE: Millis = 1_500;
+/// Time after a crash, in milliseconds, until the other requests at the upstream are known. Another instance writes
+/// its report within 150 ms, it is read within 850 ms, and it is relayed twice. Without this delay, two requests of
+/// two instances that moved together from upstream to upstream had three crashes each within 120 ms, while each
+/// instance knew only of its own request.
+pub const SETTLING_MS: Millis = 1_500;
 
-/// Time for which a crash counts, in milliseconds: ten minutes. Callers have given up by then, and an upstream
-/// that was mended gets the request again without anybody's doing; if it was not, as many crashes as the first time
-/// are enough, and one where those before were far apart.
+/// Time for which a crash counts, in milliseconds: ten minutes. By then callers have given up, and a repaired
+/// upstream gets the request again without operator action. If it still crashes, at most as many crashes as the first
+/// time quarantine the request again, and a single one if the earlier crashes were far apart.
 pub const CRASH_TTL_MS: Millis = 600_000;
 
-/// Most requests that are remembered. A fleet of 600 upstreams that crash at the same moment with a dozen
-/// requests each leaves 7,200; most of those run whole elsewhere and are forgotten. With some 200 bytes
-/// each they are 1 MB.
-const CASES: usize = 4_096;
+/// Maximum number of tracked requests. If 600 upstreams crash at the same moment with a dozen requests each, there
+/// are 7,200; most of them succeed elsewhere and are dropped. At about 200 bytes each the limit takes 1 MB.
+const MAX_REQUESTS: usize = 4_096;
 
-/// Part of the requests that are forgotten at a time when there are too many: a look through all of them
-/// for each new one would take a flood's whole processor time.
-const PART: usize = 8;
+/// Divisor for the share of [`MAX_REQUESTS`] that one eviction removes. Scanning all requests for each new one would
+/// take all processor time during a burst.
+const EVICTION_DIVISOR: usize = 8;
 
-/// Most crashes that are remembered of one request.
-const KNOWN: usize = 16;
+/// Maximum number of crashes stored per request.
+const MAX_CRASHES_PER_REQUEST: usize = 16;
 
-/// Time for which it is remembered that a request ran whole after all its crashes, in milliseconds, where no other
-/// instance has seen any: an older report of them may still be on its way.
-const SETTLED: Millis = 10_000;
+/// Time in milliseconds for which a success is kept if no other instance has reported crashes of the request. An older
+/// report may still arrive.
+const LOCAL_SUCCESS_TTL_MS: Millis = 10_000;
 
-/// What may be done with a request; a later one allows less.
+/// What a request may do, from least to most restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// It may run anywhere.
+    /// It may run on any upstream.
     Unrestricted,
-    /// An upstream crashed under it: it had better run where no other such request does, so that the next
-    /// crash tells them apart.
+    /// An upstream crashed while running it. It should run on an upstream without other suspects, so that the
+    /// next crash tells them apart.
     Suspect,
-    /// Upstreams crashed under it often enough, and what else was there may not be known yet: it had better
-    /// wait for so many milliseconds.
+    /// Enough upstreams crashed while running it, but the other requests there may not be known yet. It should
+    /// wait for this many milliseconds.
     Undecided(Millis),
-    /// It may not run for so many milliseconds.
+    /// It must not run for this many milliseconds.
     Quarantined(Millis),
 }
 
-/// A change of what is believed of a request.
+/// The start or end of a quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Crashes that count.
+    /// The number of crashes that count.
     pub crashes: usize,
-    /// Whether it is quarantined now; else it has ceased to be.
+    /// Whether the quarantine starts (`true`) or ends (`false`).
     pub quarantined: bool,
 }
 
+/// What is known about one request.
 #[derive(Clone, Debug, Default)]
-struct Case {
+struct RequestState {
+    /// The upstreams that crashed, and when.
     crashes: Vec<(Arc<str>, Millis)>,
-    whole: Millis,
+    /// The time of the last success; 0 if there was none.
+    last_success: Millis,
     quarantined: bool,
-    /// Time after a whole answer in which no crash counts either, in milliseconds.
-    cleared: Millis,
-    /// Whether another instance has told of it, which may tell the same again for as long as a crash counts.
-    told: bool,
+    /// Time after a success during which crashes do not count, in milliseconds.
+    success_grace: Millis,
+    /// Whether another instance has reported it. That instance may repeat its report for as long as a crash counts.
+    reported: bool,
 }
 
-impl Case {
-    /// Time for which a whole answer is remembered, in milliseconds.
-    fn settled(&self) -> Millis {
-        match self.told {
+impl RequestState {
+    /// Time for which a success is kept, in milliseconds.
+    fn success_ttl(&self) -> Millis {
+        match self.reported {
             true => CRASH_TTL_MS,
-            false => SETTLED.max(self.cleared),
+            false => LOCAL_SUCCESS_TTL_MS.max(self.success_grace),
         }
     }
 
-    /// The crashes that count: none that are too old, and none before it ran whole, or soon after.
-    fn counted(&self, now: Millis) -> impl Iterator<Item = &(Arc<str>, Millis)> {
+    /// The crashes that count: those that have not expired and are later than the last success and its grace time.
+    fn active_crashes(&self, now: Millis) -> impl Iterator<Item = &(Arc<str>, Millis)> {
         let crashes = self.crashes.iter();
-        let cleared = match self.whole {
+        let ignored_until = match self.last_success {
             0 => 0,
-            whole => whole + self.cleared,
+            success => success + self.success_grace,
         };
-        crashes.filter(move |(_, at)| *at > cleared && now < *at + CRASH_TTL_MS)
+        crashes.filter(move |(_, at)| *at > ignored_until && now < *at + CRASH_TTL_MS)
     }
 
-    fn total(&self, now: Millis) -> usize {
-        self.counted(now).count()
+    fn active_count(&self, now: Millis) -> usize {
+        self.active_crashes(now).count()
     }
 
-    fn add(&mut self, upstream: &Arc<str>, at: Millis) -> bool {
+    /// Adds a crash; returns whether it was new.
+    fn add_crash(&mut self, upstream: &Arc<str>, at: Millis) -> bool {
         if self.crashes.iter().any(|(known, _)| known == upstream) {
             return false;
         }
         self.crashes.push((upstream.clone(), at));
-        if self.crashes.len() > KNOWN {
+        if self.crashes.len() > MAX_CRASHES_PER_REQUEST {
             self.crashes.remove(0);
         }
         true
     }
 }
 
-/// What one instance knows of crashes.
+/// The crashes and successes that one instance knows, by request.
 ///
 /// # Examples
 ///
 /// ```
-/// use poison::{Ledger, Fingerprint, Verdict};
+/// use poison::{Fingerprint, Ledger, Verdict};
 ///
 /// let fingerprint = Fingerprint::new("GET", "shop.example", "/a", b"", b"");
 /// let mut ledger = Ledger::default();
@@ -144,316 +149,335 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Ledger {
-    cases: Map<Fingerprint, Case>,
-    /// The requests that were at an upstream when it crashed.
-    beside: Map<Arc<str>, Vec<Fingerprint>>,
-    /// What this instance has seen itself.
-    own: Report,
-    /// The upstreams at which suspects of this instance are.
-    places: Map<Arc<str>, Vec<Fingerprint>>,
+    requests: Map<Fingerprint, RequestState>,
+    /// The requests that each crashed upstream ran at that moment.
+    affected: Map<Arc<str>, Vec<Fingerprint>>,
+    /// The observations of this instance.
+    local: Report,
+    /// The suspects of this instance that each upstream runs now.
+    suspects: Map<Arc<str>, Vec<Fingerprint>>,
     changes: Vec<Change>,
-    /// Time for which a whole answer clears, beside what was before it, in milliseconds.
-    cleared: Millis,
+    /// Time after a success during which crashes do not count, in milliseconds.
+    success_grace: Millis,
 }
 
 impl Ledger {
-    /// A ledger of what requests of different bytes have in common. A single whole answer clears that for as
-    /// long as a crash counts: many sound requests may share it with one that crashes upstreams, and nobody
-    /// may be turned away for what another one does.
+    /// Creates a ledger for group fingerprints, which similar requests share. A single success clears a group for
+    /// [`CRASH_TTL_MS`]: many harmless requests may share it with one that crashes upstreams, and none of them may
+    /// be rejected for another's crashes.
     pub fn for_groups() -> Self {
         Self {
-            cleared: CRASH_TTL_MS,
+            success_grace: CRASH_TTL_MS,
             ..Self::default()
         }
     }
 
-    /// Tells whether nothing is known, as it nearly always is: then no request needs a digest.
+    /// Returns whether no request is tracked, which is the normal state. Then no fingerprint has to be computed.
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Requests that are remembered.
+    /// Returns the number of tracked requests.
     pub fn len(&self) -> usize {
-        self.cases.len()
+        self.requests.len()
     }
 
-    /// What may be done with a request. Times are in milliseconds since 1970.
+    /// Returns the verdict on a request. Times are in milliseconds since 1970.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Millis) -> Verdict {
-        let Some(case) = self.cases.get(&fingerprint) else {
+        let Some(state) = self.requests.get(&fingerprint) else {
             return Verdict::Unrestricted;
         };
-        let total = case.total(now);
-        if total == 0 {
+        let count = state.active_count(now);
+        if count == 0 {
             return Verdict::Unrestricted;
         }
-        if total < CRASHES {
+        if count < QUARANTINE_CRASHES {
             return Verdict::Suspect;
         }
-        let sole = self.sole(fingerprint, case, total, now);
-        let Some(last) = sole.get(SOLE - 1) else {
+        let sole = self.sole_crashes(fingerprint, state, count, now);
+        let Some(last) = sole.get(MIN_SOLE_CRASHES - 1) else {
             return Verdict::Suspect;
         };
-        match (last + SETTLE).checked_sub(now) {
+        match (last + SETTLING_MS).checked_sub(now) {
             Some(wait @ 1..) => Verdict::Undecided(wait),
-            Some(0) | None => Verdict::Quarantined(until(case, now).saturating_sub(now)),
+            Some(0) | None => Verdict::Quarantined(quarantine_end(state, now).saturating_sub(now)),
         }
     }
 
-    /// When upstreams crashed under a request while nothing else was there that crashes about as often, the
-    /// earliest first. A crash less counts as often: what an instance sees reaches the others later.
-    fn sole(
+    /// Returns the times of the crashes at which a request was the only suspect, in ascending order. Any other request
+    /// at the upstream with at least one crash less than this one is a suspect too, since reports of other instances
+    /// arrive late.
+    fn sole_crashes(
         &self,
         fingerprint: Fingerprint,
-        case: &Case,
-        total: usize,
+        state: &RequestState,
+        count: usize,
         now: Millis,
     ) -> Vec<Millis> {
         let rival = |other: &Fingerprint| {
-            let other = self.cases.get(other).filter(|_| *other != fingerprint);
-            other.is_some_and(|other| other.total(now) + 1 >= total)
+            let other = self.requests.get(other).filter(|_| *other != fingerprint);
+            other.is_some_and(|other| other.active_count(now) + 1 >= count)
         };
         let alone = |upstream: &Arc<str>| {
-            let beside = self.beside.get(upstream);
-            !beside.is_some_and(|beside| beside.iter().any(rival))
+            let affected = self.affected.get(upstream);
+            !affected.is_some_and(|affected| affected.iter().any(rival))
         };
-        let counted = case.counted(now);
-        let sole = counted.filter(|(upstream, _)| alone(upstream));
+        let active = state.active_crashes(now);
+        let sole = active.filter(|(upstream, _)| alone(upstream));
         let mut sole: Vec<_> = sole.map(|(_, at)| *at).collect();
         sole.sort_unstable();
         sole
     }
 
-    /// Notes that an upstream crashed while a request of this instance was there.
+    /// Records that an upstream crashed while it ran a request of this instance.
     pub fn record_crash(&mut self, fingerprint: Fingerprint, upstream: &Arc<str>, now: Millis) {
         let crash = Crash {
             fingerprint,
             upstream: upstream.clone(),
             at: now,
         };
-        if !self.learn(&crash, now) {
+        if !self.insert_crash(&crash, now) {
             return;
         }
-        self.judge(self.touched([fingerprint]), now);
-        if self.own.crashes.len() >= MOST {
-            // What crashes upstreams has to outlast a restart of all instances.
-            let total = |fingerprint| {
-                self.cases
+        self.update_quarantines(self.related([fingerprint]), now);
+        if self.local.crashes.len() >= MAX_ENTRIES {
+            // Crashes of quarantined requests are kept, so that they survive a restart of all instances.
+            let count = |fingerprint| {
+                self.requests
                     .get(&fingerprint)
-                    .map_or(0, |case: &Case| case.total(now))
+                    .map_or(0, |state: &RequestState| state.active_count(now))
             };
-            let crashes = &self.own.crashes;
-            let lesser = crashes
+            let crashes = &self.local.crashes;
+            let removable = crashes
                 .iter()
-                .position(|crash| total(crash.fingerprint) < CRASHES);
-            self.own.crashes.remove(lesser.unwrap_or(0));
+                .position(|crash| count(crash.fingerprint) < QUARANTINE_CRASHES);
+            self.local.crashes.remove(removable.unwrap_or(0));
         }
-        self.own.crashes.push(crash);
+        self.local.crashes.push(crash);
     }
 
-    /// Notes that an upstream answered a request of this instance whole: it is not what crashes them.
+    /// Records that an upstream answered a request of this instance completely, which clears the request.
     pub fn record_success(&mut self, fingerprint: Fingerprint, now: Millis) {
-        if !self.cases.contains_key(&fingerprint) {
+        if !self.requests.contains_key(&fingerprint) {
             return;
         }
-        let known = self.own.crashes.len();
-        self.own
+        let known = self.local.crashes.len();
+        self.local
             .crashes
             .retain(|crash| crash.fingerprint != fingerprint);
         let crashes = self
-            .cases
+            .requests
             .get(&fingerprint)
-            .map_or(0, |case| case.crashes.len());
-        if known - self.own.crashes.len() < crashes {
-            // Others know of it as well.
-            self.own
+            .map_or(0, |state| state.crashes.len());
+        if known - self.local.crashes.len() < crashes {
+            // Other instances know of crashes too, so they have to learn of the success.
+            self.local
                 .successes
-                .retain(|whole| whole.fingerprint != fingerprint);
-            if self.own.successes.len() >= MOST {
-                self.own.successes.remove(0);
+                .retain(|success| success.fingerprint != fingerprint);
+            if self.local.successes.len() >= MAX_ENTRIES {
+                self.local.successes.remove(0);
             }
-            self.own.successes.push(Success {
+            self.local.successes.push(Success {
                 fingerprint,
                 at: now,
             });
         }
-        if let Some(case) = self.cases.get_mut(&fingerprint) {
-            case.whole = case.whole.max(now);
+        if let Some(state) = self.requests.get_mut(&fingerprint) {
+            state.last_success = state.last_success.max(now);
         }
-        self.judge(self.touched([fingerprint]), now);
+        self.update_quarantines(self.related([fingerprint]), now);
     }
 
-    /// Takes in what another instance has seen; what is known already changes nothing.
+    /// Merges the report of another instance. Merging is idempotent.
     pub fn merge(&mut self, report: &Report, now: Millis) {
         for crash in &report.crashes {
-            self.learn(crash, now);
-            self.tell(crash);
+            self.insert_crash(crash, now);
+            self.mark_reported(crash);
         }
-        for whole in &report.successes {
-            let at = whole.at.min(now);
-            // The crashes before it may be heard of later.
+        for success in &report.successes {
+            let at = success.at.min(now);
+            // Reports of crashes before the success may arrive later.
             if now < at + CRASH_TTL_MS {
-                let case = self.case(whole.fingerprint, now);
-                case.whole = case.whole.max(at);
-                case.told = true;
+                let state = self.state_mut(success.fingerprint, now);
+                state.last_success = state.last_success.max(at);
+                state.reported = true;
             }
         }
         let crashes = report.crashes.iter().map(|crash| crash.fingerprint);
-        let wholes = report.successes.iter().map(|whole| whole.fingerprint);
-        self.judge(self.touched(crashes.chain(wholes)), now);
+        let successes = report.successes.iter().map(|success| success.fingerprint);
+        self.update_quarantines(self.related(crashes.chain(successes)), now);
     }
 
-    fn learn(&mut self, crash: &Crash, now: Millis) -> bool {
-        // A clock that is ahead must not keep a crash for longer than the others do.
+    /// Inserts a crash; returns whether it was new and has not expired.
+    fn insert_crash(&mut self, crash: &Crash, now: Millis) -> bool {
+        // A reporter whose clock is ahead must not extend the time for which its crash counts.
         let at = crash.at.min(now);
         if now >= at + CRASH_TTL_MS {
             return false;
         }
-        if !self.case(crash.fingerprint, now).add(&crash.upstream, at) {
+        if !self
+            .state_mut(crash.fingerprint, now)
+            .add_crash(&crash.upstream, at)
+        {
             return false;
         }
-        let beside = self.beside.entry(crash.upstream.clone()).or_default();
-        beside.push(crash.fingerprint);
+        let affected = self.affected.entry(crash.upstream.clone()).or_default();
+        affected.push(crash.fingerprint);
         true
     }
 
-    /// What is known of a request, with room for it if nothing is.
-    fn case(&mut self, fingerprint: Fingerprint, now: Millis) -> &mut Case {
-        if !self.cases.contains_key(&fingerprint) && self.cases.len() >= CASES {
+    /// Returns the state of a request, after inserting it and evicting others if necessary.
+    fn state_mut(&mut self, fingerprint: Fingerprint, now: Millis) -> &mut RequestState {
+        if !self.requests.contains_key(&fingerprint) && self.requests.len() >= MAX_REQUESTS {
             self.evict(now);
         }
-        let cleared = self.cleared;
-        self.cases.entry(fingerprint).or_insert_with(|| Case {
-            cleared,
-            ..Case::default()
-        })
+        let success_grace = self.success_grace;
+        self.requests
+            .entry(fingerprint)
+            .or_insert_with(|| RequestState {
+                success_grace,
+                ..RequestState::default()
+            })
     }
 
-    /// Notes that another instance has told of a crash; one's own record comes back as well.
-    fn tell(&mut self, crash: &Crash) {
-        if self.own.crashes.contains(crash) {
+    /// Marks a request as reported by another instance, unless the crash is this instance's own, whose report is
+    /// read back too.
+    fn mark_reported(&mut self, crash: &Crash) {
+        if self.local.crashes.contains(crash) {
             return;
         }
-        if let Some(case) = self.cases.get_mut(&crash.fingerprint) {
-            case.told = true;
+        if let Some(state) = self.requests.get_mut(&crash.fingerprint) {
+            state.reported = true;
         }
     }
 
-    /// Forgets those that have crashed least, the oldest first: a flood of requests that were beside one
-    /// crash each must not push out what is quarantined.
+    /// Evicts the requests with the fewest crashes, the oldest first: a burst of requests that were affected by one
+    /// crash each must not displace quarantined ones.
     fn evict(&mut self, now: Millis) {
-        let newest = |case: &Case| case.crashes.iter().map(|(_, at)| *at).max();
-        let order = |(fingerprint, case): (&Fingerprint, &Case)| {
-            (case.total(now), newest(case), *fingerprint)
+        let newest = |state: &RequestState| state.crashes.iter().map(|(_, at)| *at).max();
+        let order = |(fingerprint, state): (&Fingerprint, &RequestState)| {
+            (state.active_count(now), newest(state), *fingerprint)
         };
-        let mut all: Vec<_> = self.cases.iter().map(order).collect();
+        let mut all: Vec<_> = self.requests.iter().map(order).collect();
         all.sort_unstable();
-        for (.., fingerprint) in all.into_iter().take(CASES / PART) {
-            self.cases.remove(&fingerprint);
+        for (.., fingerprint) in all.into_iter().take(MAX_REQUESTS / EVICTION_DIVISOR) {
+            self.requests.remove(&fingerprint);
         }
-        self.settle();
+        self.prune_affected();
     }
 
-    /// Forgets what counts no more.
+    /// Drops expired crashes and successes, and ends expired quarantines.
     pub fn prune(&mut self, now: Millis) {
-        self.judge(self.cases.keys().copied().collect(), now);
-        self.cases
-            .retain(|_, case| case.total(now) > 0 || now < case.whole + case.settled());
-        self.own
+        self.update_quarantines(self.requests.keys().copied().collect(), now);
+        self.requests.retain(|_, state| {
+            state.active_count(now) > 0 || now < state.last_success + state.success_ttl()
+        });
+        self.local
             .crashes
             .retain(|crash| now < crash.at + CRASH_TTL_MS);
-        self.own
+        self.local
             .successes
-            .retain(|whole| now < whole.at + CRASH_TTL_MS);
-        self.settle();
+            .retain(|success| now < success.at + CRASH_TTL_MS);
+        self.prune_affected();
     }
 
-    fn settle(&mut self) {
-        let cases = &self.cases;
-        self.beside.retain(|_, beside| {
-            beside.retain(|fingerprint| cases.contains_key(fingerprint));
-            !beside.is_empty()
+    /// Drops untracked requests from the lists of affected requests.
+    fn prune_affected(&mut self) {
+        let requests = &self.requests;
+        self.affected.retain(|_, affected| {
+            affected.retain(|fingerprint| requests.contains_key(fingerprint));
+            !affected.is_empty()
         });
     }
 
-    /// The requests whose verdict may change with those of some: they and what was beside them.
-    fn touched(&self, fingerprints: impl IntoIterator<Item = Fingerprint>) -> Set<Fingerprint> {
-        let mut touched = Set::default();
+    /// Returns the requests whose verdict may depend on the given ones: themselves and all requests affected by the
+    /// same crashes.
+    fn related(&self, fingerprints: impl IntoIterator<Item = Fingerprint>) -> Set<Fingerprint> {
+        let mut related = Set::default();
         for fingerprint in fingerprints {
-            let crashes = self.cases.get(&fingerprint).map(|case| case.crashes.iter());
+            let crashes = self
+                .requests
+                .get(&fingerprint)
+                .map(|state| state.crashes.iter());
             for (upstream, _) in crashes.into_iter().flatten() {
-                touched.extend(self.beside.get(upstream).into_iter().flatten());
+                related.extend(self.affected.get(upstream).into_iter().flatten());
             }
         }
-        touched
+        related
     }
 
-    /// Notes which of some requests are quarantined now and were not, or were and are not.
-    fn judge(&mut self, fingerprints: Set<Fingerprint>, now: Millis) {
-        let judged = |fingerprint: Fingerprint| {
-            let case = self.cases.get(&fingerprint)?;
+    /// Updates the quarantine state of the given requests and collects the changes.
+    fn update_quarantines(&mut self, fingerprints: Set<Fingerprint>, now: Millis) {
+        let change = |fingerprint: Fingerprint| {
+            let state = self.requests.get(&fingerprint)?;
             let quarantined = matches!(self.verdict(fingerprint, now), Verdict::Quarantined(_));
-            (quarantined != case.quarantined).then(|| Change {
+            (quarantined != state.quarantined).then(|| Change {
                 fingerprint,
-                crashes: case.total(now),
+                crashes: state.active_count(now),
                 quarantined,
             })
         };
-        let changes: Vec<_> = fingerprints.into_iter().filter_map(judged).collect();
+        let changes: Vec<_> = fingerprints.into_iter().filter_map(change).collect();
         for change in &changes {
-            if let Some(case) = self.cases.get_mut(&change.fingerprint) {
-                case.quarantined = change.quarantined;
+            if let Some(state) = self.requests.get_mut(&change.fingerprint) {
+                state.quarantined = change.quarantined;
             }
         }
         self.changes.extend(changes);
     }
 
-    /// Takes the changes of belief since the last call.
+    /// Returns the quarantine changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Requests that are quarantined.
+    /// Returns the number of quarantined requests.
     pub fn quarantined_count(&self) -> usize {
-        self.cases.values().filter(|case| case.quarantined).count()
+        self.requests
+            .values()
+            .filter(|state| state.quarantined)
+            .count()
     }
 
-    /// What this instance has seen itself.
+    /// Returns the observations of this instance.
     pub fn local_report(&self) -> &Report {
-        &self.own
+        &self.local
     }
 
-    /// Notes that a suspect of this instance is at an upstream.
+    /// Records that an upstream starts to run a suspect of this instance.
     pub fn enter(&mut self, fingerprint: Fingerprint, upstream: &Arc<str>) {
-        let place = self.places.entry(upstream.clone()).or_default();
-        place.push(fingerprint);
+        let suspects = self.suspects.entry(upstream.clone()).or_default();
+        suspects.push(fingerprint);
     }
 
-    /// Notes that a suspect of this instance has left an upstream.
+    /// Records that an upstream no longer runs a suspect of this instance.
     pub fn leave(&mut self, fingerprint: Fingerprint, upstream: &str) {
-        let Some(place) = self.places.get_mut(upstream) else {
+        let Some(suspects) = self.suspects.get_mut(upstream) else {
             return;
         };
-        if let Some(at) = place.iter().position(|one| *one == fingerprint) {
-            place.swap_remove(at);
+        if let Some(index) = suspects.iter().position(|suspect| *suspect == fingerprint) {
+            suspects.swap_remove(index);
         }
-        if place.is_empty() {
-            self.places.remove(upstream);
+        if suspects.is_empty() {
+            self.suspects.remove(upstream);
         }
     }
 
-    /// The upstreams at which other suspects of this instance are.
+    /// Returns the upstreams that run other suspects of this instance.
     pub fn upstreams_of_others(&self, fingerprint: Fingerprint) -> impl Iterator<Item = &Arc<str>> {
-        let others = move |place: &&Vec<Fingerprint>| place.iter().any(|one| *one != fingerprint);
-        let places = self.places.iter();
-        places
-            .filter(move |(_, place)| others(place))
+        let others = move |ids: &&Vec<Fingerprint>| ids.iter().any(|id| *id != fingerprint);
+        let upstreams = self.suspects.iter();
+        upstreams
+            .filter(move |(_, ids)| others(ids))
             .map(|(upstream, _)| upstream)
     }
 }
 
-/// When a quarantine ends: when only two crashes are left that count.
-fn until(case: &Case, now: Millis) -> Millis {
-    let mut times: Vec<_> = case.counted(now).map(|(_, at)| *at).collect();
+/// Returns the time at which a quarantine ends because fewer than [`QUARANTINE_CRASHES`] crashes still count.
+fn quarantine_end(state: &RequestState, now: Millis) -> Millis {
+    let mut times: Vec<_> = state.active_crashes(now).map(|(_, at)| *at).collect();
     times.sort_unstable_by(|a, b| b.cmp(a));
-    times.get(CRASHES - 1).map_or(now, |at| at + CRASH_TTL_MS)
+    times
+        .get(QUARANTINE_CRASHES - 1)
+        .map_or(now, |at| at + CRASH_TTL_MS)
 }
--- a/crates/poison/src/lib.rs
+++ b/crates/poison/src/lib.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the upstreams that run them (poison requests).
+//! Detection of poison requests, which crash the upstreams that run them.
 //!
-//! Such a request comes again under a new id, at any instance; only what it asks for tells that it is
-//! the same one ([`Fingerprint`]). Each instance keeps a [`Ledger`] of the crashes that it and others have seen
-//! ([`Report`]) and asks it before it sends a request on.
+//! Such a request is retried under a new id at any instance, so it is recognized by its content ([`Fingerprint`]).
+//! Each instance keeps a [`Ledger`] of the crashes that it and other instances observed ([`Report`]) and consults it
+//! before it forwards a request.
 
 pub mod fingerprint;
 pub mod ledger;
--- a/crates/poison/src/report.rs
+++ b/crates/poison/src/report.rs
@@ -1,4 +1,4 @@
-//! What instances tell one another of crashes.
+//! The observations that instances exchange about crashes.
 
 use std::sync::Arc;
 
@@ -8,53 +8,54 @@
 
 use crate::Fingerprint;
 
-/// A request was at an upstream when that crashed.
+/// An upstream crashed while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Crash {
     /// The request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
-    /// The start of the upstream.
+    /// Identifies one start of the upstream.
     pub upstream: Arc<str>,
-    /// When, in milliseconds since 1970 at the instance that noticed.
+    /// The time of detection in milliseconds since 1970, by the detecting instance's clock.
     pub at: Millis,
 }
 
-/// A request that had been at a crash was answered whole by an upstream.
+/// An upstream completely answered a request that had been affected by a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Success {
     /// The request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
-    /// When, in milliseconds since 1970 at the instance that noticed.
+    /// The time of the answer in milliseconds since 1970, by the detecting instance's clock.
     pub at: Millis,
 }
 
-/// What one instance has seen itself.
+/// The observations of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Observations {
-    /// By what requests ask for, to the byte.
+    /// Observations by exact request.
     #[serde(rename = "own")]
     pub exact: Report,
-    /// By what requests have in common.
+    /// Observations by group of similar requests.
     #[serde(rename = "kin")]
     pub group: Report,
 }
 
-/// What one instance has seen itself of requests known in one way: at most [`MOST`] of each kind, the newest last.
+/// The observations of one instance for one kind of fingerprint: at most [`MAX_ENTRIES`] crashes and successes each,
+/// the newest last.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// Crashes.
+    /// Crashes of upstreams.
     pub crashes: Vec<Crash>,
-    /// Whole answers.
+    /// Complete answers to requests that had been affected by a crash.
     #[serde(rename = "wholes")]
     pub successes: Vec<Success>,
 }
 
-/// Most entries of each kind in a report. With some 60 bytes each a report is 4 KB, and those of 400
-/// instances are read within one answer of the platform.
-pub const MOST: usize = 32;
+/// Maximum number of crashes, and of successes, in a report. At about 60 bytes each a report takes 4 KB, and one
+/// platform response can hold those of 400 instances.
+pub const MAX_ENTRIES: usize = 32;
--- a/crates/poison/tests/forgotten.rs
+++ b/crates/poison/tests/forgotten.rs
@@ -1,4 +1,4 @@
-//! What is believed of a request that ran whole, when its crashes are heard of again or later.
+//! Tests of requests that succeeded and whose crashes are reported again or late.
 
 use kernel::Millis;
 use poison::Crash;
@@ -8,133 +8,136 @@
 use poison::Success;
 use poison::Verdict;
 use poison::ledger::CRASH_TTL_MS;
-use poison::ledger::CRASHES;
-use poison::ledger::SETTLE;
+use poison::ledger::QUARANTINE_CRASHES;
+use poison::ledger::SETTLING_MS;
 use proptest::prelude::*;
 use yare::parameterized;
 
-/// A time of day, in milliseconds since 1970.
+/// The current time in milliseconds since 1970.
 const NOW: Millis = 1_750_000_000_000;
 
-/// Time between two looks at what counts no more, in milliseconds.
-const TIDY: Millis = 1_000;
+/// Time between two calls of [`Ledger::prune`] in milliseconds.
+const PRUNE_INTERVAL_MS: Millis = 1_000;
 
-fn print() -> Fingerprint {
+fn fingerprint() -> Fingerprint {
     Fingerprint::new("GET", "shop.example", "/a", b"", b"")
 }
 
 fn crashes(at: Millis) -> Report {
     let one = |number| Crash {
-        fingerprint: print(),
+        fingerprint: fingerprint(),
         upstream: format!("i-{number}").into(),
         at,
     };
     Report {
-        crashes: (0..CRASHES).map(one).collect(),
+        crashes: (0..QUARANTINE_CRASHES).map(one).collect(),
         ..Report::default()
     }
 }
 
-fn whole(at: Millis) -> Report {
+fn success(at: Millis) -> Report {
     Report {
         successes: vec![Success {
-            fingerprint: print(),
+            fingerprint: fingerprint(),
             at,
         }],
         ..Report::default()
     }
 }
 
-fn tidy(ledger: &mut Ledger, from: Millis, to: Millis) {
-    for now in (from..to).step_by(TIDY as usize) {
+fn prune_until(ledger: &mut Ledger, from: Millis, to: Millis) {
+    for now in (from..to).step_by(PRUNE_INTERVAL_MS as usize) {
         ledger.prune(now);
     }
 }
 
-// An instance that has just started read that a request had run whole before it read of its crashes, and refused
-// it for ten minutes.
+// Guards against an instance that, just started, reads a request's success before the crashes that preceded it and
+// rejects the request for ten minutes.
 #[parameterized(
-    whole_first = { &[whole(NOW + 5_000), crashes(NOW)] },
-    crashes_first = { &[crashes(NOW), whole(NOW + 5_000)] },
+    success_first = { &[success(NOW + 5_000), crashes(NOW)] },
+    crashes_first = { &[crashes(NOW), success(NOW + 5_000)] },
 )]
-fn the_order_in_which_records_are_read_does_not_matter(reports: &[Report]) {
+fn the_order_in_which_reports_are_read_does_not_matter(reports: &[Report]) {
     let mut ledger = Ledger::default();
 
     for report in reports {
         ledger.merge(report, NOW + 20_000);
     }
 
-    let verdict = ledger.verdict(print(), NOW + 20_000);
+    let verdict = ledger.verdict(fingerprint(), NOW + 20_000);
     assert_eq!(verdict, Verdict::Unrestricted);
 }
 
-// A request ran whole here; half a minute later another instance wrote its record anew, with the crashes from before,
-// and the request was refused for the rest of ten minutes.
+// Guards against a request that succeeded here but is rejected for the rest of ten minutes, because another instance
+// rewrote its report with the earlier crashes half a minute later.
 #[parameterized(
     soon = { 5_000 },
     later = { 30_000 },
     much_later = { 300_000 },
     at_the_end = { CRASH_TTL_MS - 10_000 },
 )]
-fn crashes_that_are_told_again_do_not_count_again(pause: Millis) {
+fn crashes_that_are_reported_again_do_not_count_again(pause: Millis) {
     let mut ledger = Ledger::default();
     ledger.merge(&crashes(NOW), NOW);
-    ledger.record_success(print(), NOW + 1_000);
+    ledger.record_success(fingerprint(), NOW + 1_000);
     let again = NOW + 1_000 + pause;
-    tidy(&mut ledger, NOW + 1_000, again);
+    prune_until(&mut ledger, NOW + 1_000, again);
 
     ledger.merge(&crashes(NOW), again);
 
-    assert_eq!(ledger.verdict(print(), again), Verdict::Unrestricted);
+    assert_eq!(ledger.verdict(fingerprint(), again), Verdict::Unrestricted);
 }
 
-// The same at an instance that had heard of the whole answer from another one.
+// Guards against the same failure at an instance that learned of the success from another instance.
 #[test]
-fn crashes_that_are_told_again_do_not_count_where_the_whole_answer_was_told() {
+fn crashes_that_are_reported_again_do_not_count_after_a_reported_success() {
     let mut ledger = Ledger::default();
     ledger.merge(&crashes(NOW), NOW);
-    ledger.merge(&whole(NOW + 1_000), NOW + 2_000);
-    tidy(&mut ledger, NOW + 2_000, NOW + 60_000);
+    ledger.merge(&success(NOW + 1_000), NOW + 2_000);
+    prune_until(&mut ledger, NOW + 2_000, NOW + 60_000);
 
     ledger.merge(&crashes(NOW), NOW + 60_000);
 
-    assert_eq!(ledger.verdict(print(), NOW + 60_000), Verdict::Unrestricted);
+    assert_eq!(
+        ledger.verdict(fingerprint(), NOW + 60_000),
+        Verdict::Unrestricted
+    );
 }
 
-// After its quarantine a request ended more upstreams than the first time: its crashes are forgotten one by one, and those
-// of one moment all at once.
+// Guards against a request that crashes more upstreams after its quarantine than before. Its crashes expire one by
+// one, or all at once if they happened at the same moment.
 #[parameterized(
-    crashes_of_one_moment = { 0, CRASHES },
+    crashes_of_one_moment = { 0, QUARANTINE_CRASHES },
     crashes_far_apart = { 60_000, 1 },
 )]
-fn after_its_quarantine_a_request_is_held_again_after_as_many_crashes_at_most(
+fn after_its_quarantine_a_request_is_quarantined_again_after_as_many_crashes_at_most(
     apart: Millis,
     expected: usize,
 ) {
     let mut ledger = Ledger::default();
-    for at in 0..CRASHES {
+    for at in 0..QUARANTINE_CRASHES {
         let time = NOW + apart * at as Millis;
-        ledger.record_crash(print(), &format!("i-{at}").into(), time);
+        ledger.record_crash(fingerprint(), &format!("i-{at}").into(), time);
     }
     let mut now = NOW + CRASH_TTL_MS;
-    tidy(&mut ledger, NOW + apart * CRASHES as Millis, now);
-    assert!(ledger.verdict(print(), now) <= Verdict::Suspect);
+    prune_until(&mut ledger, NOW + apart * QUARANTINE_CRASHES as Millis, now);
+    assert!(ledger.verdict(fingerprint(), now) <= Verdict::Suspect);
 
     let mut more = 0;
-    while ledger.verdict(print(), now) <= Verdict::Suspect {
+    while ledger.verdict(fingerprint(), now) <= Verdict::Suspect {
         more += 1;
-        ledger.record_crash(print(), &format!("j-{more}").into(), now);
-        now += SETTLE;
+        ledger.record_crash(fingerprint(), &format!("j-{more}").into(), now);
+        now += SETTLING_MS;
     }
 
     assert_eq!(more, expected);
 }
 
-// What is remembered of whole answers must end too: else it grows for as long as the instance runs.
+// Guards against successes that never expire and accumulate for as long as the instance runs.
 #[test]
-fn a_whole_answer_is_forgotten_when_no_crash_before_it_can_count() {
+fn a_success_is_dropped_when_no_crash_before_it_can_count() {
     let mut ledger = Ledger::default();
-    ledger.merge(&whole(NOW), NOW);
+    ledger.merge(&success(NOW), NOW);
     ledger.merge(&crashes(NOW - 1_000), NOW);
 
     ledger.prune(NOW + CRASH_TTL_MS + 1);
@@ -142,53 +145,54 @@
     assert!(ledger.is_empty());
 }
 
-// The clock of the instance that wrote a record is wrong by any amount; the sum overflowed.
+// Guards against an overflow of the sum of times when the clock of the reporting instance is far off.
 #[parameterized(
     long_ago = { 0 },
     at_the_end_of_time = { u64::MAX },
 )]
-fn a_whole_answer_of_any_time_is_taken_in(at: Millis) {
+fn a_success_of_any_time_is_merged(at: Millis) {
     let mut ledger = Ledger::default();
 
-    ledger.merge(&whole(at), NOW);
+    ledger.merge(&success(at), NOW);
     ledger.prune(NOW + CRASH_TTL_MS + 1);
 
     assert!(ledger.is_empty());
 }
 
-/// What an instance hears.
+/// The kind of a report that an instance receives.
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum Kind {
     Crashes,
-    Whole,
+    Success,
 }
 
 proptest! {
-    // Instances that had heard the same said different things of a request, by when and how often they had heard it.
+    // Guards against instances that received the same reports but reach different verdicts, depending on when and
+    // how often they received them.
     #[test]
-    fn a_verdict_follows_from_what_was_heard_and_not_from_when(
-        words in proptest::collection::vec(
-            (prop_oneof![Just(Word::Crashes), Just(Word::Whole)], 0..40_000_u64),
+    fn a_verdict_depends_on_the_reports_and_not_on_their_timing(
+        reports in proptest::collection::vec(
+            (prop_oneof![Just(Kind::Crashes), Just(Kind::Success)], 0..40_000_u64),
             1..12,
         ),
     ) {
         let (mut ledger, mut now) = (Ledger::default(), NOW + 5_000);
-        let mut heard = (false, false);
-        for (word, pause) in words {
-            tidy(&mut ledger, now, now + pause);
+        let mut received = (false, false);
+        for (kind, pause) in reports {
+            prune_until(&mut ledger, now, now + pause);
             now += pause;
-            match word {
-                Word::Crashes => ledger.merge(&crashes(NOW), now),
-                Word::Whole => ledger.merge(&whole(NOW + 1_000), now),
+            match kind {
+                Kind::Crashes => ledger.merge(&crashes(NOW), now),
+                Kind::Success => ledger.merge(&success(NOW + 1_000), now),
             }
-            match word {
-                Word::Crashes => heard.0 = true,
-                Word::Whole => heard.1 = true,
+            match kind {
+                Kind::Crashes => received.0 = true,
+                Kind::Success => received.1 = true,
             }
         }
 
-        let held = matches!(ledger.verdict(print(), now + SETTLE), Verdict::Quarantined(_));
+        let quarantined = matches!(ledger.verdict(fingerprint(), now + SETTLING_MS), Verdict::Quarantined(_));
 
-        prop_assert_eq!(held, heard == (true, false));
+        prop_assert_eq!(quarantined, received == (true, false));
     }
 }
