--- a/crates/crash/src/lib.rs
+++ b/crates/crash/src/lib.rs
@@ -1,13 +1,13 @@
 //! Noticing crashes of upstreams under requests, and telling other instances of them.
 //!
-//! What a request may do is decided by [`poison::Ledger`]. A [`Watch`] is that ledger as the parts of an
+//! What a request may do is decided by [`poison::Ledger`]. A [`CrashTracker`] is that ledger as the parts of an
 //! instance share it; [`report`] keeps what it has seen at the platform.
 
 mod ledgers;
 pub mod report;
-mod watch;
+mod tracker;
 
-pub use watch::CRASHES;
-pub use watch::QUARANTINED;
-pub use watch::Stay;
-pub use watch::Watch;
+pub use tracker::CRASHES;
+pub use tracker::CrashTracker;
+pub use tracker::QUARANTINED;
+pub use tracker::Stay;
--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -20,7 +20,7 @@
 use poison::ledger::CRASH_TTL_MS;
 use tokio::time::sleep;
 
-use crate::Watch;
+use crate::CrashTracker;
 
 /// Shortest time between two writes of the record. Most of what was beside a crash runs whole elsewhere
 /// within it, and is never written; with the time between two reads of the list it leaves two seconds until
@@ -36,7 +36,7 @@
 /// Keeps the record of what this instance has seen under a key that no other start of any instance has: what
 /// an earlier start saw must not be lost. `reach` hears of each write whether it failed.
 pub async fn keep(
-    watch: &Watch,
+    watch: &CrashTracker,
     plat: &Client,
     key: &str,
     mut reach: impl FnMut(Result<(), &PlatError>),
@@ -44,10 +44,10 @@
     let mut single = Single::new(key);
     let mut written = Observations::default();
     loop {
-        watch.news().await;
+        watch.wait_for_changes().await;
         sleep(PAUSE).await;
         loop {
-            let report = watch.own();
+            let report = watch.local_observations();
             if report == written {
                 break;
             }
@@ -117,9 +117,9 @@
 }
 
 /// Takes in the record of an instance.
-pub fn take(watch: &Watch, item: &Item) {
+pub fn take(watch: &CrashTracker, item: &Item) {
     match decode(item) {
-        Ok(report) => watch.heard(&report),
+        Ok(report) => watch.merge(&report),
         Err(error) => {
             let error = error.to_string();
             log::warn!(target: "crash", key = item.key.as_str(), revision = item.rev,
--- a/crates/crash/src/watch.rs
+++ b/crates/crash/src/tracker.rs
@@ -44,25 +44,25 @@
 /// ```
 /// use std::sync::Arc;
 ///
-/// use crash::Watch;
+/// use crash::CrashTracker;
 /// use poison::{Identity, Fingerprint, Verdict};
 ///
-/// let watch = Arc::new(Watch::default());
-/// let mark = || Identity::from(Fingerprint::new("GET", "shop.example", "/a", b"", b""));
-/// assert_eq!(watch.verdict(mark), Verdict::Unrestricted);
-/// watch.crashed(mark(), &"i-1".into());
-/// assert_eq!(watch.verdict(mark), Verdict::Suspect);
-/// watch.whole(mark);
-/// assert_eq!(watch.verdict(mark), Verdict::Unrestricted);
+/// let tracker = Arc::new(CrashTracker::default());
+/// let identity = || Identity::from(Fingerprint::new("GET", "shop.example", "/a", b"", b""));
+/// assert_eq!(tracker.verdict(identity), Verdict::Unrestricted);
+/// tracker.record_crash(identity(), &"i-1".into());
+/// assert_eq!(tracker.verdict(identity), Verdict::Suspect);
+/// tracker.record_success(identity);
+/// assert_eq!(tracker.verdict(identity), Verdict::Unrestricted);
 /// ```
-pub struct Watch {
+pub struct CrashTracker {
     clock: Clock,
     ledger: Mutex<Ledgers>,
     /// Rings when there is something to tell.
     news: Notify,
 }
 
-impl Default for Watch {
+impl Default for CrashTracker {
     fn default() -> Self {
         Self {
             clock: Clock::default(),
@@ -72,7 +72,7 @@
     }
 }
 
-impl Watch {
+impl CrashTracker {
     /// What may be done with a request. Its digest is made only where anything is known of any.
     pub fn verdict(&self, mark: impl FnOnce() -> Identity) -> Verdict {
         let ledger = self.ledger.lock();
@@ -99,7 +99,7 @@
     }
 
     /// Tells whether a request has to wait, or may not run.
-    pub fn holds(&self, mark: impl FnOnce() -> Identity) -> bool {
+    pub fn is_blocked(&self, mark: impl FnOnce() -> Identity) -> bool {
         match self.verdict(mark) {
             Verdict::Unrestricted | Verdict::Suspect => false,
             Verdict::Undecided(_) | Verdict::Quarantined(_) => true,
@@ -108,7 +108,7 @@
 
     /// The upstreams that a request had better keep away from: suspects run apart from one another, so that
     /// the next crash tells the culprit from what was beside it.
-    pub fn apart(&self, mark: impl FnOnce() -> Identity) -> Vec<Arc<str>> {
+    pub fn upstreams_to_avoid(&self, mark: impl FnOnce() -> Identity) -> Vec<Arc<str>> {
         let ledger = self.ledger.lock();
         if ledger.is_empty() {
             return Vec::new();
@@ -121,7 +121,7 @@
     }
 
     /// Notes that a request goes to an upstream, if it is a suspect.
-    pub fn stay(
+    pub fn track_suspect(
         self: &Arc<Self>,
         mark: impl FnOnce() -> Identity,
         upstream: &Arc<str>,
@@ -143,7 +143,7 @@
     }
 
     /// Notes that an upstream has answered a request whole.
-    pub fn whole(&self, mark: impl FnOnce() -> Identity) {
+    pub fn record_success(&self, mark: impl FnOnce() -> Identity) {
         if self.ledger.lock().is_empty() {
             return;
         }
@@ -169,7 +169,7 @@
     /// A broken connection alone says nothing of the request: connections are reset, and answers are cut
     /// off, by upstreams that live on. Nobody listens at the address of one that has crashed. One that `left`
     /// says is about to leave, or is not listed any more, may have ended by itself.
-    pub async fn broke(
+    pub async fn check_upstream(
         self: &Arc<Self>,
         id: &str,
         mark: Identity,
@@ -207,37 +207,37 @@
             log::info!(target: "crash", id = id.as_str(), print = own.as_str(), kin = kin.as_str(),
                 upstream = &*upstream, outcome; "connection broke");
             if outcome == "crashed" {
-                watch.crashed(mark, &upstream);
+                watch.record_crash(mark, &upstream);
             }
         })
     }
 
     /// Notes that an upstream has crashed while a request was there.
-    pub fn crashed(&self, mark: Identity, upstream: &Arc<str>) {
+    pub fn record_crash(&self, mark: Identity, upstream: &Arc<str>) {
         metrics::counter!(CRASHES).increment(1);
         self.change(|ledger, now| ledger.crashed(mark, upstream, now));
         self.news.notify_one();
     }
 
     /// Takes in what another instance has seen.
-    pub fn heard(&self, report: &Observations) {
+    pub fn merge(&self, report: &Observations) {
         self.change(|ledger, now| ledger.heard(report, now));
     }
 
     /// Forgets what counts no more.
-    pub fn tidy(&self) {
+    pub fn prune(&self) {
         if !self.ledger.lock().is_empty() {
             self.change(Ledgers::prune);
         }
     }
 
     /// What this instance has seen itself.
-    pub fn own(&self) -> Observations {
+    pub fn local_observations(&self) -> Observations {
         self.ledger.lock().own()
     }
 
     /// Waits until this instance may have seen something new.
-    pub async fn news(&self) {
+    pub async fn wait_for_changes(&self) {
         self.news.notified().await;
     }
 }
@@ -256,7 +256,7 @@
 
 /// A suspect at an upstream, for as long as it is there.
 pub struct Stay {
-    watch: Arc<Watch>,
+    watch: Arc<CrashTracker>,
     mark: Identity,
     upstream: Arc<str>,
 }
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -11,7 +11,7 @@
 use batch::Again;
 use batch::Owner;
 use clock::Clock;
-use crash::Watch;
+use crash::CrashTracker;
 use kernel::Map;
 use kernel::Millis;
 use kernel::Set;
@@ -79,7 +79,7 @@
     /// The engines as this instance sees them.
     pub fleet: Mutex<Fleet>,
     /// Which requests crash upstreams.
-    pub crashes: Arc<Watch>,
+    pub crashes: Arc<CrashTracker>,
     /// What this instance has counted of the requests of teams, if they are reported.
     pub meter: Option<Mutex<Meter>>,
     /// What entry instances have told this one of what they counted.
@@ -189,7 +189,9 @@
             let roster = app.roster.lock();
             roster.get(&start).is_none_or(|one| one.leaving)
         };
-        self.crashes.broke(id, mark, &one.id, one.addr, left).await;
+        self.crashes
+            .check_upstream(id, mark, &one.id, one.addr, left)
+            .await;
     }
 
     /// Notes that this instance's own entry was written.
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -101,7 +101,7 @@
     }
 
     fn is_held(&self, todo: &Todo) -> bool {
-        self.app.crashes.holds(|| self.mark(todo))
+        self.app.crashes.is_blocked(|| self.mark(todo))
     }
 
     /// Lets held samples go that may run again.
@@ -134,7 +134,7 @@
             taken: memory.taken(sample.prompt, draft.last),
             memory,
         };
-        let mut apart = self.app.crashes.apart(|| self.mark(todo));
+        let mut apart = self.app.crashes.upstreams_to_avoid(|| self.mark(todo));
         apart.extend_from_slice(&todo.avoid);
         let any = Want { avoid: &[], ..want };
         let want = Want {
@@ -180,7 +180,10 @@
         log::info!(target: "owner", id = &*self.sample(&todo).id, step = &*work.step,
             upstream = &*engine.id, first = work.drafts[index as usize].lock().last,
             heard_ms = work.unheard(self.app); "sample begun");
-        let stay = self.app.crashes.stay(|| self.mark(&todo), &engine.id);
+        let stay = self
+            .app
+            .crashes
+            .track_suspect(|| self.mark(&todo), &engine.id);
         self.runs.spawn(async move {
             let _stay = stay;
             let at = index as usize;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -133,7 +133,7 @@
         let ended = self.attempt(sample, draft, &place).await;
         if ended == Ended::Whole {
             draft.lock().whole = true;
-            self.app.crashes.whole(|| self.mark(sample));
+            self.app.crashes.record_success(|| self.mark(sample));
             let events = draft.lock().last;
             self.app.fleet.lock().whole(sample.expected, events);
         }
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -139,7 +139,7 @@
     /// ran: an upstream that fails now and then would clear each request that crashes others.
     pub(crate) fn answered(&self, status: StatusCode) {
         if !status.is_server_error() {
-            self.app.crashes.whole(|| self.mark());
+            self.app.crashes.record_success(|| self.mark());
         }
     }
 
@@ -222,7 +222,7 @@
         let app = &self.app;
         let roster = app.roster.lock();
         let slots = roster.of(service).map(|one| one.slots).max().unwrap_or(0);
-        let mut apart = app.crashes.apart(|| self.mark());
+        let mut apart = app.crashes.upstreams_to_avoid(|| self.mark());
         apart.extend_from_slice(used);
         let any = Want {
             service,
@@ -245,7 +245,7 @@
             .choose(&roster, &want, now)
             .or_else(|| plain.choose(&roster, &any, now))?;
         plain.begin(&one.id, 0);
-        let stay = app.crashes.stay(|| self.mark(), &one.id);
+        let stay = app.crashes.track_suspect(|| self.mark(), &one.id);
         let app = app.clone();
         Some(Place {
             app,
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -218,7 +218,7 @@
     loop {
         sleep(TIDY).await;
         hint::tidy(&app);
-        app.crashes.tidy();
+        app.crashes.prune();
         let mut all = Vec::new();
         app.shelves.each(|map| all.extend(map.values().cloned()));
         let mut old = Vec::new();
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -9,7 +9,7 @@
 use contract::Revision;
 use contract::book::InForce;
 use contract::book::Offer;
-use crash::Watch;
+use crash::CrashTracker;
 use fleet::Life;
 use fleet::Member;
 use fleet::View;
@@ -64,7 +64,7 @@
     /// Weight versions, on an instance that has a disk.
     pub cache: Option<Cache>,
     /// Which requests crash upstreams.
-    pub crashes: Arc<Watch>,
+    pub crashes: Arc<CrashTracker>,
     /// What happened lately.
     pub history: History,
     /// One more than the monotonic time at which the contracts were last known to be the newest;
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -120,8 +120,8 @@
 
 /// Tells peers of crashes if there is something new.
 fn tell_crashes(app: &App, told: &mut Observations) {
-    app.crashes.tidy();
-    let report = app.crashes.own();
+    app.crashes.prune();
+    let report = app.crashes.local_observations();
     if report != *told {
         *told = report.clone();
         app.view.lock().crashes(app.clock.wall(), report);
@@ -248,7 +248,7 @@
                 poll::believe(dispatcher, name, *version, *leaving);
             }
         }
-        Rumour::Crashes { report, .. } => app.crashes.heard(report),
+        Rumour::Crashes { report, .. } => app.crashes.merge(report),
         Rumour::Member(_) | Rumour::Demand { .. } => (),
     }
 }
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -68,7 +68,7 @@
         return;
     };
     let sent = sent(work, &begin);
-    if app.crashes.holds(|| sent.print.into()) {
+    if app.crashes.is_blocked(|| sent.print.into()) {
         // The step keeps it until its trainer ends the step.
         give_back(work, index, ordinal, begin.partial, PLACE).await;
         return;
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -110,7 +110,7 @@
         print: Fingerprint::new("POST", scorer, SCORE, customer, how.as_bytes()),
         id: work.request.to_string(),
     };
-    if app.crashes.holds(|| sent.print.into()) {
+    if app.crashes.is_blocked(|| sent.print.into()) {
         return Err(ScoreError::Quarantined);
     }
     let deadline = app.clock.now() + LIMIT;
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
+use crash::CrashTracker;
 use crash::Stay;
-use crash::Watch;
 use http::StatusCode;
 use kernel::Millis;
 use kernel::Name;
@@ -46,14 +46,15 @@
 
     /// The upstreams at which other suspects are.
     pub(crate) fn apart(&self, app: &App) -> Vec<Name> {
-        let starts = app.crashes.apart(|| self.print.into());
+        let starts = app.crashes.upstreams_to_avoid(|| self.print.into());
         let names = starts.iter().filter_map(|start| start.split_once('@'));
         names.filter_map(|(name, _)| name.parse().ok()).collect()
     }
 
     /// Notes that the request goes to an upstream, if it is a suspect.
     pub(crate) fn stay(&self, app: &App, spec: &Spec) -> Option<Stay> {
-        app.crashes.stay(|| self.print.into(), &start(app, spec))
+        app.crashes
+            .track_suspect(|| self.print.into(), &start(app, spec))
     }
 
     /// Looks whether an upstream has crashed after the connection broke there.
@@ -61,9 +62,9 @@
         let leaving = app.view.lock().leaving(&spec.name).unwrap_or(false);
         let left = move || leaving;
         let start = start(app, spec);
-        let looking = app
-            .crashes
-            .broke(&self.id, self.print.into(), &start, spec.addr, left);
+        let looking =
+            app.crashes
+                .check_upstream(&self.id, self.print.into(), &start, spec.addr, left);
         looking.await;
     }
 
@@ -77,7 +78,7 @@
 
     /// Notes that an upstream has answered it whole.
     pub(crate) fn whole(&self, app: &App) {
-        app.crashes.whole(|| self.print.into());
+        app.crashes.record_success(|| self.print.into());
     }
 }
 
@@ -87,7 +88,7 @@
 
 /// Learns what others have seen before, and keeps what this instance sees at the platform.
 pub(crate) async fn run(app: Arc<App>) {
-    let watch: &Watch = &app.crashes;
+    let watch: &CrashTracker = &app.crashes;
     match app.plat.list(keys::CRASHES).await {
         Ok(range) => {
             let items = &range.items;
