--- a/crates/crash/src/lib.rs
+++ b/crates/crash/src/lib.rs
@@ -10,4 +10,4 @@
 pub use tracker::CRASHES;
 pub use tracker::CrashTracker;
 pub use tracker::QUARANTINED;
-pub use tracker::Stay;
+pub use tracker::SuspectGuard;
--- a/crates/crash/src/tracker.rs
+++ b/crates/crash/src/tracker.rs
@@ -125,7 +125,7 @@
         self: &Arc<Self>,
         mark: impl FnOnce() -> Identity,
         upstream: &Arc<str>,
-    ) -> Option<Stay> {
+    ) -> Option<SuspectGuard> {
         let mut ledger = self.ledger.lock();
         if ledger.is_empty() {
             return None;
@@ -135,7 +135,7 @@
             return None;
         }
         ledger.enter(mark, upstream);
-        Some(Stay {
+        Some(SuspectGuard {
             watch: self.clone(),
             mark,
             upstream: upstream.clone(),
@@ -255,13 +255,13 @@
 }
 
 /// A suspect at an upstream, for as long as it is there.
-pub struct Stay {
+pub struct SuspectGuard {
     watch: Arc<CrashTracker>,
     mark: Identity,
     upstream: Arc<str>,
 }
 
-impl Drop for Stay {
+impl Drop for SuspectGuard {
     fn drop(&mut self) {
         self.watch.ledger.lock().leave(self.mark, &self.upstream);
     }
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -5,7 +5,7 @@
 
 use batch::Permit;
 use bytes::Bytes;
-use crash::Stay;
+use crash::SuspectGuard;
 use http::HeaderValue;
 use http::Request;
 use http::StatusCode;
@@ -268,7 +268,7 @@
     /// The upstream.
     pub(crate) one: Arc<Listed>,
     /// Held for its drop.
-    _stay: Option<Stay>,
+    _stay: Option<SuspectGuard>,
 }
 
 impl Drop for Place {
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crash::CrashTracker;
-use crash::Stay;
+use crash::SuspectGuard;
 use http::StatusCode;
 use kernel::Millis;
 use kernel::Name;
@@ -52,7 +52,7 @@
     }
 
     /// Notes that the request goes to an upstream, if it is a suspect.
-    pub(crate) fn stay(&self, app: &App, spec: &Spec) -> Option<Stay> {
+    pub(crate) fn stay(&self, app: &App, spec: &Spec) -> Option<SuspectGuard> {
         app.crashes
             .track_suspect(|| self.print.into(), &start(app, spec))
     }
