--- a/crates/crash/src/lib.rs
+++ b/crates/crash/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod report;
 mod tracker;
 
-pub use tracker::CRASHES;
+pub use tracker::CRASHES_METRIC;
 pub use tracker::CrashTracker;
-pub use tracker::QUARANTINED;
+pub use tracker::QUARANTINED_METRIC;
 pub use tracker::SuspectGuard;
--- a/crates/crash/src/tracker.rs
+++ b/crates/crash/src/tracker.rs
@@ -19,10 +19,10 @@
 use crate::ledgers::Ledgers;
 
 /// Requests that were at an upstream when it crashed.
-pub const CRASHES: &str = "snipeway_upstream_crashes_total";
+pub const CRASHES_METRIC: &str = "snipeway_upstream_crashes_total";
 
 /// Requests that are quarantined since upstreams crash under them.
-pub const QUARANTINED: &str = "snipeway_quarantined_requests";
+pub const QUARANTINED_METRIC: &str = "snipeway_quarantined_requests";
 
 /// Time that the look at an upstream may take: within a region a port that nobody listens on answers
 /// within milliseconds, and one that says nothing in this time says nothing of its process.
@@ -157,7 +157,7 @@
         change(&mut ledger, self.clock.wall());
         let changes = ledger.changes();
         if !changes.is_empty() {
-            metrics::gauge!(QUARANTINED).set(ledger.quarantined() as f64);
+            metrics::gauge!(QUARANTINED_METRIC).set(ledger.quarantined() as f64);
         }
         drop(ledger);
         tell(changes);
@@ -214,7 +214,7 @@
 
     /// Notes that an upstream has crashed while a request was there.
     pub fn record_crash(&self, mark: Identity, upstream: &Arc<str>) {
-        metrics::counter!(CRASHES).increment(1);
+        metrics::counter!(CRASHES_METRIC).increment(1);
         self.change(|ledger, now| ledger.crashed(mark, upstream, now));
         self.news.notify_one();
     }
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -63,8 +63,11 @@
     metrics::describe_counter!(ATTEMPTS, "attempts at upstreams by outcome");
     metrics::describe_counter!(SAMPLES, "samples that ended by outcome");
     metrics::describe_counter!(SCORES, "requests for the score of a sample by outcome");
-    metrics::describe_counter!(crash::CRASHES, "requests at an upstream when that crashed");
-    metrics::describe_gauge!(crash::QUARANTINED, "requests that crash upstreams");
+    metrics::describe_counter!(
+        crash::CRASHES_METRIC,
+        "requests at an upstream when that crashed"
+    );
+    metrics::describe_gauge!(crash::QUARANTINED_METRIC, "requests that crash upstreams");
     metrics::describe_counter!(STEPS, "steps by what became of them here");
     metrics::describe_counter!(ORDERS, "orders to engines by result");
     metrics::describe_counter!(ACCOUNTS, "reports of the requests of teams by result");
--- a/crates/serve/src/meter.rs
+++ b/crates/serve/src/meter.rs
@@ -59,8 +59,11 @@
     metrics::describe_gauge!(REVISION, "the newest contract revision in force");
     metrics::describe_gauge!(MEMBERS, "live instances in this one's eyes");
     metrics::describe_counter!(SAMPLES, "samples delivered to trainers");
-    metrics::describe_counter!(crash::CRASHES, "requests at an upstream when that crashed");
-    metrics::describe_gauge!(crash::QUARANTINED, "requests that crash upstreams");
+    metrics::describe_counter!(
+        crash::CRASHES_METRIC,
+        "requests at an upstream when that crashed"
+    );
+    metrics::describe_gauge!(crash::QUARANTINED_METRIC, "requests that crash upstreams");
     metrics::describe_counter!(STALE, "samples made again because they were too old");
     metrics::describe_counter!(PEER_BYTES, Unit::Bytes, "bytes of messages with peers");
     Some(handle)
