--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -35,7 +35,7 @@
 
 /// Keeps the record of what this instance has seen under a key that no other start of any instance has: what
 /// an earlier start saw must not be lost. `reach` hears of each write whether it failed.
-pub async fn keep(
+pub async fn publish(
     watch: &CrashTracker,
     plat: &Client,
     key: &str,
@@ -75,7 +75,7 @@
 }
 
 /// Deletes records of which nothing counts any more, the instances that wrote them being gone or quiet.
-pub async fn sweep(plat: &Client, items: &[Item], now: Millis) {
+pub async fn delete_expired(plat: &Client, items: &[Item], now: Millis) {
     let old = items.iter().filter(|item| is_old(item, now));
     for item in old.take(SWEPT) {
         let txn = Txn {
@@ -117,7 +117,7 @@
 }
 
 /// Takes in the record of an instance.
-pub fn take(watch: &CrashTracker, item: &Item) {
+pub fn merge_record(watch: &CrashTracker, item: &Item) {
     match decode(item) {
         Ok(report) => watch.merge(&report),
         Err(error) => {
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -75,7 +75,7 @@
         self.take_plan(app);
         for item in &changes.items {
             if item.key.starts_with(CRASHES) {
-                crash::report::take(&app.crashes, item);
+                crash::report::merge_record(&app.crashes, item);
                 continue;
             }
             self.take_entry(app, item);
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -36,7 +36,7 @@
     pub(super) async fn read(&mut self, app: &App, intake: &mut Intake) -> Result<(), PlatError> {
         read_plan(app, intake).await?;
         let (seen, mut list) = self.lists(app, intake).await?;
-        crash::report::sweep(&app.plat, &seen.items, app.clock.wall()).await;
+        crash::report::delete_expired(&app.plat, &seen.items, app.clock.wall()).await;
         list.join(seen);
         self.count += 1;
         // Without them this read is as good.
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -240,7 +240,7 @@
         Ok(()) => reach.back(),
         Err(error) => reach.lost(error),
     };
-    crash::report::keep(&app.crashes, &app.plat, &key, heard).await;
+    crash::report::publish(&app.crashes, &app.plat, &key, heard).await;
 }
 
 /// Reports the calls of the platform, which it counts and limits.
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -94,14 +94,14 @@
             let items = &range.items;
             items
                 .iter()
-                .for_each(|item| crash::report::take(watch, item));
-            crash::report::sweep(&app.plat, items, app.clock.wall()).await;
+                .for_each(|item| crash::report::merge_record(watch, item));
+            crash::report::delete_expired(&app.plat, items, app.clock.wall()).await;
         }
         Err(error) => failed(Err(&error)),
     }
     let me = app.view.lock().me().clone();
     let key = keys::crashes(&me.name, me.incarnation);
-    crash::report::keep(watch, &app.plat, &key, failed).await;
+    crash::report::publish(watch, &app.plat, &key, failed).await;
 }
 
 fn failed(done: Result<(), &PlatError>) {
