--- a/crates/crash/src/ledgers.rs
+++ b/crates/crash/src/ledgers.rs
@@ -1,7 +1,7 @@
-//! What is known of crashes, by what requests ask for to the byte and by what they have in common.
+//! Counts crashes by exact request and by group of similar requests.
 //!
-//! Load pattern: the samples of a step come by the hundred, each with bytes of its own, and some of them
-//! crash each engine. Known by its bytes alone, each of them ended three engines before it was held.
+//! Load pattern: the samples of a step arrive by the hundred, each with different bytes, and some of them crash every
+//! engine that runs them. Counted by exact request alone, each of them crashed three engines before it was quarantined.
 
 use std::sync::Arc;
 
@@ -12,90 +12,93 @@
 use poison::Observations;
 use poison::Verdict;
 
-/// The two ledgers.
+/// A ledger of exact requests and a ledger of groups.
 #[derive(Debug)]
 pub(crate) struct Ledgers {
-    own: Ledger,
-    kin: Ledger,
+    exact: Ledger,
+    group: Ledger,
 }
 
 impl Default for Ledgers {
     fn default() -> Self {
         Self {
-            own: Ledger::default(),
-            kin: Ledger::for_groups(),
+            exact: Ledger::default(),
+            group: Ledger::for_groups(),
         }
     }
 }
 
 impl Ledgers {
     pub(crate) fn is_empty(&self) -> bool {
-        self.own.is_empty() && self.kin.is_empty()
+        self.exact.is_empty() && self.group.is_empty()
     }
 
-    /// What may be done with a request: the less of what either ledger allows.
-    pub(crate) fn verdict(&self, mark: Identity, now: Millis) -> Verdict {
-        let own = self.own.verdict(mark.exact, now);
-        own.max(self.kin.verdict(mark.group, now))
+    /// Returns the more restrictive verdict of the two ledgers.
+    pub(crate) fn verdict(&self, identity: Identity, now: Millis) -> Verdict {
+        let exact = self.exact.verdict(identity.exact, now);
+        exact.max(self.group.verdict(identity.group, now))
     }
 
-    pub(crate) fn crashed(&mut self, mark: Identity, upstream: &Arc<str>, now: Millis) {
-        self.own.record_crash(mark.exact, upstream, now);
-        self.kin.record_crash(mark.group, upstream, now);
+    pub(crate) fn record_crash(&mut self, identity: Identity, upstream: &Arc<str>, now: Millis) {
+        self.exact.record_crash(identity.exact, upstream, now);
+        self.group.record_crash(identity.group, upstream, now);
     }
 
-    pub(crate) fn whole(&mut self, mark: Identity, now: Millis) {
-        self.own.record_success(mark.exact, now);
-        self.kin.record_success(mark.group, now);
+    pub(crate) fn record_success(&mut self, identity: Identity, now: Millis) {
+        self.exact.record_success(identity.exact, now);
+        self.group.record_success(identity.group, now);
     }
 
-    pub(crate) fn heard(&mut self, seen: &Observations, now: Millis) {
-        self.own.merge(&seen.exact, now);
-        self.kin.merge(&seen.group, now);
+    pub(crate) fn merge(&mut self, observed: &Observations, now: Millis) {
+        self.exact.merge(&observed.exact, now);
+        self.group.merge(&observed.group, now);
     }
 
     pub(crate) fn prune(&mut self, now: Millis) {
-        self.own.prune(now);
-        self.kin.prune(now);
+        self.exact.prune(now);
+        self.group.prune(now);
     }
 
-    /// What is believed since the last call and was not before; of requests that have nothing in common with
-    /// others once.
-    pub(crate) fn changes(&mut self) -> Vec<Change> {
-        let mut changes = self.own.take_changes();
-        let kin = self.kin.take_changes();
-        let new = kin.into_iter().filter(|one| !changes.contains(one));
+    /// Returns the quarantine changes since the last call. A request without a group has the same fingerprint in both
+    /// ledgers; its changes are returned once.
+    pub(crate) fn take_changes(&mut self) -> Vec<Change> {
+        let mut changes = self.exact.take_changes();
+        let group = self.group.take_changes();
+        let new = group.into_iter().filter(|change| !changes.contains(change));
         let new: Vec<_> = new.collect();
         changes.extend(new);
         changes
     }
 
-    /// Requests that are quarantined; work with something in common counts once.
-    pub(crate) fn quarantined(&self) -> usize {
-        self.own
+    /// Returns the number of quarantined requests or of quarantined groups, whichever is larger.
+    pub(crate) fn quarantined_count(&self) -> usize {
+        self.exact
             .quarantined_count()
-            .max(self.kin.quarantined_count())
+            .max(self.group.quarantined_count())
     }
 
-    pub(crate) fn own(&self) -> Observations {
+    pub(crate) fn local_observations(&self) -> Observations {
         Observations {
-            exact: self.own.local_report().clone(),
-            group: self.kin.local_report().clone(),
+            exact: self.exact.local_report().clone(),
+            group: self.group.local_report().clone(),
         }
     }
 
-    pub(crate) fn enter(&mut self, mark: Identity, upstream: &Arc<str>) {
-        self.own.enter(mark.exact, upstream);
-        self.kin.enter(mark.group, upstream);
+    pub(crate) fn enter(&mut self, identity: Identity, upstream: &Arc<str>) {
+        self.exact.enter(identity.exact, upstream);
+        self.group.enter(identity.group, upstream);
     }
 
-    pub(crate) fn leave(&mut self, mark: Identity, upstream: &str) {
-        self.own.leave(mark.exact, upstream);
-        self.kin.leave(mark.group, upstream);
+    pub(crate) fn leave(&mut self, identity: Identity, upstream: &str) {
+        self.exact.leave(identity.exact, upstream);
+        self.group.leave(identity.group, upstream);
     }
 
-    /// The upstreams at which other suspects of this instance are.
-    pub(crate) fn taken(&self, mark: Identity) -> Vec<Arc<str>> {
-        self.own.upstreams_of_others(mark.exact).cloned().collect()
+    /// Returns the upstreams that run other suspects of this instance.
+    pub(crate) fn upstreams_of_others(&self, identity: Identity) -> Vec<Arc<str>> {
+        self.exact
+            .upstreams_of_others(identity.exact)
+            .cloned()
+            .collect()
     }
 }
--- a/crates/crash/src/lib.rs
+++ b/crates/crash/src/lib.rs
@@ -1,13 +1,13 @@
-//! Noticing crashes of upstreams under requests, and telling other instances of them.
+//! Detects upstream crashes caused by requests and reports them to other instances.
 //!
-//! What a request may do is decided by [`poison::Ledger`]. A [`CrashTracker`] is that ledger as the parts of an
-//! instance share it; [`report`] keeps what it has seen at the platform.
+//! [`poison::Ledger`] decides what a request may do. A [`CrashTracker`] shares the ledgers among the parts of an
+//! instance, and [`report`] exchanges the instances' observations through the platform.
 
 mod ledgers;
 pub mod report;
-mod tracker;
+mod watch;
 
-pub use tracker::CRASHES_METRIC;
-pub use tracker::CrashTracker;
-pub use tracker::QUARANTINED_METRIC;
-pub use tracker::SuspectGuard;
+pub use watch::CRASHES_METRIC;
+pub use watch::CrashTracker;
+pub use watch::QUARANTINED_METRIC;
+pub use watch::SuspectGuard;
--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -1,8 +1,8 @@
-//! Keeping what this instance has seen at the platform, where others read it.
+//! Exchanges crash observations between instances through records on the platform.
 //!
-//! Load pattern: a request that crashes upstreams comes again at any instance within moments, and all
-//! instances may be started anew in between. What each one has seen is one small record, written at most
-//! once in a short while however many upstreams crash.
+//! Load pattern: a request that crashes upstreams is retried at any instance within moments, and all instances may
+//! restart in between. Each instance keeps its observations in one small record, whose write rate is limited however
+//! many upstreams crash.
 
 use std::time::Duration;
 
@@ -22,62 +22,67 @@
 
 use crate::CrashTracker;
 
-/// Shortest time between two writes of the record. Most of what was beside a crash runs whole elsewhere
-/// within it, and is never written; with the time between two reads of the list it leaves two seconds until
-/// all instances know.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Minimum time between two writes of the record. Most requests affected by a crash succeed elsewhere within this time
+/// and are never written. Together with the read interval of the records, all instances know of a crash within two
+/// seconds.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Most records that are deleted with one read, so that a read is late by some calls only.
-const SWEPT: usize = 4;
+/// Maximum number of records deleted per read, so that deletions delay a read by a few calls at most.
+const MAX_DELETES_PER_READ: usize = 4;
 
-/// Pause after a write that failed.
-const AGAIN: Duration = Duration::from_millis(400);
+/// Delay before a failed write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Keeps the record of what this instance has seen under a key that no other start of any instance has: what
-/// an earlier start saw must not be lost. `reach` hears of each write whether it failed.
+/// Writes this instance's observations to its record whenever they change; never returns. `key` must be unique to this
+/// start of the instance, so that the observations of an earlier start are not overwritten. `on_write` receives the
+/// result of each write.
 pub async fn publish(
-    watch: &CrashTracker,
+    tracker: &CrashTracker,
     plat: &Client,
     key: &str,
-    mut reach: impl FnMut(Result<(), &PlatError>),
+    mut on_write: impl FnMut(Result<(), &PlatError>),
 ) {
     let mut single = Single::new(key);
     let mut written = Observations::default();
     loop {
-        watch.wait_for_changes().await;
-        sleep(PAUSE).await;
+        tracker.wait_for_changes().await;
+        sleep(MIN_WRITE_INTERVAL).await;
         loop {
-            let report = watch.local_observations();
-            if report == written {
+            let observed = tracker.local_observations();
+            if observed == written {
                 break;
             }
-            match write(&mut single, plat, &report).await {
+            match write(&mut single, plat, &observed).await {
                 Ok(()) => {
-                    reach(Ok(()));
+                    on_write(Ok(()));
                     let (crashes, wholes) =
-                        (report.exact.crashes.len(), report.exact.successes.len());
-                    log::info!(target: "crash", crashes, wholes; "crashes told");
-                    written = report;
+                        (observed.exact.crashes.len(), observed.exact.successes.len());
+                    log::info!(target: "crash", crashes, wholes; "crash record written");
+                    written = observed;
                     break;
                 }
                 Err(error) => {
-                    reach(Err(&error));
-                    sleep(AGAIN).await;
+                    on_write(Err(&error));
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-async fn write(single: &mut Single, plat: &Client, report: &Observations) -> Result<(), PlatError> {
-    let value = rmp_serde::to_vec(report).map_err(|_| PlatError::Garbled)?;
+async fn write(
+    single: &mut Single,
+    plat: &Client,
+    observed: &Observations,
+) -> Result<(), PlatError> {
+    let value = rmp_serde::to_vec(observed).map_err(|_| PlatError::Garbled)?;
     single.write(plat, value).await
 }
 
-/// Deletes records of which nothing counts any more, the instances that wrote them being gone or quiet.
+/// Deletes expired records, whose instances have stopped or have observed nothing since.
 pub async fn delete_expired(plat: &Client, items: &[Item], now: Millis) {
-    let old = items.iter().filter(|item| is_old(item, now));
-    for item in old.take(SWEPT) {
+    let expired = items.iter().filter(|item| is_expired(item, now));
+    for item in expired.take(MAX_DELETES_PER_READ) {
         let txn = Txn {
             guards: vec![Guard::At(item.key.clone(), item.rev)],
             deletes: vec![Delete::Key(item.key.clone())],
@@ -86,14 +91,14 @@
         let done = plat.txn(&txn).await;
         let outcome = match done {
             Ok(Done::At(_)) => "deleted",
-            Ok(Done::Conflict) => "written anew",
-            Err(_) => "left to the next read",
+            Ok(Done::Conflict) => "rewritten meanwhile",
+            Err(_) => "failed, retried after the next read",
         };
-        log::info!(target: "crash", key = item.key.as_str(), outcome; "old record");
+        log::info!(target: "crash", key = item.key.as_str(), outcome; "delete expired crash record");
     }
 }
 
-/// Reads a record; one of the version before says nothing of what requests have in common.
+/// Decodes a record. Records of the previous version have no observations by group.
 fn decode(item: &Item) -> Result<Observations, rmp_serde::decode::Error> {
     rmp_serde::from_slice(&item.value).or_else(|_| {
         let exact = rmp_serde::from_slice(&item.value)?;
@@ -102,28 +107,29 @@
     })
 }
 
-fn is_old(item: &Item, now: Millis) -> bool {
-    let Ok(report) = decode(item) else {
-        // What cannot be read may be of a newer version.
+/// Returns whether no entry of a record counts any more.
+fn is_expired(item: &Item, now: Millis) -> bool {
+    let Ok(observed) = decode(item) else {
+        // A record that cannot be decoded may be of a newer version.
         return false;
     };
     let times = |report: &Report| {
         let crashes = report.crashes.iter().map(|crash| crash.at);
-        let wholes = report.successes.iter().map(|whole| whole.at);
-        crashes.chain(wholes).max()
+        let successes = report.successes.iter().map(|success| success.at);
+        crashes.chain(successes).max()
     };
-    let newest = times(&report.exact).max(times(&report.group));
+    let newest = times(&observed.exact).max(times(&observed.group));
     newest.is_none_or(|newest| newest + CRASH_TTL_MS < now)
 }
 
-/// Takes in the record of an instance.
-pub fn merge_record(watch: &CrashTracker, item: &Item) {
+/// Merges the record of an instance into the tracker.
+pub fn merge_record(tracker: &CrashTracker, item: &Item) {
     match decode(item) {
-        Ok(report) => watch.merge(&report),
+        Ok(observed) => tracker.merge(&observed),
         Err(error) => {
             let error = error.to_string();
             log::warn!(target: "crash", key = item.key.as_str(), revision = item.rev,
-                error = error.as_str(); "record not understood");
+                error = error.as_str(); "could not decode crash record");
         }
     }
 }
