--- a/crates/contract/src/book.rs
+++ b/crates/contract/src/book.rs
@@ -14,7 +14,7 @@
 /// A contract as the platform keeps it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredContract {
     /// The contract.
     pub contract: Contract,
     /// The identifier of the change that made it.
@@ -28,7 +28,7 @@
     /// The revision.
     pub rev: Revision,
     /// The contract.
-    pub stored: Arc<Stored>,
+    pub stored: Arc<StoredContract>,
 }
 
 /// What came of offering a revision to a [`Book`].
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,7 +1,7 @@
 //! Contracts: what a customer may use and how much of it.
 //!
 //! Every limit, priority and share that a customer receives follows from its [`Contract`] alone.
-//! Operators write contracts as INI files ([`form`]), the platform keeps them as [`Stored`]
+//! Operators write contracts as INI files ([`form`]), the platform keeps them as [`StoredContract`]
 //! records, and each instance holds those in force in a [`Book`] which takes higher revisions only.
 
 pub mod amend;
@@ -14,7 +14,7 @@
 pub use amend::Settle;
 pub use audit::Audit;
 pub use book::Book;
-pub use book::Stored;
+pub use book::StoredContract;
 pub use kernel::Digest;
 pub use model::Contract;
 pub use model::Rule;
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -6,7 +6,7 @@
 use contract::Contract;
 use contract::Digest;
 use contract::Settle;
-use contract::Stored;
+use contract::StoredContract;
 use contract::amend::Seen;
 use contract::amend::settle;
 use contract::book::InForce;
@@ -33,7 +33,7 @@
     let change = format!("c{rev}").into();
     InForce {
         rev,
-        stored: Arc::new(Stored { contract, change }),
+        stored: Arc::new(StoredContract { contract, change }),
     }
 }
 
--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -9,7 +9,7 @@
 use contract::Contract;
 use contract::Revision;
 use contract::Settle;
-use contract::Stored;
+use contract::StoredContract;
 use contract::amend::Seen;
 use contract::amend::settle;
 use contract::form;
@@ -84,7 +84,7 @@
     /// Its revision.
     pub rev: Revision,
     /// The contract with its change.
-    pub stored: Stored,
+    pub stored: StoredContract,
 }
 
 fn decode(item: &Item) -> Result<Held, ContractError> {
@@ -296,7 +296,7 @@
         before: change.before.clone(),
         after: change.after.clone(),
     };
-    let stored = Stored {
+    let stored = StoredContract {
         contract: change.after.clone(),
         change: change.id.clone(),
     };
--- a/crates/serve/src/sync.rs
+++ b/crates/serve/src/sync.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use contract::Stored;
+use contract::StoredContract;
 use contract::book::InForce;
 use fleet::Rumour;
 use kernel::Millis;
@@ -119,7 +119,7 @@
 }
 
 fn contract(item: &Item) -> Option<InForce> {
-    let stored: Result<Stored, _> = serde_json::from_slice(&item.value);
+    let stored: Result<StoredContract, _> = serde_json::from_slice(&item.value);
     match stored {
         Ok(stored) => Some(InForce {
             rev: item.rev,
