--- a/crates/contract/src/book.rs
+++ b/crates/contract/src/book.rs
@@ -24,7 +24,7 @@
 /// A contract in force, with the platform's revision of it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct InForce {
+pub struct ActiveContract {
     /// The revision.
     pub rev: Revision,
     /// The contract.
@@ -56,13 +56,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Book {
-    contracts: Map<Name, InForce>,
+    contracts: Map<Name, ActiveContract>,
     tokens: Map<Digest, Name>,
 }
 
 impl Book {
     /// Puts a revision in force if it is newer than the one held.
-    pub fn offer(&mut self, new: InForce) -> Offer {
+    pub fn offer(&mut self, new: ActiveContract) -> Offer {
         let customer = new.stored.contract.customer.clone();
         if let Some(held) = self.contracts.get(&customer) {
             if held.rev >= new.rev {
@@ -80,7 +80,7 @@
     }
 
     /// Finds the contract of a bearer token.
-    pub fn by_token(&self, token: &str) -> Option<&InForce> {
+    pub fn by_token(&self, token: &str) -> Option<&ActiveContract> {
         let digest = Digest::of(token);
         let customer = self.tokens.get(&digest)?;
         let held = self.contracts.get(customer)?;
@@ -88,12 +88,12 @@
     }
 
     /// Finds the contract of a customer.
-    pub fn by_name(&self, customer: &str) -> Option<&InForce> {
+    pub fn by_name(&self, customer: &str) -> Option<&ActiveContract> {
         self.contracts.get(customer)
     }
 
     /// All contracts in force, in no particular order.
-    pub fn all(&self) -> impl Iterator<Item = &InForce> {
+    pub fn all(&self) -> impl Iterator<Item = &ActiveContract> {
         self.contracts.values()
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// The contracts with a revision above `rev`, lowest first.
-    pub fn since(&self, rev: Revision) -> Vec<InForce> {
+    pub fn since(&self, rev: Revision) -> Vec<ActiveContract> {
         let mut newer: Vec<_> = self.all().filter(|held| held.rev > rev).cloned().collect();
         newer.sort_by_key(|held| held.rev);
         newer
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -9,7 +9,7 @@
 use contract::StoredContract;
 use contract::amend::Seen;
 use contract::amend::settle;
-use contract::book::InForce;
+use contract::book::ActiveContract;
 use contract::book::Offer;
 use contract::form;
 use proptest::prelude::*;
@@ -27,11 +27,11 @@
     form::read("a.ini", &text("once = portal:POST:/orders\n")).unwrap()
 }
 
-fn in_force(rev: i64, token: &str) -> InForce {
+fn in_force(rev: i64, token: &str) -> ActiveContract {
     let mut contract = sample();
     contract.token = Digest::of(token);
     let change = format!("c{rev}").into();
-    InForce {
+    ActiveContract {
         rev,
         stored: Arc::new(StoredContract { contract, change }),
     }
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -7,7 +7,7 @@
 
 use contract::Book;
 use contract::Revision;
-use contract::book::InForce;
+use contract::book::ActiveContract;
 use contract::book::Offer;
 use crash::CrashTracker;
 use fleet::Life;
@@ -116,7 +116,7 @@
     ///
     /// They go in by revision and under one lock: peers ask by the newest revision that they hold,
     /// so whoever holds one must hold all below it, at every moment at which it can be asked.
-    pub fn offer(&self, mut contracts: Vec<InForce>, source: &str) -> usize {
+    pub fn offer(&self, mut contracts: Vec<ActiveContract>, source: &str) -> usize {
         contracts.sort_by_key(|new| new.rev);
         let mut applied = 0;
         let mut book = self.book.write();
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::book::InForce;
+use contract::book::ActiveContract;
 use http::HeaderValue;
 use http::StatusCode;
 use http::header::CONTENT_TYPE;
@@ -96,7 +96,7 @@
 /// # Errors
 ///
 /// Returns a refusal when the contract does not cover it or there is none.
-pub fn model(app: &App, held: &InForce, model: &str) -> Result<Arc<Dispatcher>, Problem> {
+pub fn model(app: &App, held: &ActiveContract, model: &str) -> Result<Arc<Dispatcher>, Problem> {
     if !held.stored.contract.has_model(model) {
         return Err(no(Type::NotCovered).because(format!("model {model:?}")));
     }
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use contract::Contract;
-use contract::book::InForce;
+use contract::book::ActiveContract;
 use fleet::rumour::Demand;
 use kernel::Millis;
 use kernel::Name;
@@ -76,7 +76,7 @@
 }
 
 /// Runs `f` on the gate of a contract, made or brought up to its revision first.
-fn with_gate<R>(app: &App, held: &InForce, f: impl FnOnce(&mut Limiter, Millis) -> R) -> R {
+fn with_gate<R>(app: &App, held: &ActiveContract, f: impl FnOnce(&mut Limiter, Millis) -> R) -> R {
     let contract = &held.stored.contract;
     let customer = &contract.customer;
     let now = app.clock.now();
@@ -105,7 +105,7 @@
 /// Returns a refusal that names the contract's line.
 pub fn pass(
     app: &Arc<App>,
-    held: &InForce,
+    held: &ActiveContract,
     tokens: u32,
     trace: &mut Trace,
 ) -> Result<Passage, Problem> {
@@ -132,7 +132,7 @@
 /// # Errors
 ///
 /// Returns the milliseconds after which to ask again.
-pub fn pass_sample(app: &Arc<App>, held: &InForce, tokens: f64) -> Result<Passage, Millis> {
+pub fn pass_sample(app: &Arc<App>, held: &ActiveContract, tokens: f64) -> Result<Passage, Millis> {
     let passed = with_gate(app, held, |limiter, now| {
         limiter.gate.enter_sample(now, tokens)
     });
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::book::InForce;
+use contract::book::ActiveContract;
 use fleet::Member;
 use futures_util::StreamExt;
 use futures_util::future::join_all;
@@ -153,7 +153,7 @@
 fn begin(
     app: &Arc<App>,
     id: &str,
-    held: &InForce,
+    held: &ActiveContract,
     spec: Spec,
     cursor: &Cursor,
     version: u64,
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::book::InForce;
+use contract::book::ActiveContract;
 use kernel::Millis;
 use limit::order::Entry;
 use poison::Fingerprint;
@@ -107,7 +107,12 @@
     work.run.lock().fail(index, ordinal, partial);
 }
 
-async fn acquire(app: &App, work: &Work, held: &InForce, begin: &Begin) -> Result<Permit, Millis> {
+async fn acquire(
+    app: &App,
+    work: &Work,
+    held: &ActiveContract,
+    begin: &Begin,
+) -> Result<Permit, Millis> {
     let contract = &held.stored.contract;
     let left = begin.tokens.saturating_sub(begin.partial.tokens);
     let entry = Entry {
--- a/crates/serve/src/sync.rs
+++ b/crates/serve/src/sync.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use contract::StoredContract;
-use contract::book::InForce;
+use contract::book::ActiveContract;
 use fleet::Rumour;
 use kernel::Millis;
 use kernel::Name;
@@ -118,10 +118,10 @@
     app.confirm(0);
 }
 
-fn contract(item: &Item) -> Option<InForce> {
+fn contract(item: &Item) -> Option<ActiveContract> {
     let stored: Result<StoredContract, _> = serde_json::from_slice(&item.value);
     match stored {
-        Ok(stored) => Some(InForce {
+        Ok(stored) => Some(ActiveContract {
             rev: item.rev,
             stored: Arc::new(stored),
         }),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -4,7 +4,7 @@
 //! releases run side by side. [`VERSION`] rises only when that does not do.
 
 use contract::Revision;
-use contract::book::InForce;
+use contract::book::ActiveContract;
 use fleet::Member;
 use fleet::Rumour;
 use hmac::Hmac;
@@ -64,7 +64,7 @@
     pub rumours: Vec<Rumour>,
     /// Contracts that the receiver's last answer showed to be missing there.
     #[serde(default)]
-    pub contracts: Vec<InForce>,
+    pub contracts: Vec<ActiveContract>,
     /// Whom to probe on the sender's behalf, if anyone.
     #[serde(default)]
     pub probe: Option<Member>,
@@ -86,7 +86,7 @@
     pub rumours: Vec<Rumour>,
     /// Contracts that the sender's probe showed to be missing there.
     #[serde(default)]
-    pub contracts: Vec<InForce>,
+    pub contracts: Vec<ActiveContract>,
     /// Whether the instance that was to be probed answered.
     #[serde(default)]
     pub reached: Option<Member>,
