--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -2,24 +2,24 @@
 //!
 //! Every limit, priority and share that a customer receives follows from its [`Contract`] alone.
 //! Operators write contracts as INI files ([`form`]), the platform keeps them as [`StoredContract`]
-//! records, and each instance holds those in force in a [`Book`] which takes higher revisions only.
+//! records, and each instance holds those in force in a [`Registry`] which takes higher revisions only.
 
 pub mod amend;
 pub mod audit;
-pub mod book;
 pub mod form;
 pub mod model;
+pub mod registry;
 
 pub use amend::Change;
 pub use amend::Settle;
 pub use audit::Audit;
-pub use book::Book;
-pub use book::StoredContract;
 pub use kernel::Digest;
 pub use model::Contract;
 pub use model::Rule;
 pub use model::Unscored;
 pub use model::Weighs;
+pub use registry::Registry;
+pub use registry::StoredContract;
 
 /// A revision of the platform's key-value service; higher is newer.
 pub type Revision = i64;
--- a/crates/contract/src/book.rs
+++ b/crates/contract/src/registry.rs
@@ -31,9 +31,9 @@
     pub stored: Arc<StoredContract>,
 }
 
-/// What came of offering a revision to a [`Book`].
+/// What came of offering a revision to a [`Registry`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum ApplyResult {
     /// It is in force now.
     Applied,
     /// The book holds this revision or a higher one.
@@ -48,25 +48,25 @@
 /// # Examples
 ///
 /// ```
-/// use contract::Book;
+/// use contract::Registry;
 ///
-/// let book = Book::default();
-/// assert!(book.by_token("nobody's").is_none());
-/// assert_eq!(book.newest(), 0);
+/// let registry = Registry::default();
+/// assert!(registry.by_token("nobody's").is_none());
+/// assert_eq!(registry.newest_revision(), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Registry {
     contracts: Map<Name, ActiveContract>,
     tokens: Map<Digest, Name>,
 }
 
-impl Book {
+impl Registry {
     /// Puts a revision in force if it is newer than the one held.
-    pub fn offer(&mut self, new: ActiveContract) -> Offer {
+    pub fn apply(&mut self, new: ActiveContract) -> ApplyResult {
         let customer = new.stored.contract.customer.clone();
         if let Some(held) = self.contracts.get(&customer) {
             if held.rev >= new.rev {
-                return Offer::Stale;
+                return ApplyResult::Stale;
             }
             let old = held.stored.contract.token;
             if self.tokens.get(&old) == Some(&customer) {
@@ -76,7 +76,7 @@
         self.tokens
             .insert(new.stored.contract.token, customer.clone());
         self.contracts.insert(customer, new);
-        Offer::Applied
+        ApplyResult::Applied
     }
 
     /// Finds the contract of a bearer token.
@@ -98,12 +98,12 @@
     }
 
     /// The highest revision in force; 0 when there is none.
-    pub fn newest(&self) -> Revision {
+    pub fn newest_revision(&self) -> Revision {
         self.all().map(|held| held.rev).max().unwrap_or(0)
     }
 
     /// The contracts with a revision above `rev`, lowest first.
-    pub fn since(&self, rev: Revision) -> Vec<ActiveContract> {
+    pub fn newer_than(&self, rev: Revision) -> Vec<ActiveContract> {
         let mut newer: Vec<_> = self.all().filter(|held| held.rev > rev).cloned().collect();
         newer.sort_by_key(|held| held.rev);
         newer
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
-use contract::Book;
 use contract::Contract;
 use contract::Digest;
+use contract::Registry;
 use contract::Settle;
 use contract::StoredContract;
 use contract::amend::Seen;
 use contract::amend::settle;
-use contract::book::ActiveContract;
-use contract::book::Offer;
 use contract::form;
+use contract::registry::ActiveContract;
+use contract::registry::ApplyResult;
 use proptest::prelude::*;
 use yare::parameterized;
 
@@ -93,22 +93,22 @@
 // Cause: news applied in the order of arrival rather than of revision.
 #[test]
 fn an_older_revision_never_replaces_a_newer_one() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
 
-    let first = book.offer(in_force(9, "new"));
-    let second = book.offer(in_force(7, "old"));
+    let first = book.apply(in_force(9, "new"));
+    let second = book.apply(in_force(7, "old"));
 
-    assert_eq!((first, second), (Offer::Applied, Offer::Stale));
+    assert_eq!((first, second), (ApplyResult::Applied, ApplyResult::Stale));
     assert!(book.by_token("new").is_some());
     assert!(book.by_token("old").is_none());
 }
 
 #[test]
 fn a_replaced_token_stops_working() {
-    let mut book = Book::default();
-    book.offer(in_force(1, "old"));
+    let mut book = Registry::default();
+    book.apply(in_force(1, "old"));
 
-    book.offer(in_force(2, "new"));
+    book.apply(in_force(2, "new"));
 
     assert!(book.by_token("old").is_none());
 }
@@ -136,13 +136,13 @@
 proptest! {
     #[test]
     fn the_book_ends_with_the_highest_revision(revs in prop::collection::vec(1i64..50, 1..40)) {
-        let mut book = Book::default();
+        let mut book = Registry::default();
         let mut high = 0;
         for rev in &revs {
-            book.offer(in_force(*rev, "t"));
-            prop_assert!(book.newest() >= high);
-            high = book.newest();
+            book.apply(in_force(*rev, "t"));
+            prop_assert!(book.newest_revision() >= high);
+            high = book.newest_revision();
         }
-        prop_assert_eq!(book.newest(), *revs.iter().max().unwrap());
+        prop_assert_eq!(book.newest_revision(), *revs.iter().max().unwrap());
     }
 }
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -5,10 +5,10 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-use contract::Book;
+use contract::Registry;
 use contract::Revision;
-use contract::book::ActiveContract;
-use contract::book::Offer;
+use contract::registry::ActiveContract;
+use contract::registry::ApplyResult;
 use crash::CrashTracker;
 use fleet::Life;
 use fleet::Member;
@@ -40,7 +40,7 @@
     /// Its clocks.
     pub clock: Clock,
     /// The contracts in force.
-    pub book: RwLock<Book>,
+    pub book: RwLock<Registry>,
     /// The limits of each contract.
     pub limits: Limits,
     /// The queue and upstreams of each model and service.
@@ -124,7 +124,7 @@
             let customer = new.stored.contract.customer.clone();
             let before = book.by_name(&customer).map_or(0, |held| held.rev);
             let (rev, change) = (new.rev, new.stored.change.clone());
-            if book.offer(new) == Offer::Stale {
+            if book.apply(new) == ApplyResult::Stale {
                 continue;
             }
             applied += 1;
@@ -144,7 +144,7 @@
 
     /// The newest contract revision in force.
     pub fn newest(&self) -> Revision {
-        self.book.read().newest()
+        self.book.read().newest_revision()
     }
 
     /// Notes that the contracts were the newest `age` milliseconds ago.
--- a/crates/serve/src/auth.rs
+++ b/crates/serve/src/auth.rs
@@ -1,6 +1,6 @@
 //! Who calls.
 
-use contract::book::ActiveContract;
+use contract::registry::ActiveContract;
 use http::header::AUTHORIZATION;
 use net::Call;
 use route::Attempt;
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::book::ActiveContract;
+use contract::registry::ActiveContract;
 use http::HeaderValue;
 use http::StatusCode;
 use http::header::CONTENT_TYPE;
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use contract::Contract;
-use contract::book::ActiveContract;
+use contract::registry::ActiveContract;
 use fleet::rumour::Demand;
 use kernel::Millis;
 use kernel::Name;
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::book::ActiveContract;
+use contract::registry::ActiveContract;
 use fleet::Member;
 use futures_util::StreamExt;
 use futures_util::future::join_all;
--- a/crates/serve/src/sync.rs
+++ b/crates/serve/src/sync.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use contract::StoredContract;
-use contract::book::ActiveContract;
+use contract::registry::ActiveContract;
 use fleet::Rumour;
 use kernel::Millis;
 use kernel::Name;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -4,7 +4,7 @@
 //! releases run side by side. [`VERSION`] rises only when that does not do.
 
 use contract::Revision;
-use contract::book::ActiveContract;
+use contract::registry::ActiveContract;
 use fleet::Member;
 use fleet::Rumour;
 use hmac::Hmac;
