--- a/crates/contract/src/amend.rs
+++ b/crates/contract/src/amend.rs
@@ -20,7 +20,7 @@
 
 /// What a read of the platform showed after a write whose answer was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen<'a> {
+pub struct ReadBack<'a> {
     /// The revision of the contract now; 0 when there is none.
     pub rev: Revision,
     /// The change that made it.
@@ -31,7 +31,7 @@
 
 /// What to tell the operator, or to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settle {
+pub enum ChangeStatus {
     /// The change took effect; the revision is the contract's now.
     InForce(Revision),
     /// It took effect, and a later change has replaced it since.
@@ -40,7 +40,7 @@
     NotApplied(Revision),
     /// It has not taken effect, but the lost write may still do so: write the same again, which
     /// either succeeds or conflicts, and then ask again.
-    WriteAgain,
+    Retry,
 }
 
 /// Decides what became of a change.
@@ -51,22 +51,22 @@
 /// # Examples
 ///
 /// ```
-/// use contract::amend::Seen;
-/// use contract::amend::settle;
-/// use contract::Settle;
+/// use contract::amend::ReadBack;
+/// use contract::amend::change_status;
+/// use contract::ChangeStatus;
 ///
-/// let seen = Seen { rev: 9, change: "other", audited: false };
-/// assert_eq!(settle("mine", 7, seen), Settle::NotApplied(9));
+/// let read_back = ReadBack { rev: 9, change: "other", audited: false };
+/// assert_eq!(change_status("mine", 7, read_back), ChangeStatus::NotApplied(9));
 /// ```
-pub fn settle(id: &str, base: Revision, seen: Seen<'_>) -> Settle {
+pub fn change_status(id: &str, base: Revision, seen: ReadBack<'_>) -> ChangeStatus {
     if seen.change == id {
-        return Settle::InForce(seen.rev);
+        return ChangeStatus::InForce(seen.rev);
     }
     if seen.audited {
-        return Settle::Replaced(seen.rev);
+        return ChangeStatus::Replaced(seen.rev);
     }
     if seen.rev != base {
-        return Settle::NotApplied(seen.rev);
+        return ChangeStatus::NotApplied(seen.rev);
     }
-    Settle::WriteAgain
+    ChangeStatus::Retry
 }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod registry;
 
 pub use amend::Change;
-pub use amend::Settle;
+pub use amend::ChangeStatus;
 pub use audit::Audit;
 pub use kernel::Digest;
 pub use model::Contract;
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
+use contract::ChangeStatus;
 use contract::Contract;
 use contract::Digest;
 use contract::Registry;
-use contract::Settle;
 use contract::StoredContract;
-use contract::amend::Seen;
-use contract::amend::settle;
+use contract::amend::ReadBack;
+use contract::amend::change_status;
 use contract::form;
 use contract::registry::ActiveContract;
 use contract::registry::ApplyResult;
@@ -117,20 +117,20 @@
 // Sequence: the write's answer is lost; the tool reads back.
 // Cause: guessing from the read alone while the lost write may still be on its way.
 #[parameterized(
-    mine = { 8, "me", false, Settle::InForce(8) },
-    replaced = { 9, "other", true, Settle::Replaced(9) },
-    lost_race = { 8, "other", false, Settle::NotApplied(8) },
-    pending = { 7, "before", false, Settle::WriteAgain },
-    gone = { 0, "", false, Settle::NotApplied(0) },
+    mine = { 8, "me", false, ChangeStatus::InForce(8) },
+    replaced = { 9, "other", true, ChangeStatus::Replaced(9) },
+    lost_race = { 8, "other", false, ChangeStatus::NotApplied(8) },
+    pending = { 7, "before", false, ChangeStatus::Retry },
+    gone = { 0, "", false, ChangeStatus::NotApplied(0) },
 )]
-fn a_lost_answer_is_settled(rev: i64, change: &str, audited: bool, expected: Settle) {
-    let seen = Seen {
+fn a_lost_answer_is_settled(rev: i64, change: &str, audited: bool, expected: ChangeStatus) {
+    let seen = ReadBack {
         rev,
         change,
         audited,
     };
 
-    assert_eq!(settle("me", 7, seen), expected);
+    assert_eq!(change_status("me", 7, seen), expected);
 }
 
 proptest! {
--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -6,12 +6,12 @@
 
 use contract::Audit;
 use contract::Change;
+use contract::ChangeStatus;
 use contract::Contract;
 use contract::Revision;
-use contract::Settle;
 use contract::StoredContract;
-use contract::amend::Seen;
-use contract::amend::settle;
+use contract::amend::ReadBack;
+use contract::amend::change_status;
 use contract::form;
 use contract::form::Diff;
 use kernel::Name;
@@ -220,12 +220,12 @@
                 Err(_) => (),
             }
             match self.read_back(change).await {
-                Ok(Settle::InForce(rev)) => return Ok(Applied::InForce(rev)),
-                Ok(Settle::Replaced(rev)) => return Ok(Applied::Replaced(rev)),
-                Ok(Settle::NotApplied(rev)) => {
+                Ok(ChangeStatus::InForce(rev)) => return Ok(Applied::InForce(rev)),
+                Ok(ChangeStatus::Replaced(rev)) => return Ok(Applied::Replaced(rev)),
+                Ok(ChangeStatus::NotApplied(rev)) => {
                     return self.conflict(change.base, rev, customer).await;
                 }
-                Ok(Settle::WriteAgain) | Err(_) => (),
+                Ok(ChangeStatus::Retry) | Err(_) => (),
             }
             tokio::time::sleep(PAUSE * 2_u32.pow(turn.min(4))).await;
         }
@@ -233,19 +233,19 @@
         Ok(Applied::NotKnown { change })
     }
 
-    async fn read_back(&self, change: &Change) -> Result<Settle, ContractError> {
+    async fn read_back(&self, change: &Change) -> Result<ChangeStatus, ContractError> {
         let customer = &change.after.customer;
         let held = self.show(customer).await?;
         let rev = held.as_ref().map_or(0, |held| held.rev);
         let current = held.map(|held| held.stored.change).unwrap_or_default();
         let trail = self.audit(Some(customer)).await?;
         let audited = trail.iter().any(|(_, audit)| audit.change == change.id);
-        let seen = Seen {
+        let seen = ReadBack {
             rev,
             change: &current,
             audited,
         };
-        Ok(settle(&change.id, change.base, seen))
+        Ok(change_status(&change.id, change.base, seen))
     }
 
     /// Shows what others changed since `base`.
