--- a/crates/contract/src/form.rs
+++ b/crates/contract/src/form.rs
@@ -13,7 +13,7 @@
 use kernel::Name;
 
 use crate::Contract;
-use crate::Rule;
+use crate::NonIdempotentRule;
 use crate::Unscored;
 use crate::Weighs;
 use crate::model::MAX_CLASS;
@@ -113,7 +113,7 @@
     let once = s.or(
         "once",
         "SERVICE:METHOD:/path rules separated by commas",
-        List::<Rule>(Vec::new()),
+        List::<NonIdempotentRule>(Vec::new()),
     );
     let scorer = s.or(
         "scorer",
@@ -167,7 +167,7 @@
         deadline: deadline.0,
         staleness,
         weighs,
-        once: once.0,
+        non_idempotent: once.0,
         scorer: scorer.0.into_iter().next(),
         unscored,
     })
@@ -197,7 +197,7 @@
     line("deadline", &Span(c.deadline));
     line("staleness", &c.staleness);
     line("weighs", &c.weighs);
-    line("once", &join(&c.once));
+    line("once", &join(&c.non_idempotent));
     let scorer: Vec<_> = c.scorer.iter().collect();
     line("scorer", &join(&scorer));
     line("unscored", &c.unscored);
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -15,7 +15,7 @@
 pub use audit::Audit;
 pub use kernel::Digest;
 pub use model::Contract;
-pub use model::Rule;
+pub use model::NonIdempotentRule;
 pub use model::Unscored;
 pub use model::Weighs;
 pub use registry::Registry;
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -40,7 +40,7 @@
 /// A call that is marked as non-idempotent: `SERVICE:METHOD:/path`, where the path is a prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Rule {
+pub struct NonIdempotentRule {
     /// The plain service.
     pub service: Name,
     /// The HTTP method in capitals.
@@ -55,7 +55,7 @@
 #[error("expected SERVICE:METHOD:/path")]
 pub struct RuleError;
 
-impl FromStr for Rule {
+impl FromStr for NonIdempotentRule {
     type Err = RuleError;
 
     fn from_str(text: &str) -> Result<Self, RuleError> {
@@ -76,7 +76,7 @@
     }
 }
 
-impl fmt::Display for Rule {
+impl fmt::Display for NonIdempotentRule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.service, self.method, self.path)
     }
@@ -113,7 +113,8 @@
     /// Which cost weighs more.
     pub weighs: Weighs,
     /// Calls marked as non-idempotent.
-    pub once: Vec<Rule>,
+    #[serde(rename = "once")]
+    pub non_idempotent: Vec<NonIdempotentRule>,
     /// The plain service that scores samples before they are delivered.
     #[serde(default)]
     pub scorer: Option<Name>,
@@ -127,8 +128,8 @@
     ///
     /// A prefix ends at a path segment: the rule `/orders` covers `/orders` and `/orders/7`, not
     /// `/ordersheet`.
-    pub fn is_once(&self, service: &str, method: &str, path: &str) -> bool {
-        self.once.iter().any(|rule| {
+    pub fn is_non_idempotent(&self, service: &str, method: &str, path: &str) -> bool {
+        self.non_idempotent.iter().any(|rule| {
             &*rule.service == service && &*rule.method == method && covers(&rule.path, path)
         })
     }
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -66,7 +66,7 @@
     method = { "GET", "/orders", false },
 )]
 fn rules_cover_whole_segments(method: &str, path: &str, expected: bool) {
-    assert_eq!(sample().is_once("portal", method, path), expected);
+    assert_eq!(sample().is_non_idempotent("portal", method, path), expected);
 }
 
 #[test]
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -106,7 +106,7 @@
     let deadline = app.clock.now() + timeout(&call, contract)?;
     let path = call.rest(3);
     let plain = path.split('?').next().unwrap_or("/");
-    let once = contract.is_once(&service, call.method.as_str(), plain);
+    let once = contract.is_non_idempotent(&service, call.method.as_str(), plain);
     let key = keyed::key(&call, contract, &service, once)?;
     let outbound = outbound(app, call, path, once, deadline).await?;
     // Before the journal: what the contract does not allow must cost no write.
