--- a/crates/contract/src/form.rs
+++ b/crates/contract/src/form.rs
@@ -13,15 +13,15 @@
 use kernel::Name;
 
 use crate::Contract;
+use crate::CostPreference;
 use crate::NonIdempotentRule;
 use crate::Unscored;
-use crate::Weighs;
 use crate::model::MAX_CLASS;
 
 /// Default deadline of a request.
 const DEADLINE: Span = Span(30_000);
 
-impl FromStr for Weighs {
+impl FromStr for CostPreference {
     type Err = conf::Problem;
 
     fn from_str(text: &str) -> Result<Self, conf::Problem> {
@@ -54,7 +54,7 @@
     }
 }
 
-impl Display for Weighs {
+impl Display for CostPreference {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::Idle => "idle",
@@ -109,7 +109,7 @@
     let weight = s.or("weight", "a share of at least 1", 1);
     let deadline = s.or("deadline", "a span of time such as 800ms or 5s", DEADLINE);
     let staleness = s.or("staleness", "a number of weight versions", 1);
-    let weighs = s.or("weighs", "idle or staleness", Weighs::Idle);
+    let cost_preference = s.or("weighs", "idle or staleness", CostPreference::Idle);
     let once = s.or(
         "once",
         "SERVICE:METHOD:/path rules separated by commas",
@@ -166,7 +166,7 @@
         weight,
         deadline: deadline.0,
         staleness,
-        weighs,
+        cost_preference,
         non_idempotent: once.0,
         scorer: scorer.0.into_iter().next(),
         unscored,
@@ -196,7 +196,7 @@
     line("weight", &c.weight);
     line("deadline", &Span(c.deadline));
     line("staleness", &c.staleness);
-    line("weighs", &c.weighs);
+    line("weighs", &c.cost_preference);
     line("once", &join(&c.non_idempotent));
     let scorer: Vec<_> = c.scorer.iter().collect();
     line("scorer", &join(&scorer));
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -15,9 +15,9 @@
 pub use audit::Audit;
 pub use kernel::Digest;
 pub use model::Contract;
+pub use model::CostPreference;
 pub use model::NonIdempotentRule;
 pub use model::Unscored;
-pub use model::Weighs;
 pub use registry::Registry;
 pub use registry::StoredContract;
 
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Weighs {
+pub enum CostPreference {
     /// Trainer idle time: running samples are kept while weights are swapped.
     #[default]
     Idle,
@@ -111,7 +111,8 @@
     /// Weight versions that a sample may be behind its trainer.
     pub staleness: u64,
     /// Which cost weighs more.
-    pub weighs: Weighs,
+    #[serde(rename = "weighs")]
+    pub cost_preference: CostPreference,
     /// Calls marked as non-idempotent.
     #[serde(rename = "once")]
     pub non_idempotent: Vec<NonIdempotentRule>,
