--- a/crates/contract/src/form.rs
+++ b/crates/contract/src/form.rs
@@ -15,7 +15,7 @@
 use crate::Contract;
 use crate::CostPreference;
 use crate::NonIdempotentRule;
-use crate::Unscored;
+use crate::UnscoredPolicy;
 use crate::model::MAX_CLASS;
 
 /// Default deadline of a request.
@@ -33,7 +33,7 @@
     }
 }
 
-impl FromStr for Unscored {
+impl FromStr for UnscoredPolicy {
     type Err = conf::Problem;
 
     fn from_str(text: &str) -> Result<Self, conf::Problem> {
@@ -45,7 +45,7 @@
     }
 }
 
-impl Display for Unscored {
+impl Display for UnscoredPolicy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::Wait => "wait",
@@ -120,7 +120,7 @@
         "the name of a plain service",
         List::<Name>(Vec::new()),
     );
-    let unscored = s.or("unscored", "wait or pass", Unscored::Wait);
+    let unscored = s.or("unscored", "wait or pass", UnscoredPolicy::Wait);
     if scorer.0.len() > 1 {
         s.refuse("scorer", "one name at most");
     }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -17,7 +17,7 @@
 pub use model::Contract;
 pub use model::CostPreference;
 pub use model::NonIdempotentRule;
-pub use model::Unscored;
+pub use model::UnscoredPolicy;
 pub use registry::Registry;
 pub use registry::StoredContract;
 
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Unscored {
+pub enum UnscoredPolicy {
     /// It waits until it is scored.
     #[default]
     Wait,
@@ -121,7 +121,7 @@
     pub scorer: Option<Name>,
     /// What becomes of a sample that cannot be scored.
     #[serde(default)]
-    pub unscored: Unscored,
+    pub unscored: UnscoredPolicy,
 }
 
 impl Contract {
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use contract::Contract;
-use contract::Unscored;
+use contract::UnscoredPolicy;
 use http::Method;
 use kernel::Millis;
 use limit::order::Entry;
@@ -79,7 +79,7 @@
                 }
             }
         }
-        if contract.unscored == Unscored::Pass && tries >= TRIES {
+        if contract.unscored == UnscoredPolicy::Pass && tries >= TRIES {
             work.note(format!("sample {} passes without a score", sample.index));
             return;
         }
