--- a/crates/contract/src/form.rs
+++ b/crates/contract/src/form.rs
@@ -108,7 +108,7 @@
     let class = s.or("class", "a priority class from 0 to 7", 3);
     let weight = s.or("weight", "a share of at least 1", 1);
     let deadline = s.or("deadline", "a span of time such as 800ms or 5s", DEADLINE);
-    let staleness = s.or("staleness", "a number of weight versions", 1);
+    let max_staleness = s.or("staleness", "a number of weight versions", 1);
     let cost_preference = s.or("weighs", "idle or staleness", CostPreference::Idle);
     let once = s.or(
         "once",
@@ -155,17 +155,17 @@
     let rate = rate?;
     Some(Contract {
         customer: customer?,
-        token: token?,
+        token_digest: token?,
         models: models.0,
         services: services.0,
-        rate: rate.0,
+        request_rate: rate.0,
         burst: burst.map_or(rate.0.max(1.0), |burst| burst.0.max(1.0)),
         concurrency: concurrency?,
-        tokens: tokens.0,
+        token_rate: tokens.0,
         class,
         weight,
         deadline: deadline.0,
-        staleness,
+        max_staleness,
         cost_preference,
         non_idempotent: once.0,
         scorer: scorer.0.into_iter().next(),
@@ -185,17 +185,17 @@
         let _ = writeln!(out, "{key} = {value}");
     };
     line("customer", &c.customer);
-    line("token-sha256", &c.token);
+    line("token-sha256", &c.token_digest);
     line("models", &join(&c.models));
     line("services", &join(&c.services));
-    line("rate", &c.rate);
+    line("rate", &c.request_rate);
     line("burst", &c.burst);
     line("concurrency", &c.concurrency);
-    line("tokens", &c.tokens);
+    line("tokens", &c.token_rate);
     line("class", &c.class);
     line("weight", &c.weight);
     line("deadline", &Span(c.deadline));
-    line("staleness", &c.staleness);
+    line("staleness", &c.max_staleness);
     line("weighs", &c.cost_preference);
     line("once", &join(&c.non_idempotent));
     let scorer: Vec<_> = c.scorer.iter().collect();
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -89,19 +89,22 @@
     /// The customer.
     pub customer: Name,
     /// SHA-256 of the bearer token.
-    pub token: Digest,
+    #[serde(rename = "token")]
+    pub token_digest: Digest,
     /// Models it may use.
     pub models: Vec<Name>,
     /// Plain services it may use.
     pub services: Vec<Name>,
     /// Requests a second, over all instances.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub request_rate: f64,
     /// Requests that may come at once on top of the rate.
     pub burst: f64,
     /// Requests that may run at the same time, over all instances.
     pub concurrency: u32,
     /// Generated tokens a second, over all instances.
-    pub tokens: f64,
+    #[serde(rename = "tokens")]
+    pub token_rate: f64,
     /// Priority class, 0 to [`MAX_CLASS`]; higher goes first at the engines.
     pub class: u8,
     /// Share of a contended upstream relative to other contracts.
@@ -109,7 +112,8 @@
     /// Longest time that a request may take.
     pub deadline: Millis,
     /// Weight versions that a sample may be behind its trainer.
-    pub staleness: u64,
+    #[serde(rename = "staleness")]
+    pub max_staleness: u64,
     /// Which cost weighs more.
     #[serde(rename = "weighs")]
     pub cost_preference: CostPreference,
--- a/crates/contract/src/registry.rs
+++ b/crates/contract/src/registry.rs
@@ -68,13 +68,13 @@
             if held.rev >= new.rev {
                 return ApplyResult::Stale;
             }
-            let old = held.stored.contract.token;
+            let old = held.stored.contract.token_digest;
             if self.tokens.get(&old) == Some(&customer) {
                 self.tokens.remove(&old);
             }
         }
         self.tokens
-            .insert(new.stored.contract.token, customer.clone());
+            .insert(new.stored.contract.token_digest, customer.clone());
         self.contracts.insert(customer, new);
         ApplyResult::Applied
     }
@@ -84,7 +84,11 @@
         let digest = Digest::of(token);
         let customer = self.tokens.get(&digest)?;
         let held = self.contracts.get(customer)?;
-        held.stored.contract.token.matches(&digest).then_some(held)
+        held.stored
+            .contract
+            .token_digest
+            .matches(&digest)
+            .then_some(held)
     }
 
     /// Finds the contract of a customer.
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -29,7 +29,7 @@
 
 fn in_force(rev: i64, token: &str) -> ActiveContract {
     let mut contract = sample();
-    contract.token = Digest::of(token);
+    contract.token_digest = Digest::of(token);
     let change = format!("c{rev}").into();
     ActiveContract {
         rev,
@@ -83,7 +83,7 @@
     let good = form::amend(&sample(), &change("rate", "20")).unwrap();
     let bad = form::amend(&sample(), &change("rat", "20")).unwrap_err();
 
-    assert_eq!(good.rate, 20.0);
+    assert_eq!(good.request_rate, 20.0);
     assert!(bad.to_string().contains("did you mean \"rate\""), "{bad}");
     assert_eq!(form::diff(Some(&sample()), &good).len(), 1);
 }
--- a/crates/limit/src/gate.rs
+++ b/crates/limit/src/gate.rs
@@ -62,7 +62,7 @@
     pub fn new(contract: &Contract, share: Share, now: Millis) -> Self {
         let mut gate = Self {
             rate: Bucket::new(0.0, contract.burst, now),
-            tokens: Bucket::new(0.0, contract.tokens * TOKEN_BURST, now),
+            tokens: Bucket::new(0.0, contract.token_rate * TOKEN_BURST, now),
             slots: 0,
             running: 0,
         };
@@ -74,8 +74,8 @@
     pub fn resize(&mut self, contract: &Contract, share: Share, now: Millis) {
         let part = share.part();
         let burst = (contract.burst * part).max(1.0);
-        self.rate.resize(contract.rate * part, burst, now);
-        let tokens = contract.tokens * part;
+        self.rate.resize(contract.request_rate * part, burst, now);
+        let tokens = contract.token_rate * part;
         self.tokens.resize(tokens, tokens * TOKEN_BURST, now);
         self.slots = share.count(contract.concurrency);
     }
--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -199,7 +199,7 @@
     async fn check_token(&self, after: &Contract) -> Result<(), ContractError> {
         for held in self.list().await? {
             let other = held.stored.contract;
-            if other.customer != after.customer && other.token.matches(&after.token) {
+            if other.customer != after.customer && other.token_digest.matches(&after.token_digest) {
                 return Err(ContractError::Token(other.customer));
             }
         }
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -125,7 +125,7 @@
         prompts: open.groups,
         samples: open.samples,
         tokens: open.max_tokens,
-        bound: contract.staleness,
+        bound: contract.max_staleness,
     };
     let checked = spec.check();
     checked.map_err(|error| no(Type::BadRequest).because(error.to_string()))?;
@@ -146,7 +146,7 @@
     Ok(Opened {
         step: id,
         total: work.total(),
-        bound: contract.staleness,
+        bound: contract.max_staleness,
     })
 }
 
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -57,7 +57,10 @@
 
         for entry in rig.running() {
             let book = entry.app.book.read();
-            assert_eq!(book.by_name("aarhus").unwrap().stored.contract.rate, 7.0);
+            assert_eq!(
+                book.by_name("aarhus").unwrap().stored.contract.request_rate,
+                7.0
+            );
         }
     });
 }
@@ -178,7 +181,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let mut contract = read("");
-        contract.token = contract::Digest::of("token-new");
+        contract.token_digest = contract::Digest::of("token-new");
         let applied = rig.contracts().apply("op", None, contract).await.unwrap();
         let Applied::InForce(rev) = applied else {
             panic!("{applied:?}");
--- a/crates/snipeway/src/cmd/list.rs
+++ b/crates/snipeway/src/cmd/list.rs
@@ -19,7 +19,7 @@
             "{:24} {:>9} {:>9} {:>11} {:>6}",
             c.customer.to_string(),
             held.rev,
-            c.rate,
+            c.request_rate,
             c.concurrency,
             c.class
         );
