--- a/crates/contract/src/amend.rs
+++ b/crates/contract/src/amend.rs
@@ -9,9 +9,9 @@
     /// The change's identifier: unique, and the same over all tries.
     pub id: Box<str>,
     /// Who asks.
-    pub who: Box<str>,
+    pub operator: Box<str>,
     /// The revision that the change is based on; 0 when the contract is new.
-    pub base: Revision,
+    pub base_revision: Revision,
     /// The contract before.
     pub before: Option<Contract>,
     /// The contract after.
--- a/crates/contract/src/audit.rs
+++ b/crates/contract/src/audit.rs
@@ -13,11 +13,13 @@
     /// The change's identifier, chosen by who made it.
     pub change: Box<str>,
     /// Who made it: the operator's name.
-    pub who: Box<str>,
+    #[serde(rename = "who")]
+    pub operator: Box<str>,
     /// When, in milliseconds since 1970 by the operator's clock.
     pub at: u64,
     /// The revision that the change was based on; 0 when there was no contract.
-    pub base: Revision,
+    #[serde(rename = "base")]
+    pub base_revision: Revision,
     /// The contract before.
     pub before: Option<Contract>,
     /// The contract after.
--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -187,8 +187,8 @@
         }
         let change = Change {
             id: Uuid::now_v7().simple().to_string().into(),
-            who: who.into(),
-            base: rev,
+            operator: who.into(),
+            base_revision: rev,
             before,
             after,
         };
@@ -223,7 +223,7 @@
                 Ok(ChangeStatus::InForce(rev)) => return Ok(Applied::InForce(rev)),
                 Ok(ChangeStatus::Replaced(rev)) => return Ok(Applied::Replaced(rev)),
                 Ok(ChangeStatus::NotApplied(rev)) => {
-                    return self.conflict(change.base, rev, customer).await;
+                    return self.conflict(change.base_revision, rev, customer).await;
                 }
                 Ok(ChangeStatus::Retry) | Err(_) => (),
             }
@@ -245,7 +245,7 @@
             change: &current,
             audited,
         };
-        Ok(change_status(&change.id, change.base, seen))
+        Ok(change_status(&change.id, change.base_revision, seen))
     }
 
     /// Shows what others changed since `base`.
@@ -290,9 +290,9 @@
     let at = wall();
     let audit = Audit {
         change: change.id.clone(),
-        who: change.who.clone(),
+        operator: change.operator.clone(),
         at,
-        base: change.base,
+        base_revision: change.base_revision,
         before: change.before.clone(),
         after: change.after.clone(),
     };
@@ -304,7 +304,7 @@
     let key = keys::contract(customer);
     let trail = keys::audit(customer, at, &change.id);
     Ok(Txn {
-        guards: vec![Guard::on(key.as_str(), change.base)],
+        guards: vec![Guard::on(key.as_str(), change.base_revision)],
         puts: vec![
             Put::new(key, serde_json::to_vec(&stored).map_err(garbled)?),
             Put::new(trail, serde_json::to_vec(&audit).map_err(garbled)?),
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -228,7 +228,7 @@
                 .any(|line| line.after.as_deref() == Some("rate = 5"))
         );
         let trail = contracts.audit(Some(&customer)).await.unwrap();
-        let who: Vec<_> = trail.iter().map(|(_, audit)| &*audit.who).collect();
+        let who: Vec<_> = trail.iter().map(|(_, audit)| &*audit.operator).collect();
         assert_eq!(who, ["rig", "ida"]);
     });
 }
--- a/crates/snipeway/src/cmd/history.rs
+++ b/crates/snipeway/src/cmd/history.rs
@@ -20,9 +20,9 @@
     let at = at.map_or_else(|_| audit.at.to_string(), |at| at.to_string());
     args::say!(
         "revision {rev} on {}: {} by {} at {at} (change {})",
-        audit.base,
+        audit.base_revision,
         audit.after.customer,
-        audit.who,
+        audit.operator,
         audit.change
     );
     for line in contract::form::diff(audit.before.as_ref(), &audit.after) {
