--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -58,7 +58,7 @@
 async fn outage(rig: &mut Rig) -> eyre::Result<Duration> {
     let faults = rig.parts.platform.host.faults.clone();
     let start = Instant::now();
-    let contract = contract::form::read("bench", &contracts::text("one", "rate = 7\n"))?;
+    let contract = contract::ini::parse("bench", &contracts::text("one", "rate = 7\n"))?;
     let applied = rig.contracts().apply("bench", None, contract).await?;
     let operate::Applied::InForce(rev) = applied else {
         eyre::bail!("not applied: {applied:?}");
--- a/crates/contract/src/form.rs
+++ b/crates/contract/src/ini.rs
@@ -72,13 +72,13 @@
 /// # Examples
 ///
 /// ```
-/// use contract::form;
+/// use contract::ini;
 ///
 /// let text = "[contract]\ncustomer = aarhus\ntoken-sha256 = 00\nrate = 5\n";
-/// let mistakes = form::read("aarhus.ini", text).unwrap_err();
+/// let mistakes = ini::parse("aarhus.ini", text).unwrap_err();
 /// assert!(mistakes.to_string().contains("token-sha256"));
 /// ```
-pub fn read(file: &str, text: &str) -> Result<Contract, Mistakes> {
+pub fn parse(file: &str, text: &str) -> Result<Contract, Mistakes> {
     let mut doc = Doc::parse(file, text);
     let mut section = doc.take("contract");
     let contract = fields(&mut section);
@@ -178,8 +178,8 @@
     items.join(", ")
 }
 
-/// Writes a contract as INI; [`read`] gives the same contract again.
-pub fn write(c: &Contract) -> String {
+/// Writes a contract as INI; [`parse`] gives the same contract again.
+pub fn render(c: &Contract) -> String {
     let mut out = String::from("[contract]\n");
     let mut line = |key: &str, value: &dyn Display| {
         let _ = writeln!(out, "{key} = {value}");
@@ -210,7 +210,7 @@
 ///
 /// Returns the mistakes of the changed contract, an unknown key among them.
 pub fn amend(contract: &Contract, changes: &[(String, String)]) -> Result<Contract, Mistakes> {
-    let mut lines: Vec<String> = write(contract).lines().map(str::to_owned).collect();
+    let mut lines: Vec<String> = render(contract).lines().map(str::to_owned).collect();
     for (key, value) in changes {
         let line = format!("{key} = {value}");
         let prefix = format!("{key} = ");
@@ -219,12 +219,12 @@
             None => lines.push(line),
         }
     }
-    read("amendment", &lines.join("\n"))
+    parse("amendment", &lines.join("\n"))
 }
 
 /// One line of a difference between two contracts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Diff {
+pub struct LineDiff {
     /// The line before, when the change removes one.
     pub before: Option<String>,
     /// The line after, when the change adds one.
@@ -232,20 +232,20 @@
 }
 
 /// Lists the lines in which two contracts differ; all of `after` when there was none before.
-pub fn diff(before: Option<&Contract>, after: &Contract) -> Vec<Diff> {
-    let new = write(after);
+pub fn diff(before: Option<&Contract>, after: &Contract) -> Vec<LineDiff> {
+    let new = render(after);
     let Some(before) = before else {
-        let add = |line: &str| Diff {
+        let add = |line: &str| LineDiff {
             before: None,
             after: Some(line.into()),
         };
         return new.lines().skip(1).map(add).collect();
     };
-    let old = write(before);
+    let old = render(before);
     old.lines()
         .zip(new.lines())
         .filter(|(old, new)| old != new)
-        .map(|(old, new)| Diff {
+        .map(|(old, new)| LineDiff {
             before: Some(old.into()),
             after: Some(new.into()),
         })
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,12 +1,12 @@
 //! Contracts: what a customer may use and how much of it.
 //!
 //! Every limit, priority and share that a customer receives follows from its [`Contract`] alone.
-//! Operators write contracts as INI files ([`form`]), the platform keeps them as [`StoredContract`]
+//! Operators write contracts as INI files ([`ini`]), the platform keeps them as [`StoredContract`]
 //! records, and each instance holds those in force in a [`Registry`] which takes higher revisions only.
 
 pub mod amend;
 pub mod audit;
-pub mod form;
+pub mod ini;
 pub mod model;
 pub mod registry;
 
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -9,7 +9,7 @@
 use contract::StoredContract;
 use contract::amend::ReadBack;
 use contract::amend::change_status;
-use contract::form;
+use contract::ini;
 use contract::registry::ActiveContract;
 use contract::registry::ApplyResult;
 use proptest::prelude::*;
@@ -24,7 +24,7 @@
 }
 
 fn sample() -> Contract {
-    form::read("a.ini", &text("once = portal:POST:/orders\n")).unwrap()
+    ini::parse("a.ini", &text("once = portal:POST:/orders\n")).unwrap()
 }
 
 fn in_force(rev: i64, token: &str) -> ActiveContract {
@@ -50,7 +50,7 @@
     unknown = { "concurency = 3", "concurency" },
 )]
 fn mistakes_are_named(more: &str, key: &str) {
-    let got = form::read("a.ini", &text(more));
+    let got = ini::parse("a.ini", &text(more));
 
     match got {
         Ok(contract) => panic!("accepted {contract:?}"),
@@ -73,19 +73,19 @@
 fn a_written_contract_reads_the_same() {
     let contract = sample();
 
-    assert_eq!(form::read("b.ini", &form::write(&contract)), Ok(contract));
+    assert_eq!(ini::parse("b.ini", &ini::render(&contract)), Ok(contract));
 }
 
 #[test]
 fn an_amendment_is_checked_as_a_whole() {
     let change = |key: &str, value: &str| vec![(key.to_owned(), value.to_owned())];
 
-    let good = form::amend(&sample(), &change("rate", "20")).unwrap();
-    let bad = form::amend(&sample(), &change("rat", "20")).unwrap_err();
+    let good = ini::amend(&sample(), &change("rate", "20")).unwrap();
+    let bad = ini::amend(&sample(), &change("rat", "20")).unwrap_err();
 
     assert_eq!(good.request_rate, 20.0);
     assert!(bad.to_string().contains("did you mean \"rate\""), "{bad}");
-    assert_eq!(form::diff(Some(&sample()), &good).len(), 1);
+    assert_eq!(ini::diff(Some(&sample()), &good).len(), 1);
 }
 
 // Symptom: a customer's old limit or old token works again.
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -123,7 +123,7 @@
         let parts = Parts::start(make).await.unwrap();
         let contracts = operate::Contracts::new(plat::Client::new(vec![parts.platform.host.addr]));
         for text in &make.contracts {
-            let contract = contract::form::read("test", text).unwrap();
+            let contract = contract::ini::parse("test", text).unwrap();
             contracts.apply("test", None, contract).await.unwrap();
         }
         let mut text = parts.shared.clone();
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -1,6 +1,6 @@
 //! Tests of admission.
 
-use contract::form;
+use contract::ini;
 use kernel::Name;
 use kernel::plugin;
 use limit::Admit;
@@ -40,7 +40,7 @@
          burst = 1\nconcurrency = {concurrency}\n",
         "00".repeat(32)
     );
-    let contract = form::read("a", &text).unwrap();
+    let contract = ini::parse("a", &text).unwrap();
     Gate::new(&contract, share, 0)
 }
 
--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -12,8 +12,8 @@
 use contract::StoredContract;
 use contract::amend::ReadBack;
 use contract::amend::change_status;
-use contract::form;
-use contract::form::Diff;
+use contract::ini;
+use contract::ini::LineDiff;
 use kernel::Name;
 use plat::Client;
 use plat::Done;
@@ -45,7 +45,7 @@
         /// The contract's revision now.
         rev: Revision,
         /// What the others changed.
-        theirs: Vec<Diff>,
+        theirs: Vec<LineDiff>,
     },
     /// It is not known yet: the platform did not answer often enough.
     NotKnown {
@@ -156,10 +156,10 @@
     /// # Errors
     ///
     /// Returns [`ContractError`].
-    pub async fn plan(&self, after: &Contract) -> Result<Vec<Diff>, ContractError> {
+    pub async fn plan(&self, after: &Contract) -> Result<Vec<LineDiff>, ContractError> {
         let before = self.show(&after.customer).await?;
         let before = before.as_ref().map(|held| &held.stored.contract);
-        Ok(form::diff(before, after))
+        Ok(ini::diff(before, after))
     }
 
     /// Puts a contract in place of the one that the platform holds at revision `base`, or of
@@ -259,7 +259,7 @@
         let theirs = trail
             .iter()
             .filter(|(at, _)| *at > base)
-            .flat_map(|(_, audit)| form::diff(audit.before.as_ref(), &audit.after))
+            .flat_map(|(_, audit)| ini::diff(audit.before.as_ref(), &audit.after))
             .collect();
         Ok(Applied::Conflict { rev, theirs })
     }
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use contract::form;
+use contract::ini;
 use control::Control;
 use eyre::bail;
 use operate::Applied;
@@ -121,7 +121,7 @@
     pub async fn apply(&self, texts: &[String]) -> eyre::Result<i64> {
         let mut newest = 0;
         for text in texts {
-            let contract = form::read("rig", text)?;
+            let contract = ini::parse("rig", text)?;
             match self.contracts().apply("rig", None, contract).await? {
                 Applied::InForce(rev) | Applied::Unchanged(rev) => newest = newest.max(rev),
                 other => bail!("a contract was not applied: {other:?}"),
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use contract::Contract;
-use contract::form;
+use contract::ini;
 use http::Method;
 use http::StatusCode;
 use operate::Applied;
@@ -30,7 +30,7 @@
 }
 
 fn read(more: &str) -> Contract {
-    form::read("test", &contracts::text("aarhus", more)).unwrap()
+    ini::parse("test", &contracts::text("aarhus", more)).unwrap()
 }
 
 fn down() -> Fault {
--- a/crates/snipeway/src/cmd/amend.rs
+++ b/crates/snipeway/src/cmd/amend.rs
@@ -16,7 +16,7 @@
         .collect::<Result<Vec<_>, _>>()?;
     let held = super::contracts(&settings).show(&customer).await?;
     let held = held.ok_or(ContractError::Missing(customer))?;
-    let contract = contract::form::amend(&held.stored.contract, &changes)?;
+    let contract = contract::ini::amend(&held.stored.contract, &changes)?;
     super::apply::change(parsed, &settings, Some(base), contract).await
 }
 
--- a/crates/snipeway/src/cmd/apply.rs
+++ b/crates/snipeway/src/cmd/apply.rs
@@ -4,7 +4,7 @@
 
 use args::Parsed;
 use contract::Contract;
-use contract::form::Diff;
+use contract::ini::LineDiff;
 use operate::Applied;
 use operate::Settings;
 
@@ -14,7 +14,7 @@
 pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let file = &parsed.operands[0];
-    let contract = contract::form::read(file, &conf::load(file)?)?;
+    let contract = contract::ini::parse(file, &conf::load(file)?)?;
     change(parsed, &settings, None, contract).await
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// Prints a difference.
-pub(crate) fn print(diff: &[Diff]) {
+pub(crate) fn print(diff: &[LineDiff]) {
     if diff.is_empty() {
         args::say!("no difference");
     }
--- a/crates/snipeway/src/cmd/check.rs
+++ b/crates/snipeway/src/cmd/check.rs
@@ -7,7 +7,7 @@
 pub(crate) fn run(parsed: &Parsed) -> eyre::Result<()> {
     let mut mistakes = Vec::new();
     for file in &parsed.operands {
-        match contract::form::read(file, &conf::load(file)?) {
+        match contract::ini::parse(file, &conf::load(file)?) {
             Ok(contract) => args::say!("{file}: good, for {}", contract.customer),
             Err(found) => mistakes.extend(found.0),
         }
--- a/crates/snipeway/src/cmd/history.rs
+++ b/crates/snipeway/src/cmd/history.rs
@@ -25,7 +25,7 @@
         audit.operator,
         audit.change
     );
-    for line in contract::form::diff(audit.before.as_ref(), &audit.after) {
+    for line in contract::ini::diff(audit.before.as_ref(), &audit.after) {
         if let Some(before) = line.before {
             args::say!("  - {before}");
         }
--- a/crates/snipeway/src/cmd/show.rs
+++ b/crates/snipeway/src/cmd/show.rs
@@ -13,7 +13,7 @@
     args::say!("; revision {}, change {}", held.rev, held.stored.change);
     args::output::write(format_args!(
         "{}",
-        contract::form::write(&held.stored.contract)
+        contract::ini::render(&held.stored.contract)
     ));
     Ok(())
 }
--- a/crates/snipeway/tests/shipped.rs
+++ b/crates/snipeway/tests/shipped.rs
@@ -33,7 +33,7 @@
     staff = { "etc/contracts/staff.ini", "demo-staff" },
 )]
 fn sample_contracts_are_good(file: &str, token: &str) {
-    let contract = contract::form::read(file, &text(file)).unwrap();
+    let contract = contract::ini::parse(file, &text(file)).unwrap();
 
     assert_eq!(contract.token_digest, contract::Digest::of(token));
 }
