--- a/crates/contract/src/amend.rs
+++ b/crates/contract/src/amend.rs
@@ -1,16 +1,16 @@
-//! Deciding what became of a change whose answer was lost.
+//! Determines whether a contract change took effect when the reply to its write was lost.
 
 use crate::Contract;
 use crate::Revision;
 
-/// A change of one contract that an operator asks for.
+/// A contract change that an operator requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The change's identifier: unique, and the same over all tries.
+    /// The unique identifier of the change, which all attempts to write it share.
     pub id: Box<str>,
-    /// Who asks.
+    /// The name of the operator.
     pub operator: Box<str>,
-    /// The revision that the change is based on; 0 when the contract is new.
+    /// The contract revision that the change is based on; 0 if the contract is new.
     pub base_revision: Revision,
     /// The contract before.
     pub before: Option<Contract>,
@@ -18,35 +18,36 @@
     pub after: Contract,
 }
 
-/// What a read of the platform showed after a write whose answer was lost.
+/// The state read from the platform after the reply to a write was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadBack<'a> {
-    /// The revision of the contract now; 0 when there is none.
+    /// The current revision of the contract; 0 if there is none.
     pub rev: Revision,
-    /// The change that made it.
+    /// The identifier of the change that wrote this revision.
     pub change: &'a str,
-    /// Whether the audit trail holds this change.
+    /// Whether the audit trail contains the operator's change.
     pub audited: bool,
 }
 
-/// What to tell the operator, or to do next.
+/// Whether a contract change took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeStatus {
-    /// The change took effect; the revision is the contract's now.
+    /// The change is in force at this revision.
     InForce(Revision),
-    /// It took effect, and a later change has replaced it since.
+    /// The change took effect, but a later one has replaced it; this is the current revision.
     Replaced(Revision),
-    /// It did not take effect and never can: the contract has another revision than its base.
+    /// The change did not take effect and cannot any more, since the contract has this revision
+    /// instead of the one that the change is based on.
     NotApplied(Revision),
-    /// It has not taken effect, but the lost write may still do so: write the same again, which
-    /// either succeeds or conflicts, and then ask again.
+    /// The change has not taken effect, but the write may still do so. Repeat the write, which
+    /// either succeeds or conflicts, and then determine the status again.
     Retry,
 }
 
-/// Decides what became of a change.
+/// Determines the status of a change from the state that was read back.
 ///
-/// The write was conditional on the base revision, so once the contract has another revision a
-/// write still on its way can only fail.
+/// The write is conditional on the base revision, so once the contract has another revision, a
+/// write that is still in flight can only fail.
 ///
 /// # Examples
 ///
@@ -58,15 +59,15 @@
 /// let read_back = ReadBack { rev: 9, change: "other", audited: false };
 /// assert_eq!(change_status("mine", 7, read_back), ChangeStatus::NotApplied(9));
 /// ```
-pub fn change_status(id: &str, base: Revision, seen: ReadBack<'_>) -> ChangeStatus {
-    if seen.change == id {
-        return ChangeStatus::InForce(seen.rev);
+pub fn change_status(id: &str, base: Revision, read_back: ReadBack<'_>) -> ChangeStatus {
+    if read_back.change == id {
+        return ChangeStatus::InForce(read_back.rev);
     }
-    if seen.audited {
-        return ChangeStatus::Replaced(seen.rev);
+    if read_back.audited {
+        return ChangeStatus::Replaced(read_back.rev);
     }
-    if seen.rev != base {
-        return ChangeStatus::NotApplied(seen.rev);
+    if read_back.rev != base {
+        return ChangeStatus::NotApplied(read_back.rev);
     }
     ChangeStatus::Retry
 }
--- a/crates/contract/src/audit.rs
+++ b/crates/contract/src/audit.rs
@@ -1,4 +1,4 @@
-//! Records of who changed what.
+//! The audit trail of contract changes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,18 +6,18 @@
 use crate::Contract;
 use crate::Revision;
 
-/// One change of a contract, written in the same transaction as the change itself.
+/// The record of one contract change, written in the same transaction as the change itself.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Audit {
-    /// The change's identifier, chosen by who made it.
+    /// The identifier of the change, chosen by the operator's tool.
     pub change: Box<str>,
-    /// Who made it: the operator's name.
+    /// The name of the operator who made it.
     #[serde(rename = "who")]
     pub operator: Box<str>,
-    /// When, in milliseconds since 1970 by the operator's clock.
+    /// The time of the change in milliseconds since 1970, by the operator's clock.
     pub at: u64,
-    /// The revision that the change was based on; 0 when there was no contract.
+    /// The contract revision that the change was based on; 0 if there was no contract.
     #[serde(rename = "base")]
     pub base_revision: Revision,
     /// The contract before.
--- a/crates/contract/src/ini.rs
+++ b/crates/contract/src/ini.rs
@@ -1,4 +1,4 @@
-//! The INI form of a contract.
+//! The INI representation of contracts.
 
 use std::fmt::Display;
 use std::fmt::Write;
@@ -18,8 +18,8 @@
 use crate::UnscoredPolicy;
 use crate::model::MAX_CLASS;
 
-/// Default deadline of a request.
-const DEADLINE: Span = Span(30_000);
+/// Default maximum duration of a request.
+const DEFAULT_DEADLINE: Span = Span(30_000);
 
 impl FromStr for CostPreference {
     type Err = conf::Problem;
@@ -63,11 +63,11 @@
     }
 }
 
-/// Reads a contract and checks it as a whole.
+/// Parses a contract and validates it as a whole. `file` names the source in error messages.
 ///
 /// # Errors
 ///
-/// Returns every mistake of the file at once.
+/// Returns all mistakes in the text at once.
 ///
 /// # Examples
 ///
@@ -81,14 +81,14 @@
 pub fn parse(file: &str, text: &str) -> Result<Contract, Mistakes> {
     let mut doc = Doc::parse(file, text);
     let mut section = doc.take("contract");
-    let contract = fields(&mut section);
+    let contract = parse_fields(&mut section);
     doc.put(section);
     doc.finish()?;
-    // Every absent field has left a mistake, so `finish` has returned by now if there was one.
+    // Each missing field has recorded a mistake, so `finish` has returned if there was one.
     contract.ok_or(Mistakes(Vec::new()))
 }
 
-fn fields(s: &mut Section) -> Option<Contract> {
+fn parse_fields(s: &mut Section) -> Option<Contract> {
     let customer = s.need("customer", "a name");
     let token = s.need("token-sha256", "64 hexadecimal digits");
     let models = s.or(
@@ -107,7 +107,11 @@
     let tokens = s.or("tokens", "tokens a second", Rate(0.0));
     let class = s.or("class", "a priority class from 0 to 7", 3);
     let weight = s.or("weight", "a share of at least 1", 1);
-    let deadline = s.or("deadline", "a span of time such as 800ms or 5s", DEADLINE);
+    let deadline = s.or(
+        "deadline",
+        "a span of time such as 800ms or 5s",
+        DEFAULT_DEADLINE,
+    );
     let max_staleness = s.or("staleness", "a number of weight versions", 1);
     let cost_preference = s.or("weighs", "idle or staleness", CostPreference::Idle);
     let once = s.or(
@@ -178,7 +182,7 @@
     items.join(", ")
 }
 
-/// Writes a contract as INI; [`parse`] gives the same contract again.
+/// Renders a contract as INI text, from which [`parse`] produces the same contract.
 pub fn render(c: &Contract) -> String {
     let mut out = String::from("[contract]\n");
     let mut line = |key: &str, value: &dyn Display| {
@@ -204,11 +208,11 @@
     out
 }
 
-/// Changes single keys of a contract and checks the result as a whole.
+/// Changes single keys of a contract and validates the result as a whole.
 ///
 /// # Errors
 ///
-/// Returns the mistakes of the changed contract, an unknown key among them.
+/// Returns all mistakes in the changed contract, including unknown keys.
 pub fn amend(contract: &Contract, changes: &[(String, String)]) -> Result<Contract, Mistakes> {
     let mut lines: Vec<String> = render(contract).lines().map(str::to_owned).collect();
     for (key, value) in changes {
@@ -222,16 +226,16 @@
     parse("amendment", &lines.join("\n"))
 }
 
-/// One line of a difference between two contracts.
+/// One differing line of two contracts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineDiff {
-    /// The line before, when the change removes one.
+    /// The old line; [`None`] if the change only adds one.
     pub before: Option<String>,
-    /// The line after, when the change adds one.
+    /// The new line; [`None`] if the change only removes one.
     pub after: Option<String>,
 }
 
-/// Lists the lines in which two contracts differ; all of `after` when there was none before.
+/// Returns the lines in which two contracts differ, or all lines of `after` if there was no contract before.
 pub fn diff(before: Option<&Contract>, after: &Contract) -> Vec<LineDiff> {
     let new = render(after);
     let Some(before) = before else {
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,8 +1,8 @@
-//! Contracts: what a customer may use and how much of it.
+//! Contracts, which define what a customer may use and how much of it.
 //!
-//! Every limit, priority and share that a customer receives follows from its [`Contract`] alone.
-//! Operators write contracts as INI files ([`ini`]), the platform keeps them as [`StoredContract`]
-//! records, and each instance holds those in force in a [`Registry`] which takes higher revisions only.
+//! Every limit, priority and share of a customer follows from its [`Contract`] alone. Operators
+//! write contracts as INI files ([`ini`]), the platform stores them as [`StoredContract`] records,
+//! and each instance keeps those in force in a [`Registry`], which accepts only higher revisions.
 
 pub mod amend;
 pub mod audit;
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -1,4 +1,4 @@
-//! The contract of one customer.
+//! The contract that defines what a customer may use.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,22 +10,22 @@
 
 use crate::Digest;
 
-/// Highest priority class.
+/// The highest priority class.
 pub const MAX_CLASS: u8 = 7;
 
-/// Which of two costs the customer weighs more.
+/// The cost that the customer prefers to avoid.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CostPreference {
-    /// Trainer idle time: running samples are kept while weights are swapped.
+    /// Idle time of the trainer: running samples are kept while weights are swapped.
     #[default]
     Idle,
-    /// Staleness: running samples move to newer weights as soon as there are some.
+    /// Staleness of samples: running samples move to newer weights as soon as these are available.
     Staleness,
 }
 
-/// What becomes of a sample that cannot be scored.
+/// What happens to a sample that cannot be scored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -37,19 +37,19 @@
     Pass,
 }
 
-/// A call that is marked as non-idempotent: `SERVICE:METHOD:/path`, where the path is a prefix.
+/// A rule that marks calls as non-idempotent: `SERVICE:METHOD:/path`, where the path is a prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NonIdempotentRule {
     /// The plain service.
     pub service: Name,
-    /// The HTTP method in capitals.
+    /// The HTTP method in uppercase.
     pub method: Box<str>,
-    /// The prefix of the path within the service.
+    /// The path prefix within the service.
     pub path: Box<str>,
 }
 
-/// The text is not of the form `SERVICE:METHOD:/path`.
+/// The error for a rule that does not have the form `SERVICE:METHOD:/path`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("expected SERVICE:METHOD:/path")]
@@ -64,8 +64,8 @@
         else {
             return Err(RuleError);
         };
-        let capitals = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
-        if !capitals || !path.starts_with('/') {
+        let is_uppercase = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
+        if !is_uppercase || !path.starts_with('/') {
             return Err(RuleError);
         }
         Ok(Self {
@@ -88,68 +88,69 @@
 pub struct Contract {
     /// The customer.
     pub customer: Name,
-    /// SHA-256 of the bearer token.
+    /// SHA-256 digest of the bearer token.
     #[serde(rename = "token")]
     pub token_digest: Digest,
-    /// Models it may use.
+    /// The models that it may use.
     pub models: Vec<Name>,
-    /// Plain services it may use.
+    /// The plain services that it may use.
     pub services: Vec<Name>,
-    /// Requests a second, over all instances.
+    /// Maximum requests per second, over all instances.
     #[serde(rename = "rate")]
     pub request_rate: f64,
-    /// Requests that may come at once on top of the rate.
+    /// Maximum number of requests at once on top of the rate.
     pub burst: f64,
-    /// Requests that may run at the same time, over all instances.
+    /// Maximum number of requests that run at the same time, over all instances.
     pub concurrency: u32,
-    /// Generated tokens a second, over all instances.
+    /// Maximum generated tokens per second, over all instances.
     #[serde(rename = "tokens")]
     pub token_rate: f64,
-    /// Priority class, 0 to [`MAX_CLASS`]; higher goes first at the engines.
+    /// Priority class from 0 to [`MAX_CLASS`]; engines serve higher classes first.
     pub class: u8,
-    /// Share of a contended upstream relative to other contracts.
+    /// Weight in the division of a contended upstream among contracts.
     pub weight: u32,
-    /// Longest time that a request may take.
+    /// Maximum duration of a request.
     pub deadline: Millis,
-    /// Weight versions that a sample may be behind its trainer.
+    /// Maximum number of weight versions that a sample may be behind its trainer.
     #[serde(rename = "staleness")]
     pub max_staleness: u64,
-    /// Which cost weighs more.
+    /// The cost that the customer prefers to avoid.
     #[serde(rename = "weighs")]
     pub cost_preference: CostPreference,
-    /// Calls marked as non-idempotent.
+    /// The rules that mark calls as non-idempotent.
     #[serde(rename = "once")]
     pub non_idempotent: Vec<NonIdempotentRule>,
     /// The plain service that scores samples before they are delivered.
     #[serde(default)]
     pub scorer: Option<Name>,
-    /// What becomes of a sample that cannot be scored.
+    /// What happens to a sample that cannot be scored.
     #[serde(default)]
     pub unscored: UnscoredPolicy,
 }
 
 impl Contract {
-    /// Tells whether the contract marks a call as non-idempotent.
+    /// Returns whether the contract marks a call as non-idempotent.
     ///
-    /// A prefix ends at a path segment: the rule `/orders` covers `/orders` and `/orders/7`, not
-    /// `/ordersheet`.
+    /// A prefix matches whole path segments: the rule `/orders` covers `/orders` and `/orders/7`,
+    /// but not `/ordersheet`.
     pub fn is_non_idempotent(&self, service: &str, method: &str, path: &str) -> bool {
         self.non_idempotent.iter().any(|rule| {
             &*rule.service == service && &*rule.method == method && covers(&rule.path, path)
         })
     }
 
-    /// Tells whether the customer may use the model.
+    /// Returns whether the customer may use the model.
     pub fn has_model(&self, model: &str) -> bool {
         self.models.iter().any(|name| &**name == model)
     }
 
-    /// Tells whether the customer may use the service.
+    /// Returns whether the customer may use the service.
     pub fn has_service(&self, service: &str) -> bool {
         self.services.iter().any(|name| &**name == service)
     }
 }
 
+/// Returns whether a prefix matches a path at the boundary of a path segment or of the query.
 fn covers(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
--- a/crates/contract/src/registry.rs
+++ b/crates/contract/src/registry.rs
@@ -1,5 +1,4 @@
-//! The contracts in force on one instance.
-
+//! The registry of contracts in force on one instance.
 use std::sync::Arc;
 
 use kernel::Map;
@@ -11,17 +10,17 @@
 use crate::Digest;
 use crate::Revision;
 
-/// A contract as the platform keeps it.
+/// A contract as the platform stores it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoredContract {
     /// The contract.
     pub contract: Contract,
-    /// The identifier of the change that made it.
+    /// The identifier of the change that wrote it.
     pub change: Box<str>,
 }
 
-/// A contract in force, with the platform's revision of it.
+/// A contract in force, with its revision on the platform.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ActiveContract {
@@ -31,19 +30,19 @@
     pub stored: Arc<StoredContract>,
 }
 
-/// What came of offering a revision to a [`Registry`].
+/// The result of applying a contract to a [`Registry`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// It is in force now.
+    /// The contract is in force now.
     Applied,
-    /// The book holds this revision or a higher one.
+    /// The registry already holds this revision or a higher one.
     Stale,
 }
 
 /// The contracts in force on one instance.
 ///
-/// A contract never reverts: a revision at or below the one in force is turned away, from
-/// whatever source it comes and in whatever order news arrive.
+/// A contract never reverts: a revision at or below the one in force is rejected, whatever its
+/// source and the order of arrival.
 ///
 /// # Examples
 ///
@@ -61,14 +60,14 @@
 }
 
 impl Registry {
-    /// Puts a revision in force if it is newer than the one held.
+    /// Puts a contract in force if its revision is higher than the current one.
     pub fn apply(&mut self, new: ActiveContract) -> ApplyResult {
         let customer = new.stored.contract.customer.clone();
-        if let Some(held) = self.contracts.get(&customer) {
-            if held.rev >= new.rev {
+        if let Some(current) = self.contracts.get(&customer) {
+            if current.rev >= new.rev {
                 return ApplyResult::Stale;
             }
-            let old = held.stored.contract.token_digest;
+            let old = current.stored.contract.token_digest;
             if self.tokens.get(&old) == Some(&customer) {
                 self.tokens.remove(&old);
             }
@@ -79,37 +78,42 @@
         ApplyResult::Applied
     }
 
-    /// Finds the contract of a bearer token.
+    /// Returns the contract that a bearer token belongs to.
     pub fn by_token(&self, token: &str) -> Option<&ActiveContract> {
         let digest = Digest::of(token);
         let customer = self.tokens.get(&digest)?;
-        let held = self.contracts.get(customer)?;
-        held.stored
+        let active = self.contracts.get(customer)?;
+        active
+            .stored
             .contract
             .token_digest
             .matches(&digest)
-            .then_some(held)
+            .then_some(active)
     }
 
-    /// Finds the contract of a customer.
+    /// Returns the contract of a customer.
     pub fn by_name(&self, customer: &str) -> Option<&ActiveContract> {
         self.contracts.get(customer)
     }
 
-    /// All contracts in force, in no particular order.
+    /// Iterates over all contracts in force, in no particular order.
     pub fn all(&self) -> impl Iterator<Item = &ActiveContract> {
         self.contracts.values()
     }
 
-    /// The highest revision in force; 0 when there is none.
+    /// Returns the highest revision in force; 0 if there is none.
     pub fn newest_revision(&self) -> Revision {
-        self.all().map(|held| held.rev).max().unwrap_or(0)
+        self.all().map(|active| active.rev).max().unwrap_or(0)
     }
 
-    /// The contracts with a revision above `rev`, lowest first.
+    /// Returns the contracts with a revision above `rev`, in ascending order of revision.
     pub fn newer_than(&self, rev: Revision) -> Vec<ActiveContract> {
-        let mut newer: Vec<_> = self.all().filter(|held| held.rev > rev).cloned().collect();
-        newer.sort_by_key(|held| held.rev);
+        let mut newer: Vec<_> = self
+            .all()
+            .filter(|active| active.rev > rev)
+            .cloned()
+            .collect();
+        newer.sort_by_key(|active| active.rev);
         newer
     }
 }
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -1,4 +1,4 @@
-//! Tests of contracts, their form and the book.
+//! Tests of contracts, their INI representation and the registry.
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
     ini::parse("a.ini", &text("once = portal:POST:/orders\n")).unwrap()
 }
 
-fn in_force(rev: i64, token: &str) -> ActiveContract {
+fn active(rev: i64, token: &str) -> ActiveContract {
     let mut contract = sample();
     contract.token_digest = Digest::of(token);
     let change = format!("c{rev}").into();
@@ -65,19 +65,19 @@
     longer_word = { "POST", "/ordersheet", false },
     method = { "GET", "/orders", false },
 )]
-fn rules_cover_whole_segments(method: &str, path: &str, expected: bool) {
+fn rules_cover_whole_path_segments(method: &str, path: &str, expected: bool) {
     assert_eq!(sample().is_non_idempotent("portal", method, path), expected);
 }
 
 #[test]
-fn a_written_contract_reads_the_same() {
+fn a_rendered_contract_parses_to_the_same() {
     let contract = sample();
 
     assert_eq!(ini::parse("b.ini", &ini::render(&contract)), Ok(contract));
 }
 
 #[test]
-fn an_amendment_is_checked_as_a_whole() {
+fn an_amended_contract_is_validated_as_a_whole() {
     let change = |key: &str, value: &str| vec![(key.to_owned(), value.to_owned())];
 
     let good = ini::amend(&sample(), &change("rate", "20")).unwrap();
@@ -88,34 +88,32 @@
     assert_eq!(ini::diff(Some(&sample()), &good).len(), 1);
 }
 
-// Symptom: a customer's old limit or old token works again.
-// Sequence: revision 9 is applied from a peer, then the slow watch of the platform delivers 7.
-// Cause: news applied in the order of arrival rather than of revision.
+// Guards against a customer's old limit or token that comes back into force, because revisions are applied in order of
+// arrival: a peer delivers revision 9, then a slow watch of the platform delivers revision 7.
 #[test]
 fn an_older_revision_never_replaces_a_newer_one() {
-    let mut book = Registry::default();
+    let mut registry = Registry::default();
 
-    let first = book.apply(in_force(9, "new"));
-    let second = book.apply(in_force(7, "old"));
+    let first = registry.apply(active(9, "new"));
+    let second = registry.apply(active(7, "old"));
 
     assert_eq!((first, second), (ApplyResult::Applied, ApplyResult::Stale));
-    assert!(book.by_token("new").is_some());
-    assert!(book.by_token("old").is_none());
+    assert!(registry.by_token("new").is_some());
+    assert!(registry.by_token("old").is_none());
 }
 
 #[test]
 fn a_replaced_token_stops_working() {
-    let mut book = Registry::default();
-    book.apply(in_force(1, "old"));
+    let mut registry = Registry::default();
+    registry.apply(active(1, "old"));
 
-    book.apply(in_force(2, "new"));
+    registry.apply(active(2, "new"));
 
-    assert!(book.by_token("old").is_none());
+    assert!(registry.by_token("old").is_none());
 }
 
-// Symptom: an operator is told "not applied" and the change takes effect later, or the reverse.
-// Sequence: the write's answer is lost; the tool reads back.
-// Cause: guessing from the read alone while the lost write may still be on its way.
+// Guards against telling an operator "not applied" when the change takes effect later, or the reverse: the reply to the
+// write is lost, and the state that is read back does not show a write that is still in flight.
 #[parameterized(
     mine = { 8, "me", false, ChangeStatus::InForce(8) },
     replaced = { 9, "other", true, ChangeStatus::Replaced(9) },
@@ -123,26 +121,26 @@
     pending = { 7, "before", false, ChangeStatus::Retry },
     gone = { 0, "", false, ChangeStatus::NotApplied(0) },
 )]
-fn a_lost_answer_is_settled(rev: i64, change: &str, audited: bool, expected: ChangeStatus) {
-    let seen = ReadBack {
+fn a_lost_reply_is_resolved(rev: i64, change: &str, audited: bool, expected: ChangeStatus) {
+    let read_back = ReadBack {
         rev,
         change,
         audited,
     };
 
-    assert_eq!(change_status("me", 7, seen), expected);
+    assert_eq!(change_status("me", 7, read_back), expected);
 }
 
 proptest! {
     #[test]
-    fn the_book_ends_with_the_highest_revision(revs in prop::collection::vec(1i64..50, 1..40)) {
-        let mut book = Registry::default();
-        let mut high = 0;
+    fn the_registry_ends_with_the_highest_revision(revs in prop::collection::vec(1i64..50, 1..40)) {
+        let mut registry = Registry::default();
+        let mut highest = 0;
         for rev in &revs {
-            book.apply(in_force(*rev, "t"));
-            prop_assert!(book.newest_revision() >= high);
-            high = book.newest_revision();
+            registry.apply(active(*rev, "t"));
+            prop_assert!(registry.newest_revision() >= highest);
+            highest = registry.newest_revision();
         }
-        prop_assert_eq!(book.newest_revision(), *revs.iter().max().unwrap());
+        prop_assert_eq!(registry.newest_revision(), *revs.iter().max().unwrap());
     }
 }
