--- a/crates/contract/src/form.rs
+++ b/crates/contract/src/ini.rs
@@ -1,4 +1,4 @@
-//! The INI form of a contract.
+//! The INI representation of contracts.
 
 use std::fmt::Display;
 use std::fmt::Write;
@@ -13,15 +13,15 @@
 use kernel::Name;
 
 use crate::Contract;
-use crate::Rule;
-use crate::Unscored;
-use crate::Weighs;
+use crate::CostPreference;
+use crate::NonIdempotentRule;
+use crate::UnscoredPolicy;
 use crate::model::MAX_CLASS;
 
-/// Default deadline of a request.
-const DEADLINE: Span = Span(30_000);
+/// Default maximum duration of a request.
+const DEFAULT_DEADLINE: Span = Span(30_000);
 
-impl FromStr for Weighs {
+impl FromStr for CostPreference {
     type Err = conf::Problem;
 
     fn from_str(text: &str) -> Result<Self, conf::Problem> {
@@ -33,7 +33,7 @@
     }
 }
 
-impl FromStr for Unscored {
+impl FromStr for UnscoredPolicy {
     type Err = conf::Problem;
 
     fn from_str(text: &str) -> Result<Self, conf::Problem> {
@@ -45,7 +45,7 @@
     }
 }
 
-impl Display for Unscored {
+impl Display for UnscoredPolicy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::Wait => "wait",
@@ -54,7 +54,7 @@
     }
 }
 
-impl Display for Weighs {
+impl Display for CostPreference {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::Idle => "idle",
@@ -63,32 +63,32 @@
     }
 }
 
-/// Reads a contract and checks it as a whole.
+/// Parses a contract and validates it as a whole. `file` names the source in error messages.
 ///
 /// # Errors
 ///
-/// Returns every mistake of the file at once.
+/// Returns all mistakes in the text at once.
 ///
 /// # Examples
 ///
 /// ```
-/// use contract::form;
+/// use contract::ini;
 ///
 /// let text = "[contract]\ncustomer = aarhus\ntoken-sha256 = 00\nrate = 5\n";
-/// let mistakes = form::read("aarhus.ini", text).unwrap_err();
+/// let mistakes = ini::parse("aarhus.ini", text).unwrap_err();
 /// assert!(mistakes.to_string().contains("token-sha256"));
 /// ```
-pub fn read(file: &str, text: &str) -> Result<Contract, Mistakes> {
+pub fn parse(file: &str, text: &str) -> Result<Contract, Mistakes> {
     let mut doc = Doc::parse(file, text);
     let mut section = doc.take("contract");
-    let contract = fields(&mut section);
+    let contract = parse_fields(&mut section);
     doc.put(section);
     doc.finish()?;
-    // Every absent field has left a mistake, so `finish` has returned by now if there was one.
+    // Each missing field has recorded a mistake, so `finish` has returned if there was one.
     contract.ok_or(Mistakes(Vec::new()))
 }
 
-fn fields(s: &mut Section) -> Option<Contract> {
+fn parse_fields(s: &mut Section) -> Option<Contract> {
     let customer = s.need("customer", "a name");
     let token = s.need("token-sha256", "64 hexadecimal digits");
     let models = s.or(
@@ -107,20 +107,24 @@
     let tokens = s.or("tokens", "tokens a second", Rate(0.0));
     let class = s.or("class", "a priority class from 0 to 7", 3);
     let weight = s.or("weight", "a share of at least 1", 1);
-    let deadline = s.or("deadline", "a span of time such as 800ms or 5s", DEADLINE);
-    let staleness = s.or("staleness", "a number of weight versions", 1);
-    let weighs = s.or("weighs", "idle or staleness", Weighs::Idle);
+    let deadline = s.or(
+        "deadline",
+        "a span of time such as 800ms or 5s",
+        DEFAULT_DEADLINE,
+    );
+    let max_staleness = s.or("staleness", "a number of weight versions", 1);
+    let cost_preference = s.or("weighs", "idle or staleness", CostPreference::Idle);
     let once = s.or(
         "once",
         "SERVICE:METHOD:/path rules separated by commas",
-        List::<Rule>(Vec::new()),
+        List::<NonIdempotentRule>(Vec::new()),
     );
     let scorer = s.or(
         "scorer",
         "the name of a plain service",
         List::<Name>(Vec::new()),
     );
-    let unscored = s.or("unscored", "wait or pass", Unscored::Wait);
+    let unscored = s.or("unscored", "wait or pass", UnscoredPolicy::Wait);
     if scorer.0.len() > 1 {
         s.refuse("scorer", "one name at most");
     }
@@ -155,19 +159,19 @@
     let rate = rate?;
     Some(Contract {
         customer: customer?,
-        token: token?,
+        token_digest: token?,
         models: models.0,
         services: services.0,
-        rate: rate.0,
+        request_rate: rate.0,
         burst: burst.map_or(rate.0.max(1.0), |burst| burst.0.max(1.0)),
         concurrency: concurrency?,
-        tokens: tokens.0,
+        token_rate: tokens.0,
         class,
         weight,
         deadline: deadline.0,
-        staleness,
-        weighs,
-        once: once.0,
+        max_staleness,
+        cost_preference,
+        non_idempotent: once.0,
         scorer: scorer.0.into_iter().next(),
         unscored,
     })
@@ -178,39 +182,39 @@
     items.join(", ")
 }
 
-/// Writes a contract as INI; [`read`] gives the same contract again.
-pub fn write(c: &Contract) -> String {
+/// Renders a contract as INI text, from which [`parse`] produces the same contract.
+pub fn render(c: &Contract) -> String {
     let mut out = String::from("[contract]\n");
     let mut line = |key: &str, value: &dyn Display| {
         let _ = writeln!(out, "{key} = {value}");
     };
     line("customer", &c.customer);
-    line("token-sha256", &c.token);
+    line("token-sha256", &c.token_digest);
     line("models", &join(&c.models));
     line("services", &join(&c.services));
-    line("rate", &c.rate);
+    line("rate", &c.request_rate);
     line("burst", &c.burst);
     line("concurrency", &c.concurrency);
-    line("tokens", &c.tokens);
+    line("tokens", &c.token_rate);
     line("class", &c.class);
     line("weight", &c.weight);
     line("deadline", &Span(c.deadline));
-    line("staleness", &c.staleness);
-    line("weighs", &c.weighs);
-    line("once", &join(&c.once));
+    line("staleness", &c.max_staleness);
+    line("weighs", &c.cost_preference);
+    line("once", &join(&c.non_idempotent));
     let scorer: Vec<_> = c.scorer.iter().collect();
     line("scorer", &join(&scorer));
     line("unscored", &c.unscored);
     out
 }
 
-/// Changes single keys of a contract and checks the result as a whole.
+/// Changes single keys of a contract and validates the result as a whole.
 ///
 /// # Errors
 ///
-/// Returns the mistakes of the changed contract, an unknown key among them.
+/// Returns all mistakes in the changed contract, including unknown keys.
 pub fn amend(contract: &Contract, changes: &[(String, String)]) -> Result<Contract, Mistakes> {
-    let mut lines: Vec<String> = write(contract).lines().map(str::to_owned).collect();
+    let mut lines: Vec<String> = render(contract).lines().map(str::to_owned).collect();
     for (key, value) in changes {
         let line = format!("{key} = {value}");
         let prefix = format!("{key} = ");
@@ -219,33 +223,33 @@
             None => lines.push(line),
         }
     }
-    read("amendment", &lines.join("\n"))
+    parse("amendment", &lines.join("\n"))
 }
 
-/// One line of a difference between two contracts.
+/// One differing line of two contracts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Diff {
-    /// The line before, when the change removes one.
+pub struct LineDiff {
+    /// The old line; [`None`] if the change only adds one.
     pub before: Option<String>,
-    /// The line after, when the change adds one.
+    /// The new line; [`None`] if the change only removes one.
     pub after: Option<String>,
 }
 
-/// Lists the lines in which two contracts differ; all of `after` when there was none before.
-pub fn diff(before: Option<&Contract>, after: &Contract) -> Vec<Diff> {
-    let new = write(after);
+/// Returns the lines in which two contracts differ, or all lines of `after` if there was no contract before.
+pub fn diff(before: Option<&Contract>, after: &Contract) -> Vec<LineDiff> {
+    let new = render(after);
     let Some(before) = before else {
-        let add = |line: &str| Diff {
+        let add = |line: &str| LineDiff {
             before: None,
             after: Some(line.into()),
         };
         return new.lines().skip(1).map(add).collect();
     };
-    let old = write(before);
+    let old = render(before);
     old.lines()
         .zip(new.lines())
         .filter(|(old, new)| old != new)
-        .map(|(old, new)| Diff {
+        .map(|(old, new)| LineDiff {
             before: Some(old.into()),
             after: Some(new.into()),
         })
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,25 +1,25 @@
-//! Contracts: what a customer may use and how much of it.
+//! Contracts, which define what a customer may use and how much of it.
 //!
-//! Every limit, priority and share that a customer receives follows from its [`Contract`] alone.
-//! Operators write contracts as INI files ([`form`]), the platform keeps them as [`Stored`]
-//! records, and each instance holds those in force in a [`Book`] which takes higher revisions only.
+//! Every limit, priority and share of a customer follows from its [`Contract`] alone. Operators
+//! write contracts as INI files ([`ini`]), the platform stores them as [`StoredContract`] records,
+//! and each instance keeps those in force in a [`Registry`], which accepts only higher revisions.
 
 pub mod amend;
 pub mod audit;
-pub mod book;
-pub mod form;
+pub mod ini;
 pub mod model;
+pub mod registry;
 
 pub use amend::Change;
-pub use amend::Settle;
+pub use amend::ChangeStatus;
 pub use audit::Audit;
-pub use book::Book;
-pub use book::Stored;
 pub use kernel::Digest;
 pub use model::Contract;
-pub use model::Rule;
-pub use model::Unscored;
-pub use model::Weighs;
+pub use model::CostPreference;
+pub use model::NonIdempotentRule;
+pub use model::UnscoredPolicy;
+pub use registry::Registry;
+pub use registry::StoredContract;
 
 /// A revision of the platform's key-value service; higher is newer.
 pub type Revision = i64;
--- a/crates/crash/src/lib.rs
+++ b/crates/crash/src/lib.rs
@@ -1,13 +1,13 @@
-//! Noticing crashes of upstreams under requests, and telling other instances of them.
+//! Detects upstream crashes caused by requests and reports them to other instances.
 //!
-//! What a request may do is decided by [`poison::Ledger`]. A [`Watch`] is that ledger as the parts of an
-//! instance share it; [`report`] keeps what it has seen at the platform.
+//! [`poison::Ledger`] decides what a request may do. A [`CrashTracker`] shares the ledgers among the parts of an
+//! instance, and [`report`] exchanges the instances' observations through the platform.
 
 mod ledgers;
 pub mod report;
 mod watch;
 
-pub use watch::CRASHES;
-pub use watch::QUARANTINED;
-pub use watch::Stay;
-pub use watch::Watch;
+pub use watch::CRASHES_METRIC;
+pub use watch::CrashTracker;
+pub use watch::QUARANTINED_METRIC;
+pub use watch::SuspectGuard;
--- a/crates/crash/src/watch.rs
+++ b/crates/crash/src/watch.rs
@@ -1,4 +1,4 @@
-//! The ledger of crashes as the parts of an instance share it.
+//! The crash ledgers that all parts of an instance share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use kernel::Millis;
 use parking_lot::Mutex;
 use poison::Change;
-use poison::Mark;
-use poison::Seen;
+use poison::Identity;
+use poison::Observations;
 use poison::Verdict;
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
@@ -18,251 +18,256 @@
 
 use crate::ledgers::Ledgers;
 
-/// Requests that were at an upstream when it crashed.
-pub const CRASHES: &str = "snipeway_upstream_crashes_total";
+/// Name of the counter of requests that an upstream was running when it crashed.
+pub const CRASHES_METRIC: &str = "snipeway_upstream_crashes_total";
 
-/// Requests that are quarantined since upstreams crash under them.
-pub const QUARANTINED: &str = "snipeway_quarantined_requests";
+/// Name of the gauge of requests that are quarantined because they crash upstreams.
+pub const QUARANTINED_METRIC: &str = "snipeway_quarantined_requests";
 
-/// Time that the look at an upstream may take: within a region a port that nobody listens on answers
-/// within milliseconds, and one that says nothing in this time says nothing of its process.
-const LOOK: Duration = Duration::from_millis(300);
+/// Timeout of a probe of an upstream. Within a region a port without a listener refuses a connection within
+/// milliseconds; without any response in this time nothing is known about the process.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause before the look: a process that ends closes its sockets one after the other, and the one that it
-/// listens on may be the last.
-const CLOSING: Duration = Duration::from_millis(5);
+/// Delay before a probe. A process that exits closes its sockets one after the other, and the listening socket may be
+/// the last.
+const PROBE_DELAY: Duration = Duration::from_millis(5);
 
-/// Time that a request of which nothing is known waits for the look before it goes on elsewhere: enough for an
-/// answer within a region. One that ends its upstreams within a millisecond would else be at the fifth of
-/// them before the first look is over; an upstream that is cut off answers no look at all.
-const WAIT: Duration = Duration::from_millis(20);
+/// Time for which a request without known crashes waits for a probe before it is retried elsewhere, enough for a
+/// response within a region. Without this wait, a request that crashes upstreams within a millisecond would reach the
+/// fifth one before the first probe ends. It is limited because a partitioned upstream never responds.
+const FIRST_PROBE_WAIT: Duration = Duration::from_millis(20);
 
-/// What an instance knows of requests under which upstreams crash.
+/// Tracks which requests crash upstreams, for all parts of an instance.
 ///
 /// # Examples
 ///
 /// ```
 /// use std::sync::Arc;
 ///
-/// use crash::Watch;
-/// use poison::{Mark, Print, Verdict};
+/// use crash::CrashTracker;
+/// use poison::{Fingerprint, Identity, Verdict};
 ///
-/// let watch = Arc::new(Watch::default());
-/// let mark = || Mark::from(Print::new("GET", "shop.example", "/a", b"", b""));
-/// assert_eq!(watch.verdict(mark), Verdict::Free);
-/// watch.crashed(mark(), &"i-1".into());
-/// assert_eq!(watch.verdict(mark), Verdict::Suspect);
-/// watch.whole(mark);
-/// assert_eq!(watch.verdict(mark), Verdict::Free);
+/// let tracker = Arc::new(CrashTracker::default());
+/// let identity = || Identity::from(Fingerprint::new("GET", "shop.example", "/a", b"", b""));
+/// assert_eq!(tracker.verdict(identity), Verdict::Unrestricted);
+/// tracker.record_crash(identity(), &"i-1".into());
+/// assert_eq!(tracker.verdict(identity), Verdict::Suspect);
+/// tracker.record_success(identity);
+/// assert_eq!(tracker.verdict(identity), Verdict::Unrestricted);
 /// ```
-pub struct Watch {
+pub struct CrashTracker {
     clock: Clock,
-    ledger: Mutex<Ledgers>,
-    /// Rings when there is something to tell.
-    news: Notify,
+    ledgers: Mutex<Ledgers>,
+    /// Notified when this instance may have new observations.
+    changed: Notify,
 }
 
-impl Default for Watch {
+impl Default for CrashTracker {
     fn default() -> Self {
         Self {
             clock: Clock::default(),
-            ledger: Mutex::default(),
-            news: Notify::new(),
+            ledgers: Mutex::default(),
+            changed: Notify::new(),
         }
     }
 }
 
-impl Watch {
-    /// What may be done with a request. Its digest is made only where anything is known of any.
-    pub fn verdict(&self, mark: impl FnOnce() -> Mark) -> Verdict {
-        let ledger = self.ledger.lock();
-        match ledger.is_empty() {
-            true => Verdict::Free,
-            false => ledger.verdict(mark(), self.clock.wall()),
+impl CrashTracker {
+    /// Returns the verdict on a request. Its identity is computed only if any request is tracked.
+    pub fn verdict(&self, identity: impl FnOnce() -> Identity) -> Verdict {
+        let ledgers = self.ledgers.lock();
+        match ledgers.is_empty() {
+            true => Verdict::Unrestricted,
+            false => ledgers.verdict(identity(), self.clock.wall()),
         }
     }
 
-    /// Waits until it is known whether a request may run, at most for `left` milliseconds; gives the time for
-    /// which it may not. One that has no time to wait may: its caller must not be turned away for what another
-    /// request has done.
-    pub async fn admit(&self, mark: Mark, left: Millis) -> Option<Millis> {
-        let until = self.clock.now() + left;
+    /// Waits at most `timeout` milliseconds until it is decided whether a request may run. Returns the remaining time
+    /// of its quarantine in milliseconds, or [`None`] if it may run. A request that cannot wait long enough may run,
+    /// since its caller must not be rejected for another request's crashes.
+    pub async fn admit(&self, identity: Identity, timeout: Millis) -> Option<Millis> {
+        let deadline = self.clock.now() + timeout;
         loop {
-            match self.verdict(|| mark) {
-                Verdict::Quarantined(left) => return Some(left),
-                Verdict::Unsettled(wait) if self.clock.now() + wait < until => {
+            match self.verdict(|| identity) {
+                Verdict::Quarantined(remaining) => return Some(remaining),
+                Verdict::Undecided(wait) if self.clock.now() + wait < deadline => {
                     sleep(Duration::from_millis(wait)).await;
                 }
-                Verdict::Free | Verdict::Suspect | Verdict::Unsettled(_) => return None,
+                Verdict::Unrestricted | Verdict::Suspect | Verdict::Undecided(_) => return None,
             }
         }
     }
 
-    /// Tells whether a request has to wait, or may not run.
-    pub fn holds(&self, mark: impl FnOnce() -> Mark) -> bool {
-        match self.verdict(mark) {
-            Verdict::Free | Verdict::Suspect => false,
-            Verdict::Unsettled(_) | Verdict::Quarantined(_) => true,
+    /// Returns whether a request has to wait or must not run.
+    pub fn is_blocked(&self, identity: impl FnOnce() -> Identity) -> bool {
+        match self.verdict(identity) {
+            Verdict::Unrestricted | Verdict::Suspect => false,
+            Verdict::Undecided(_) | Verdict::Quarantined(_) => true,
         }
     }
 
-    /// The upstreams that a request had better keep away from: suspects run apart from one another, so that
-    /// the next crash tells the culprit from what was beside it.
-    pub fn apart(&self, mark: impl FnOnce() -> Mark) -> Vec<Arc<str>> {
-        let ledger = self.ledger.lock();
-        if ledger.is_empty() {
+    /// Returns the upstreams that a request should avoid. Suspects run on different upstreams, so that the next crash
+    /// tells the culprit from the others.
+    pub fn upstreams_to_avoid(&self, identity: impl FnOnce() -> Identity) -> Vec<Arc<str>> {
+        let ledgers = self.ledgers.lock();
+        if ledgers.is_empty() {
             return Vec::new();
         }
-        let mark = mark();
-        match ledger.verdict(mark, self.clock.wall()) {
-            Verdict::Free => Vec::new(),
-            _ => ledger.taken(mark),
+        let identity = identity();
+        match ledgers.verdict(identity, self.clock.wall()) {
+            Verdict::Unrestricted => Vec::new(),
+            _ => ledgers.upstreams_of_others(identity),
         }
     }
 
-    /// Notes that a request goes to an upstream, if it is a suspect.
-    pub fn stay(
+    /// Records that a request is sent to an upstream if the request is a suspect, until the guard is dropped.
+    pub fn track_suspect(
         self: &Arc<Self>,
-        mark: impl FnOnce() -> Mark,
+        identity: impl FnOnce() -> Identity,
         upstream: &Arc<str>,
-    ) -> Option<Stay> {
-        let mut ledger = self.ledger.lock();
-        if ledger.is_empty() {
+    ) -> Option<SuspectGuard> {
+        let mut ledgers = self.ledgers.lock();
+        if ledgers.is_empty() {
             return None;
         }
-        let mark = mark();
-        if ledger.verdict(mark, self.clock.wall()) == Verdict::Free {
+        let identity = identity();
+        if ledgers.verdict(identity, self.clock.wall()) == Verdict::Unrestricted {
             return None;
         }
-        ledger.enter(mark, upstream);
-        Some(Stay {
-            watch: self.clone(),
-            mark,
+        ledgers.enter(identity, upstream);
+        Some(SuspectGuard {
+            tracker: self.clone(),
+            identity,
             upstream: upstream.clone(),
         })
     }
 
-    /// Notes that an upstream has answered a request whole.
-    pub fn whole(&self, mark: impl FnOnce() -> Mark) {
-        if self.ledger.lock().is_empty() {
+    /// Records that an upstream answered a request completely.
+    pub fn record_success(&self, identity: impl FnOnce() -> Identity) {
+        if self.ledgers.lock().is_empty() {
             return;
         }
-        self.change(|ledger, now| ledger.whole(mark(), now));
-        self.news.notify_one();
+        self.update(|ledgers, now| ledgers.record_success(identity(), now));
+        self.changed.notify_one();
     }
 
-    /// Changes what is known, and tells what is believed since.
-    fn change(&self, change: impl FnOnce(&mut Ledgers, Millis)) {
-        let mut ledger = self.ledger.lock();
-        change(&mut ledger, self.clock.wall());
-        let changes = ledger.changes();
+    /// Applies an update to the ledgers and logs the quarantine changes that follow from it.
+    fn update(&self, apply: impl FnOnce(&mut Ledgers, Millis)) {
+        let mut ledgers = self.ledgers.lock();
+        apply(&mut ledgers, self.clock.wall());
+        let changes = ledgers.take_changes();
         if !changes.is_empty() {
-            metrics::gauge!(QUARANTINED).set(ledger.quarantined() as f64);
+            metrics::gauge!(QUARANTINED_METRIC).set(ledgers.quarantined_count() as f64);
         }
-        drop(ledger);
-        tell(changes);
+        drop(ledgers);
+        log_changes(changes);
     }
 
-    /// Looks whether an upstream has crashed after the connection of a request broke there, and notes it. The
-    /// request goes on elsewhere behind this: at once when the look is over, or soon when nothing is known of it.
+    /// Checks whether an upstream crashed after the connection of a request broke, and records the crash. Returns when
+    /// the check is done, or after a short wait if the request has no known crashes, so that the caller can retry it
+    /// elsewhere.
     ///
-    /// A broken connection alone says nothing of the request: connections are reset, and answers are cut
-    /// off, by upstreams that live on. Nobody listens at the address of one that has crashed. One that `left`
-    /// says is about to leave, or is not listed any more, may have ended by itself.
-    pub async fn broke(
+    /// A broken connection alone says nothing about the request: running upstreams also reset connections and truncate
+    /// answers. A crashed upstream no longer listens at its address. If `has_left` returns true, the upstream is
+    /// leaving or no longer listed and may have exited on its own.
+    pub async fn check_upstream(
         self: &Arc<Self>,
         id: &str,
-        mark: Mark,
+        identity: Identity,
         upstream: &Arc<str>,
         addr: SocketAddr,
-        left: impl FnOnce() -> bool + Send + 'static,
+        has_left: impl FnOnce() -> bool + Send + 'static,
     ) {
-        let looking = self.look(id, mark, upstream, addr, left);
-        let wait = match self.verdict(|| mark) {
-            Verdict::Free => WAIT,
-            _ => CLOSING + LOOK,
+        let probe = self.probe(id, identity, upstream, addr, has_left);
+        let wait = match self.verdict(|| identity) {
+            Verdict::Unrestricted => FIRST_PROBE_WAIT,
+            _ => PROBE_DELAY + PROBE_TIMEOUT,
         };
-        // A look that takes longer goes on; one that panicked has noted nothing.
-        let _ = timeout(wait, looking).await;
+        // A probe that takes longer continues in the background; one that panicked has recorded nothing.
+        let _ = timeout(wait, probe).await;
     }
 
-    fn look(
+    /// Starts a task that probes an upstream and records whether it crashed.
+    fn probe(
         self: &Arc<Self>,
         id: &str,
-        mark: Mark,
+        identity: Identity,
         upstream: &Arc<str>,
         addr: SocketAddr,
-        left: impl FnOnce() -> bool + Send + 'static,
+        has_left: impl FnOnce() -> bool + Send + 'static,
     ) -> JoinHandle<()> {
-        let (watch, id, upstream) = (self.clone(), id.to_owned(), upstream.clone());
+        let (tracker, id, upstream) = (self.clone(), id.to_owned(), upstream.clone());
         tokio::spawn(async move {
-            sleep(CLOSING).await;
-            let refused = net::client::refuses(addr, LOOK).await;
-            let outcome = match (refused, refused && left()) {
+            sleep(PROBE_DELAY).await;
+            let refused = net::client::refuses(addr, PROBE_TIMEOUT).await;
+            let outcome = match (refused, refused && has_left()) {
                 (true, false) => "crashed",
                 (true, true) => "left",
                 (false, _) => "lives",
             };
-            let (own, kin) = (mark.own.to_string(), mark.kin.to_string());
-            log::info!(target: "crash", id = id.as_str(), print = own.as_str(), kin = kin.as_str(),
+            let (exact, group) = (identity.exact.to_string(), identity.group.to_string());
+            log::info!(target: "crash", id = id.as_str(), print = exact.as_str(), kin = group.as_str(),
                 upstream = &*upstream, outcome; "connection broke");
             if outcome == "crashed" {
-                watch.crashed(mark, &upstream);
+                tracker.record_crash(identity, &upstream);
             }
         })
     }
 
-    /// Notes that an upstream has crashed while a request was there.
-    pub fn crashed(&self, mark: Mark, upstream: &Arc<str>) {
-        metrics::counter!(CRASHES).increment(1);
-        self.change(|ledger, now| ledger.crashed(mark, upstream, now));
-        self.news.notify_one();
+    /// Records that an upstream crashed while it ran a request.
+    pub fn record_crash(&self, identity: Identity, upstream: &Arc<str>) {
+        metrics::counter!(CRASHES_METRIC).increment(1);
+        self.update(|ledgers, now| ledgers.record_crash(identity, upstream, now));
+        self.changed.notify_one();
     }
 
-    /// Takes in what another instance has seen.
-    pub fn heard(&self, report: &Seen) {
-        self.change(|ledger, now| ledger.heard(report, now));
+    /// Merges the observations of another instance.
+    pub fn merge(&self, observations: &Observations) {
+        self.update(|ledgers, now| ledgers.merge(observations, now));
     }
 
-    /// Forgets what counts no more.
-    pub fn tidy(&self) {
-        if !self.ledger.lock().is_empty() {
-            self.change(Ledgers::prune);
+    /// Drops expired crashes and successes, and ends expired quarantines.
+    pub fn prune(&self) {
+        if !self.ledgers.lock().is_empty() {
+            self.update(Ledgers::prune);
         }
     }
 
-    /// What this instance has seen itself.
-    pub fn own(&self) -> Seen {
-        self.ledger.lock().own()
+    /// Returns the observations of this instance.
+    pub fn local_observations(&self) -> Observations {
+        self.ledgers.lock().local_observations()
     }
 
-    /// Waits until this instance may have seen something new.
-    pub async fn news(&self) {
-        self.news.notified().await;
+    /// Waits until this instance may have new observations.
+    pub async fn wait_for_changes(&self) {
+        self.changed.notified().await;
     }
 }
 
-/// Writes what is believed of requests now and was not.
-fn tell(changes: Vec<Change>) {
+/// Logs the start and the end of quarantines.
+fn log_changes(changes: Vec<Change>) {
     for change in changes {
-        let print = change.print.to_string();
-        let what = match change.quarantined {
+        let fingerprint = change.fingerprint.to_string();
+        let message = match change.quarantined {
             true => "request quarantined",
             false => "request released",
         };
-        log::warn!(target: "crash", print = print.as_str(), crashes = change.crashes; "{what}");
+        log::warn!(target: "crash", print = fingerprint.as_str(), crashes = change.crashes; "{message}");
     }
 }
 
-/// A suspect at an upstream, for as long as it is there.
-pub struct Stay {
-    watch: Arc<Watch>,
-    mark: Mark,
+/// Lists a suspect as running on an upstream until the guard is dropped.
+pub struct SuspectGuard {
+    tracker: Arc<CrashTracker>,
+    identity: Identity,
     upstream: Arc<str>,
 }
 
-impl Drop for Stay {
+impl Drop for SuspectGuard {
     fn drop(&mut self) {
-        self.watch.ledger.lock().leave(self.mark, &self.upstream);
+        self.tracker
+            .ledgers
+            .lock()
+            .leave(self.identity, &self.upstream);
     }
 }
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -5,7 +5,7 @@
 
 use batch::Permit;
 use bytes::Bytes;
-use crash::Stay;
+use crash::SuspectGuard;
 use http::HeaderValue;
 use http::Request;
 use http::StatusCode;
@@ -16,7 +16,7 @@
 use parking_lot::Mutex;
 use place::Memory;
 use place::Want;
-use poison::Mark;
+use poison::Identity;
 use poison::Verdict;
 use table::Listed;
 use team::Principal;
@@ -51,7 +51,7 @@
     scores: bool,
     /// Leave to send it, for a request that belongs to a step.
     permit: Option<Permit>,
-    mark: OnceLock<Mark>,
+    mark: OnceLock<Identity>,
 }
 
 impl Sent {
@@ -115,7 +115,7 @@
     }
 
     /// How it is known when upstreams crash under it.
-    pub(crate) fn mark(&self) -> Mark {
+    pub(crate) fn mark(&self) -> Identity {
         *self.mark.get_or_init(|| match self.scores {
             true => print::score(&self.head, &self.principal, &self.body),
             false => print::request(&self.head, &self.principal, &self.body).into(),
@@ -130,7 +130,7 @@
     /// Waits until it is known whether it may run; gives the time for which it may not.
     pub(crate) async fn admit(&self) -> Option<Millis> {
         match self.verdict() {
-            Verdict::Free => None,
+            Verdict::Unrestricted => None,
             _ => self.app.crashes.admit(self.mark(), self.left()).await,
         }
     }
@@ -139,7 +139,7 @@
     /// ran: an upstream that fails now and then would clear each request that crashes others.
     pub(crate) fn answered(&self, status: StatusCode) {
         if !status.is_server_error() {
-            self.app.crashes.whole(|| self.mark());
+            self.app.crashes.record_success(|| self.mark());
         }
     }
 
@@ -222,7 +222,7 @@
         let app = &self.app;
         let roster = app.roster.lock();
         let slots = roster.of(service).map(|one| one.slots).max().unwrap_or(0);
-        let mut apart = app.crashes.apart(|| self.mark());
+        let mut apart = app.crashes.upstreams_to_avoid(|| self.mark());
         apart.extend_from_slice(used);
         let any = Want {
             service,
@@ -245,7 +245,7 @@
             .choose(&roster, &want, now)
             .or_else(|| plain.choose(&roster, &any, now))?;
         plain.begin(&one.id, 0);
-        let stay = app.crashes.stay(|| self.mark(), &one.id);
+        let stay = app.crashes.track_suspect(|| self.mark(), &one.id);
         let app = app.clone();
         Some(Place {
             app,
@@ -268,7 +268,7 @@
     /// The upstream.
     pub(crate) one: Arc<Listed>,
     /// Held for its drop.
-    _stay: Option<Stay>,
+    _stay: Option<SuspectGuard>,
 }
 
 impl Drop for Place {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -218,7 +218,7 @@
     loop {
         sleep(TIDY).await;
         hint::tidy(&app);
-        app.crashes.tidy();
+        app.crashes.prune();
         let mut all = Vec::new();
         app.shelves.each(|map| all.extend(map.values().cloned()));
         let mut old = Vec::new();
@@ -240,7 +240,7 @@
         Ok(()) => reach.back(),
         Err(error) => reach.lost(error),
     };
-    crash::report::keep(&app.crashes, &app.plat, &key, heard).await;
+    crash::report::publish(&app.crashes, &app.plat, &key, heard).await;
 }
 
 /// Reports the calls of the platform, which it counts and limits.
--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -6,14 +6,14 @@
 
 use contract::Audit;
 use contract::Change;
+use contract::ChangeStatus;
 use contract::Contract;
 use contract::Revision;
-use contract::Settle;
-use contract::Stored;
-use contract::amend::Seen;
-use contract::amend::settle;
-use contract::form;
-use contract::form::Diff;
+use contract::StoredContract;
+use contract::amend::ReadBack;
+use contract::amend::change_status;
+use contract::ini;
+use contract::ini::LineDiff;
 use kernel::Name;
 use plat::Client;
 use plat::Done;
@@ -45,7 +45,7 @@
         /// The contract's revision now.
         rev: Revision,
         /// What the others changed.
-        theirs: Vec<Diff>,
+        theirs: Vec<LineDiff>,
     },
     /// It is not known yet: the platform did not answer often enough.
     NotKnown {
@@ -84,7 +84,7 @@
     /// Its revision.
     pub rev: Revision,
     /// The contract with its change.
-    pub stored: Stored,
+    pub stored: StoredContract,
 }
 
 fn decode(item: &Item) -> Result<Held, ContractError> {
@@ -156,10 +156,10 @@
     /// # Errors
     ///
     /// Returns [`ContractError`].
-    pub async fn plan(&self, after: &Contract) -> Result<Vec<Diff>, ContractError> {
+    pub async fn plan(&self, after: &Contract) -> Result<Vec<LineDiff>, ContractError> {
         let before = self.show(&after.customer).await?;
         let before = before.as_ref().map(|held| &held.stored.contract);
-        Ok(form::diff(before, after))
+        Ok(ini::diff(before, after))
     }
 
     /// Puts a contract in place of the one that the platform holds at revision `base`, or of
@@ -187,8 +187,8 @@
         }
         let change = Change {
             id: Uuid::now_v7().simple().to_string().into(),
-            who: who.into(),
-            base: rev,
+            operator: who.into(),
+            base_revision: rev,
             before,
             after,
         };
@@ -199,7 +199,7 @@
     async fn check_token(&self, after: &Contract) -> Result<(), ContractError> {
         for held in self.list().await? {
             let other = held.stored.contract;
-            if other.customer != after.customer && other.token.matches(&after.token) {
+            if other.customer != after.customer && other.token_digest.matches(&after.token_digest) {
                 return Err(ContractError::Token(other.customer));
             }
         }
@@ -220,12 +220,12 @@
                 Err(_) => (),
             }
             match self.read_back(change).await {
-                Ok(Settle::InForce(rev)) => return Ok(Applied::InForce(rev)),
-                Ok(Settle::Replaced(rev)) => return Ok(Applied::Replaced(rev)),
-                Ok(Settle::NotApplied(rev)) => {
-                    return self.conflict(change.base, rev, customer).await;
+                Ok(ChangeStatus::InForce(rev)) => return Ok(Applied::InForce(rev)),
+                Ok(ChangeStatus::Replaced(rev)) => return Ok(Applied::Replaced(rev)),
+                Ok(ChangeStatus::NotApplied(rev)) => {
+                    return self.conflict(change.base_revision, rev, customer).await;
                 }
-                Ok(Settle::WriteAgain) | Err(_) => (),
+                Ok(ChangeStatus::Retry) | Err(_) => (),
             }
             tokio::time::sleep(PAUSE * 2_u32.pow(turn.min(4))).await;
         }
@@ -233,19 +233,19 @@
         Ok(Applied::NotKnown { change })
     }
 
-    async fn read_back(&self, change: &Change) -> Result<Settle, ContractError> {
+    async fn read_back(&self, change: &Change) -> Result<ChangeStatus, ContractError> {
         let customer = &change.after.customer;
         let held = self.show(customer).await?;
         let rev = held.as_ref().map_or(0, |held| held.rev);
         let current = held.map(|held| held.stored.change).unwrap_or_default();
         let trail = self.audit(Some(customer)).await?;
         let audited = trail.iter().any(|(_, audit)| audit.change == change.id);
-        let seen = Seen {
+        let seen = ReadBack {
             rev,
             change: &current,
             audited,
         };
-        Ok(settle(&change.id, change.base, seen))
+        Ok(change_status(&change.id, change.base_revision, seen))
     }
 
     /// Shows what others changed since `base`.
@@ -259,7 +259,7 @@
         let theirs = trail
             .iter()
             .filter(|(at, _)| *at > base)
-            .flat_map(|(_, audit)| form::diff(audit.before.as_ref(), &audit.after))
+            .flat_map(|(_, audit)| ini::diff(audit.before.as_ref(), &audit.after))
             .collect();
         Ok(Applied::Conflict { rev, theirs })
     }
@@ -290,13 +290,13 @@
     let at = wall();
     let audit = Audit {
         change: change.id.clone(),
-        who: change.who.clone(),
+        operator: change.operator.clone(),
         at,
-        base: change.base,
+        base_revision: change.base_revision,
         before: change.before.clone(),
         after: change.after.clone(),
     };
-    let stored = Stored {
+    let stored = StoredContract {
         contract: change.after.clone(),
         change: change.id.clone(),
     };
@@ -304,7 +304,7 @@
     let key = keys::contract(customer);
     let trail = keys::audit(customer, at, &change.id);
     Ok(Txn {
-        guards: vec![Guard::on(key.as_str(), change.base)],
+        guards: vec![Guard::on(key.as_str(), change.base_revision)],
         puts: vec![
             Put::new(key, serde_json::to_vec(&stored).map_err(garbled)?),
             Put::new(trail, serde_json::to_vec(&audit).map_err(garbled)?),
--- /dev/null
+++ b/crates/poison/src/fingerprint.rs
@@ -0,0 +1,58 @@
+//! Content digests that identify a request across attempts and instances.
+
+use std::fmt;
+
+use kernel::digest;
+use serde::Deserialize;
+use serde::Serialize;
+
+/// The digest of a request's content, which is the same for each attempt at every instance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+#[derive(Serialize, Deserialize)]
+pub struct Fingerprint(u128);
+
+impl Fingerprint {
+    /// Computes the digest of a request. `caller` identifies the sender; empty if the request does not name one.
+    ///
+    /// # Examples
+    ///
+    /// ```
+    /// use poison::Fingerprint;
+    ///
+    /// let one = Fingerprint::new("POST", "shop.example", "/plain/a?b=c", b"", b"body");
+    /// assert_eq!(one, Fingerprint::new("POST", "shop.example", "/plain/a?b=c", b"", b"body"));
+    /// assert_ne!(one, Fingerprint::new("POST", "shop.example", "/plain/a?b=c", b"Token k", b"body"));
+    /// ```
+    pub fn new(method: &str, host: &str, path: &str, caller: &[u8], body: &[u8]) -> Self {
+        let head = [method, host, path].map(str::as_bytes);
+        let [method, host, path] = head;
+        let parts = [method, host, path, caller, body];
+        Self(u128::from_be_bytes(digest(&parts)))
+    }
+}
+
+/// The fingerprints under which the crashes of a request are counted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Identity {
+    /// The fingerprint of the exact request.
+    pub exact: Fingerprint,
+    /// The fingerprint shared by similar requests that differ in their bytes but may crash upstreams the same way:
+    /// the samples of one prompt, or the scoring requests to one path.
+    pub group: Fingerprint,
+}
+
+impl From<Fingerprint> for Identity {
+    /// Creates the identity of a request that belongs to no group.
+    fn from(exact: Fingerprint) -> Self {
+        Self {
+            exact,
+            group: exact,
+        }
+    }
+}
+
+impl fmt::Display for Fingerprint {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:032x}", self.0)
+    }
+}
--- a/crates/poison/src/lib.rs
+++ b/crates/poison/src/lib.rs
@@ -1,19 +1,19 @@
-//! Requests that crash the upstreams that run them (poison requests).
+//! Detection of poison requests, which crash the upstreams that run them.
 //!
-//! Such a request comes again under a new id, at any instance; only what it asks for tells that it is
-//! the same one ([`Print`]). Each instance keeps a [`Ledger`] of the crashes that it and others have seen
-//! ([`Report`]) and asks it before it sends a request on.
+//! Such a request is retried under a new id at any instance, so it is recognized by its content ([`Fingerprint`]).
+//! Each instance keeps a [`Ledger`] of the crashes that it and other instances observed ([`Report`]) and consults it
+//! before it forwards a request.
 
+pub mod fingerprint;
 pub mod ledger;
-pub mod print;
 pub mod report;
 
+pub use fingerprint::Fingerprint;
+pub use fingerprint::Identity;
 pub use ledger::Change;
 pub use ledger::Ledger;
 pub use ledger::Verdict;
-pub use print::Mark;
-pub use print::Print;
 pub use report::Crash;
+pub use report::Observations;
 pub use report::Report;
-pub use report::Seen;
-pub use report::Whole;
+pub use report::Success;
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-use contract::Book;
+use contract::Registry;
 use contract::Revision;
-use contract::book::InForce;
-use contract::book::Offer;
-use crash::Watch;
+use contract::registry::ActiveContract;
+use contract::registry::ApplyResult;
+use crash::CrashTracker;
 use fleet::Life;
 use fleet::Member;
 use fleet::View;
@@ -40,7 +40,7 @@
     /// Its clocks.
     pub clock: Clock,
     /// The contracts in force.
-    pub book: RwLock<Book>,
+    pub book: RwLock<Registry>,
     /// The limits of each contract.
     pub limits: Limits,
     /// The queue and upstreams of each model and service.
@@ -64,7 +64,7 @@
     /// Weight versions, on an instance that has a disk.
     pub cache: Option<Cache>,
     /// Which requests crash upstreams.
-    pub crashes: Arc<Watch>,
+    pub crashes: Arc<CrashTracker>,
     /// What happened lately.
     pub history: History,
     /// One more than the monotonic time at which the contracts were last known to be the newest;
@@ -116,7 +116,7 @@
     ///
     /// They go in by revision and under one lock: peers ask by the newest revision that they hold,
     /// so whoever holds one must hold all below it, at every moment at which it can be asked.
-    pub fn offer(&self, mut contracts: Vec<InForce>, source: &str) -> usize {
+    pub fn offer(&self, mut contracts: Vec<ActiveContract>, source: &str) -> usize {
         contracts.sort_by_key(|new| new.rev);
         let mut applied = 0;
         let mut book = self.book.write();
@@ -124,7 +124,7 @@
             let customer = new.stored.contract.customer.clone();
             let before = book.by_name(&customer).map_or(0, |held| held.rev);
             let (rev, change) = (new.rev, new.stored.change.clone());
-            if book.offer(new) == Offer::Stale {
+            if book.apply(new) == ApplyResult::Stale {
                 continue;
             }
             applied += 1;
@@ -144,7 +144,7 @@
 
     /// The newest contract revision in force.
     pub fn newest(&self) -> Revision {
-        self.book.read().newest()
+        self.book.read().newest_revision()
     }
 
     /// Notes that the contracts were the newest `age` milliseconds ago.
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::book::InForce;
+use contract::registry::ActiveContract;
 use http::HeaderValue;
 use http::StatusCode;
 use http::header::CONTENT_TYPE;
@@ -15,7 +15,7 @@
 use net::body;
 use net::body::Sender;
 use net::events;
-use poison::Print;
+use poison::Fingerprint;
 use route::Attempt;
 use route::Kind;
 use route::Next;
@@ -96,7 +96,7 @@
 /// # Errors
 ///
 /// Returns a refusal when the contract does not cover it or there is none.
-pub fn model(app: &App, held: &InForce, model: &str) -> Result<Arc<Dispatcher>, Problem> {
+pub fn model(app: &App, held: &ActiveContract, model: &str) -> Result<Arc<Dispatcher>, Problem> {
     if !held.stored.contract.has_model(model) {
         return Err(no(Type::NotCovered).because(format!("model {model:?}")));
     }
@@ -211,7 +211,7 @@
     let how = format!("{max_tokens} {seed:?} {temperature:?} {top_p:?} {stop:?} {prompt}");
     let customer = job.entry.customer.as_bytes();
     Sent {
-        print: Print::new("POST", model, GENERATE, customer, how.as_bytes()),
+        print: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
         id: trace.id.to_string(),
     }
 }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -21,7 +21,7 @@
 use net::Reply;
 use net::SendError;
 use net::body;
-use poison::Print;
+use poison::Fingerprint;
 use route::Attempt;
 use route::Kind;
 use route::Next;
@@ -106,7 +106,7 @@
     let deadline = app.clock.now() + timeout(&call, contract)?;
     let path = call.rest(3);
     let plain = path.split('?').next().unwrap_or("/");
-    let once = contract.is_once(&service, call.method.as_str(), plain);
+    let once = contract.is_non_idempotent(&service, call.method.as_str(), plain);
     let key = keyed::key(&call, contract, &service, once)?;
     let outbound = outbound(app, call, path, once, deadline).await?;
     // Before the journal: what the contract does not allow must cost no write.
@@ -274,10 +274,10 @@
 }
 
 /// What a call asks for: the same for each attempt of a customer.
-fn print(entry: &Entry, dispatcher: &Dispatcher, outbound: &Outbound) -> Print {
+fn print(entry: &Entry, dispatcher: &Dispatcher, outbound: &Outbound) -> Fingerprint {
     let method = outbound.method.as_str();
     let customer = entry.customer.as_bytes();
-    Print::new(
+    Fingerprint::new(
         method,
         &dispatcher.name,
         &outbound.path,
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -14,11 +14,11 @@
 use net::Call;
 use net::Reply;
 use net::body;
-use once::Answer;
+use once::Decision;
+use once::Fingerprint;
 use once::Key;
 use once::Outcome;
-use once::Print;
-use once::record::MAX_BODY;
+use once::record::MAX_BODY_BYTES;
 use route::Ran;
 use wire::Problem;
 use wire::caller::KEY;
@@ -57,7 +57,7 @@
 /// Refuses a key so old that the journal may have forgotten it.
 fn horizon(app: &App, headers: &HeaderMap) -> Result<(), Problem> {
     let text = headers.get(KEY).and_then(|value| value.to_str().ok());
-    let Some(created) = text.and_then(once::key::created) else {
+    let Some(created) = text.and_then(once::key::creation_time) else {
         return Ok(());
     };
     // Half of the time for which keys are kept: clocks may differ by the other half.
@@ -78,7 +78,7 @@
     let outbound = &mut job.outbound;
     horizon(app, &outbound.headers)?;
     outbound.patience = AFTERMATH;
-    let print = Print::new(outbound.method.as_str(), &outbound.path, &outbound.body);
+    let print = Fingerprint::new(outbound.method.as_str(), &outbound.path, &outbound.body);
     let attempt = trace.id.attempt(0);
     let answer = app
         .journal
@@ -86,11 +86,11 @@
         .await;
     trace.note(format!("journal: {}", word(&answer)));
     match answer {
-        Answer::Run => (),
-        Answer::Ran(outcome) => return Ok(replay(outcome)),
-        Answer::Unknown => return Err(Problem::new(Type::KeyInDoubt, Ran::Unknown)),
-        Answer::Mismatch => return Err(no(Type::KeyMismatch)),
-        Answer::Refused => return Err(no(Type::Journal).after(JOURNAL)),
+        Decision::Run => (),
+        Decision::Ran(outcome) => return Ok(replay(outcome)),
+        Decision::Unknown => return Err(Problem::new(Type::KeyInDoubt, Ran::Unknown)),
+        Decision::Mismatch => return Err(no(Type::KeyMismatch)),
+        Decision::Refused => return Err(no(Type::Journal).after(JOURNAL)),
     }
     let left = outbound.deadline.saturating_sub(app.clock.now());
     let app = app.clone();
@@ -117,13 +117,13 @@
     }
 }
 
-fn word(answer: &Answer) -> &'static str {
+fn word(answer: &Decision) -> &'static str {
     match answer {
-        Answer::Run => "may run",
-        Answer::Ran(_) => "ran before; its answer is given again",
-        Answer::Unknown => "may have run before",
-        Answer::Mismatch => "the key names another request",
-        Answer::Refused => "could not be written",
+        Decision::Run => "may run",
+        Decision::Ran(_) => "ran before; its answer is given again",
+        Decision::Unknown => "may have run before",
+        Decision::Mismatch => "the key names another request",
+        Decision::Refused => "could not be written",
     }
 }
 
@@ -133,8 +133,8 @@
     let bytes = answer.body();
     Outcome {
         status: answer.status().as_u16(),
-        kind: kind.into(),
-        body: (bytes.len() <= MAX_BODY).then(|| bytes.to_vec().into()),
+        content_type: kind.into(),
+        body: (bytes.len() <= MAX_BODY_BYTES).then(|| bytes.to_vec().into()),
     }
 }
 
@@ -145,7 +145,7 @@
     let mut reply = Response::new(body::full(bytes));
     *reply.status_mut() = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::OK);
     let headers = reply.headers_mut();
-    if let Ok(kind) = HeaderValue::from_str(&outcome.kind) {
+    if let Ok(kind) = HeaderValue::from_str(&outcome.content_type) {
         headers.insert(header::CONTENT_TYPE, kind);
     }
     let how = if whole { "whole" } else { "status-only" };
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -16,7 +16,7 @@
 use http_body_util::Full;
 use kernel::Name;
 use net::SendError;
-use poison::Seen;
+use poison::Observations;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use wire::peer;
@@ -101,7 +101,7 @@
 /// Probes peers until the instance leaves.
 pub async fn run(app: Arc<App>) {
     let mut told = Vec::new();
-    let mut crashes = Seen::default();
+    let mut crashes = Observations::default();
     let mut turn = 0;
     loop {
         turn += 1;
@@ -119,9 +119,9 @@
 }
 
 /// Tells peers of crashes if there is something new.
-fn tell_crashes(app: &App, told: &mut Seen) {
-    app.crashes.tidy();
-    let report = app.crashes.own();
+fn tell_crashes(app: &App, told: &mut Observations) {
+    app.crashes.prune();
+    let report = app.crashes.local_observations();
     if report != *told {
         *told = report.clone();
         app.view.lock().crashes(app.clock.wall(), report);
@@ -189,7 +189,7 @@
     if behind {
         // The peer's answer shows that it lacks something: the next message brings it.
         let mut message = self::message(app, &to.domain, None);
-        message.contracts = app.book.read().since(pong.newest);
+        message.contracts = app.book.read().newer_than(pong.newest);
         let _: Pong = exchange(app, to.addr, peer::PING, &message, limit).await?;
     }
     Ok(pong)
@@ -248,7 +248,7 @@
                 poll::believe(dispatcher, name, *version, *leaving);
             }
         }
-        Rumour::Crashes { report, .. } => app.crashes.heard(report),
+        Rumour::Crashes { report, .. } => app.crashes.merge(report),
         Rumour::Member(_) | Rumour::Demand { .. } => (),
     }
 }
@@ -264,7 +264,7 @@
         },
         None => None,
     };
-    let contracts = app.book.read().since(ping.newest);
+    let contracts = app.book.read().newer_than(ping.newest);
     let mut view = app.view.lock();
     Pong {
         from: view.me().clone(),
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -15,10 +15,10 @@
 use kernel::AttemptId;
 use kernel::Millis;
 use kernel::rank;
-use once::Answer;
+use once::Decision;
+use once::Fingerprint;
 use once::Key;
 use once::Outcome;
-use once::Print;
 use once::Record;
 use once::Shard;
 use parking_lot::Mutex;
@@ -112,12 +112,12 @@
         &self,
         app: &Arc<App>,
         key: Key,
-        print: Print,
+        print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
-    ) -> Answer {
+    ) -> Decision {
         let answer = self.ask_any(app, key, print, attempt, deadline).await;
-        if answer == Answer::Refused {
+        if answer == Decision::Refused {
             // The intent may have been written all the same, by the peer or here, and the answer
             // lost. Unless the right is given back, the key stays in doubt for as long as it is
             // kept, though its caller heard that nothing ran.
@@ -131,10 +131,10 @@
         &self,
         app: &App,
         key: Key,
-        print: Print,
+        print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
-    ) -> Answer {
+    ) -> Decision {
         let (at, _) = self.cell(key);
         let left = deadline.saturating_sub(self.clock.now()).min(WAIT);
         if let Some(writer) = writer(app, at) {
@@ -158,19 +158,19 @@
     pub async fn ask_here(
         &self,
         key: Key,
-        print: Print,
+        print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
         own: Own,
-    ) -> Answer {
+    ) -> Decision {
         let (_, cell) = self.cell(key);
         if cell.failures.load(Ordering::Relaxed) >= AWAY {
-            return Answer::Refused;
+            return Decision::Refused;
         }
         let end = deadline.min(self.clock.now() + WAIT);
         cell.shard
             .lock()
-            .ask(key, print, attempt, self.clock.wall());
+            .claim(key, print, attempt, self.clock.wall());
         let abandon = Abandon {
             cell,
             key,
@@ -181,15 +181,15 @@
         let answer = self.answer(cell, attempt, end).await;
         // With an answer there is nothing left to abandon.
         drop(abandon);
-        answer.unwrap_or(Answer::Refused)
+        answer.unwrap_or(Decision::Refused)
     }
 
-    async fn answer(&self, cell: &Cell, attempt: AttemptId, end: Millis) -> Option<Answer> {
+    async fn answer(&self, cell: &Cell, attempt: AttemptId, end: Millis) -> Option<Decision> {
         loop {
             let news = cell.news.notified();
             tokio::pin!(news);
             news.as_mut().enable();
-            if let Some(answer) = cell.shard.lock().take(attempt) {
+            if let Some(answer) = cell.shard.lock().take_decision(attempt) {
                 return Some(answer);
             }
             let left = end.saturating_sub(self.clock.now());
@@ -210,7 +210,7 @@
     /// Gives back the right to run. It is under way when this returns, so that the same key can
     /// be sent again at once.
     pub async fn free(&self, app: &App, key: Key, attempt: AttemptId) {
-        self.note(app, Record::Free { key, attempt }).await;
+        self.note(app, Record::Release { key, attempt }).await;
     }
 
     async fn note(&self, app: &App, record: Record) {
@@ -227,7 +227,7 @@
     /// Writes a record without a peer.
     pub fn note_here(&self, record: Record) {
         let (_, cell) = self.cell(record.key());
-        cell.shard.lock().note(record);
+        cell.shard.lock().append(record);
         cell.work.notify_one();
     }
 
@@ -264,12 +264,12 @@
 impl Drop for Abandon<'_> {
     fn drop(&mut self) {
         let mut shard = self.cell.shard.lock();
-        if !shard.waits(self.attempt) {
+        if !shard.is_pending(self.attempt) {
             return;
         }
         match self.own {
-            Own::Mine => shard.give_up(self.key, self.attempt),
-            Own::Peers => shard.withdraw(self.attempt),
+            Own::Mine => shard.abandon(self.key, self.attempt),
+            Own::Peers => shard.stop_waiting(self.attempt),
         }
         drop(shard);
         self.cell.work.notify_one();
--- a/crates/serve/src/journal/driver.rs
+++ b/crates/serve/src/journal/driver.rs
@@ -7,9 +7,9 @@
 
 use bytes::Bytes;
 use kernel::Millis;
+use once::Action;
 use once::Segment;
-use once::Work;
-use once::shard::Wrote;
+use once::shard::WriteResult;
 use plat::Client;
 use plat::Done;
 use plat::Guard;
@@ -50,17 +50,20 @@
         let mut wrote = Instant::now() - GAP;
         loop {
             self.gather(wrote).await;
-            let work = self.cell.shard.lock().next(self.clock.wall());
+            let work = self.cell.shard.lock().next_action(self.clock.wall());
             let done = match work {
-                Work::Idle if self.is_away() => self.probe().await,
-                Work::Idle => {
+                Action::Idle if self.is_away() => self.probe().await,
+                Action::Idle => {
                     self.cell.work.notified().await;
                     continue;
                 }
-                Work::Load { from } => self.load(from).await,
-                Work::Write { head, segment } => {
+                Action::Load { from } => self.load(from).await,
+                Action::Write {
+                    head_revision,
+                    segment,
+                } => {
                     wrote = Instant::now();
-                    self.write(head, &segment).await
+                    self.write(head_revision, &segment).await
                 }
             };
             self.cell.news.notify_waiters();
@@ -77,7 +80,7 @@
         }
         // Whoever asks for a right to run ends the wait; another outcome does not.
         let end = tokio::time::Instant::now() + LAZY;
-        while self.cell.shard.lock().is_lazy() {
+        while self.cell.shard.lock().has_only_outcomes() {
             let work = self.cell.work.notified();
             if tokio::time::timeout_at(end, work).await.is_err() {
                 return;
@@ -121,11 +124,11 @@
         let mut shard = self.cell.shard.lock();
         match read {
             Ok((head, segments)) => {
-                shard.loaded(head, segments);
+                shard.load_finished(head, segments);
                 Ok(())
             }
             Err(error) => {
-                shard.unread();
+                shard.load_failed();
                 Err(error)
             }
         }
@@ -154,11 +157,11 @@
     async fn write(&self, head: i64, segment: &Segment) -> Result<(), PlatError> {
         let done = self.put(head, segment).await;
         let wrote = match &done {
-            Ok(Done::At(rev)) => Wrote::Done(*rev),
-            Ok(Done::Conflict) => Wrote::Conflict,
-            Err(_) => Wrote::Unclear,
+            Ok(Done::At(rev)) => WriteResult::Committed(*rev),
+            Ok(Done::Conflict) => WriteResult::Conflict,
+            Err(_) => WriteResult::Unknown,
         };
-        self.cell.shard.lock().wrote(wrote);
+        self.cell.shard.lock().write_finished(wrote);
         done.map(drop)
     }
 
@@ -171,7 +174,7 @@
         let seq = segment.seq.to_string();
         let expired = plat::Delete::Span(
             keys::segment(self.at, 0),
-            keys::segment(self.at, segment.floor),
+            keys::segment(self.at, segment.min_seq),
         );
         let txn = Txn {
             guards: vec![Guard::on(key.as_str(), head)],
@@ -179,7 +182,7 @@
                 Put::new(key, Bytes::from(seq).to_vec()),
                 Put::new(keys::segment(self.at, segment.seq), bytes),
             ],
-            deletes: match segment.floor {
+            deletes: match segment.min_seq {
                 0 | 1 => Vec::new(),
                 _ => vec![expired],
             },
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::book::InForce;
+use contract::registry::ActiveContract;
 use fleet::Member;
 use futures_util::StreamExt;
 use futures_util::future::join_all;
@@ -125,7 +125,7 @@
         prompts: open.groups,
         group_size: open.samples,
         max_tokens: open.max_tokens,
-        max_staleness: contract.staleness,
+        max_staleness: contract.max_staleness,
     };
     let checked = spec.check();
     checked.map_err(|error| no(Type::BadRequest).because(error.to_string()))?;
@@ -146,14 +146,14 @@
     Ok(Opened {
         step: id,
         total: work.total(),
-        bound: contract.staleness,
+        bound: contract.max_staleness,
     })
 }
 
 fn begin(
     app: &Arc<App>,
     id: &str,
-    held: &InForce,
+    held: &ActiveContract,
     spec: Spec,
     cursor: &Cursor,
     version: u64,
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use contract::book::InForce;
+use contract::registry::ActiveContract;
 use kernel::Millis;
 use limit::order::Entry;
-use poison::Print;
+use poison::Fingerprint;
 use route::pool::Ask;
 use route::prefix::blocks;
 use step::Assembly;
@@ -68,7 +68,7 @@
         return;
     };
     let sent = sent(work, &begin);
-    if app.crashes.holds(|| sent.print.into()) {
+    if app.crashes.is_blocked(|| sent.print.into()) {
         // The step keeps it until its trainer ends the step.
         give_back(work, index, ordinal, begin.partial, PLACE).await;
         return;
@@ -97,7 +97,7 @@
     let (customer, model) = (work.customer().as_bytes(), &work.dispatcher.name);
     let how = format!("{} {} {}", begin.index, begin.max_tokens, begin.prompt);
     Sent {
-        print: Print::new("POST", model, GENERATE, customer, how.as_bytes()),
+        print: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
         id: work.request.to_string(),
     }
 }
@@ -110,7 +110,7 @@
 async fn acquire(
     app: &App,
     work: &Work,
-    held: &InForce,
+    held: &ActiveContract,
     begin: &Assignment,
 ) -> Result<Permit, Millis> {
     let contract = &held.stored.contract;
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use contract::Contract;
-use contract::Unscored;
+use contract::UnscoredPolicy;
 use http::Method;
 use kernel::Millis;
 use limit::order::Entry;
 use net::SendError;
 use net::client::JsonError;
 use net::client::uri;
-use poison::Print;
+use poison::Fingerprint;
 use route::Kind;
 use route::pool::Ask;
 use step::Sample;
@@ -79,7 +79,7 @@
                 }
             }
         }
-        if contract.unscored == Unscored::Pass && tries >= TRIES {
+        if contract.unscored == UnscoredPolicy::Pass && tries >= TRIES {
             work.note(format!("sample {} passes without a score", sample.index));
             return;
         }
@@ -107,10 +107,10 @@
     let customer = contract.customer.as_bytes();
     let how = format!("{prompt} {text}");
     let sent = Sent {
-        print: Print::new("POST", scorer, SCORE, customer, how.as_bytes()),
+        print: Fingerprint::new("POST", scorer, SCORE, customer, how.as_bytes()),
         id: work.request.to_string(),
     };
-    if app.crashes.holds(|| sent.print.into()) {
+    if app.crashes.is_blocked(|| sent.print.into()) {
         return Err(ScoreError::Quarantined);
     }
     let deadline = app.clock.now() + LIMIT;
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use contract::Contract;
-use contract::form;
+use contract::ini;
 use http::Method;
 use http::StatusCode;
 use operate::Applied;
@@ -30,7 +30,7 @@
 }
 
 fn read(more: &str) -> Contract {
-    form::read("test", &contracts::text("aarhus", more)).unwrap()
+    ini::parse("test", &contracts::text("aarhus", more)).unwrap()
 }
 
 fn down() -> Fault {
@@ -57,7 +57,10 @@
 
         for entry in rig.running() {
             let book = entry.app.book.read();
-            assert_eq!(book.by_name("aarhus").unwrap().stored.contract.rate, 7.0);
+            assert_eq!(
+                book.by_name("aarhus").unwrap().stored.contract.request_rate,
+                7.0
+            );
         }
     });
 }
@@ -178,7 +181,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let mut contract = read("");
-        contract.token = contract::Digest::of("token-new");
+        contract.token_digest = contract::Digest::of("token-new");
         let applied = rig.contracts().apply("op", None, contract).await.unwrap();
         let Applied::InForce(rev) = applied else {
             panic!("{applied:?}");
@@ -225,7 +228,7 @@
                 .any(|line| line.after.as_deref() == Some("rate = 5"))
         );
         let trail = contracts.audit(Some(&customer)).await.unwrap();
-        let who: Vec<_> = trail.iter().map(|(_, audit)| &*audit.who).collect();
+        let who: Vec<_> = trail.iter().map(|(_, audit)| &*audit.operator).collect();
         assert_eq!(who, ["rig", "ida"]);
     });
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -4,16 +4,16 @@
 //! releases run side by side. [`VERSION`] rises only when that does not do.
 
 use contract::Revision;
-use contract::book::InForce;
+use contract::registry::ActiveContract;
 use fleet::Member;
 use fleet::Rumour;
 use hmac::Hmac;
 use hmac::Mac;
 use kernel::AttemptId;
 use kernel::Name;
-use once::Answer;
+use once::Decision;
+use once::Fingerprint;
 use once::Key;
-use once::Print;
 use once::Record;
 use serde::Deserialize;
 use serde::Serialize;
@@ -64,7 +64,7 @@
     pub rumours: Vec<Rumour>,
     /// Contracts that the receiver's last answer showed to be missing there.
     #[serde(default)]
-    pub contracts: Vec<InForce>,
+    pub contracts: Vec<ActiveContract>,
     /// Whom to probe on the sender's behalf, if anyone.
     #[serde(default)]
     pub probe: Option<Member>,
@@ -86,7 +86,7 @@
     pub rumours: Vec<Rumour>,
     /// Contracts that the sender's probe showed to be missing there.
     #[serde(default)]
-    pub contracts: Vec<InForce>,
+    pub contracts: Vec<ActiveContract>,
     /// Whether the instance that was to be probed answered.
     #[serde(default)]
     pub reached: Option<Member>,
@@ -101,7 +101,7 @@
         /// The key.
         key: Key,
         /// The request.
-        print: Print,
+        print: Fingerprint,
         /// The attempt.
         attempt: AttemptId,
         /// Milliseconds until the caller's deadline.
@@ -121,7 +121,7 @@
     Noted,
 }
 
-/// [`Answer`] as it travels.
+/// [`Decision`] as it travels.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Verdict {
@@ -137,19 +137,19 @@
     Refused,
 }
 
-impl From<Answer> for Verdict {
-    fn from(answer: Answer) -> Self {
+impl From<Decision> for Verdict {
+    fn from(answer: Decision) -> Self {
         match answer {
-            Answer::Run => Self::Run,
-            Answer::Ran(outcome) => Self::Ran(outcome),
-            Answer::Unknown => Self::Unknown,
-            Answer::Mismatch => Self::Mismatch,
-            Answer::Refused => Self::Refused,
+            Decision::Run => Self::Run,
+            Decision::Ran(outcome) => Self::Ran(outcome),
+            Decision::Unknown => Self::Unknown,
+            Decision::Mismatch => Self::Mismatch,
+            Decision::Refused => Self::Refused,
         }
     }
 }
 
-impl From<Verdict> for Answer {
+impl From<Verdict> for Decision {
     fn from(verdict: Verdict) -> Self {
         match verdict {
             Verdict::Run => Self::Run,
