--- a/crates/control/src/sources.rs
+++ b/crates/control/src/sources.rs
@@ -5,7 +5,7 @@
 
 use kernel::Map;
 use kernel::Name;
-use kernel::rank;
+use kernel::rendezvous_rank;
 use net::client::uri;
 use parking_lot::Mutex;
 use serve::settings::Weights;
@@ -37,7 +37,7 @@
         let turn = self.turn(engine, version);
         let mut caches = self.caches.clone();
         // By rank, so that the engines spread over the caches.
-        caches.sort_by_key(|addr| std::cmp::Reverse(rank(engine, addr)));
+        caches.sort_by_key(|addr| std::cmp::Reverse(rendezvous_rank(engine, addr)));
         match caches.get(turn % (caches.len() + 1)) {
             Some(addr) => uri(*addr, &format!("/weights/{model}/{version}")),
             None => format!("{}/{model}/{version}", self.store),
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -20,7 +20,7 @@
 pub use map::Set;
 pub use name::Name;
 pub use name::NameError;
-pub use rank::rank;
+pub use rank::rendezvous_rank;
 pub use shard::Shards;
 pub use time::Millis;
 pub use token::Digest;
--- a/crates/kernel/src/rank.rs
+++ b/crates/kernel/src/rank.rs
@@ -13,12 +13,12 @@
 /// # Examples
 ///
 /// ```
-/// use kernel::rank;
+/// use kernel::rendezvous_rank;
 ///
-/// let best = ["a", "b", "c"].into_iter().max_by_key(|name| rank(name, "step-1"));
-/// assert_eq!(best, ["c", "b", "a"].into_iter().max_by_key(|name| rank(name, "step-1")));
+/// let best = ["a", "b", "c"].into_iter().max_by_key(|name| rendezvous_rank(name, "step-1"));
+/// assert_eq!(best, ["c", "b", "a"].into_iter().max_by_key(|name| rendezvous_rank(name, "step-1")));
 /// ```
-pub fn rank(name: &str, what: impl Hash) -> u64 {
+pub fn rendezvous_rank(name: &str, what: impl Hash) -> u64 {
     let [a, b, c, d] = SEEDS;
     RandomState::with_seeds(a, b, c, d).hash_one((name, what))
 }
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use kernel::Millis;
-use kernel::rank;
+use kernel::rendezvous_rank;
 
 use crate::App;
 use crate::peer;
@@ -60,7 +60,7 @@
     let most = near().map(|one| one.power).max().unwrap_or(0);
     let strong = |one: &&Member| f64::from(one.power) >= f64::from(most) * STRONG;
     let mut takers: Vec<_> = near().filter(strong).collect();
-    takers.sort_by_key(|one| Reverse(rank(&one.owner.instance, route)));
+    takers.sort_by_key(|one| Reverse(rendezvous_rank(&one.owner.instance, route)));
     takers
 }
 
--- a/crates/node/src/hint.rs
+++ b/crates/node/src/hint.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use kernel::Millis;
-use kernel::rank;
+use kernel::rendezvous_rank;
 
 use crate::App;
 use crate::peer;
@@ -29,7 +29,7 @@
 fn keeper(app: &App, step: &str) -> Option<Member> {
     let members = app.members.lock();
     let entries = members.iter().filter(|one| one.reads);
-    let best = entries.max_by_key(|one| rank(&one.owner.instance, step));
+    let best = entries.max_by_key(|one| rendezvous_rank(&one.owner.instance, step));
     best.cloned()
 }
 
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use batch::Owner;
-use kernel::rank;
+use kernel::rendezvous_rank;
 use tokio::time::sleep;
 use usage::Share;
 use usage::Tally;
@@ -77,7 +77,12 @@
     let all = members.iter().filter(|one| !one.reads);
     let mut all: Vec<&Member> = all.collect();
     let far = |one: &&Member| *one.domain != *app.settings.domain;
-    all.sort_by_key(|one| (far(one), rank(&one.owner.instance, &app.me.instance)));
+    all.sort_by_key(|one| {
+        (
+            far(one),
+            rendezvous_rank(&one.owner.instance, &app.me.instance),
+        )
+    });
     all.truncate(TRIED);
     all.into_iter().cloned().collect()
 }
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use kernel::Map;
 use kernel::Millis;
-use kernel::rank;
+use kernel::rendezvous_rank;
 use table::Listed;
 use table::Roster;
 
@@ -303,7 +303,7 @@
             // Not even the fastest one would be.
             return None;
         }
-        let some = roster.some(want.service, rank(here, now), LOOKED);
+        let some = roster.some(want.service, rendezvous_rank(here, now), LOOKED);
         let best = self.choose_of(some, roster, want, now)?;
         let fast = self.pace(&best.id, usual);
         let gain = f64::from(left) * (slow - fast);
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -14,7 +14,7 @@
 use fleet::Member;
 use kernel::AttemptId;
 use kernel::Millis;
-use kernel::rank;
+use kernel::rendezvous_rank;
 use once::Answer;
 use once::Key;
 use once::Outcome;
@@ -280,7 +280,9 @@
 /// hashing). [`None`] when that is this instance.
 fn writer(app: &App, shard: u32) -> Option<Member> {
     let view = app.view.lock();
-    let best = view.live().max_by_key(|member| rank(&member.name, shard))?;
+    let best = view
+        .live()
+        .max_by_key(|member| rendezvous_rank(&member.name, shard))?;
     (best.name != view.me().name).then(|| best.clone())
 }
 
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -17,7 +17,7 @@
 use crate::App;
 use crate::dispatcher::Dispatcher;
 use crate::history::Story;
-use kernel::rank;
+use kernel::rendezvous_rank;
 use wire::caller::Note;
 
 /// Time that a report may take.
@@ -61,7 +61,7 @@
     if live.is_empty() {
         live = view.live().map(|member| member.name.clone()).collect();
     }
-    live.sort_by_key(|name| std::cmp::Reverse(rank(name, &*spec.name)));
+    live.sort_by_key(|name| std::cmp::Reverse(rendezvous_rank(name, &*spec.name)));
     live.iter().take(ASKERS).any(|name| *name == view.me().name)
 }
 
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -226,7 +226,10 @@
     drop(view);
     live.sort_by_key(|member| {
         let away = *member.name != *home;
-        (away, std::cmp::Reverse(kernel::rank(&member.name, step)))
+        (
+            away,
+            std::cmp::Reverse(kernel::rendezvous_rank(&member.name, step)),
+        )
     });
     // One after the home is enough: if that one is gone as well, this instance takes the step.
     live.truncate(2);
@@ -394,7 +397,10 @@
     live.retain(|member| member.name != me.name);
     live.sort_by_key(|member| {
         let near = member.domain == me.domain;
-        (near, std::cmp::Reverse(kernel::rank(&member.name, step)))
+        (
+            near,
+            std::cmp::Reverse(kernel::rendezvous_rank(&member.name, step)),
+        )
     });
     live.truncate(HELPERS);
     live
--- a/crates/spread/src/board.rs
+++ b/crates/spread/src/board.rs
@@ -14,7 +14,7 @@
 
 use kernel::Millis;
 use kernel::Set;
-use kernel::rank;
+use kernel::rendezvous_rank;
 use plat::Item;
 use plat::Listing;
 
@@ -81,7 +81,7 @@
 
 /// What stands for a key among those of other entries.
 fn digest(key: &str) -> u64 {
-    rank(key, "entry")
+    rendezvous_rank(key, "entry")
 }
 
 impl Board {
--- a/crates/spread/src/ration.rs
+++ b/crates/spread/src/ration.rs
@@ -5,7 +5,7 @@
 //! and nobody ever has the list. So all of them together take a bounded part of that link, worked out by
 //! each from how many they are and how long the list is.
 
-use kernel::rank;
+use kernel::rendezvous_rank;
 
 /// Bytes that reads of all instances together may take of the platform's link in one round. A round takes about a
 /// second, and the slowest link of a platform carries this in a tenth of one.
@@ -46,5 +46,5 @@
 /// have their turns in different rounds.
 pub fn is_turn(me: &str, round: u32, every: u32) -> bool {
     let every = u64::from(every.max(1));
-    (rank(me, "read") % every + u64::from(round)).is_multiple_of(every)
+    (rendezvous_rank(me, "read") % every + u64::from(round)).is_multiple_of(every)
 }
--- a/crates/spread/src/tree.rs
+++ b/crates/spread/src/tree.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use kernel::Map;
-use kernel::rank;
+use kernel::rendezvous_rank;
 
 use crate::Member;
 
@@ -113,7 +113,7 @@
             below(&near, parent, at, far, heads())
         }
         None => {
-            let parent = rank(me, domain) as usize % near.len();
+            let parent = rendezvous_rank(me, domain) as usize % near.len();
             Place {
                 leaf: false,
                 ..below(&near, parent, near.len(), far, heads())
@@ -128,7 +128,7 @@
     let before = |one: &&Member| one.reads && order(one, me) == Ordering::Less;
     let before: Vec<_> = some.iter().filter(before).collect();
     let any = |turn: usize| {
-        let at = rank(&me.owner.instance, turn) as usize % before.len().max(1);
+        let at = rendezvous_rank(&me.owner.instance, turn) as usize % before.len().max(1);
         before.get(at).map(|one| one.addr)
     };
     let mut sources: Vec<_> = (0..SOME).filter_map(any).collect();
