--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -21,6 +21,6 @@
 pub use name::Name;
 pub use name::NameError;
 pub use rank::rendezvous_rank;
-pub use shard::Shards;
+pub use shard::ShardedMap;
 pub use time::Millis;
 pub use token::Digest;
--- a/crates/kernel/src/shard.rs
+++ b/crates/kernel/src/shard.rs
@@ -7,7 +7,7 @@
 
 use crate::Map;
 
-/// Shards in a new [`Shards`]; a power of two.
+/// ShardedMap in a new [`ShardedMap`]; a power of two.
 const COUNT: usize = 16;
 
 /// A map split over shards, so that threads that work on different keys rarely wait for one
@@ -16,19 +16,19 @@
 /// # Examples
 ///
 /// ```
-/// use kernel::Shards;
+/// use kernel::ShardedMap;
 ///
-/// let seen: Shards<u32, u32> = Shards::new();
-/// seen.with(&7, |map| *map.entry(7).or_insert(0) += 1);
+/// let seen: ShardedMap<u32, u32> = ShardedMap::new();
+/// seen.with_shard(&7, |map| *map.entry(7).or_insert(0) += 1);
 /// assert_eq!(seen.get(&7), Some(1));
 /// ```
 #[derive(Debug)]
-pub struct Shards<K, V> {
+pub struct ShardedMap<K, V> {
     hasher: RandomState,
     parts: Vec<Mutex<Map<K, V>>>,
 }
 
-impl<K: Hash + Eq, V> Shards<K, V> {
+impl<K: Hash + Eq, V> ShardedMap<K, V> {
     /// Makes empty shards.
     pub fn new() -> Self {
         Self {
@@ -43,7 +43,7 @@
     }
 
     /// Runs `f` on the shard of `key` under that shard's lock.
-    pub fn with<R>(&self, key: &K, f: impl FnOnce(&mut Map<K, V>) -> R) -> R {
+    pub fn with_shard<R>(&self, key: &K, f: impl FnOnce(&mut Map<K, V>) -> R) -> R {
         f(&mut self.part(key).lock())
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Runs `f` on every shard in turn, one lock at a time.
-    pub fn each(&self, mut f: impl FnMut(&mut Map<K, V>)) {
+    pub fn for_each_shard(&self, mut f: impl FnMut(&mut Map<K, V>)) {
         for part in &self.parts {
             f(&mut part.lock());
         }
@@ -83,7 +83,7 @@
     }
 }
 
-impl<K: Hash + Eq, V> Default for Shards<K, V> {
+impl<K: Hash + Eq, V> Default for ShardedMap<K, V> {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -15,7 +15,7 @@
 use kernel::Map;
 use kernel::Millis;
 use kernel::Set;
-use kernel::Shards;
+use kernel::ShardedMap;
 use parking_lot::Mutex;
 use place::Fleet;
 use place::Memory;
@@ -99,15 +99,15 @@
     /// Rings when the board has changed.
     pub news: watch::Sender<()>,
     /// The steps that this instance runs.
-    pub works: Shards<Arc<str>, Arc<Work>>,
+    pub works: ShardedMap<Arc<str>, Arc<Work>>,
     /// The steps that this instance is taking over.
     pub taking: Mutex<Set<Arc<str>>>,
     /// What this instance has read of the results of other steps.
-    pub shelves: Shards<Arc<str>, Arc<Shelf>>,
+    pub shelves: ShardedMap<Arc<str>, Arc<Shelf>>,
     /// What steps that ended here have left over.
     pub again: Mutex<Again>,
     /// Who runs the steps that callers ask for here.
-    pub hints: Shards<Arc<str>, Hint>,
+    pub hints: ShardedMap<Arc<str>, Hint>,
     /// Instances that get no steps from here until a time.
     shunned: Mutex<Map<Arc<str>, Millis>>,
     /// The instance that last made a call of the platform for this one.
@@ -156,11 +156,11 @@
             peers: net::Client::idle(IDLE),
             board: Mutex::default(),
             news: watch::Sender::default(),
-            works: Shards::new(),
+            works: ShardedMap::new(),
             taking: Mutex::default(),
-            shelves: Shards::new(),
+            shelves: ShardedMap::new(),
             again: Mutex::default(),
-            hints: Shards::new(),
+            hints: ShardedMap::new(),
             shunned: Mutex::default(),
             helper: Mutex::default(),
             leaving: AtomicBool::new(false),
--- a/crates/node/src/hint.rs
+++ b/crates/node/src/hint.rs
@@ -53,7 +53,7 @@
 pub fn tidy(app: &App) {
     let now = app.clock.now();
     app.hints
-        .each(|map| map.retain(|_, hint| now < hint.at + KEEP));
+        .for_each_shard(|map| map.retain(|_, hint| now < hint.at + KEEP));
 }
 
 /// Tells the keeper of a step's hint that this instance runs it.
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -130,7 +130,7 @@
     };
     let head = claim::read(&item)?;
     hint::note(app, step.clone(), head.owner.instance.clone());
-    let shelf = app.shelves.with(step, |map| {
+    let shelf = app.shelves.with_shard(step, |map| {
         let new = || Arc::new(Shelf::new(step.clone(), &head));
         map.entry(step.clone()).or_insert_with(new).clone()
     });
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -7,7 +7,7 @@
 use fleet::rumour::Demand;
 use kernel::Millis;
 use kernel::Name;
-use kernel::Shards;
+use kernel::ShardedMap;
 use limit::Gate;
 use limit::Pass;
 use limit::Share;
@@ -38,7 +38,7 @@
 /// The limits of contracts on this instance.
 #[derive(Debug, Default)]
 pub struct Limits {
-    limiters: Shards<Name, Limiter>,
+    limiters: ShardedMap<Name, Limiter>,
 }
 
 /// A request that passed its contract's limits; dropping it frees its place.
@@ -51,21 +51,27 @@
     /// Charges tokens that the request generated.
     pub fn charge(&self, tokens: u32) {
         let now = self.app.clock.now();
-        self.app.limits.limiters.with(&self.customer, |limiters| {
-            if let Some(limiter) = limiters.get_mut(&self.customer) {
-                limiter.gate.charge(now, f64::from(tokens));
-            }
-        });
+        self.app
+            .limits
+            .limiters
+            .with_shard(&self.customer, |limiters| {
+                if let Some(limiter) = limiters.get_mut(&self.customer) {
+                    limiter.gate.charge(now, f64::from(tokens));
+                }
+            });
     }
 }
 
 impl Drop for Passage {
     fn drop(&mut self) {
-        self.app.limits.limiters.with(&self.customer, |limiters| {
-            if let Some(limiter) = limiters.get_mut(&self.customer) {
-                limiter.gate.leave();
-            }
-        });
+        self.app
+            .limits
+            .limiters
+            .with_shard(&self.customer, |limiters| {
+                if let Some(limiter) = limiters.get_mut(&self.customer) {
+                    limiter.gate.leave();
+                }
+            });
     }
 }
 
@@ -82,7 +88,7 @@
     let now = app.clock.now();
     // The share is read before the shard is locked, so that no two locks are held at once.
     let share = share(app, customer, 0.0);
-    app.limits.limiters.with(customer, |limiters| {
+    app.limits.limiters.with_shard(customer, |limiters| {
         let limiter = limiters.entry(customer.clone()).or_insert_with(|| Limiter {
             rev: held.rev,
             gate: Gate::new(contract, share, now),
@@ -166,7 +172,7 @@
 
 fn adapt(app: &App, contract: &Contract) -> f64 {
     let customer = &contract.customer;
-    let demand = app.limits.limiters.with(customer, |limiters| {
+    let demand = app.limits.limiters.with_shard(customer, |limiters| {
         let limiter = limiters.get_mut(customer)?;
         let arrived = f64::from(std::mem::take(&mut limiter.arrived));
         limiter.demand += SMOOTH * (arrived - limiter.demand);
@@ -177,7 +183,7 @@
     };
     let share = share(app, customer, demand);
     let now: Millis = app.clock.now();
-    app.limits.limiters.with(customer, |limiters| {
+    app.limits.limiters.with_shard(customer, |limiters| {
         if let Some(limiter) = limiters.get_mut(customer) {
             limiter.split.adapt(share, now);
             limiter.gate.resize(contract, limiter.split.share(), now);
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -22,7 +22,7 @@
 use http::StatusCode;
 use kernel::Millis;
 use kernel::Name;
-use kernel::Shards;
+use kernel::ShardedMap;
 use net::Call;
 use net::Reply;
 use net::body;
@@ -78,14 +78,15 @@
 /// The steps that this instance works on.
 #[derive(Default)]
 pub struct Steps {
-    works: Shards<String, Arc<Work>>,
+    works: ShardedMap<String, Arc<Work>>,
 }
 
 impl Steps {
     /// The steps that this instance works on.
     pub fn all(&self) -> Vec<Arc<Work>> {
         let mut all = Vec::new();
-        self.works.each(|works| all.extend(works.values().cloned()));
+        self.works
+            .for_each_shard(|works| all.extend(works.values().cloned()));
         all
     }
 
@@ -165,7 +166,7 @@
     let run = step::Run::new(spec, policy, cursor, version);
     let work = Work::new(id, customer, run, dispatcher, app.clock);
     let key = id.to_owned();
-    let kept = app.steps.works.with(&key, |works| {
+    let kept = app.steps.works.with_shard(&key, |works| {
         works
             .entry(key.clone())
             .or_insert_with(|| work.clone())
