--- a/crates/contract/src/book.rs
+++ b/crates/contract/src/book.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 
 use crate::Contract;
-use crate::Digest;
 use crate::Revision;
+use crate::TokenDigest;
 
 /// A contract as the platform keeps it.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Book {
     contracts: Map<Name, InForce>,
-    tokens: Map<Digest, Name>,
+    tokens: Map<TokenDigest, Name>,
 }
 
 impl Book {
@@ -81,7 +81,7 @@
 
     /// Finds the contract of a bearer token.
     pub fn by_token(&self, token: &str) -> Option<&InForce> {
-        let digest = Digest::of(token);
+        let digest = TokenDigest::of(token);
         let customer = self.tokens.get(&digest)?;
         let held = self.contracts.get(customer)?;
         held.stored.contract.token.matches(&digest).then_some(held)
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -15,7 +15,7 @@
 pub use audit::Audit;
 pub use book::Book;
 pub use book::Stored;
-pub use kernel::Digest;
+pub use kernel::TokenDigest;
 pub use model::Contract;
 pub use model::Rule;
 pub use model::Unscored;
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Digest;
+use crate::TokenDigest;
 
 /// Highest priority class.
 pub const MAX_CLASS: u8 = 7;
@@ -89,7 +89,7 @@
     /// The customer.
     pub customer: Name,
     /// SHA-256 of the bearer token.
-    pub token: Digest,
+    pub token: TokenDigest,
     /// Models it may use.
     pub models: Vec<Name>,
     /// Plain services it may use.
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -4,9 +4,9 @@
 
 use contract::Book;
 use contract::Contract;
-use contract::Digest;
 use contract::Settle;
 use contract::Stored;
+use contract::TokenDigest;
 use contract::amend::Seen;
 use contract::amend::settle;
 use contract::book::InForce;
@@ -16,7 +16,7 @@
 use yare::parameterized;
 
 fn text(more: &str) -> String {
-    let token = Digest::of("secret");
+    let token = TokenDigest::of("secret");
     format!(
         "[contract]\ncustomer = aarhus\ntoken-sha256 = {token}\nservices = portal\n\
          rate = 10\nconcurrency = 4\n{more}"
@@ -29,7 +29,7 @@
 
 fn in_force(rev: i64, token: &str) -> InForce {
     let mut contract = sample();
-    contract.token = Digest::of(token);
+    contract.token = TokenDigest::of(token);
     let change = format!("c{rev}").into();
     InForce {
         rev,
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -23,4 +23,4 @@
 pub use rank::rendezvous_rank;
 pub use shard::ShardedMap;
 pub use time::Millis;
-pub use token::Digest;
+pub use token::TokenDigest;
--- a/crates/kernel/src/token.rs
+++ b/crates/kernel/src/token.rs
@@ -14,16 +14,16 @@
 /// # Examples
 ///
 /// ```
-/// use kernel::Digest;
+/// use kernel::TokenDigest;
 ///
-/// let digest = Digest::of("till-7");
-/// assert!(digest.matches(&Digest::of("till-7")));
-/// assert_eq!(digest.to_string().parse::<Digest>(), Ok(digest));
+/// let digest = TokenDigest::of("till-7");
+/// assert!(digest.matches(&TokenDigest::of("till-7")));
+/// assert_eq!(digest.to_string().parse::<TokenDigest>(), Ok(digest));
 /// ```
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Digest([u8; 32]);
+pub struct TokenDigest([u8; 32]);
 
 /// The text is not a SHA-256 digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 #[error("expected 64 hexadecimal digits")]
 pub struct DigestError;
 
-impl Digest {
+impl TokenDigest {
     /// Computes the digest of a token.
     pub fn of(token: &str) -> Self {
         Self(Sha256::digest(token.as_bytes()).into())
@@ -43,7 +43,7 @@
     }
 }
 
-impl FromStr for Digest {
+impl FromStr for TokenDigest {
     type Err = DigestError;
 
     fn from_str(text: &str) -> Result<Self, DigestError> {
@@ -53,7 +53,7 @@
     }
 }
 
-impl TryFrom<String> for Digest {
+impl TryFrom<String> for TokenDigest {
     type Error = DigestError;
 
     fn try_from(text: String) -> Result<Self, DigestError> {
@@ -61,19 +61,19 @@
     }
 }
 
-impl From<Digest> for String {
-    fn from(digest: Digest) -> Self {
+impl From<TokenDigest> for String {
+    fn from(digest: TokenDigest) -> Self {
         digest.to_string()
     }
 }
 
-impl fmt::Display for Digest {
+impl fmt::Display for TokenDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&hex::encode(self.0))
     }
 }
 
-impl fmt::Debug for Digest {
+impl fmt::Debug for TokenDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Digest({}..)", hex::encode(&self.0[..4]))
     }
--- a/crates/rig/src/contracts.rs
+++ b/crates/rig/src/contracts.rs
@@ -1,11 +1,11 @@
 //! Contracts for fleets of stand-ins.
 
-use contract::Digest;
+use contract::TokenDigest;
 
 /// Writes a contract for the model `fitting` and the service `portal`, whose orders are marked as
 /// non-idempotent. The token is `token-` and the customer; `more` adds lines.
 pub fn text(customer: &str, more: &str) -> String {
-    let token = Digest::of(&token(customer));
+    let token = TokenDigest::of(&token(customer));
     let mut text = format!(
         "[contract]\ncustomer = {customer}\ntoken-sha256 = {token}\nmodels = fitting\n\
          services = portal\nonce = portal:POST:/orders\n"
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -178,7 +178,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let mut contract = read("");
-        contract.token = contract::Digest::of("token-new");
+        contract.token = contract::TokenDigest::of("token-new");
         let applied = rig.contracts().apply("op", None, contract).await.unwrap();
         let Applied::InForce(rev) = applied else {
             panic!("{applied:?}");
--- a/crates/snipeway/src/cmd/token.rs
+++ b/crates/snipeway/src/cmd/token.rs
@@ -1,6 +1,6 @@
 //! `snipeway token`.
 
-use contract::Digest;
+use contract::TokenDigest;
 use rand::RngCore;
 
 /// Bytes of a token.
@@ -12,6 +12,6 @@
     rand::rng().fill_bytes(&mut bytes);
     let token = hex::encode(bytes);
     args::say!("token, for the customer: {token}");
-    args::say!("token-sha256 = {}", Digest::of(&token));
+    args::say!("token-sha256 = {}", TokenDigest::of(&token));
     Ok(())
 }
--- a/crates/snipeway/tests/shipped.rs
+++ b/crates/snipeway/tests/shipped.rs
@@ -35,7 +35,7 @@
 fn sample_contracts_are_good(file: &str, token: &str) {
     let contract = contract::form::read(file, &text(file)).unwrap();
 
-    assert_eq!(contract.token, contract::Digest::of(token));
+    assert_eq!(contract.token, contract::TokenDigest::of(token));
 }
 
 // Symptom: a man page or completion does not know an option that the program has.
--- a/crates/team/src/key.rs
+++ b/crates/team/src/key.rs
@@ -2,11 +2,11 @@
 
 use std::fmt;
 
-use kernel::Digest;
+use kernel::TokenDigest;
 
 /// The digest of a key. The key itself is kept nowhere, and neither is shown in lines or debug output.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Key(Digest);
+pub struct Key(TokenDigest);
 
 impl Key {
     /// Computes the digest of a key as a caller or the operator writes it.
@@ -20,7 +20,7 @@
     /// assert_eq!(format!("{:?}", Key::of("k-1")), "Key(hidden)");
     /// ```
     pub fn of(text: &str) -> Self {
-        Self(Digest::of(text))
+        Self(TokenDigest::of(text))
     }
 }
 
