--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -29,7 +29,7 @@
 
 impl RequestId {
     /// Makes an identifier that sorts by the time of its creation (UUID version 7).
-    pub fn fresh() -> Self {
+    pub fn generate() -> Self {
         Self(Uuid::now_v7().as_u128())
     }
 
--- a/crates/kernel/tests/name.rs
+++ b/crates/kernel/tests/name.rs
@@ -36,5 +36,5 @@
 
 #[test]
 fn fresh_ids_differ() {
-    assert_ne!(RequestId::fresh(), RequestId::fresh());
+    assert_ne!(RequestId::generate(), RequestId::generate());
 }
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -101,7 +101,7 @@
             id: id.into(),
             customer,
             dispatcher,
-            request: RequestId::fresh(),
+            request: RequestId::generate(),
             clock,
             run: Mutex::new(run),
             moves: Mutex::default(),
--- a/crates/serve/src/trace.rs
+++ b/crates/serve/src/trace.rs
@@ -31,7 +31,7 @@
     /// Begins with a fresh identifier.
     pub fn begin(kind: &'static str, clock: Clock) -> Self {
         Self {
-            id: RequestId::fresh(),
+            id: RequestId::generate(),
             kind,
             customer: None,
             upstream: None,
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -306,7 +306,7 @@
     let record = Record::Intent {
         key,
         print: Print::new("POST", "/orders", b"blazer"),
-        attempt: RequestId::fresh().attempt(0),
+        attempt: RequestId::generate().attempt(0),
         at: rig.running().next().unwrap().app.clock.wall(),
     };
     let segment = Segment {
