--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers of requests and attempts.
+//! Identifiers of requests and of attempts at them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use uuid::Uuid;
 
-/// Names one request of a caller; returned to it as `X-Request-Id`.
+/// Identifies one client request; returned to the client as `X-Request-Id`.
 ///
 /// # Examples
 ///
@@ -21,24 +21,24 @@
 #[derive(Serialize, Deserialize)]
 pub struct RequestId(u128);
 
-/// The text is not a request identifier.
+/// The text is not a valid [`RequestId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("not a request identifier: expected 32 hexadecimal digits")]
-pub struct IdError;
+pub struct RequestIdError;
 
 impl RequestId {
-    /// Makes an identifier that sorts by the time of its creation (UUID version 7).
+    /// Generates a UUID version 7, which sorts by its time of creation.
     pub fn generate() -> Self {
         Self(Uuid::now_v7().as_u128())
     }
 
-    /// Makes an identifier from its bits.
+    /// Creates an identifier from its 128 bits.
     pub fn from_bits(bits: u128) -> Self {
         Self(bits)
     }
 
-    /// Returns the attempt with the given ordinal of this request.
+    /// Returns the identifier of this request's attempt number `ordinal`, counted from 0.
     pub fn attempt(self, ordinal: u32) -> AttemptId {
         AttemptId {
             request: self,
@@ -54,25 +54,25 @@
 }
 
 impl FromStr for RequestId {
-    type Err = IdError;
+    type Err = RequestIdError;
 
-    fn from_str(text: &str) -> Result<Self, IdError> {
+    fn from_str(text: &str) -> Result<Self, RequestIdError> {
         if text.len() != 32 {
-            return Err(IdError);
+            return Err(RequestIdError);
         }
         u128::from_str_radix(text, 16)
             .map(Self)
-            .map_err(|_| IdError)
+            .map_err(|_| RequestIdError)
     }
 }
 
-/// Names one attempt at a request, so that an answer can be matched to the attempt it belongs to.
+/// Identifies one attempt at a request, so that a response can be matched to its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The ordinal of the attempt, from 0.
+    /// Number of the attempt, counted from 0.
     pub ordinal: u32,
 }
 
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every other crate shares: names, identifiers, time, the map alias, sharded state and the
-//! plug-in registry.
+//! Types shared by all other crates: names, identifiers, time units, hash map aliases, a sharded map
+//! and the plug-in registry.
 //!
 //! Nothing here opens a socket, reads a clock or starts a thread.
 
--- a/crates/kernel/src/map.rs
+++ b/crates/kernel/src/map.rs
@@ -1,10 +1,10 @@
-//! The hash map alias.
+//! Hash map and hash set aliases.
 
-/// A hash map with a fast, seeded hasher.
+/// A hash map with a fast hasher that is seeded at random.
 ///
-/// The hasher is keyed at random per process, so callers cannot choose keys that all land in one
-/// bucket. Decisions never depend on its iteration order.
+/// The seed is chosen per process, so clients cannot craft keys that all collide. No decision may
+/// depend on the iteration order.
 pub type Map<K, V> = std::collections::HashMap<K, V, ahash::RandomState>;
 
-/// A hash set with the hasher of [`Map`].
+/// A hash set that uses the same hasher as [`Map`].
 pub type Set<K> = std::collections::HashSet<K, ahash::RandomState>;
--- a/crates/kernel/src/name.rs
+++ b/crates/kernel/src/name.rs
@@ -1,4 +1,4 @@
-//! Shared, checked names.
+//! Validated names.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -9,13 +9,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Longest name in bytes.
-pub const MAX_NAME: usize = 64;
+/// Maximum length of a [`Name`] in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// A name of a customer, model, service, instance, failure domain or upstream.
 ///
-/// Cloning shares the text. A name is 1 to [`MAX_NAME`] bytes of `a-z`, `0-9`, `.`, `_` and `-`,
-/// and begins with a letter or digit, so it can stand in paths, keys, labels and logs as it is.
+/// Clones share the text. A name consists of 1 to [`MAX_NAME_BYTES`] bytes of `a-z`, `0-9`, `.`, `_` and
+/// `-` and begins with a letter or digit, so paths, keys, labels and logs need no escaping.
 ///
 /// # Examples
 ///
@@ -32,34 +32,37 @@
 #[serde(try_from = "Arc<str>", into = "Arc<str>")]
 pub struct Name(Arc<str>);
 
-/// Why a text is not a [`Name`].
+/// The reason why a text is not a valid [`Name`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum NameError {
     /// The text is empty.
     #[error("a name must not be empty")]
     Empty,
-    /// The text has more than [`MAX_NAME`] bytes.
-    #[error("a name has at most {MAX_NAME} bytes")]
-    Long,
-    /// The text holds a character outside the allowed set, or begins with a sign.
+    /// The text is longer than [`MAX_NAME_BYTES`].
+    #[error("a name has at most {MAX_NAME_BYTES} bytes")]
+    TooLong,
+    /// The text contains a character outside the allowed set, or begins with `.`, `_` or `-`.
     #[error("a name holds a-z, 0-9, '.', '_', '-' and begins with a letter or digit")]
-    Character,
+    InvalidCharacter,
 }
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     let Some(first) = text.bytes().next() else {
         return Err(NameError::Empty);
     };
-    if text.len() > MAX_NAME {
-        return Err(NameError::Long);
+    if text.len() > MAX_NAME_BYTES {
+        return Err(NameError::TooLong);
     }
-    let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit();
-    if !plain(first) {
-        return Err(NameError::Character);
+    let is_alphanumeric = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit();
+    if !is_alphanumeric(first) {
+        return Err(NameError::InvalidCharacter);
     }
-    if !text.bytes().all(|b| plain(b) || b".-_".contains(&b)) {
-        return Err(NameError::Character);
+    if !text
+        .bytes()
+        .all(|b| is_alphanumeric(b) || b".-_".contains(&b))
+    {
+        return Err(NameError::InvalidCharacter);
     }
     Ok(())
 }
@@ -68,7 +71,7 @@
     type Err = NameError;
 
     fn from_str(text: &str) -> Result<Self, NameError> {
-        check(text)?;
+        validate(text)?;
         Ok(Self(text.into()))
     }
 }
@@ -77,7 +80,7 @@
     type Error = NameError;
 
     fn try_from(text: Arc<str>) -> Result<Self, NameError> {
-        check(&text)?;
+        validate(&text)?;
         Ok(Self(text))
     }
 }
--- a/crates/kernel/src/rank.rs
+++ b/crates/kernel/src/rank.rs
@@ -1,14 +1,16 @@
-//! Which of several instances something belongs to, without anybody deciding it.
+//! Rendezvous hashing: all instances agree on the owner of a key without communicating.
 
 use std::hash::Hash;
 
 use ahash::RandomState;
 
-/// Seeds of the rank; the same on every instance.
-const SEEDS: [u64; 4] = [1, 2, 3, 4];
+/// Hash seeds; every instance must use the same.
+const HASH_SEEDS: [u64; 4] = [1, 2, 3, 4];
 
-/// The rank of an instance for something, the same on every instance: the highest one has it
-/// (rendezvous hashing), and when an instance goes, only what it had changes hands.
+/// Returns the rank of the instance `name` for `key`; the result is the same on every instance.
+///
+/// The instance with the highest rank owns the key. When an instance leaves, only its own keys move
+/// to other owners.
 ///
 /// # Examples
 ///
@@ -18,7 +20,7 @@
 /// let best = ["a", "b", "c"].into_iter().max_by_key(|name| rendezvous_rank(name, "step-1"));
 /// assert_eq!(best, ["c", "b", "a"].into_iter().max_by_key(|name| rendezvous_rank(name, "step-1")));
 /// ```
-pub fn rendezvous_rank(name: &str, what: impl Hash) -> u64 {
-    let [a, b, c, d] = SEEDS;
-    RandomState::with_seeds(a, b, c, d).hash_one((name, what))
+pub fn rendezvous_rank(name: &str, key: impl Hash) -> u64 {
+    let [a, b, c, d] = HASH_SEEDS;
+    RandomState::with_seeds(a, b, c, d).hash_one((name, key))
 }
--- a/crates/kernel/src/shard.rs
+++ b/crates/kernel/src/shard.rs
@@ -1,4 +1,4 @@
-//! State split over shards, each under its own lock.
+//! A hash map split into shards, each behind its own lock.
 
 use std::hash::Hash;
 
@@ -7,77 +7,79 @@
 
 use crate::Map;
 
-/// ShardedMap in a new [`ShardedMap`]; a power of two.
-const COUNT: usize = 16;
+/// Number of shards, a power of two.
+const SHARD_COUNT: usize = 16;
 
-/// A map split over shards, so that threads that work on different keys rarely wait for one
-/// another.
+/// A hash map split into shards, so that threads working on different keys rarely contend for a
+/// lock.
 ///
 /// # Examples
 ///
 /// ```
 /// use kernel::ShardedMap;
 ///
-/// let seen: ShardedMap<u32, u32> = ShardedMap::new();
-/// seen.with_shard(&7, |map| *map.entry(7).or_insert(0) += 1);
-/// assert_eq!(seen.get(&7), Some(1));
+/// let counts: ShardedMap<u32, u32> = ShardedMap::new();
+/// counts.with_shard(&7, |map| *map.entry(7).or_insert(0) += 1);
+/// assert_eq!(counts.get(&7), Some(1));
 /// ```
 #[derive(Debug)]
 pub struct ShardedMap<K, V> {
     hasher: RandomState,
-    parts: Vec<Mutex<Map<K, V>>>,
+    shards: Vec<Mutex<Map<K, V>>>,
 }
 
 impl<K: Hash + Eq, V> ShardedMap<K, V> {
-    /// Makes empty shards.
+    /// Creates an empty map.
     pub fn new() -> Self {
         Self {
             hasher: RandomState::new(),
-            parts: (0..COUNT).map(|_| Mutex::new(Map::default())).collect(),
+            shards: (0..SHARD_COUNT)
+                .map(|_| Mutex::new(Map::default()))
+                .collect(),
         }
     }
 
-    fn part(&self, key: &K) -> &Mutex<Map<K, V>> {
+    fn shard(&self, key: &K) -> &Mutex<Map<K, V>> {
         let hash = self.hasher.hash_one(key);
-        &self.parts[(hash >> 32) as usize % COUNT]
+        &self.shards[(hash >> 32) as usize % SHARD_COUNT]
     }
 
-    /// Runs `f` on the shard of `key` under that shard's lock.
+    /// Calls `f` with the shard that holds `key`, under that shard's lock.
     pub fn with_shard<R>(&self, key: &K, f: impl FnOnce(&mut Map<K, V>) -> R) -> R {
-        f(&mut self.part(key).lock())
+        f(&mut self.shard(key).lock())
     }
 
-    /// Inserts a value and returns the one it replaces.
+    /// Inserts a value and returns the previous one, if any.
     pub fn insert(&self, key: K, value: V) -> Option<V> {
-        self.part(&key).lock().insert(key, value)
+        self.shard(&key).lock().insert(key, value)
     }
 
-    /// Removes the value of `key`.
+    /// Removes the value of `key` and returns it, if any.
     pub fn remove(&self, key: &K) -> Option<V> {
-        self.part(key).lock().remove(key)
+        self.shard(key).lock().remove(key)
     }
 
-    /// Returns a copy of the value of `key`.
+    /// Returns a clone of the value of `key`, if any.
     pub fn get(&self, key: &K) -> Option<V>
     where
         V: Clone,
     {
-        self.part(key).lock().get(key).cloned()
+        self.shard(key).lock().get(key).cloned()
     }
 
-    /// Runs `f` on every shard in turn, one lock at a time.
+    /// Calls `f` with each shard in turn, holding one lock at a time.
     pub fn for_each_shard(&self, mut f: impl FnMut(&mut Map<K, V>)) {
-        for part in &self.parts {
-            f(&mut part.lock());
+        for shard in &self.shards {
+            f(&mut shard.lock());
         }
     }
 
-    /// Counts the entries of all shards.
+    /// Returns the number of entries in all shards.
     pub fn len(&self) -> usize {
-        self.parts.iter().map(|part| part.lock().len()).sum()
+        self.shards.iter().map(|shard| shard.lock().len()).sum()
     }
 
-    /// Tells whether no shard holds an entry.
+    /// Returns whether all shards are empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/kernel/src/time.rs
+++ b/crates/kernel/src/time.rs
@@ -1,16 +1,16 @@
 //! Units of time.
 
-/// A point on, or a span of, a monotonic clock in milliseconds.
+/// A point in time on a monotonic clock, or a duration, in milliseconds.
 ///
-/// Decisions receive the current time as an argument, so that tests run them under a virtual
-/// clock.
+/// Code that decides by time takes the current time as an argument, so that tests can run it with a
+/// virtual clock.
 pub type Millis = u64;
 
-/// Milliseconds in a second.
+/// One second in milliseconds.
 pub const SECOND: Millis = 1_000;
 
-/// Milliseconds in a minute.
+/// One minute in milliseconds.
 pub const MINUTE: Millis = 60 * SECOND;
 
-/// Milliseconds in an hour.
+/// One hour in milliseconds.
 pub const HOUR: Millis = 60 * MINUTE;
--- a/crates/kernel/src/token.rs
+++ b/crates/kernel/src/token.rs
@@ -9,7 +9,7 @@
 use sha2::Sha256;
 use subtle::ConstantTimeEq;
 
-/// The SHA-256 of a bearer token. The token itself is never stored or logged.
+/// The SHA-256 digest of a bearer token. The token itself is never stored or logged.
 ///
 /// # Examples
 ///
@@ -25,11 +25,11 @@
 #[serde(try_from = "String", into = "String")]
 pub struct TokenDigest([u8; 32]);
 
-/// The text is not a SHA-256 digest.
+/// The text is not a hexadecimal SHA-256 digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("expected 64 hexadecimal digits")]
-pub struct DigestError;
+pub struct TokenDigestError;
 
 impl TokenDigest {
     /// Computes the digest of a token.
@@ -37,26 +37,26 @@
         Self(Sha256::digest(token.as_bytes()).into())
     }
 
-    /// Compares in constant time, so that the time of an answer tells nothing of the digest.
+    /// Compares two digests in constant time, so that response times reveal nothing about them.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 }
 
 impl FromStr for TokenDigest {
-    type Err = DigestError;
+    type Err = TokenDigestError;
 
-    fn from_str(text: &str) -> Result<Self, DigestError> {
+    fn from_str(text: &str) -> Result<Self, TokenDigestError> {
         let mut bytes = [0; 32];
-        hex::decode_to_slice(text, &mut bytes).map_err(|_| DigestError)?;
+        hex::decode_to_slice(text, &mut bytes).map_err(|_| TokenDigestError)?;
         Ok(Self(bytes))
     }
 }
 
 impl TryFrom<String> for TokenDigest {
-    type Error = DigestError;
+    type Error = TokenDigestError;
 
-    fn try_from(text: String) -> Result<Self, DigestError> {
+    fn try_from(text: String) -> Result<Self, TokenDigestError> {
         text.parse()
     }
 }
--- a/crates/kernel/tests/name.rs
+++ b/crates/kernel/tests/name.rs
@@ -1,4 +1,4 @@
-//! Tests of names and identifiers.
+//! Tests of the validation of names and identifiers.
 
 use kernel::Name;
 use kernel::NameError;
@@ -6,35 +6,35 @@
 use yare::parameterized;
 
 #[parameterized(
-    plain = { "aarhus", None },
-    signs = { "v1.2_a-b", None },
+    letters = { "aarhus", None },
+    punctuation = { "v1.2_a-b", None },
     empty = { "", Some(NameError::Empty) },
-    upper = { "Aarhus", Some(NameError::Character) },
-    slash = { "a/b", Some(NameError::Character) },
-    sign_first = { "-a", Some(NameError::Character) },
+    upper = { "Aarhus", Some(NameError::InvalidCharacter) },
+    slash = { "a/b", Some(NameError::InvalidCharacter) },
+    punctuation_first = { "-a", Some(NameError::InvalidCharacter) },
 )]
-fn names_are_checked(text: &str, expected: Option<NameError>) {
-    let got = text.parse::<Name>();
+fn name_is_validated(text: &str, expected: Option<NameError>) {
+    let parsed = text.parse::<Name>();
 
-    assert_eq!(got.err(), expected);
+    assert_eq!(parsed.err(), expected);
 }
 
 #[test]
-fn a_long_name_is_refused() {
-    let text = "a".repeat(kernel::name::MAX_NAME + 1);
+fn too_long_name_is_rejected() {
+    let text = "a".repeat(kernel::name::MAX_NAME_BYTES + 1);
 
-    assert_eq!(text.parse::<Name>(), Err(NameError::Long));
+    assert_eq!(text.parse::<Name>(), Err(NameError::TooLong));
 }
 
 #[parameterized(
-    short = { "ab" },
-    sign = { "0000000000000000000000000000000g" },
+    too_short = { "ab" },
+    not_hexadecimal = { "0000000000000000000000000000000g" },
 )]
-fn request_ids_are_checked(text: &str) {
+fn invalid_request_id_is_rejected(text: &str) {
     assert!(text.parse::<RequestId>().is_err());
 }
 
 #[test]
-fn fresh_ids_differ() {
+fn generated_request_ids_differ() {
     assert_ne!(RequestId::generate(), RequestId::generate());
 }
