--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -5,7 +5,7 @@
 //! only while the configuration is fresh.
 
 use kernel::Millis;
-use table::Plan;
+use table::Config;
 use table::Route;
 use team::Bounds;
 use team::Credential;
@@ -45,7 +45,7 @@
 /// On whose behalf a request of a route runs.
 pub(crate) fn of_route(
     app: &App,
-    plan: &Plan,
+    plan: &Config,
     route: &Route,
     caller: &Caller,
 ) -> Result<Principal, Refusal> {
@@ -64,7 +64,7 @@
     decide(app, &plan, plan.has_open_steps(&caller.host), caller)
 }
 
-fn decide(app: &App, plan: &Plan, open: bool, caller: &Caller) -> Result<Principal, Refusal> {
+fn decide(app: &App, plan: &Config, open: bool, caller: &Caller) -> Result<Principal, Refusal> {
     let age = age(app);
     let teams = plan.teams.as_ref();
     let denial = match team::admit(teams, open, caller.credential, age, bounds(app)) {
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -27,8 +27,8 @@
 use spread::Place;
 use spread::member::Turnover;
 use spread::tree;
+use table::Config;
 use table::Listed;
-use table::Plan;
 use table::Roster;
 use tokio::sync::Notify;
 use tokio::sync::watch;
@@ -71,7 +71,7 @@
     /// This start of this instance.
     pub me: Owner,
     /// The configuration, once it is known.
-    pub plan: ArcSwapOption<Plan>,
+    pub plan: ArcSwapOption<Config>,
     /// The upstreams that are listed.
     pub roster: Mutex<Roster>,
     /// The upstreams of plain services as this instance sees them.
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -15,7 +15,7 @@
 use capacity::wishes;
 use kernel::Millis;
 use plat::PlatError;
-use table::Plan;
+use table::Config;
 use table::Service;
 use tokio::time::sleep;
 
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    fn wanted(&self, plan: &Plan, ledger: &Ledger, targets: &Targets) -> Vec<Order> {
+    fn wanted(&self, plan: &Config, ledger: &Ledger, targets: &Targets) -> Vec<Order> {
         let aims = targets.aims(self.app.clock.now());
         let mut orders = Vec::new();
         for service in plan.services() {
@@ -155,7 +155,7 @@
         all
     }
 
-    async fn ask(&mut self, plan: &Plan, order: &Order) {
+    async fn ask(&mut self, plan: &Config, order: &Order) {
         let now = self.app.clock.now();
         let subject = &order.subject;
         let service = plan.service(&subject.service);
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -18,8 +18,8 @@
 use http_body_util::Full;
 use kernel::Millis;
 use place::Load;
+use table::Config;
 use table::Listed;
-use table::Plan;
 use team::Credential;
 use team::Principal;
 use usage::Report;
@@ -277,7 +277,7 @@
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn plan(&self, value: &[u8]) -> Result<Plan, DialectError>;
+    fn plan(&self, value: &[u8]) -> Result<Config, DialectError>;
 
     /// Reads the entry of a listed upstream.
     ///
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -14,9 +14,9 @@
 use net::Reply;
 use net::SendError;
 use poison::Verdict;
+use table::Config;
 use table::Kind;
 use table::Listed;
-use table::Plan;
 use table::Route;
 use team::Principal;
 use tokio::task::JoinSet;
@@ -140,7 +140,7 @@
         Self {
             sent,
             route,
-            service: Plan::draw(route, rand::random()).cloned(),
+            service: Config::pick_service(route, rand::random()).cloned(),
             used: Vec::new(),
             running: JoinSet::new(),
             manner,
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -94,7 +94,7 @@
         log::info!(target: "front", id = &*caller.id; "no configuration yet");
         return ("none", Refusal::Unrun.reply());
     };
-    let Some(route) = plan.find(&caller.host, head.uri.path()).cloned() else {
+    let Some(route) = plan.find_route(&caller.host, head.uri.path()).cloned() else {
         let age = access::age(app);
         let refusal = access::missing(app, age);
         log::info!(target: "front", id = &*caller.id, version = plan.version, age_ms = age,
@@ -105,7 +105,7 @@
         Ok(principal) => principal,
         Err(refusal) => return ("key", refusal.reply()),
     };
-    let body = match net::body::read(body, plan.body).await {
+    let body = match net::body::read(body, plan.max_body).await {
         Ok(body) => body,
         Err(net::body::ReadError::Long(_)) => return ("long", Refusal::Long.reply()),
         Err(_) => return ("cut", Refusal::Wrong.reply()),
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -103,7 +103,7 @@
     let plan = app.plan.load();
     let route = plan
         .as_ref()
-        .and_then(|plan| plan.find(&submission.host, &submission.path));
+        .and_then(|plan| plan.find_route(&submission.host, &submission.path));
     let Some(route) = route else {
         return Vec::new();
     };
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -7,8 +7,8 @@
 use kernel::Set;
 use plat::Item;
 use spread::Changes;
+use table::Config;
 use table::Listed;
-use table::Plan;
 use table::Starts;
 
 use super::CRASHES;
@@ -36,7 +36,7 @@
 }
 
 /// Replaces the configuration by a newer one; a late answer with an older one changes nothing.
-fn replace(app: &App, plan: Plan) -> bool {
+fn replace(app: &App, plan: Config) -> bool {
     let held = app.plan.load();
     if held
         .as_ref()
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -66,7 +66,7 @@
     let plan = app.plan.load();
     let route = plan
         .as_ref()
-        .and_then(|plan| plan.find(&head.host, &head.path));
+        .and_then(|plan| plan.find_route(&head.host, &head.path));
     let service = route.and_then(|route| route.shares.first());
     service.map_or(0, |share| u64::from(app.memory(&share.service).event))
 }
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -14,8 +14,8 @@
 use place::Round;
 use place::Want;
 use poison::Mark;
+use table::Config;
 use table::Listed;
-use table::Plan;
 use table::Route;
 
 use super::Drive;
@@ -118,7 +118,7 @@
         todo: &Todo,
         rounds: &mut Map<Arc<str>, Round>,
     ) -> Option<(Arc<str>, Arc<Listed>)> {
-        let service = Plan::draw(route, rand::random())?;
+        let service = Config::pick_service(route, rand::random())?;
         let at = todo.job.index as usize;
         let sample = &self.work.spec.samples[at];
         let draft = self.work.drafts[at].lock();
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -228,7 +228,7 @@
     pub(super) fn route(&self, app: &App) -> Option<Arc<Route>> {
         let plan = app.plan.load();
         plan.as_ref()?
-            .find(&self.head.host, &self.head.path)
+            .find_route(&self.head.host, &self.head.path)
             .cloned()
     }
 
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -93,7 +93,9 @@
 
 fn route(app: &App, scoring: &Scoring) -> Option<Arc<Route>> {
     let plan = app.plan.load();
-    plan.as_ref()?.find(&scoring.host, &scoring.path).cloned()
+    plan.as_ref()?
+        .find_route(&scoring.host, &scoring.path)
+        .cloned()
 }
 
 async fn ask(sent: Sent, route: &Route) -> Answer {
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -199,7 +199,7 @@
     let Some(plan) = plan.as_ref() else {
         return false;
     };
-    let Some(route) = plan.find(&submission.host, &submission.path) else {
+    let Some(route) = plan.find_route(&submission.host, &submission.path) else {
         return false;
     };
     route.shares.iter().any(|share| {
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -18,7 +18,7 @@
 use net::Reply;
 use net::SendError;
 use net::body::Sender;
-use table::Plan;
+use table::Config;
 use table::Route;
 use team::Principal;
 use tokio::time::timeout;
@@ -88,7 +88,7 @@
     /// Takes a place, where the stream may wait inside the upstream as calls do: if it took free places alone,
     /// it would get next to none beside calls that wait.
     fn choose(&self) -> Option<Place> {
-        let service = Plan::draw(&self.route, rand::random())?;
+        let service = Config::pick_service(&self.route, rand::random())?;
         self.sent.choose(service, &self.used, true)
     }
 
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -6,9 +6,9 @@
 pub mod roster;
 pub mod starts;
 
+pub use plan::Config;
 pub use plan::Engine;
 pub use plan::Kind;
-pub use plan::Plan;
 pub use plan::Route;
 pub use plan::Service;
 pub use plan::Share;
--- a/crates/table/src/plan.rs
+++ b/crates/table/src/plan.rs
@@ -85,33 +85,33 @@
 /// # Examples
 ///
 /// ```
-/// use table::{Kind, Plan, Route};
+/// use table::{Kind, Config, Route};
 ///
 /// let route = |prefix: &str| Route {
 ///     name: prefix.into(), host: "shop.example".into(), prefix: prefix.into(),
 ///     kind: Kind::Idempotent, timeout: 1_000, attempts: 2, ttl: 0,
 ///     single: false, resumable: false, open: false, shares: Vec::new(),
 /// };
-/// let plan = Plan::new(7, vec![route("/a/"), route("/a/b/")], Vec::new(), 1 << 20);
-/// let found = plan.find("Shop.example:80", "/a/b/c");
+/// let plan = Config::new(7, vec![route("/a/"), route("/a/b/")], Vec::new(), 1 << 20);
+/// let found = plan.find_route("Shop.example:80", "/a/b/c");
 /// assert_eq!(found.map(|route| &*route.prefix), Some("/a/b/"));
-/// assert!(plan.find("shop.example", "/x").is_none());
+/// assert!(plan.find_route("shop.example", "/x").is_none());
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plan {
+pub struct Config {
     /// Its version; a higher one replaces a lower one.
     pub version: u64,
     routes: Vec<Arc<Route>>,
     services: Map<Arc<str>, Arc<Service>>,
     /// Most bytes of a request's body.
-    pub body: usize,
+    pub max_body: usize,
     /// The teams; without any word of them nobody needs a key.
     pub teams: Option<Teams>,
 }
 
-impl Plan {
+impl Config {
     /// Makes a configuration.
-    pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>, body: usize) -> Self {
+    pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>, max_body: usize) -> Self {
         let mut routes: Vec<_> = routes.into_iter().map(Arc::new).collect();
         // The longest prefix first, so that the first match is the closest one.
         routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
@@ -120,7 +120,7 @@
             version,
             routes,
             services: services.map(|one| (one.name.clone(), one)).collect(),
-            body,
+            max_body,
             teams: None,
         }
     }
@@ -139,7 +139,7 @@
     }
 
     /// Finds the route of a request.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
         self.routes
             .iter()
@@ -164,7 +164,7 @@
     }
 
     /// Chooses the service of one request; `draw` is drawn evenly from 0 to 1.
-    pub fn draw(route: &Route, draw: f64) -> Option<&Arc<str>> {
+    pub fn pick_service(route: &Route, draw: f64) -> Option<&Arc<str>> {
         let sum: u32 = route.shares.iter().map(|share| share.weight).sum();
         let mut left = draw * f64::from(sum);
         for share in &route.shares {
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use table::Belief;
+use table::Config;
 use table::Kind;
 use table::Listed;
-use table::Plan;
 use table::Roster;
 use table::Route;
 use table::Share;
@@ -102,7 +102,10 @@
         shares: vec![share("a", 90), share("b", 10)],
     };
 
-    assert_eq!(Plan::draw(&route, draw).map(|name| &**name), Some(service));
+    assert_eq!(
+        Config::pick_service(&route, draw).map(|name| &**name),
+        Some(service)
+    );
 }
 
 fn start(born: Option<u64>, beats: u64) -> Start {
