--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -15,9 +15,9 @@
 use net::SendError;
 use poison::Verdict;
 use table::Config;
-use table::Kind;
 use table::Listed;
 use table::Route;
+use table::RouteKind;
 use team::Principal;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -149,7 +149,7 @@
     }
 
     fn may_repeat(&self) -> bool {
-        self.manner == Manner::Scorer || self.route.kind == Kind::Idempotent
+        self.manner == Manner::Scorer || self.route.kind == RouteKind::Idempotent
     }
 
     async fn answer(&mut self) -> Passed {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -6,7 +6,7 @@
 use http::request::Parts;
 use net::Call;
 use net::Reply;
-use table::Kind;
+use table::RouteKind;
 
 use crate::App;
 use crate::access;
@@ -111,19 +111,19 @@
         Err(_) => return ("cut", Refusal::Wrong.reply()),
     };
     match route.kind {
-        Kind::Rollout => (
+        RouteKind::Rollout => (
             "submit",
             steps::accept::submit(app, &head, &caller, &body, &principal).await,
         ),
-        Kind::Idempotent => (
+        RouteKind::Idempotent => (
             "call",
             forward::call(app, &route, &head, &caller, body, principal).await,
         ),
-        Kind::Once => (
+        RouteKind::Once => (
             "once",
             forward::call(app, &route, &head, &caller, body, principal).await,
         ),
-        Kind::Stream => (
+        RouteKind::Stream => (
             "stream",
             stream::pass(app, &route, &head, &caller, body, principal).await,
         ),
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -8,8 +8,8 @@
 
 pub use plan::Config;
 pub use plan::Engine;
-pub use plan::Kind;
 pub use plan::Route;
+pub use plan::RouteKind;
 pub use plan::Service;
 pub use plan::Share;
 pub use roster::Belief;
--- a/crates/table/src/plan.rs
+++ b/crates/table/src/plan.rs
@@ -9,7 +9,7 @@
 
 /// What may be repeated on a route, and how its answers come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
@@ -39,7 +39,7 @@
     /// What the path of its requests begins with.
     pub prefix: Arc<str>,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a request is kept waiting, in milliseconds.
     pub timeout: Millis,
     /// Most upstreams that one request is sent to.
@@ -85,11 +85,11 @@
 /// # Examples
 ///
 /// ```
-/// use table::{Kind, Config, Route};
+/// use table::{RouteKind, Config, Route};
 ///
 /// let route = |prefix: &str| Route {
 ///     name: prefix.into(), host: "shop.example".into(), prefix: prefix.into(),
-///     kind: Kind::Idempotent, timeout: 1_000, attempts: 2, ttl: 0,
+///     kind: RouteKind::Idempotent, timeout: 1_000, attempts: 2, ttl: 0,
 ///     single: false, resumable: false, open: false, shares: Vec::new(),
 /// };
 /// let plan = Config::new(7, vec![route("/a/"), route("/a/b/")], Vec::new(), 1 << 20);
@@ -133,7 +133,7 @@
     /// Tells whether a host has a route that takes steps and needs no key.
     pub fn has_open_steps(&self, host: &str) -> bool {
         let host = host.split(':').next().unwrap_or(host);
-        let open = |route: &&Arc<Route>| route.open && route.kind == Kind::Rollout;
+        let open = |route: &&Arc<Route>| route.open && route.kind == RouteKind::Rollout;
         let mut open = self.routes.iter().filter(open);
         open.any(|route| route.host.eq_ignore_ascii_case(host))
     }
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -4,10 +4,10 @@
 
 use table::Belief;
 use table::Config;
-use table::Kind;
 use table::Listed;
 use table::Roster;
 use table::Route;
+use table::RouteKind;
 use table::Share;
 use table::Start;
 use table::Starts;
@@ -92,7 +92,7 @@
         name: "r".into(),
         host: "h".into(),
         prefix: "/".into(),
-        kind: Kind::Idempotent,
+        kind: RouteKind::Idempotent,
         timeout: 1,
         attempts: 1,
         ttl: 0,
