--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -11,7 +11,7 @@
 pub use plan::Route;
 pub use plan::RouteKind;
 pub use plan::Service;
-pub use plan::Share;
+pub use plan::WeightedService;
 pub use roster::Belief;
 pub use roster::Listed;
 pub use roster::Roster;
--- a/crates/table/src/plan.rs
+++ b/crates/table/src/plan.rs
@@ -22,7 +22,7 @@
 
 /// A service that a route may use, and how much of the route's requests it gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct WeightedService {
     /// The service.
     pub service: Arc<str>,
     /// Its part of the sum of all weights.
@@ -53,7 +53,7 @@
     /// Whether its requests need no key, where there are teams.
     pub open: bool,
     /// The services that run its requests.
-    pub shares: Vec<Share>,
+    pub shares: Vec<WeightedService>,
 }
 
 /// What a service's model engines are like.
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -8,9 +8,9 @@
 use table::Roster;
 use table::Route;
 use table::RouteKind;
-use table::Share;
 use table::Start;
 use table::Starts;
+use table::WeightedService;
 use yare::parameterized;
 
 fn listed(id: &str) -> Listed {
@@ -84,7 +84,7 @@
     end = { 1.0, "b" },
 )]
 fn services_get_their_weights(draw: f64, service: &str) {
-    let share = |service: &str, weight| Share {
+    let share = |service: &str, weight| WeightedService {
         service: service.into(),
         weight,
     };
