--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -218,7 +218,7 @@
         let plan = self.app.plan.load();
         let single = plan
             .as_ref()
-            .is_some_and(|plan| plan.routes_to(service).any(|route| route.single));
+            .is_some_and(|plan| plan.routes_to(service).any(|route| route.single_version));
         match single {
             true => Passing::Drain,
             false => Passing::Keep,
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -194,7 +194,7 @@
     }
 
     fn attempts(&self) -> usize {
-        self.route.attempts.max(1) as usize
+        self.route.max_attempts.max(1) as usize
     }
 
     /// Begins an attempt if one is allowed and an upstream has room; `queue` tells whether it may
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -67,7 +67,7 @@
     let route = plan
         .as_ref()
         .and_then(|plan| plan.find_route(&head.host, &head.path));
-    let service = route.and_then(|route| route.shares.first());
+    let service = route.and_then(|route| route.services.first());
     service.map_or(0, |share| u64::from(app.memory(&share.service).event))
 }
 
@@ -179,7 +179,7 @@
 /// Gathers what earlier steps have left over of this step's samples. The steps of one route are run
 /// by one instance, so it is here.
 fn gather(app: &App, work: &Work) {
-    let single = work.route(app).is_none_or(|route| route.single);
+    let single = work.route(app).is_none_or(|route| route.single_version);
     if single {
         return;
     }
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -170,13 +170,16 @@
                 let failures = self.failures.entry(index).or_default();
                 *failures += 1;
                 let route = self.work.route(self.app);
-                let most = route.map_or(1, |route| route.attempts.max(1));
+                let most = route.map_or(1, |route| route.max_attempts.max(1));
                 if *failures >= most {
                     return self.fail(index);
                 }
             }
             Ended::Broken(why) if why.starts_with("version") => {
-                let single = self.work.route(self.app).is_some_and(|route| route.single);
+                let single = self
+                    .work
+                    .route(self.app)
+                    .is_some_and(|route| route.single_version);
                 if single {
                     *draft.lock() = Draft::default();
                     self.work.kept.lock().forget(index);
@@ -204,7 +207,7 @@
             return self.finish(index, None);
         }
         let route = self.work.route(self.app);
-        let most = route.as_ref().map_or(1, |route| route.attempts);
+        let most = route.as_ref().map_or(1, |route| route.max_attempts);
         let ttl = route.map_or(TTL, |route| route.ttl);
         let (app, work) = (self.app.clone(), self.work.clone());
         let until = work.opened + ttl;
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -171,7 +171,7 @@
             service,
             model: self.work.head.model.clone(),
             least: self.work.head.least,
-            single: route.single,
+            single: route.single_version,
             engine: engine.clone(),
             permit,
         };
--- a/crates/node/src/owner/looks.rs
+++ b/crates/node/src/owner/looks.rs
@@ -48,7 +48,7 @@
         let roster = app.roster.lock();
         let fleet = app.fleet.lock();
         let mine = |one: &&Arc<Listed>| {
-            let mut shares = route.shares.iter();
+            let mut shares = route.services.iter();
             shares.any(|share| share.service == one.service)
         };
         let mut old: Vec<_> = roster
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -64,7 +64,7 @@
         };
         let mut answer = Answer::Nothing;
         if let Some(route) = route(app, scoring) {
-            tries.allow(route.attempts);
+            tries.allow(route.max_attempts);
             let sent = Sent::scoring(
                 app,
                 head.clone(),
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -202,7 +202,7 @@
     let Some(route) = plan.find_route(&submission.host, &submission.path) else {
         return false;
     };
-    route.shares.iter().any(|share| {
+    route.services.iter().any(|share| {
         let service = plan.service(&share.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         engine.is_none_or(|engine| engine.models.iter().any(|name| &**name == model))
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -101,7 +101,7 @@
                 "upstreams crash under it");
             return Came::Quarantined(left);
         }
-        while self.used.len() < self.route.attempts.max(1) as usize {
+        while self.used.len() < self.route.max_attempts.max(1) as usize {
             let Some(place) = self.choose() else { break };
             self.used.push(place.one.id.clone());
             match self.attempt(place, last).await {
--- a/crates/table/src/plan.rs
+++ b/crates/table/src/plan.rs
@@ -43,17 +43,17 @@
     /// Longest time that a request is kept waiting, in milliseconds.
     pub timeout: Millis,
     /// Most upstreams that one request is sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Time after which an unfinished sample of a step may be given up, in milliseconds.
     pub ttl: Millis,
     /// Whether all tokens of a sample have to come from one version of the weights.
-    pub single: bool,
+    pub single_version: bool,
     /// Whether a stream that broke may be taken up again behind its last event.
     pub resumable: bool,
     /// Whether its requests need no key, where there are teams.
     pub open: bool,
     /// The services that run its requests.
-    pub shares: Vec<WeightedService>,
+    pub services: Vec<WeightedService>,
 }
 
 /// What a service's model engines are like.
@@ -89,8 +89,8 @@
 ///
 /// let route = |prefix: &str| Route {
 ///     name: prefix.into(), host: "shop.example".into(), prefix: prefix.into(),
-///     kind: RouteKind::Idempotent, timeout: 1_000, attempts: 2, ttl: 0,
-///     single: false, resumable: false, open: false, shares: Vec::new(),
+///     kind: RouteKind::Idempotent, timeout: 1_000, max_attempts: 2, ttl: 0,
+///     single_version: false, resumable: false, open: false, services: Vec::new(),
 /// };
 /// let plan = Config::new(7, vec![route("/a/"), route("/a/b/")], Vec::new(), 1 << 20);
 /// let found = plan.find_route("Shop.example:80", "/a/b/c");
@@ -158,21 +158,24 @@
 
     /// The routes that a service may get requests of.
     pub fn routes_to(&self, service: &str) -> impl Iterator<Item = &Arc<Route>> {
-        self.routes
-            .iter()
-            .filter(move |route| route.shares.iter().any(|share| &*share.service == service))
+        self.routes.iter().filter(move |route| {
+            route
+                .services
+                .iter()
+                .any(|share| &*share.service == service)
+        })
     }
 
     /// Chooses the service of one request; `draw` is drawn evenly from 0 to 1.
     pub fn pick_service(route: &Route, draw: f64) -> Option<&Arc<str>> {
-        let sum: u32 = route.shares.iter().map(|share| share.weight).sum();
+        let sum: u32 = route.services.iter().map(|share| share.weight).sum();
         let mut left = draw * f64::from(sum);
-        for share in &route.shares {
+        for share in &route.services {
             left -= f64::from(share.weight);
             if left < 0.0 {
                 return Some(&share.service);
             }
         }
-        route.shares.last().map(|share| &share.service)
+        route.services.last().map(|share| &share.service)
     }
 }
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -94,12 +94,12 @@
         prefix: "/".into(),
         kind: RouteKind::Idempotent,
         timeout: 1,
-        attempts: 1,
+        max_attempts: 1,
         ttl: 0,
-        single: false,
+        single_version: false,
         resumable: false,
         open: false,
-        shares: vec![share("a", 90), share("b", 10)],
+        services: vec![share("a", 90), share("b", 10)],
     };
 
     assert_eq!(
