--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -177,8 +177,8 @@
         let service = plan.as_ref().and_then(|plan| plan.service(service));
         let engine = service.and_then(|service| service.engine.as_ref());
         engine.map_or_else(Memory::default, |engine| Memory {
-            holds: engine.memory,
-            event: engine.event,
+            holds: engine.memory_tokens,
+            event: engine.event_tokens,
         })
     }
 
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod starts;
 
 pub use plan::Config;
-pub use plan::Engine;
+pub use plan::EngineSpec;
 pub use plan::Route;
 pub use plan::RouteKind;
 pub use plan::Service;
--- a/crates/table/src/plan.rs
+++ b/crates/table/src/plan.rs
@@ -58,13 +58,13 @@
 
 /// What a service's model engines are like.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Engine {
+pub struct EngineSpec {
     /// Requests that an engine works on at the same time.
     pub slots: u32,
     /// Tokens that an engine's memory holds; 0 when it is not known.
-    pub memory: u32,
+    pub memory_tokens: u32,
     /// Tokens in one event of its answers; 0 when it is not known.
-    pub event: u32,
+    pub event_tokens: u32,
     /// The models that every engine has, in the operator's order.
     pub models: Vec<Arc<str>>,
 }
@@ -75,7 +75,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// What its upstreams are, when they are model engines.
-    pub engine: Option<Engine>,
+    pub engine: Option<EngineSpec>,
     /// How many upstreams may be ordered, if they may.
     pub scaling: Option<Bounds>,
 }
