--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -10,9 +10,9 @@
 use place::Memory;
 use place::Round;
 use place::Want;
-use table::Listed;
 use table::Roster;
 use table::Start;
+use table::Upstream;
 
 /// Choices that are timed together.
 const TIMES: u32 = 400;
@@ -23,11 +23,11 @@
 /// A time at which everything is known.
 const NOW: Millis = 10_000;
 
-fn listed(at: usize) -> Listed {
+fn listed(at: usize) -> Upstream {
     let name: Arc<str> = format!("i-{at:010x}").into();
-    Listed {
+    Upstream {
         id: name.clone(),
-        start: Start {
+        incarnation: Start {
             name,
             born: None,
             beats: 1,
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -28,8 +28,8 @@
 use spread::member::Turnover;
 use spread::tree;
 use table::Config;
-use table::Listed;
 use table::Roster;
+use table::Upstream;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use usage::Keeper;
@@ -183,7 +183,7 @@
     }
 
     /// Looks whether an upstream has crashed after the connection of a request broke there.
-    pub(crate) async fn broke(self: &Arc<Self>, id: &str, mark: Mark, one: &Listed) {
+    pub(crate) async fn broke(self: &Arc<Self>, id: &str, mark: Mark, one: &Upstream) {
         let (app, start) = (self.clone(), one.id.clone());
         let left = move || {
             let roster = app.roster.lock();
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use table::Listed;
+use table::Upstream;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
@@ -131,7 +131,7 @@
 /// # Errors
 ///
 /// Returns [`StateError`].
-pub async fn state(app: &App, one: &Arc<Listed>) -> Result<Stated, StateError> {
+pub async fn state(app: &App, one: &Arc<Upstream>) -> Result<Stated, StateError> {
     let (method, path) = app.dialect.ask_state();
     let request = http::Request::builder()
         .method(method)
@@ -140,7 +140,7 @@
     let answer = app.http.fetch(request, STATE, MOST).await?;
     let stated = app.dialect.stated(answer.body())?;
     // What it has counts for that start, which the list will name within a second or two.
-    if let (Some(born), Some(listed)) = (stated.born, one.start.born)
+    if let (Some(born), Some(listed)) = (stated.born, one.incarnation.born)
         && born != listed
     {
         return Err(StateError::Start);
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -7,7 +7,7 @@
 use kernel::Map;
 use kernel::Millis;
 use kernel::Set;
-use table::Listed;
+use table::Upstream;
 use tokio::task::JoinSet;
 use weight::Aim;
 use weight::Version;
@@ -91,7 +91,7 @@
         }
     }
 
-    fn engines(&self, service: &str) -> Vec<Arc<Listed>> {
+    fn engines(&self, service: &str) -> Vec<Arc<Upstream>> {
         let roster = self.app.roster.lock();
         let engines = roster.of(service).filter(|one| !one.leaving);
         engines.cloned().collect()
@@ -130,7 +130,7 @@
     }
 
     /// Asks engines that may have to load for their state.
-    async fn ask(&self, engines: &[Arc<Listed>], due: &[Load]) -> Map<Arc<str>, Stated> {
+    async fn ask(&self, engines: &[Arc<Upstream>], due: &[Load]) -> Map<Arc<str>, Stated> {
         let mut asks = JoinSet::new();
         let due: Set<_> = due.iter().map(|load| &load.id).collect();
         for one in engines {
@@ -147,9 +147,9 @@
         answers.into_iter().flatten().collect()
     }
 
-    fn seen(&self, engines: &[Arc<Listed>], states: &Map<Arc<str>, Stated>) -> Vec<Seen> {
+    fn seen(&self, engines: &[Arc<Upstream>], states: &Map<Arc<str>, Stated>) -> Vec<Seen> {
         let fleet = self.app.fleet.lock();
-        let one = |one: &Arc<Listed>| {
+        let one = |one: &Arc<Upstream>| {
             let ordered = self.ordered.get(&one.id);
             let state = states.get(&one.id);
             let newest = |(model, version): &(Arc<str>, u64)| {
@@ -174,7 +174,7 @@
     /// Orders a load; gives what is to be remembered of it, if it was sent.
     async fn order(
         &self,
-        engine: &Arc<Listed>,
+        engine: &Arc<Upstream>,
         load: &Load,
         state: &Stated,
     ) -> Option<(Arc<str>, Loading)> {
@@ -184,7 +184,7 @@
             return None;
         }
         let order = Order {
-            name: engine.start.name.clone(),
+            name: engine.incarnation.name.clone(),
             addr: engine.addr,
             model: load.model.clone(),
             version: load.version,
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -19,7 +19,7 @@
 use kernel::Millis;
 use place::Load;
 use table::Config;
-use table::Listed;
+use table::Upstream;
 use team::Credential;
 use team::Principal;
 use usage::Report;
@@ -284,7 +284,7 @@
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn listed(&self, key: &str, value: &[u8]) -> Result<Listed, DialectError>;
+    fn listed(&self, key: &str, value: &[u8]) -> Result<Upstream, DialectError>;
 
     /// Reads an announced version: the model and the version.
     ///
@@ -331,7 +331,7 @@
         &self,
         sample: &Sample,
         host: &str,
-        upstream: &Listed,
+        upstream: &Upstream,
         last: u64,
         principal: &Principal,
     ) -> Result<Request<Full<Bytes>>, DialectError>;
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -15,9 +15,9 @@
 use net::SendError;
 use poison::Verdict;
 use table::Config;
-use table::Listed;
 use table::Route;
 use table::RouteKind;
+use table::Upstream;
 use team::Principal;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -281,7 +281,7 @@
 
 fn judge(
     sent: &Sent,
-    one: &Arc<Listed>,
+    one: &Arc<Upstream>,
     answer: Result<Response<Bytes>, SendError>,
     took: Millis,
 ) -> Came {
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -5,12 +5,12 @@
 
 use kernel::Millis;
 use table::Belief;
-use table::Listed;
+use table::Upstream;
 
 use crate::App;
 
 /// Takes in the list of upstreams as it was read at `at`, here or by whoever told it.
-pub(super) fn believe(app: &App, list: &BTreeMap<String, Arc<Listed>>, rev: i64, at: Millis) {
+pub(super) fn believe(app: &App, list: &BTreeMap<String, Arc<Upstream>>, rev: i64, at: Millis) {
     let beliefs = {
         let mut roster = app.roster.lock();
         let beliefs = roster.share(list.values().cloned(), at);
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -8,8 +8,8 @@
 use plat::Item;
 use spread::Changes;
 use table::Config;
-use table::Listed;
 use table::Starts;
+use table::Upstream;
 
 use super::CRASHES;
 use super::belief;
@@ -52,7 +52,7 @@
 #[derive(Default)]
 pub(super) struct Intake {
     /// The upstreams by their keys.
-    list: BTreeMap<String, Arc<Listed>>,
+    list: BTreeMap<String, Arc<Upstream>>,
     /// The keys of entries that name no upstream.
     strange: Set<String>,
     /// Which start of each upstream is the newest.
@@ -88,7 +88,7 @@
         }
         // The names of all are worked out only where one may have gone.
         if !changes.gone.is_empty() {
-            let names = self.list.values().map(|one| one.start.name.clone());
+            let names = self.list.values().map(|one| one.incarnation.name.clone());
             let names: Set<_> = names.collect();
             self.starts.prune(|name| names.contains(name));
         }
@@ -136,8 +136,8 @@
                     log::info!(target: "news", key = item.key.as_str(); "strange entry gone");
                 }
                 // A late entry of a former start changes nothing.
-                if let Some(id) = self.starts.tell(&one.start, item.rev) {
-                    let one = Arc::new(Listed { id, ..one });
+                if let Some(id) = self.starts.tell(&one.incarnation, item.rev) {
+                    let one = Arc::new(Upstream { id, ..one });
                     self.list.insert(item.key.clone(), one);
                 }
             }
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -13,7 +13,7 @@
 use kernel::Map;
 use kernel::Millis;
 use place::Job;
-use table::Listed;
+use table::Upstream;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
@@ -41,7 +41,7 @@
 struct Ran {
     index: u32,
     ended: Ended,
-    engine: Arc<Listed>,
+    engine: Arc<Upstream>,
 }
 
 /// What asking for a sample's score came to.
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -15,8 +15,8 @@
 use place::Want;
 use poison::Mark;
 use table::Config;
-use table::Listed;
 use table::Route;
+use table::Upstream;
 
 use super::Drive;
 use super::Ran;
@@ -117,7 +117,7 @@
         route: &Route,
         todo: &Todo,
         rounds: &mut Map<Arc<str>, Round>,
-    ) -> Option<(Arc<str>, Arc<Listed>)> {
+    ) -> Option<(Arc<str>, Arc<Upstream>)> {
         let service = Config::pick_service(route, rand::random())?;
         let at = todo.job.index as usize;
         let sample = &self.work.spec.samples[at];
@@ -158,7 +158,7 @@
         &mut self,
         route: &Route,
         service: Arc<str>,
-        engine: Arc<Listed>,
+        engine: Arc<Upstream>,
         todo: Todo,
         permit: Permit,
     ) {
--- a/crates/node/src/owner/looks.rs
+++ b/crates/node/src/owner/looks.rs
@@ -5,8 +5,8 @@
 
 use kernel::Millis;
 use rand::seq::SliceRandom;
-use table::Listed;
 use table::Route;
+use table::Upstream;
 use tokio::task::JoinSet;
 
 use super::Work;
@@ -47,7 +47,7 @@
         let (model, least) = (&work.head.model, work.head.least);
         let roster = app.roster.lock();
         let fleet = app.fleet.lock();
-        let mine = |one: &&Arc<Listed>| {
+        let mine = |one: &&Arc<Upstream>| {
             let mut shares = route.services.iter();
             shares.any(|share| share.service == one.service)
         };
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -15,7 +15,7 @@
 use parking_lot::Mutex;
 use place::Want;
 use poison::Mark;
-use table::Listed;
+use table::Upstream;
 use team::Principal;
 use tokio::time::timeout;
 
@@ -87,7 +87,7 @@
     /// Whether all events have to be made by one version.
     pub single: bool,
     /// The engine.
-    pub engine: Arc<Listed>,
+    pub engine: Arc<Upstream>,
     /// Leave to begin it: the step is open.
     pub permit: Permit,
 }
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -18,7 +18,7 @@
 use place::Want;
 use poison::Mark;
 use poison::Verdict;
-use table::Listed;
+use table::Upstream;
 use team::Principal;
 use usage::Meter;
 use usage::Run;
@@ -144,7 +144,7 @@
     }
 
     /// Looks whether an upstream has crashed after the connection broke there.
-    pub(crate) async fn broke(&self, one: &Listed) {
+    pub(crate) async fn broke(&self, one: &Upstream) {
         self.app.broke(&self.id, self.mark(), one).await;
     }
 
@@ -186,7 +186,11 @@
     }
 
     /// The request for one upstream, behind event `last` of a stream that broke.
-    pub(crate) fn request(&self, one: &Listed, last: Option<&str>) -> Option<Request<Full<Bytes>>> {
+    pub(crate) fn request(
+        &self,
+        one: &Upstream,
+        last: Option<&str>,
+    ) -> Option<Request<Full<Bytes>>> {
         if !self.is_permitted() {
             return None;
         }
@@ -199,7 +203,7 @@
         let dialect = &self.app.dialect;
         *request.headers_mut() = dialect.forward(
             &self.head.headers,
-            &one.start.name,
+            &one.incarnation.name,
             Some(self.left()),
             &self.principal,
         );
@@ -266,7 +270,7 @@
 pub(crate) struct Place {
     app: Arc<App>,
     /// The upstream.
-    pub(crate) one: Arc<Listed>,
+    pub(crate) one: Arc<Upstream>,
     /// Held for its drop.
     _stay: Option<Stay>,
 }
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -6,8 +6,8 @@
 use kernel::Map;
 use kernel::Millis;
 use kernel::rendezvous_rank;
-use table::Listed;
 use table::Roster;
+use table::Upstream;
 
 use crate::Load;
 use crate::Memory;
@@ -150,7 +150,7 @@
     }
 
     /// The version of a model's weights that an engine has; [`None`] when it has no such model.
-    pub fn version(&self, one: &Listed, model: &str) -> Option<u64> {
+    pub fn version(&self, one: &Upstream, model: &str) -> Option<u64> {
         newest(one, self.engines.get(&one.id), model)
     }
 
@@ -199,7 +199,13 @@
     ///
     /// Each engine is looked up once, and what rules out most is looked at first: this is done for all
     /// engines of a service at a time.
-    pub(crate) fn weigh(&self, one: &Listed, want: &Want<'_>, usual: f64, now: Millis) -> Weighed {
+    pub(crate) fn weigh(
+        &self,
+        one: &Upstream,
+        want: &Want<'_>,
+        usual: f64,
+        now: Millis,
+    ) -> Weighed {
         let slots = one.slots + want.queue;
         let engine = self.engines.get(&one.id);
         let (mine, tokens) = engine.map_or((0, 0), |engine| (engine.mine, engine.tokens));
@@ -241,16 +247,16 @@
     /// unless it has become slow.
     pub(crate) fn or_kin(
         &self,
-        best: &Arc<Listed>,
+        best: &Arc<Upstream>,
         roster: &Roster,
         want: &Want<'_>,
         now: Millis,
-    ) -> Arc<Listed> {
+    ) -> Arc<Upstream> {
         let usual = self.usual(now);
         let kin = want.kin.and_then(|kin| roster.get(kin));
         let kin = kin.filter(|kin| *kin.service == *want.service);
         let fits =
-            |kin: &&Arc<Listed>| matches!(self.weigh(kin, want, usual, now), Weighed::Fits(_));
+            |kin: &&Arc<Upstream>| matches!(self.weigh(kin, want, usual, now), Weighed::Fits(_));
         match kin.filter(fits) {
             Some(kin) if self.pace(&kin.id, usual) <= self.pace(&best.id, usual) * FASTER => {
                 kin.clone()
@@ -260,17 +266,17 @@
     }
 
     /// Chooses the engine for a sample; [`None`] when none has room.
-    pub fn choose(&self, roster: &Roster, want: &Want<'_>, now: Millis) -> Option<Arc<Listed>> {
+    pub fn choose(&self, roster: &Roster, want: &Want<'_>, now: Millis) -> Option<Arc<Upstream>> {
         self.choose_of(roster.of(want.service), roster, want, now)
     }
 
     fn choose_of<'a>(
         &self,
-        engines: impl Iterator<Item = &'a Arc<Listed>>,
+        engines: impl Iterator<Item = &'a Arc<Upstream>>,
         roster: &Roster,
         want: &Want<'_>,
         now: Millis,
-    ) -> Option<Arc<Listed>> {
+    ) -> Option<Arc<Upstream>> {
         let usual = self.usual(now);
         let costs = engines.filter_map(|one| match self.weigh(one, want, usual, now) {
             Weighed::Fits(cost) => Some((cost, one)),
@@ -289,7 +295,7 @@
         here: &str,
         left: u32,
         now: Millis,
-    ) -> Option<Arc<Listed>> {
+    ) -> Option<Arc<Upstream>> {
         let paces = self.paces(now);
         let usual = paces.usual;
         let slow = self.pace(here, usual);
@@ -316,7 +322,7 @@
 }
 
 /// The newest version of a model's weights that an engine is known to have.
-fn newest(one: &Listed, engine: Option<&Engine>, model: &str) -> Option<u64> {
+fn newest(one: &Upstream, engine: Option<&Engine>, model: &str) -> Option<u64> {
     let listed = one.weights.iter().find(|(name, _)| &**name == model);
     let listed = listed.map(|(_, version)| *version);
     let seen = engine.and_then(|engine| engine.versions.get(model).copied());
--- a/crates/place/src/round.rs
+++ b/crates/place/src/round.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 
 use kernel::Millis;
-use table::Listed;
 use table::Roster;
+use table::Upstream;
 
 use crate::Fleet;
 use crate::Want;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 struct Candidate {
     cost: f64,
-    one: Arc<Listed>,
+    one: Arc<Upstream>,
 }
 
 impl Ord for Candidate {
@@ -54,10 +54,10 @@
 ///
 /// ```
 /// use place::{Fleet, Memory, Round, Want};
-/// use table::{Listed, Roster, Start};
+/// use table::{Upstream, Roster, Start};
 ///
-/// let listed = |name: &str| Listed {
-///     id: name.into(), start: Start { name: name.into(), born: None, beats: 1 },
+/// let listed = |name: &str| Upstream {
+///     id: name.into(), incarnation: Start { name: name.into(), born: None, beats: 1 },
 ///     service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(), domain: "nord".into(),
 ///     slots: 1, leaving: false, spot: false, weights: vec![("m".into(), 1)],
 /// };
@@ -90,7 +90,7 @@
             taken: 0,
             ..*want
         };
-        let weigh = |one: &Arc<Listed>| match fleet.weigh(one, &least, usual, now) {
+        let weigh = |one: &Arc<Upstream>| match fleet.weigh(one, &least, usual, now) {
             Weighed::Fits(cost) => Some(Reverse(Candidate {
                 cost,
                 one: one.clone(),
@@ -111,7 +111,7 @@
         roster: &Roster,
         want: &Want<'_>,
         now: Millis,
-    ) -> Option<Arc<Listed>> {
+    ) -> Option<Arc<Upstream>> {
         let usual = fleet.usual(now);
         let mut aside = Vec::new();
         let mut best = None;
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -10,15 +10,15 @@
 use place::Round;
 use place::Want;
 use place::order;
-use table::Listed;
 use table::Roster;
 use table::Start;
+use table::Upstream;
 use yare::parameterized;
 
-fn engine(id: &str, slots: u32, version: u64) -> Listed {
-    Listed {
+fn engine(id: &str, slots: u32, version: u64) -> Upstream {
+    Upstream {
         id: id.into(),
-        start: Start {
+        incarnation: Start {
             name: id.into(),
             born: None,
             beats: 1,
@@ -33,7 +33,7 @@
     }
 }
 
-fn roster(engines: Vec<Listed>) -> Roster {
+fn roster(engines: Vec<Upstream>) -> Roster {
     let mut roster = Roster::default();
     roster.read(engines, 0);
     roster
@@ -360,7 +360,7 @@
 fn mixed(engines: &[(u32, u32, u8, u64)]) -> (Roster, Fleet) {
     let name = |at: usize| format!("e{at:02}");
     let all = engines.iter().enumerate();
-    let listed = all.map(|(at, (slots, ..))| Listed {
+    let listed = all.map(|(at, (slots, ..))| Upstream {
         domain: ["nord", "syd"][at % 2].into(),
         ..engine(&name(at), *slots, 1)
     });
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -13,7 +13,7 @@
 pub use plan::Service;
 pub use plan::WeightedService;
 pub use roster::Belief;
-pub use roster::Listed;
 pub use roster::Roster;
+pub use roster::Upstream;
 pub use starts::Start;
 pub use starts::Starts;
--- a/crates/table/src/roster.rs
+++ b/crates/table/src/roster.rs
@@ -19,11 +19,11 @@
 
 /// An upstream as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct Upstream {
     /// Identifies one start of the upstream.
     pub id: Arc<str>,
     /// What it says of its start.
-    pub start: Start,
+    pub incarnation: Start,
     /// The service that it belongs to.
     pub service: Arc<str>,
     /// Its address.
@@ -44,11 +44,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Belief {
     /// An upstream is there.
-    Came(Arc<Listed>),
+    Came(Arc<Upstream>),
     /// An upstream is about to leave.
-    Leaving(Arc<Listed>),
+    Leaving(Arc<Upstream>),
     /// An upstream is gone.
-    Gone(Arc<Listed>),
+    Gone(Arc<Upstream>),
 }
 
 /// The upstreams as one instance knows them.
@@ -56,10 +56,10 @@
 /// # Examples
 ///
 /// ```
-/// use table::{Listed, Roster, Start};
+/// use table::{Upstream, Roster, Start};
 ///
-/// let listed = Listed {
-///     id: "i-1".into(), start: Start { name: "i-1".into(), born: None, beats: 1 }, service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(),
+/// let listed = Upstream {
+///     id: "i-1".into(), incarnation: Start { name: "i-1".into(), born: None, beats: 1 }, service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(),
 ///     domain: "nord".into(), slots: 8, leaving: false, spot: false, weights: Vec::new(),
 /// };
 /// let mut roster = Roster::default();
@@ -70,16 +70,16 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
-    all: Map<Arc<str>, Arc<Listed>>,
+    all: Map<Arc<str>, Arc<Upstream>>,
     /// The same by service: whoever looks for one upstream of a few must not pass thousands of others.
-    services: Map<Arc<str>, Vec<Arc<Listed>>>,
+    services: Map<Arc<str>, Vec<Arc<Upstream>>>,
     read: Option<Millis>,
     back: Option<Millis>,
 }
 
 impl Roster {
     /// Takes in what a read of the whole list gave; tells what has changed.
-    pub fn read(&mut self, list: Vec<Listed>, now: Millis) -> Vec<Belief> {
+    pub fn read(&mut self, list: Vec<Upstream>, now: Millis) -> Vec<Belief> {
         self.share(list.into_iter().map(Arc::new), now)
     }
 
@@ -87,7 +87,7 @@
     /// what it was a second ago.
     pub fn share(
         &mut self,
-        list: impl IntoIterator<Item = Arc<Listed>>,
+        list: impl IntoIterator<Item = Arc<Upstream>>,
         now: Millis,
     ) -> Vec<Belief> {
         if self.read.is_some_and(|read| now > read + AWAY) {
@@ -110,11 +110,14 @@
         // Seldom is any missing.
         let names: Set<_> = match self.all.is_empty() {
             true => Set::default(),
-            false => next.values().map(|one| one.start.name.clone()).collect(),
+            false => next
+                .values()
+                .map(|one| one.incarnation.name.clone())
+                .collect(),
         };
         for (id, old) in self.all.drain() {
             // A new start takes the place of the former one at once.
-            match held && !names.contains(&old.start.name) {
+            match held && !names.contains(&old.incarnation.name) {
                 true => drop(next.insert(id, old)),
                 false => news.push(Belief::Gone(old)),
             }
@@ -134,17 +137,17 @@
     }
 
     /// Finds an upstream.
-    pub fn get(&self, id: &str) -> Option<&Arc<Listed>> {
+    pub fn get(&self, id: &str) -> Option<&Arc<Upstream>> {
         self.all.get(id)
     }
 
     /// All upstreams, in no order.
-    pub fn all(&self) -> impl Iterator<Item = &Arc<Listed>> {
+    pub fn all(&self) -> impl Iterator<Item = &Arc<Upstream>> {
         self.all.values()
     }
 
     /// The upstreams of a service, in no order.
-    pub fn of(&self, service: &str) -> impl Iterator<Item = &Arc<Listed>> + Clone {
+    pub fn of(&self, service: &str) -> impl Iterator<Item = &Arc<Upstream>> + Clone {
         self.services.get(service).into_iter().flatten()
     }
 
@@ -154,7 +157,7 @@
         service: &str,
         dice: u64,
         count: usize,
-    ) -> impl Iterator<Item = &Arc<Listed>> {
+    ) -> impl Iterator<Item = &Arc<Upstream>> {
         let all = self.services.get(service).map_or(&[][..], Vec::as_slice);
         let from = dice as usize % all.len().max(1);
         let (before, behind) = all.split_at(from);
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -4,19 +4,19 @@
 
 use table::Belief;
 use table::Config;
-use table::Listed;
 use table::Roster;
 use table::Route;
 use table::RouteKind;
 use table::Start;
 use table::Starts;
+use table::Upstream;
 use table::WeightedService;
 use yare::parameterized;
 
-fn listed(id: &str) -> Listed {
-    Listed {
+fn listed(id: &str) -> Upstream {
+    Upstream {
         id: id.into(),
-        start: Start {
+        incarnation: Start {
             name: id.into(),
             born: None,
             beats: 1,
@@ -65,7 +65,7 @@
 fn a_leaving_upstream_is_told_once() {
     let mut roster = Roster::default();
     roster.read(vec![listed("a")], 0);
-    let leaving = Listed {
+    let leaving = Upstream {
         leaving: true,
         ..listed("a")
     };
@@ -157,7 +157,7 @@
 fn a_new_start_takes_the_place_of_one_that_is_kept() {
     let mut roster = Roster::default();
     roster.read(vec![listed("a")], 0);
-    let new = Listed {
+    let new = Upstream {
         id: "a@6".into(),
         ..listed("a")
     };
@@ -174,7 +174,7 @@
 // Guards against a look for one upstream that takes longer the more there are.
 #[test]
 fn some_upstreams_of_a_service_are_a_few_and_all_in_turn() {
-    let one = |at: usize| Listed {
+    let one = |at: usize| Upstream {
         service: if at < 900 { "fit".into() } else { "web".into() },
         ..listed(&format!("i-{at}"))
     };
