--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use kernel::Millis;
-use table::Belief;
 use table::Upstream;
+use table::UpstreamChange;
 
 use crate::App;
 
@@ -28,11 +28,11 @@
     app.room.notify_waiters();
 }
 
-fn tell(belief: &Belief, rev: i64) {
+fn tell(belief: &UpstreamChange, rev: i64) {
     let (one, what) = match belief {
-        Belief::Came(one) => (one, "upstream in"),
-        Belief::Leaving(one) => (one, "upstream leaving"),
-        Belief::Gone(one) => (one, "upstream out"),
+        UpstreamChange::Added(one) => (one, "upstream in"),
+        UpstreamChange::Leaving(one) => (one, "upstream leaving"),
+        UpstreamChange::Removed(one) => (one, "upstream out"),
     };
     let addr = one.addr.to_string();
     log::info!(target: "news", upstream = &*one.id, service = &*one.service,
--- a/crates/table/src/roster.rs
+++ b/crates/table/src/roster.rs
@@ -42,13 +42,13 @@
 
 /// What has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Belief {
+pub enum UpstreamChange {
     /// An upstream is there.
-    Came(Arc<Upstream>),
+    Added(Arc<Upstream>),
     /// An upstream is about to leave.
     Leaving(Arc<Upstream>),
     /// An upstream is gone.
-    Gone(Arc<Upstream>),
+    Removed(Arc<Upstream>),
 }
 
 /// The upstreams as one instance knows them.
@@ -79,7 +79,7 @@
 
 impl Roster {
     /// Takes in what a read of the whole list gave; tells what has changed.
-    pub fn read(&mut self, list: Vec<Upstream>, now: Millis) -> Vec<Belief> {
+    pub fn read(&mut self, list: Vec<Upstream>, now: Millis) -> Vec<UpstreamChange> {
         self.share(list.into_iter().map(Arc::new), now)
     }
 
@@ -89,7 +89,7 @@
         &mut self,
         list: impl IntoIterator<Item = Arc<Upstream>>,
         now: Millis,
-    ) -> Vec<Belief> {
+    ) -> Vec<UpstreamChange> {
         if self.read.is_some_and(|read| now > read + AWAY) {
             self.back = Some(now);
         }
@@ -99,9 +99,9 @@
         let mut news = Vec::new();
         for one in list {
             match self.all.remove(&one.id) {
-                None => news.push(Belief::Came(one.clone())),
+                None => news.push(UpstreamChange::Added(one.clone())),
                 Some(old) if one.leaving && !old.leaving => {
-                    news.push(Belief::Leaving(one.clone()));
+                    news.push(UpstreamChange::Leaving(one.clone()));
                 }
                 Some(_) => (),
             }
@@ -119,7 +119,7 @@
             // A new start takes the place of the former one at once.
             match held && !names.contains(&old.incarnation.name) {
                 true => drop(next.insert(id, old)),
-                false => news.push(Belief::Gone(old)),
+                false => news.push(UpstreamChange::Removed(old)),
             }
         }
         self.all = next;
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -2,7 +2,6 @@
 
 use std::collections::BTreeSet;
 
-use table::Belief;
 use table::Config;
 use table::Roster;
 use table::Route;
@@ -10,6 +9,7 @@
 use table::Start;
 use table::Starts;
 use table::Upstream;
+use table::UpstreamChange;
 use table::WeightedService;
 use yare::parameterized;
 
@@ -38,7 +38,7 @@
 
     let news = roster.read(vec![listed("a")], 1_000);
 
-    assert!(matches!(&news[..], [Belief::Gone(one)] if &*one.id == "b"));
+    assert!(matches!(&news[..], [UpstreamChange::Removed(one)] if &*one.id == "b"));
 }
 
 // Symptom: after an outage of the platform all living upstreams are taken for gone.
@@ -73,7 +73,7 @@
     let first = roster.read(vec![leaving.clone()], 1_000);
     let second = roster.read(vec![leaving], 2_000);
 
-    assert!(matches!(first[..], [Belief::Leaving(_)]));
+    assert!(matches!(first[..], [UpstreamChange::Leaving(_)]));
     assert!(second.is_empty());
 }
 
@@ -167,7 +167,7 @@
     assert_eq!(roster.all().count(), 1);
     assert!(
         news.iter()
-            .any(|one| matches!(one, Belief::Gone(old) if &*old.id == "a"))
+            .any(|one| matches!(one, UpstreamChange::Removed(old) if &*old.id == "a"))
     );
 }
 
