--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -10,9 +10,9 @@
 use place::Memory;
 use place::Round;
 use place::Want;
-use table::Roster;
 use table::Start;
 use table::Upstream;
+use table::UpstreamList;
 
 /// Choices that are timed together.
 const TIMES: u32 = 400;
@@ -43,7 +43,7 @@
 }
 
 /// Engines all of whose places are taken but one in `free`.
-fn fleet(engines: usize, free: usize) -> (Roster, Fleet) {
+fn fleet(engines: usize, free: usize) -> (UpstreamList, Fleet) {
     let all: Vec<_> = (0..engines).map(listed).collect();
     let mut fleet = Fleet::default();
     for (at, one) in all.iter().enumerate() {
@@ -55,8 +55,8 @@
         fleet.event(&one.id, 30.0 + (at % 17) as f64);
         fleet.saw(&one.id, &"small".into(), 4);
     }
-    let mut roster = Roster::default();
-    roster.read(all, NOW);
+    let mut roster = UpstreamList::default();
+    roster.update(all, NOW);
     (roster, fleet)
 }
 
@@ -115,11 +115,11 @@
 /// Microseconds of taking in a list of which nothing has changed.
 fn list(engines: usize) -> f64 {
     let all: Vec<_> = (0..engines).map(|at| Arc::new(listed(at))).collect();
-    let mut roster = Roster::default();
-    roster.share(all.iter().cloned(), NOW);
+    let mut roster = UpstreamList::default();
+    roster.update_shared(all.iter().cloned(), NOW);
     let begun = Instant::now();
     for _ in 0..TIMES {
-        black_box(roster.share(all.iter().cloned(), NOW));
+        black_box(roster.update_shared(all.iter().cloned(), NOW));
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES)
 }
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -28,8 +28,8 @@
 use spread::member::Turnover;
 use spread::tree;
 use table::Config;
-use table::Roster;
 use table::Upstream;
+use table::UpstreamList;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use usage::Keeper;
@@ -73,7 +73,7 @@
     /// The configuration, once it is known.
     pub plan: ArcSwapOption<Config>,
     /// The upstreams that are listed.
-    pub roster: Mutex<Roster>,
+    pub roster: Mutex<UpstreamList>,
     /// The upstreams of plain services as this instance sees them.
     pub plain: Mutex<Fleet>,
     /// The engines as this instance sees them.
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -93,7 +93,7 @@
 
     fn engines(&self, service: &str) -> Vec<Arc<Upstream>> {
         let roster = self.app.roster.lock();
-        let engines = roster.of(service).filter(|one| !one.leaving);
+        let engines = roster.of_service(service).filter(|one| !one.leaving);
         engines.cloned().collect()
     }
 
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -143,7 +143,7 @@
                 spot: 0,
             })
             .collect();
-        for one in roster.of(service).filter(|one| !one.leaving) {
+        for one in roster.of_service(service).filter(|one| !one.leaving) {
             let Some(at) = all.iter_mut().find(|present| present.domain == one.domain) else {
                 continue;
             };
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -13,7 +13,7 @@
 pub(super) fn believe(app: &App, list: &BTreeMap<String, Arc<Upstream>>, rev: i64, at: Millis) {
     let beliefs = {
         let mut roster = app.roster.lock();
-        let beliefs = roster.share(list.values().cloned(), at);
+        let beliefs = roster.update_shared(list.values().cloned(), at);
         // Nothing is to be forgotten of upstreams while none comes or goes.
         if !beliefs.is_empty() {
             app.plain.lock().prune(&roster);
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -225,7 +225,11 @@
         }
         let app = &self.app;
         let roster = app.roster.lock();
-        let slots = roster.of(service).map(|one| one.slots).max().unwrap_or(0);
+        let slots = roster
+            .of_service(service)
+            .map(|one| one.slots)
+            .max()
+            .unwrap_or(0);
         let mut apart = app.crashes.apart(|| self.mark());
         apart.extend_from_slice(used);
         let any = Want {
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -6,8 +6,8 @@
 use kernel::Map;
 use kernel::Millis;
 use kernel::rendezvous_rank;
-use table::Roster;
 use table::Upstream;
+use table::UpstreamList;
 
 use crate::Load;
 use crate::Memory;
@@ -97,7 +97,7 @@
     }
 
     /// Forgets engines that are not listed any more and that nothing runs at.
-    pub fn prune(&mut self, roster: &Roster) {
+    pub fn prune(&mut self, roster: &UpstreamList) {
         self.engines
             .retain(|id, engine| engine.mine > 0 || roster.get(id).is_some());
     }
@@ -248,7 +248,7 @@
     pub(crate) fn or_kin(
         &self,
         best: &Arc<Upstream>,
-        roster: &Roster,
+        roster: &UpstreamList,
         want: &Want<'_>,
         now: Millis,
     ) -> Arc<Upstream> {
@@ -266,14 +266,19 @@
     }
 
     /// Chooses the engine for a sample; [`None`] when none has room.
-    pub fn choose(&self, roster: &Roster, want: &Want<'_>, now: Millis) -> Option<Arc<Upstream>> {
-        self.choose_of(roster.of(want.service), roster, want, now)
+    pub fn choose(
+        &self,
+        roster: &UpstreamList,
+        want: &Want<'_>,
+        now: Millis,
+    ) -> Option<Arc<Upstream>> {
+        self.choose_of(roster.of_service(want.service), roster, want, now)
     }
 
     fn choose_of<'a>(
         &self,
         engines: impl Iterator<Item = &'a Arc<Upstream>>,
-        roster: &Roster,
+        roster: &UpstreamList,
         want: &Want<'_>,
         now: Millis,
     ) -> Option<Arc<Upstream>> {
@@ -290,7 +295,7 @@
     /// Chooses an engine to which a run with `left` more events had better move, if there is one.
     pub fn better(
         &self,
-        roster: &Roster,
+        roster: &UpstreamList,
         want: &Want<'_>,
         here: &str,
         left: u32,
@@ -309,7 +314,7 @@
             // Not even the fastest one would be.
             return None;
         }
-        let some = roster.some(want.service, rendezvous_rank(here, now), LOOKED);
+        let some = roster.subset_of_service(want.service, rendezvous_rank(here, now), LOOKED);
         let best = self.choose_of(some, roster, want, now)?;
         let fast = self.pace(&best.id, usual);
         let gain = f64::from(left) * (slow - fast);
--- a/crates/place/src/round.rs
+++ b/crates/place/src/round.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 
 use kernel::Millis;
-use table::Roster;
 use table::Upstream;
+use table::UpstreamList;
 
 use crate::Fleet;
 use crate::Want;
@@ -54,7 +54,7 @@
 ///
 /// ```
 /// use place::{Fleet, Memory, Round, Want};
-/// use table::{Upstream, Roster, Start};
+/// use table::{Upstream, UpstreamList, Start};
 ///
 /// let listed = |name: &str| Upstream {
 ///     id: name.into(), incarnation: Start { name: name.into(), born: None, beats: 1 },
@@ -65,8 +65,8 @@
 ///     service: "fit", model: Some("m"), least: 1, queue: 0, domain: "nord", kin: None,
 ///     avoid: &[], taken: 0, memory: Memory::default(),
 /// };
-/// let (mut roster, mut fleet) = (Roster::default(), Fleet::default());
-/// roster.read(vec![listed("a"), listed("b")], 0);
+/// let (mut roster, mut fleet) = (UpstreamList::default(), Fleet::default());
+/// roster.update(vec![listed("a"), listed("b")], 0);
 /// let mut round = Round::new(&fleet, &roster, &want, 0);
 /// let mut names = Vec::new();
 /// while let Some(one) = round.choose(&fleet, &roster, &want, 0) {
@@ -83,7 +83,7 @@
 impl Round {
     /// Weighs all engines of a service for samples that want the same but for what they avoid, take and are
     /// kin to.
-    pub fn new(fleet: &Fleet, roster: &Roster, want: &Want<'_>, now: Millis) -> Self {
+    pub fn new(fleet: &Fleet, roster: &UpstreamList, want: &Want<'_>, now: Millis) -> Self {
         let usual = fleet.usual(now);
         let least = Want {
             avoid: &[],
@@ -97,7 +97,7 @@
             })),
             Weighed::Closed | Weighed::Unfit => None,
         };
-        let heap = roster.of(want.service).filter_map(weigh);
+        let heap = roster.of_service(want.service).filter_map(weigh);
         Self {
             heap: heap.collect(),
         }
@@ -108,7 +108,7 @@
     pub fn choose(
         &mut self,
         fleet: &Fleet,
-        roster: &Roster,
+        roster: &UpstreamList,
         want: &Want<'_>,
         now: Millis,
     ) -> Option<Arc<Upstream>> {
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -10,9 +10,9 @@
 use place::Round;
 use place::Want;
 use place::order;
-use table::Roster;
 use table::Start;
 use table::Upstream;
+use table::UpstreamList;
 use yare::parameterized;
 
 fn engine(id: &str, slots: u32, version: u64) -> Upstream {
@@ -33,9 +33,9 @@
     }
 }
 
-fn roster(engines: Vec<Upstream>) -> Roster {
-    let mut roster = Roster::default();
-    roster.read(engines, 0);
+fn roster(engines: Vec<Upstream>) -> UpstreamList {
+    let mut roster = UpstreamList::default();
+    roster.update(engines, 0);
     roster
 }
 
@@ -57,7 +57,7 @@
     name.into()
 }
 
-fn chosen(fleet: &Fleet, roster: &Roster, want: &Want<'_>, now: u64) -> Option<String> {
+fn chosen(fleet: &Fleet, roster: &UpstreamList, want: &Want<'_>, now: u64) -> Option<String> {
     fleet
         .choose(roster, want, now)
         .map(|one| one.id.to_string())
@@ -357,7 +357,7 @@
 }
 
 /// A fleet of engines with places, paces and versions that differ.
-fn mixed(engines: &[(u32, u32, u8, u64)]) -> (Roster, Fleet) {
+fn mixed(engines: &[(u32, u32, u8, u64)]) -> (UpstreamList, Fleet) {
     let name = |at: usize| format!("e{at:02}");
     let all = engines.iter().enumerate();
     let listed = all.map(|(at, (slots, ..))| Upstream {
--- a/crates/table/src/roster.rs
+++ b/crates/table/src/roster.rs
@@ -56,20 +56,20 @@
 /// # Examples
 ///
 /// ```
-/// use table::{Upstream, Roster, Start};
+/// use table::{Upstream, UpstreamList, Start};
 ///
 /// let listed = Upstream {
 ///     id: "i-1".into(), incarnation: Start { name: "i-1".into(), born: None, beats: 1 }, service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(),
 ///     domain: "nord".into(), slots: 8, leaving: false, spot: false, weights: Vec::new(),
 /// };
-/// let mut roster = Roster::default();
-/// roster.read(vec![listed], 0);
-/// assert_eq!(roster.of("fit").count(), 1);
-/// roster.read(Vec::new(), 1_000);
-/// assert_eq!(roster.of("fit").count(), 0);
+/// let mut roster = UpstreamList::default();
+/// roster.update(vec![listed], 0);
+/// assert_eq!(roster.of_service("fit").count(), 1);
+/// roster.update(Vec::new(), 1_000);
+/// assert_eq!(roster.of_service("fit").count(), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct UpstreamList {
     all: Map<Arc<str>, Arc<Upstream>>,
     /// The same by service: whoever looks for one upstream of a few must not pass thousands of others.
     services: Map<Arc<str>, Vec<Arc<Upstream>>>,
@@ -77,15 +77,15 @@
     back: Option<Millis>,
 }
 
-impl Roster {
+impl UpstreamList {
     /// Takes in what a read of the whole list gave; tells what has changed.
-    pub fn read(&mut self, list: Vec<Upstream>, now: Millis) -> Vec<UpstreamChange> {
-        self.share(list.into_iter().map(Arc::new), now)
+    pub fn update(&mut self, list: Vec<Upstream>, now: Millis) -> Vec<UpstreamChange> {
+        self.update_shared(list.into_iter().map(Arc::new), now)
     }
 
     /// Takes in what a read of the whole list gave without copying entries: most of a list of thousands is
     /// what it was a second ago.
-    pub fn share(
+    pub fn update_shared(
         &mut self,
         list: impl IntoIterator<Item = Arc<Upstream>>,
         now: Millis,
@@ -147,12 +147,12 @@
     }
 
     /// The upstreams of a service, in no order.
-    pub fn of(&self, service: &str) -> impl Iterator<Item = &Arc<Upstream>> + Clone {
+    pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Arc<Upstream>> + Clone {
         self.services.get(service).into_iter().flatten()
     }
 
     /// At most `count` upstreams of a service, others for each `dice`.
-    pub fn some(
+    pub fn subset_of_service(
         &self,
         service: &str,
         dice: u64,
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 
 use table::Config;
-use table::Roster;
 use table::Route;
 use table::RouteKind;
 use table::Start;
 use table::Starts;
 use table::Upstream;
 use table::UpstreamChange;
+use table::UpstreamList;
 use table::WeightedService;
 use yare::parameterized;
 
@@ -33,10 +33,10 @@
 
 #[test]
 fn what_is_missing_is_gone_at_once() {
-    let mut roster = Roster::default();
-    roster.read(vec![listed("a"), listed("b")], 0);
+    let mut roster = UpstreamList::default();
+    roster.update(vec![listed("a"), listed("b")], 0);
 
-    let news = roster.read(vec![listed("a")], 1_000);
+    let news = roster.update(vec![listed("a")], 1_000);
 
     assert!(matches!(&news[..], [UpstreamChange::Removed(one)] if &*one.id == "b"));
 }
@@ -49,29 +49,29 @@
     later = { 7_400, 0 },
 )]
 fn an_entry_that_lapsed_in_an_outage_is_kept_for_a_while(then: u64, left: usize) {
-    let mut roster = Roster::default();
-    roster.read(vec![listed("a")], 0);
-    roster.read(Vec::new(), 5_000);
+    let mut roster = UpstreamList::default();
+    roster.update(vec![listed("a")], 0);
+    roster.update(Vec::new(), 5_000);
     for now in (5_000..then).step_by(850).skip(1) {
-        roster.read(Vec::new(), now);
+        roster.update(Vec::new(), now);
     }
 
-    roster.read(Vec::new(), then);
+    roster.update(Vec::new(), then);
 
     assert_eq!(roster.all().count(), left);
 }
 
 #[test]
 fn a_leaving_upstream_is_told_once() {
-    let mut roster = Roster::default();
-    roster.read(vec![listed("a")], 0);
+    let mut roster = UpstreamList::default();
+    roster.update(vec![listed("a")], 0);
     let leaving = Upstream {
         leaving: true,
         ..listed("a")
     };
 
-    let first = roster.read(vec![leaving.clone()], 1_000);
-    let second = roster.read(vec![leaving], 2_000);
+    let first = roster.update(vec![leaving.clone()], 1_000);
+    let second = roster.update(vec![leaving], 2_000);
 
     assert!(matches!(first[..], [UpstreamChange::Leaving(_)]));
     assert!(second.is_empty());
@@ -155,14 +155,14 @@
 // Cause: keeping the former start beside the new one.
 #[test]
 fn a_new_start_takes_the_place_of_one_that_is_kept() {
-    let mut roster = Roster::default();
-    roster.read(vec![listed("a")], 0);
+    let mut roster = UpstreamList::default();
+    roster.update(vec![listed("a")], 0);
     let new = Upstream {
         id: "a@6".into(),
         ..listed("a")
     };
 
-    let news = roster.read(vec![new], 5_000);
+    let news = roster.update(vec![new], 5_000);
 
     assert_eq!(roster.all().count(), 1);
     assert!(
@@ -178,16 +178,16 @@
         service: if at < 900 { "fit".into() } else { "web".into() },
         ..listed(&format!("i-{at}"))
     };
-    let mut roster = Roster::default();
-    roster.read((0..1_000).map(one).collect(), 0);
+    let mut roster = UpstreamList::default();
+    roster.update((0..1_000).map(one).collect(), 0);
 
     let looks = (0..900)
         .step_by(100)
-        .map(|dice| roster.some("fit", dice, 100));
+        .map(|dice| roster.subset_of_service("fit", dice, 100));
     let seen: Vec<_> = looks.flatten().map(|one| one.id.clone()).collect();
 
     assert_eq!(seen.len(), 900);
     assert_eq!(seen.iter().collect::<BTreeSet<_>>().len(), 900);
-    assert_eq!(roster.some("web", 7, 512).count(), 100);
-    assert_eq!(roster.some("none", 7, 512).count(), 0);
+    assert_eq!(roster.subset_of_service("web", 7, 512).count(), 100);
+    assert_eq!(roster.subset_of_service("none", 7, 512).count(), 0);
 }
