--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -10,7 +10,7 @@
 use place::Memory;
 use place::Round;
 use place::Want;
-use table::Start;
+use table::Incarnation;
 use table::Upstream;
 use table::UpstreamList;
 
@@ -27,10 +27,10 @@
     let name: Arc<str> = format!("i-{at:010x}").into();
     Upstream {
         id: name.clone(),
-        incarnation: Start {
+        incarnation: Incarnation {
             name,
-            born: None,
-            beats: 1,
+            started_at: None,
+            heartbeats: 1,
         },
         service: "fit".into(),
         addr: ([127, 0, 0, 1], 1).into(),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -140,7 +140,7 @@
     let answer = app.http.fetch(request, STATE, MOST).await?;
     let stated = app.dialect.stated(answer.body())?;
     // What it has counts for that start, which the list will name within a second or two.
-    if let (Some(born), Some(listed)) = (stated.born, one.incarnation.born)
+    if let (Some(born), Some(listed)) = (stated.born, one.incarnation.started_at)
         && born != listed
     {
         return Err(StateError::Start);
--- a/crates/place/src/round.rs
+++ b/crates/place/src/round.rs
@@ -54,10 +54,10 @@
 ///
 /// ```
 /// use place::{Fleet, Memory, Round, Want};
-/// use table::{Upstream, UpstreamList, Start};
+/// use table::{Upstream, UpstreamList, Incarnation};
 ///
 /// let listed = |name: &str| Upstream {
-///     id: name.into(), incarnation: Start { name: name.into(), born: None, beats: 1 },
+///     id: name.into(), incarnation: Incarnation { name: name.into(), started_at: None, heartbeats: 1 },
 ///     service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(), domain: "nord".into(),
 ///     slots: 1, leaving: false, spot: false, weights: vec![("m".into(), 1)],
 /// };
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -10,7 +10,7 @@
 use place::Round;
 use place::Want;
 use place::order;
-use table::Start;
+use table::Incarnation;
 use table::Upstream;
 use table::UpstreamList;
 use yare::parameterized;
@@ -18,10 +18,10 @@
 fn engine(id: &str, slots: u32, version: u64) -> Upstream {
     Upstream {
         id: id.into(),
-        incarnation: Start {
+        incarnation: Incarnation {
             name: id.into(),
-            born: None,
-            beats: 1,
+            started_at: None,
+            heartbeats: 1,
         },
         service: "fit".into(),
         addr: ([127, 0, 0, 1], 1).into(),
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -15,5 +15,5 @@
 pub use roster::Upstream;
 pub use roster::UpstreamChange;
 pub use roster::UpstreamList;
-pub use starts::Start;
+pub use starts::Incarnation;
 pub use starts::Starts;
--- a/crates/table/src/roster.rs
+++ b/crates/table/src/roster.rs
@@ -7,7 +7,7 @@
 use kernel::Millis;
 use kernel::Set;
 
-use crate::Start;
+use crate::Incarnation;
 
 /// Gap between two reads of the list after which the platform counts as having been away: two
 /// reads in a row are missing at the usual pace of one a second.
@@ -23,7 +23,7 @@
     /// Identifies one start of the upstream.
     pub id: Arc<str>,
     /// What it says of its start.
-    pub incarnation: Start,
+    pub incarnation: Incarnation,
     /// The service that it belongs to.
     pub service: Arc<str>,
     /// Its address.
@@ -56,10 +56,10 @@
 /// # Examples
 ///
 /// ```
-/// use table::{Upstream, UpstreamList, Start};
+/// use table::{Upstream, UpstreamList, Incarnation};
 ///
 /// let listed = Upstream {
-///     id: "i-1".into(), incarnation: Start { name: "i-1".into(), born: None, beats: 1 }, service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(),
+///     id: "i-1".into(), incarnation: Incarnation { name: "i-1".into(), started_at: None, heartbeats: 1 }, service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(),
 ///     domain: "nord".into(), slots: 8, leaving: false, spot: false, weights: Vec::new(),
 /// };
 /// let mut roster = UpstreamList::default();
--- a/crates/table/src/starts.rs
+++ b/crates/table/src/starts.rs
@@ -11,13 +11,13 @@
 
 /// What an entry says of the start of its upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Start {
+pub struct Incarnation {
     /// The name that the upstream gives itself; another start may have the same.
     pub name: Arc<str>,
     /// When it started, in milliseconds since 1970 on its own clock, if it says so.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Heartbeats since then.
-    pub beats: u64,
+    pub heartbeats: u64,
 }
 
 /// The newest starts of upstreams that are known.
@@ -25,9 +25,9 @@
 /// # Examples
 ///
 /// ```
-/// use table::{Start, Starts};
+/// use table::{Incarnation, Starts};
 ///
-/// let start = |born, beats| Start { name: "i-1".into(), born: Some(born), beats };
+/// let start = |started_at, heartbeats| Incarnation { name: "i-1".into(), started_at: Some(started_at), heartbeats };
 /// let mut starts = Starts::default();
 /// let first = starts.tell(&start(100, 7), 1);
 /// let second = starts.tell(&start(200, 1), 2);
@@ -43,8 +43,8 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    born: Option<Millis>,
-    beats: u64,
+    started_at: Option<Millis>,
+    heartbeats: u64,
     /// The revision of the entry.
     rev: i64,
     id: Arc<str>,
@@ -58,12 +58,12 @@
     ///
     /// An upstream that does not say when it started has started anew when a newer entry has fewer
     /// heartbeats.
-    pub fn tell(&mut self, start: &Start, rev: i64) -> Option<Arc<str>> {
+    pub fn tell(&mut self, start: &Incarnation, rev: i64) -> Option<Arc<str>> {
         let Some(known) = self.known.get_mut(&start.name) else {
-            let id = identifier(&start.name, start.born, 0);
+            let id = identifier(&start.name, start.started_at, 0);
             let known = Known {
-                born: start.born,
-                beats: start.beats,
+                started_at: start.started_at,
+                heartbeats: start.heartbeats,
                 rev,
                 id: id.clone(),
                 count: 0,
@@ -71,18 +71,20 @@
             self.known.insert(start.name.clone(), known);
             return Some(id);
         };
-        match (known.born, start.born) {
-            (Some(newest), Some(born)) if born < newest => return None,
+        match (known.started_at, start.started_at) {
+            (Some(newest), Some(started_at)) if started_at < newest => return None,
             (Some(_), None) => return Some(known.id.clone()),
-            (None, None) if rev > known.rev && start.beats < known.beats => known.count += 1,
+            (None, None) if rev > known.rev && start.heartbeats < known.heartbeats => {
+                known.count += 1
+            }
             _ => (),
         }
         if rev >= known.rev {
             known.rev = rev;
-            known.beats = start.beats;
+            known.heartbeats = start.heartbeats;
         }
-        known.born = start.born;
-        let id = identifier(&start.name, known.born, known.count);
+        known.started_at = start.started_at;
+        let id = identifier(&start.name, known.started_at, known.count);
         if *id != *known.id {
             known.id = id;
         }
@@ -98,9 +100,9 @@
     }
 }
 
-fn identifier(name: &Arc<str>, born: Option<Millis>, count: u32) -> Arc<str> {
-    match (born, count) {
-        (Some(born), _) => format!("{name}@{born}").into(),
+fn identifier(name: &Arc<str>, started_at: Option<Millis>, count: u32) -> Arc<str> {
+    match (started_at, count) {
+        (Some(started_at), _) => format!("{name}@{started_at}").into(),
         (None, 0) => name.clone(),
         (None, count) => format!("{name}#{count}").into(),
     }
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use table::Config;
+use table::Incarnation;
 use table::Route;
 use table::RouteKind;
-use table::Start;
 use table::Starts;
 use table::Upstream;
 use table::UpstreamChange;
@@ -16,10 +16,10 @@
 fn listed(id: &str) -> Upstream {
     Upstream {
         id: id.into(),
-        incarnation: Start {
+        incarnation: Incarnation {
             name: id.into(),
-            born: None,
-            beats: 1,
+            started_at: None,
+            heartbeats: 1,
         },
         service: "fit".into(),
         addr: ([127, 0, 0, 1], 1).into(),
@@ -108,11 +108,11 @@
     );
 }
 
-fn start(born: Option<u64>, beats: u64) -> Start {
-    Start {
+fn start(born: Option<u64>, beats: u64) -> Incarnation {
+    Incarnation {
         name: "a".into(),
-        born,
-        beats,
+        started_at: born,
+        heartbeats: beats,
     }
 }
 
