--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -8,7 +8,7 @@
 use plat::Item;
 use spread::Changes;
 use table::Config;
-use table::Starts;
+use table::Incarnations;
 use table::Upstream;
 
 use super::CRASHES;
@@ -56,7 +56,7 @@
     /// The keys of entries that name no upstream.
     strange: Set<String>,
     /// Which start of each upstream is the newest.
-    starts: Starts,
+    starts: Incarnations,
     /// The revision of the configuration.
     plan: i64,
     /// When the entries of instances were read that it has.
@@ -136,7 +136,7 @@
                     log::info!(target: "news", key = item.key.as_str(); "strange entry gone");
                 }
                 // A late entry of a former start changes nothing.
-                if let Some(id) = self.starts.tell(&one.incarnation, item.rev) {
+                if let Some(id) = self.starts.identify(&one.incarnation, item.rev) {
                     let one = Arc::new(Upstream { id, ..one });
                     self.list.insert(item.key.clone(), one);
                 }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -16,4 +16,4 @@
 pub use roster::UpstreamChange;
 pub use roster::UpstreamList;
 pub use starts::Incarnation;
-pub use starts::Starts;
+pub use starts::Incarnations;
--- a/crates/table/src/starts.rs
+++ b/crates/table/src/starts.rs
@@ -25,19 +25,19 @@
 /// # Examples
 ///
 /// ```
-/// use table::{Incarnation, Starts};
+/// use table::{Incarnation, Incarnations};
 ///
 /// let start = |started_at, heartbeats| Incarnation { name: "i-1".into(), started_at: Some(started_at), heartbeats };
-/// let mut starts = Starts::default();
-/// let first = starts.tell(&start(100, 7), 1);
-/// let second = starts.tell(&start(200, 1), 2);
+/// let mut starts = Incarnations::default();
+/// let first = starts.identify(&start(100, 7), 1);
+/// let second = starts.identify(&start(200, 1), 2);
 /// assert!(first.is_some() && second.is_some() && first != second);
 /// // A late entry of the former start changes nothing.
-/// assert_eq!(starts.tell(&start(100, 8), 3), None);
-/// assert_eq!(starts.tell(&start(200, 2), 4), second);
+/// assert_eq!(starts.identify(&start(100, 8), 3), None);
+/// assert_eq!(starts.identify(&start(200, 2), 4), second);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Starts {
+pub struct Incarnations {
     known: Map<Arc<str>, Known>,
 }
 
@@ -48,17 +48,17 @@
     /// The revision of the entry.
     rev: i64,
     id: Arc<str>,
-    /// Starts of that name that did not say when they were.
+    /// Incarnations of that name that did not say when they were.
     count: u32,
 }
 
-impl Starts {
+impl Incarnations {
     /// Gives the identifier of the start that an entry is about; [`None`] when a newer start of its
     /// upstream is known.
     ///
     /// An upstream that does not say when it started has started anew when a newer entry has fewer
     /// heartbeats.
-    pub fn tell(&mut self, start: &Incarnation, rev: i64) -> Option<Arc<str>> {
+    pub fn identify(&mut self, start: &Incarnation, rev: i64) -> Option<Arc<str>> {
         let Some(known) = self.known.get_mut(&start.name) else {
             let id = identifier(&start.name, start.started_at, 0);
             let known = Known {
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -4,9 +4,9 @@
 
 use table::Config;
 use table::Incarnation;
+use table::Incarnations;
 use table::Route;
 use table::RouteKind;
-use table::Starts;
 use table::Upstream;
 use table::UpstreamChange;
 use table::UpstreamList;
@@ -132,20 +132,20 @@
     second: (Option<u64>, u64),
     same: Option<bool>,
 ) {
-    let mut starts = Starts::default();
-    let known = starts.tell(&start(first.0, first.1), 1).unwrap();
+    let mut starts = Incarnations::default();
+    let known = starts.identify(&start(first.0, first.1), 1).unwrap();
 
-    let told = starts.tell(&start(second.0, second.1), 2);
+    let told = starts.identify(&start(second.0, second.1), 2);
 
     assert_eq!(told.map(|id| id == known), same);
 }
 
 #[test]
 fn an_entry_that_was_read_before_is_no_new_start() {
-    let mut starts = Starts::default();
-    let known = starts.tell(&start(None, 9), 4);
+    let mut starts = Incarnations::default();
+    let known = starts.identify(&start(None, 9), 4);
 
-    let late = starts.tell(&start(None, 2), 3);
+    let late = starts.identify(&start(None, 2), 3);
 
     assert_eq!(late, known);
 }
