--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,17 +1,17 @@
-//! What the operator has configured: routes and services, and the upstreams that are listed.
+//! The operator's configuration of routes and services, and the upstreams listed by the platform.
 //!
-//! Nothing here reads a socket or a clock; whoever learns of a change hands it in.
+//! Nothing here reads a socket or a clock; callers pass in each change.
 
-pub mod plan;
+pub mod config;
 pub mod roster;
 pub mod starts;
 
-pub use plan::Config;
-pub use plan::EngineSpec;
-pub use plan::Route;
-pub use plan::RouteKind;
-pub use plan::Service;
-pub use plan::WeightedService;
+pub use config::Config;
+pub use config::EngineSpec;
+pub use config::Route;
+pub use config::RouteKind;
+pub use config::Service;
+pub use config::WeightedService;
 pub use roster::Upstream;
 pub use roster::UpstreamChange;
 pub use roster::UpstreamList;
--- a/crates/table/src/roster.rs
+++ b/crates/table/src/roster.rs
@@ -1,4 +1,4 @@
-//! The upstreams that the platform lists.
+//! The list of upstreams that the platform publishes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,158 +9,165 @@
 
 use crate::Incarnation;
 
-/// Gap between two reads of the list after which the platform counts as having been away: two
-/// reads in a row are missing at the usual pace of one a second.
-const AWAY: Millis = 2_500;
+/// Gap between two reads of the list that counts as an outage of the platform. The list is read once
+/// a second, so two consecutive reads have failed.
+const OUTAGE_GAP: Millis = 2_500;
 
-/// Time after the platform's return for which a missing entry is kept. Entries of living
-/// upstreams that lapsed during an outage are back within about two seconds.
-const RETURN: Millis = 2_200;
+/// Time after an outage for which missing entries are kept. Entries of healthy upstreams that expired
+/// during the outage reappear within about two seconds.
+const RECOVERY_GRACE: Millis = 2_200;
 
-/// An upstream as the platform lists it.
+/// An upstream in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// Identifies one start of the upstream.
+    /// Identifies one incarnation of the upstream.
     pub id: Arc<str>,
-    /// What it says of its start.
+    /// The incarnation that the entry describes.
     pub incarnation: Incarnation,
-    /// The service that it belongs to.
+    /// Service that it belongs to.
     pub service: Arc<str>,
-    /// Its address.
+    /// Address for requests.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain that it runs in.
     pub domain: Arc<str>,
-    /// Requests that it works on at the same time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is draining and about to leave.
     pub leaving: bool,
-    /// Whether it costs less and may be taken away at any moment.
+    /// Whether it is cheaper and can be preempted at any time.
     pub spot: bool,
-    /// The models that it has, with the version of their weights.
+    /// Models that it serves, each with the version of its weights.
     pub weights: Vec<(Arc<str>, u64)>,
 }
 
-/// What has changed.
+/// A change found by [`UpstreamList::update`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamChange {
-    /// An upstream is there.
+    /// An upstream was added to the list.
     Added(Arc<Upstream>),
-    /// An upstream is about to leave.
+    /// An upstream is draining and about to leave.
     Leaving(Arc<Upstream>),
-    /// An upstream is gone.
+    /// An upstream was removed from the list.
     Removed(Arc<Upstream>),
 }
 
-/// The upstreams as one instance knows them.
+/// The upstreams known to one instance.
 ///
 /// # Examples
 ///
 /// ```
-/// use table::{Upstream, UpstreamList, Incarnation};
+/// use table::{Incarnation, Upstream, UpstreamList};
 ///
-/// let listed = Upstream {
-///     id: "i-1".into(), incarnation: Incarnation { name: "i-1".into(), started_at: None, heartbeats: 1 }, service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(),
-///     domain: "nord".into(), slots: 8, leaving: false, spot: false, weights: Vec::new(),
+/// let upstream = Upstream {
+///     id: "i-1".into(),
+///     incarnation: Incarnation { name: "i-1".into(), started_at: None, heartbeats: 1 },
+///     service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(), domain: "nord".into(), slots: 8, leaving: false, spot: false, weights: Vec::new(),
 /// };
-/// let mut roster = UpstreamList::default();
-/// roster.update(vec![listed], 0);
-/// assert_eq!(roster.of_service("fit").count(), 1);
-/// roster.update(Vec::new(), 1_000);
-/// assert_eq!(roster.of_service("fit").count(), 0);
+/// let mut list = UpstreamList::default();
+/// list.update(vec![upstream], 0);
+/// assert_eq!(list.of_service("fit").count(), 1);
+/// list.update(Vec::new(), 1_000);
+/// assert_eq!(list.of_service("fit").count(), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamList {
-    all: Map<Arc<str>, Arc<Upstream>>,
-    /// The same by service: whoever looks for one upstream of a few must not pass thousands of others.
-    services: Map<Arc<str>, Vec<Arc<Upstream>>>,
-    read: Option<Millis>,
-    back: Option<Millis>,
+    by_id: Map<Arc<str>, Arc<Upstream>>,
+    /// The same upstreams by service, so that a lookup in a small service doesn't scan thousands of others.
+    by_service: Map<Arc<str>, Vec<Arc<Upstream>>>,
+    last_update: Option<Millis>,
+    outage_end: Option<Millis>,
 }
 
 impl UpstreamList {
-    /// Takes in what a read of the whole list gave; tells what has changed.
+    /// Replaces the list by a complete new one and returns the changes.
+    ///
+    /// After an outage of the platform, entries missing from the new list are kept for a short time.
     pub fn update(&mut self, list: Vec<Upstream>, now: Millis) -> Vec<UpstreamChange> {
         self.update_shared(list.into_iter().map(Arc::new), now)
     }
 
-    /// Takes in what a read of the whole list gave without copying entries: most of a list of thousands is
-    /// what it was a second ago.
+    /// Does the same as [`update`](Self::update) without copying the entries, most of which are unchanged
+    /// since the last second in a list of thousands.
     pub fn update_shared(
         &mut self,
         list: impl IntoIterator<Item = Arc<Upstream>>,
         now: Millis,
     ) -> Vec<UpstreamChange> {
-        if self.read.is_some_and(|read| now > read + AWAY) {
-            self.back = Some(now);
+        if self.last_update.is_some_and(|last| now > last + OUTAGE_GAP) {
+            self.outage_end = Some(now);
         }
-        self.read = Some(now);
-        let held = self.back.is_some_and(|back| now < back + RETURN);
+        self.last_update = Some(now);
+        let keep_missing = self
+            .outage_end
+            .is_some_and(|end| now < end + RECOVERY_GRACE);
         let mut next = Map::default();
-        let mut news = Vec::new();
-        for one in list {
-            match self.all.remove(&one.id) {
-                None => news.push(UpstreamChange::Added(one.clone())),
-                Some(old) if one.leaving && !old.leaving => {
-                    news.push(UpstreamChange::Leaving(one.clone()));
+        let mut changes = Vec::new();
+        for new in list {
+            match self.by_id.remove(&new.id) {
+                None => changes.push(UpstreamChange::Added(new.clone())),
+                Some(old) if new.leaving && !old.leaving => {
+                    changes.push(UpstreamChange::Leaving(new.clone()));
                 }
                 Some(_) => (),
             }
-            next.insert(one.id.clone(), one);
+            next.insert(new.id.clone(), new);
         }
-        // Seldom is any missing.
-        let names: Set<_> = match self.all.is_empty() {
+        // Entries are rarely missing, so the names are collected only when needed.
+        let names: Set<_> = match self.by_id.is_empty() {
             true => Set::default(),
             false => next
                 .values()
-                .map(|one| one.incarnation.name.clone())
+                .map(|upstream| upstream.incarnation.name.clone())
                 .collect(),
         };
-        for (id, old) in self.all.drain() {
-            // A new start takes the place of the former one at once.
-            match held && !names.contains(&old.incarnation.name) {
+        for (id, old) in self.by_id.drain() {
+            // A new incarnation replaces the previous one immediately.
+            match keep_missing && !names.contains(&old.incarnation.name) {
                 true => drop(next.insert(id, old)),
-                false => news.push(UpstreamChange::Removed(old)),
+                false => changes.push(UpstreamChange::Removed(old)),
             }
         }
-        self.all = next;
-        self.services.clear();
-        for one in self.all.values() {
-            let service = self.services.entry(one.service.clone());
-            service.or_default().push(one.clone());
+        self.by_id = next;
+        self.by_service.clear();
+        for upstream in self.by_id.values() {
+            let service = self.by_service.entry(upstream.service.clone());
+            service.or_default().push(upstream.clone());
         }
-        news
+        changes
     }
 
-    /// Age of what is known, in milliseconds; [`None`] before the first read.
+    /// Returns the time since the last update in milliseconds; [`None`] before the first one.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.read.map(|read| now.saturating_sub(read))
+        self.last_update.map(|last| now.saturating_sub(last))
     }
 
-    /// Finds an upstream.
+    /// Returns an upstream by its identifier.
     pub fn get(&self, id: &str) -> Option<&Arc<Upstream>> {
-        self.all.get(id)
+        self.by_id.get(id)
     }
 
-    /// All upstreams, in no order.
+    /// Iterates over all upstreams in arbitrary order.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Upstream>> {
-        self.all.values()
+        self.by_id.values()
     }
 
-    /// The upstreams of a service, in no order.
+    /// Iterates over the upstreams of a service in arbitrary order.
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Arc<Upstream>> + Clone {
-        self.services.get(service).into_iter().flatten()
+        self.by_service.get(service).into_iter().flatten()
     }
 
-    /// At most `count` upstreams of a service, others for each `dice`.
+    /// Iterates over at most `limit` upstreams of a service, beginning at position `offset`.
+    ///
+    /// Positions wrap around, so different offsets give different subsets.
     pub fn subset_of_service(
         &self,
         service: &str,
-        dice: u64,
-        count: usize,
+        offset: u64,
+        limit: usize,
     ) -> impl Iterator<Item = &Arc<Upstream>> {
-        let all = self.services.get(service).map_or(&[][..], Vec::as_slice);
-        let from = dice as usize % all.len().max(1);
-        let (before, behind) = all.split_at(from);
-        behind.iter().chain(before).take(count)
+        let all = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
+        let start = offset as usize % all.len().max(1);
+        let (before, after) = all.split_at(start);
+        after.iter().chain(before).take(limit)
     }
 }
--- a/crates/table/src/starts.rs
+++ b/crates/table/src/starts.rs
@@ -1,109 +1,111 @@
-//! Which start of which upstream an entry is about.
+//! Distinguishes the incarnations of upstreams that restart under the same name.
 //!
-//! An upstream may start again under the name that it had. It has nothing of what it had before, and its
-//! counts begin anew. What was known of the former start, its free places, paces, versions and failures,
-//! would be believed of the new one, so each start has an identifier of its own here.
+//! A restarted upstream has lost its state, and its counters begin anew. Each incarnation gets its own
+//! identifier, so that the free slots, speed, weight versions and failures recorded for the previous one
+//! aren't attributed to it.
 
 use std::sync::Arc;
 
 use kernel::Map;
 use kernel::Millis;
 
-/// What an entry says of the start of its upstream.
+/// One run of an upstream process, as described by its entry in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Incarnation {
-    /// The name that the upstream gives itself; another start may have the same.
+    /// Name that the upstream gives itself; it can be the same in several incarnations.
     pub name: Arc<str>,
-    /// When it started, in milliseconds since 1970 on its own clock, if it says so.
+    /// Start time in milliseconds since 1970 by the upstream's own clock, if reported.
     pub started_at: Option<Millis>,
-    /// Heartbeats since then.
+    /// Number of heartbeats since the start.
     pub heartbeats: u64,
 }
 
-/// The newest starts of upstreams that are known.
+/// Tracks the newest known incarnation of each upstream.
 ///
 /// # Examples
 ///
 /// ```
 /// use table::{Incarnation, Incarnations};
 ///
-/// let start = |started_at, heartbeats| Incarnation { name: "i-1".into(), started_at: Some(started_at), heartbeats };
-/// let mut starts = Incarnations::default();
-/// let first = starts.identify(&start(100, 7), 1);
-/// let second = starts.identify(&start(200, 1), 2);
+/// let run = |started_at, heartbeats| Incarnation {
+///     name: "i-1".into(), started_at: Some(started_at), heartbeats,
+/// };
+/// let mut incarnations = Incarnations::default();
+/// let first = incarnations.identify(&run(100, 7), 1);
+/// let second = incarnations.identify(&run(200, 1), 2);
 /// assert!(first.is_some() && second.is_some() && first != second);
-/// // A late entry of the former start changes nothing.
-/// assert_eq!(starts.identify(&start(100, 8), 3), None);
-/// assert_eq!(starts.identify(&start(200, 2), 4), second);
+/// // A late entry of the previous incarnation is ignored.
+/// assert_eq!(incarnations.identify(&run(100, 8), 3), None);
+/// assert_eq!(incarnations.identify(&run(200, 2), 4), second);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Incarnations {
-    known: Map<Arc<str>, Known>,
+    /// By the name of the upstream.
+    latest: Map<Arc<str>, Latest>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Latest {
     started_at: Option<Millis>,
     heartbeats: u64,
-    /// The revision of the entry.
+    /// Revision of the newest entry.
     rev: i64,
     id: Arc<str>,
-    /// Incarnations of that name that did not say when they were.
-    count: u32,
+    /// Restarts detected without a reported start time.
+    restarts: u32,
 }
 
 impl Incarnations {
-    /// Gives the identifier of the start that an entry is about; [`None`] when a newer start of its
-    /// upstream is known.
+    /// Returns the identifier of the incarnation that an entry of revision `rev` describes; [`None`] if a
+    /// newer incarnation of the upstream is known.
     ///
-    /// An upstream that does not say when it started has started anew when a newer entry has fewer
-    /// heartbeats.
-    pub fn identify(&mut self, start: &Incarnation, rev: i64) -> Option<Arc<str>> {
-        let Some(known) = self.known.get_mut(&start.name) else {
-            let id = identifier(&start.name, start.started_at, 0);
-            let known = Known {
-                started_at: start.started_at,
-                heartbeats: start.heartbeats,
+    /// An upstream that reports no start time has restarted if a newer entry has fewer heartbeats.
+    pub fn identify(&mut self, seen: &Incarnation, rev: i64) -> Option<Arc<str>> {
+        let Some(last) = self.latest.get_mut(&seen.name) else {
+            let id = identifier(&seen.name, seen.started_at, 0);
+            let last = Latest {
+                started_at: seen.started_at,
+                heartbeats: seen.heartbeats,
                 rev,
                 id: id.clone(),
-                count: 0,
+                restarts: 0,
             };
-            self.known.insert(start.name.clone(), known);
+            self.latest.insert(seen.name.clone(), last);
             return Some(id);
         };
-        match (known.started_at, start.started_at) {
+        match (last.started_at, seen.started_at) {
             (Some(newest), Some(started_at)) if started_at < newest => return None,
-            (Some(_), None) => return Some(known.id.clone()),
-            (None, None) if rev > known.rev && start.heartbeats < known.heartbeats => {
-                known.count += 1
+            (Some(_), None) => return Some(last.id.clone()),
+            (None, None) if rev > last.rev && seen.heartbeats < last.heartbeats => {
+                last.restarts += 1
             }
             _ => (),
         }
-        if rev >= known.rev {
-            known.rev = rev;
-            known.heartbeats = start.heartbeats;
+        if rev >= last.rev {
+            last.rev = rev;
+            last.heartbeats = seen.heartbeats;
         }
-        known.started_at = start.started_at;
-        let id = identifier(&start.name, known.started_at, known.count);
-        if *id != *known.id {
-            known.id = id;
+        last.started_at = seen.started_at;
+        let id = identifier(&seen.name, last.started_at, last.restarts);
+        if *id != *last.id {
+            last.id = id;
         }
-        Some(known.id.clone())
+        Some(last.id.clone())
     }
 
-    /// Forgets upstreams whose name is not `listed` once there are as many of them as of the others.
+    /// Removes upstreams whose name is not `listed` once they are more than half of all.
     pub fn prune(&mut self, listed: impl Fn(&str) -> bool) {
-        let gone = self.known.keys().filter(|name| !listed(name)).count();
-        if gone * 2 > self.known.len() {
-            self.known.retain(|name, _| listed(name));
+        let unlisted = self.latest.keys().filter(|name| !listed(name)).count();
+        if unlisted * 2 > self.latest.len() {
+            self.latest.retain(|name, _| listed(name));
         }
     }
 }
 
-fn identifier(name: &Arc<str>, started_at: Option<Millis>, count: u32) -> Arc<str> {
-    match (started_at, count) {
+fn identifier(name: &Arc<str>, started_at: Option<Millis>, restarts: u32) -> Arc<str> {
+    match (started_at, restarts) {
         (Some(started_at), _) => format!("{name}@{started_at}").into(),
         (None, 0) => name.clone(),
-        (None, count) => format!("{name}#{count}").into(),
+        (None, restarts) => format!("{name}#{restarts}").into(),
     }
 }
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -1,4 +1,4 @@
-//! The configuration and the list of upstreams.
+//! Tests of the configuration, the list of upstreams and their incarnations.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use table::WeightedService;
 use yare::parameterized;
 
-fn listed(id: &str) -> Upstream {
+fn upstream(id: &str) -> Upstream {
     Upstream {
         id: id.into(),
         incarnation: Incarnation {
@@ -32,46 +32,46 @@
 }
 
 #[test]
-fn what_is_missing_is_gone_at_once() {
-    let mut roster = UpstreamList::default();
-    roster.update(vec![listed("a"), listed("b")], 0);
+fn missing_upstream_is_removed_immediately() {
+    let mut list = UpstreamList::default();
+    list.update(vec![upstream("a"), upstream("b")], 0);
 
-    let news = roster.update(vec![listed("a")], 1_000);
+    let changes = list.update(vec![upstream("a")], 1_000);
 
-    assert!(matches!(&news[..], [UpstreamChange::Removed(one)] if &*one.id == "b"));
+    assert!(matches!(&changes[..], [UpstreamChange::Removed(one)] if &*one.id == "b"));
 }
 
-// Symptom: after an outage of the platform all living upstreams are taken for gone.
-// Sequence: their entries lapse meanwhile, and come back within two seconds of its return.
-// Cause: an entry that is missing right after an outage is kept for that long, and no longer.
+// Guards against removing all healthy upstreams after an outage of the platform: their entries expire
+// during the outage and reappear within two seconds of its end. Missing entries are kept for that time
+// and no longer.
 #[parameterized(
     soon = { 5_100, 1 },
     later = { 7_400, 0 },
 )]
-fn an_entry_that_lapsed_in_an_outage_is_kept_for_a_while(then: u64, left: usize) {
-    let mut roster = UpstreamList::default();
-    roster.update(vec![listed("a")], 0);
-    roster.update(Vec::new(), 5_000);
-    for now in (5_000..then).step_by(850).skip(1) {
-        roster.update(Vec::new(), now);
+fn entry_expired_in_an_outage_is_kept_briefly(until: u64, expected: usize) {
+    let mut list = UpstreamList::default();
+    list.update(vec![upstream("a")], 0);
+    list.update(Vec::new(), 5_000);
+    for now in (5_000..until).step_by(850).skip(1) {
+        list.update(Vec::new(), now);
     }
 
-    roster.update(Vec::new(), then);
+    list.update(Vec::new(), until);
 
-    assert_eq!(roster.all().count(), left);
+    assert_eq!(list.all().count(), expected);
 }
 
 #[test]
-fn a_leaving_upstream_is_told_once() {
-    let mut roster = UpstreamList::default();
-    roster.update(vec![listed("a")], 0);
+fn leaving_upstream_is_reported_once() {
+    let mut list = UpstreamList::default();
+    list.update(vec![upstream("a")], 0);
     let leaving = Upstream {
         leaving: true,
-        ..listed("a")
+        ..upstream("a")
     };
 
-    let first = roster.update(vec![leaving.clone()], 1_000);
-    let second = roster.update(vec![leaving], 2_000);
+    let first = list.update(vec![leaving.clone()], 1_000);
+    let second = list.update(vec![leaving], 2_000);
 
     assert!(matches!(first[..], [UpstreamChange::Leaving(_)]));
     assert!(second.is_empty());
@@ -83,8 +83,8 @@
     high = { 0.91, "b" },
     end = { 1.0, "b" },
 )]
-fn services_get_their_weights(draw: f64, service: &str) {
-    let share = |service: &str, weight| WeightedService {
+fn services_are_picked_by_weight(draw: f64, service: &str) {
+    let weighted = |service: &str, weight| WeightedService {
         service: service.into(),
         weight,
     };
@@ -99,7 +99,7 @@
         single_version: false,
         resumable: false,
         open: false,
-        services: vec![share("a", 90), share("b", 10)],
+        services: vec![weighted("a", 90), weighted("b", 10)],
     };
 
     assert_eq!(
@@ -108,86 +108,88 @@
     );
 }
 
-fn start(born: Option<u64>, beats: u64) -> Incarnation {
+fn incarnation(started_at: Option<u64>, heartbeats: u64) -> Incarnation {
     Incarnation {
         name: "a".into(),
-        started_at: born,
-        heartbeats: beats,
+        started_at,
+        heartbeats,
     }
 }
 
-// Symptom: an engine that was started again gets nothing, or gets what it cannot make.
-// Sequence: it starts under the name that it had; entries of the former start come late.
-// Cause: what was known of the former start is believed of the new one.
+// Guards against a restarted engine getting no requests, or requests that it cannot serve: it restarts
+// under its old name while late entries of the previous incarnation arrive, and what was known of that
+// one is attributed to the new one.
 #[parameterized(
     same = { (Some(5), 1), (Some(5), 2), Some(true) },
     newer = { (Some(5), 9), (Some(6), 1), Some(false) },
-    former = { (Some(5), 1), (Some(4), 99), None },
-    says_it_now = { (None, 9), (Some(6), 1), Some(false) },
-    does_not_say = { (None, 9), (None, 10), Some(true) },
-    counts_go_back = { (None, 9), (None, 2), Some(false) },
+    older = { (Some(5), 1), (Some(4), 99), None },
+    reports_start_time_now = { (None, 9), (Some(6), 1), Some(false) },
+    no_start_time = { (None, 9), (None, 10), Some(true) },
+    fewer_heartbeats = { (None, 9), (None, 2), Some(false) },
 )]
-fn the_starts_of_an_upstream_are_told_apart(
+fn incarnations_are_distinguished(
     first: (Option<u64>, u64),
     second: (Option<u64>, u64),
     same: Option<bool>,
 ) {
-    let mut starts = Incarnations::default();
-    let known = starts.identify(&start(first.0, first.1), 1).unwrap();
+    let mut incarnations = Incarnations::default();
+    let known = incarnations
+        .identify(&incarnation(first.0, first.1), 1)
+        .unwrap();
 
-    let told = starts.identify(&start(second.0, second.1), 2);
+    let next = incarnations.identify(&incarnation(second.0, second.1), 2);
 
-    assert_eq!(told.map(|id| id == known), same);
+    assert_eq!(next.map(|id| id == known), same);
 }
 
 #[test]
-fn an_entry_that_was_read_before_is_no_new_start() {
-    let mut starts = Incarnations::default();
-    let known = starts.identify(&start(None, 9), 4);
+fn older_revision_is_no_restart() {
+    let mut incarnations = Incarnations::default();
+    let known = incarnations.identify(&incarnation(None, 9), 4);
 
-    let late = starts.identify(&start(None, 2), 3);
+    let late = incarnations.identify(&incarnation(None, 2), 3);
 
     assert_eq!(late, known);
 }
 
-// Symptom: an upstream counts twice, and gets twice what it can take.
-// Sequence: it starts anew while the platform is away; what was listed before is kept for a while.
-// Cause: keeping the former start beside the new one.
+// Guards against counting an upstream twice and overloading it: it restarts during an outage of the
+// platform, after which missing entries, here that of the previous incarnation, are kept for a while.
 #[test]
-fn a_new_start_takes_the_place_of_one_that_is_kept() {
-    let mut roster = UpstreamList::default();
-    roster.update(vec![listed("a")], 0);
+fn new_incarnation_replaces_a_kept_one() {
+    let mut list = UpstreamList::default();
+    list.update(vec![upstream("a")], 0);
     let new = Upstream {
         id: "a@6".into(),
-        ..listed("a")
+        ..upstream("a")
     };
 
-    let news = roster.update(vec![new], 5_000);
+    let changes = list.update(vec![new], 5_000);
 
-    assert_eq!(roster.all().count(), 1);
+    assert_eq!(list.all().count(), 1);
     assert!(
-        news.iter()
+        changes
+            .iter()
             .any(|one| matches!(one, UpstreamChange::Removed(old) if &*old.id == "a"))
     );
 }
 
-// Guards against a look for one upstream that takes longer the more there are.
+// Guards against lookups whose cost grows with the number of upstreams.
 #[test]
-fn some_upstreams_of_a_service_are_a_few_and_all_in_turn() {
-    let one = |at: usize| Upstream {
+fn subsets_are_limited_and_cover_the_service() {
+    let numbered = |at: usize| Upstream {
         service: if at < 900 { "fit".into() } else { "web".into() },
-        ..listed(&format!("i-{at}"))
+        ..upstream(&format!("i-{at}"))
     };
-    let mut roster = UpstreamList::default();
-    roster.update((0..1_000).map(one).collect(), 0);
+    let mut list = UpstreamList::default();
+    list.update((0..1_000).map(numbered).collect(), 0);
 
-    let looks = (0..900)
+    let subsets = (0..900)
         .step_by(100)
-        .map(|dice| roster.subset_of_service("fit", dice, 100));
-    let seen: Vec<_> = looks.flatten().map(|one| one.id.clone()).collect();
+        .map(|offset| list.subset_of_service("fit", offset, 100));
+    let seen: Vec<_> = subsets.flatten().map(|one| one.id.clone()).collect();
 
     assert_eq!(seen.len(), 900);
     assert_eq!(seen.iter().collect::<BTreeSet<_>>().len(), 900);
-    assert_eq!(roster.subset_of_service("web", 7, 512).count(), 100);
-    assert_eq!(roster.subset_of_service("none", 7, 512).count(), 0);
+    assert_eq!(list.subset_of_service("web", 7, 512).count(), 100);
+    assert_eq!(list.subset_of_service("none", 7, 512).count(), 0);
 }
