--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -8,8 +8,8 @@
 use load::Table;
 use place::Fleet;
 use place::Memory;
+use place::PlacementRequest;
 use place::Round;
-use place::Want;
 use table::Incarnation;
 use table::Upstream;
 use table::UpstreamList;
@@ -60,16 +60,16 @@
     (roster, fleet)
 }
 
-fn want() -> Want<'static> {
-    Want {
+fn want() -> PlacementRequest<'static> {
+    PlacementRequest {
         service: "fit",
         model: Some("small"),
-        least: 4,
-        queue: 0,
+        min_version: 4,
+        queue_limit: 0,
         domain: "nord",
-        kin: None,
+        cached_on: None,
         avoid: &[],
-        taken: 100,
+        tokens: 100,
         memory: Memory::default(),
     }
 }
@@ -82,7 +82,7 @@
     let mut round = Round::new(&fleet, &roster, &want, NOW);
     let mut chosen = 0;
     while let Some(one) = round.choose(&fleet, &roster, &want, NOW) {
-        fleet.begin(&one.id, want.taken);
+        fleet.begin(&one.id, want.tokens);
         chosen += 1;
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(chosen)
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -11,8 +11,8 @@
 use kernel::Map;
 use kernel::Millis;
 use place::Job;
+use place::PlacementRequest;
 use place::Round;
-use place::Want;
 use poison::Mark;
 use table::Config;
 use table::Route;
@@ -123,21 +123,21 @@
         let sample = &self.work.spec.samples[at];
         let draft = self.work.drafts[at].lock();
         let memory = self.app.memory(service);
-        let want = Want {
+        let want = PlacementRequest {
             service,
             model: Some(&self.work.head.model),
-            least: self.work.head.least,
-            queue: 0,
+            min_version: self.work.head.least,
+            queue_limit: 0,
             domain: &self.app.settings.domain,
-            kin: self.kin.get(&todo.job.group).map(|kin| &**kin),
+            cached_on: self.kin.get(&todo.job.group).map(|kin| &**kin),
             avoid: &todo.avoid,
-            taken: memory.taken(sample.prompt, draft.last),
+            tokens: memory.taken(sample.prompt, draft.last),
             memory,
         };
         let mut apart = self.app.crashes.apart(|| self.mark(todo));
         apart.extend_from_slice(&todo.avoid);
-        let any = Want { avoid: &[], ..want };
-        let want = Want {
+        let any = PlacementRequest { avoid: &[], ..want };
+        let want = PlacementRequest {
             avoid: &apart,
             ..want
         };
@@ -150,7 +150,7 @@
         let engine = round
             .choose(&fleet, &roster, &want, now)
             .or_else(|| round.choose(&fleet, &roster, &any, now))?;
-        fleet.begin(&engine.id, want.taken);
+        fleet.begin(&engine.id, want.tokens);
         Some((service.clone(), engine))
     }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -13,7 +13,7 @@
 use hyper::body::Incoming;
 use kernel::Millis;
 use parking_lot::Mutex;
-use place::Want;
+use place::PlacementRequest;
 use poison::Mark;
 use table::Upstream;
 use team::Principal;
@@ -300,15 +300,15 @@
     /// Tells whether the rest of the sample would be whole sooner at another engine.
     fn had_better_move(&self, sample: &Sample, draft: &Draft) -> bool {
         let memory = self.app.memory(&self.service);
-        let want = Want {
+        let want = PlacementRequest {
             service: &self.service,
             model: Some(&self.model),
-            least: self.least,
-            queue: 0,
+            min_version: self.least,
+            queue_limit: 0,
             domain: &self.app.settings.domain,
-            kin: None,
+            cached_on: None,
             avoid: &[],
-            taken: memory.taken(sample.prompt, draft.last),
+            tokens: memory.taken(sample.prompt, draft.last),
             memory,
         };
         let roster = self.app.roster.lock();
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -15,7 +15,7 @@
 use kernel::Millis;
 use parking_lot::Mutex;
 use place::Memory;
-use place::Want;
+use place::PlacementRequest;
 use poison::Mark;
 use poison::Verdict;
 use table::Upstream;
@@ -232,18 +232,18 @@
             .unwrap_or(0);
         let mut apart = app.crashes.apart(|| self.mark());
         apart.extend_from_slice(used);
-        let any = Want {
+        let any = PlacementRequest {
             service,
             model: None,
-            least: 0,
-            queue: if queue { slots } else { 0 },
+            min_version: 0,
+            queue_limit: if queue { slots } else { 0 },
             domain: &app.settings.domain,
-            kin: None,
+            cached_on: None,
             avoid: used,
-            taken: 0,
+            tokens: 0,
             memory: Memory::default(),
         };
-        let want = Want {
+        let want = PlacementRequest {
             avoid: &apart,
             ..any
         };
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -38,23 +38,23 @@
 
 /// What a sample needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct PlacementRequest<'a> {
     /// The service that has to run it.
     pub service: &'a str,
     /// The model, when it is a sample; the upstreams of a plain service have none.
     pub model: Option<&'a str>,
     /// The oldest version of the weights that may generate it.
-    pub least: u64,
+    pub min_version: u64,
     /// Requests that may wait inside the upstream beyond its slots.
-    pub queue: u32,
+    pub queue_limit: u32,
     /// The failure domain of who asks.
     pub domain: &'a str,
     /// The engine that last ran a sample of the same group, and has their prompt in its cache.
-    pub kin: Option<&'a str>,
+    pub cached_on: Option<&'a str>,
     /// Engines that it has just failed at.
     pub avoid: &'a [Arc<str>],
     /// Tokens that it takes in an engine's memory at once.
-    pub taken: u64,
+    pub tokens: u64,
     /// What an engine's memory holds.
     pub memory: Memory,
 }
@@ -202,18 +202,18 @@
     pub(crate) fn weigh(
         &self,
         one: &Upstream,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         usual: f64,
         now: Millis,
     ) -> Weighed {
-        let slots = one.slots + want.queue;
+        let slots = one.slots + want.queue_limit;
         let engine = self.engines.get(&one.id);
         let (mine, tokens) = engine.map_or((0, 0), |engine| (engine.mine, engine.tokens));
         if one.leaving || mine >= slots {
             return Weighed::Closed;
         }
         if let Some(model) = want.model
-            && newest(one, engine, model) < Some(want.least)
+            && newest(one, engine, model) < Some(want.min_version)
         {
             return Weighed::Closed;
         }
@@ -224,7 +224,7 @@
                 return Weighed::Closed;
             }
         }
-        if !want.memory.lets_in(tokens, mine, want.taken) || want.avoid.contains(&one.id) {
+        if !want.memory.lets_in(tokens, mine, want.tokens) || want.avoid.contains(&one.id) {
             return Weighed::Unfit;
         }
         let far = match *one.domain == *want.domain {
@@ -249,11 +249,11 @@
         &self,
         best: &Arc<Upstream>,
         roster: &UpstreamList,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         now: Millis,
     ) -> Arc<Upstream> {
         let usual = self.usual(now);
-        let kin = want.kin.and_then(|kin| roster.get(kin));
+        let kin = want.cached_on.and_then(|kin| roster.get(kin));
         let kin = kin.filter(|kin| *kin.service == *want.service);
         let fits =
             |kin: &&Arc<Upstream>| matches!(self.weigh(kin, want, usual, now), Weighed::Fits(_));
@@ -269,7 +269,7 @@
     pub fn choose(
         &self,
         roster: &UpstreamList,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         now: Millis,
     ) -> Option<Arc<Upstream>> {
         self.choose_of(roster.of_service(want.service), roster, want, now)
@@ -279,7 +279,7 @@
         &self,
         engines: impl Iterator<Item = &'a Arc<Upstream>>,
         roster: &UpstreamList,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         now: Millis,
     ) -> Option<Arc<Upstream>> {
         let usual = self.usual(now);
@@ -296,7 +296,7 @@
     pub fn better(
         &self,
         roster: &UpstreamList,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         here: &str,
         left: u32,
         now: Millis,
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use engine::Load;
 pub use fleet::Fleet;
-pub use fleet::Want;
+pub use fleet::PlacementRequest;
 pub use memory::Memory;
 pub use order::Job;
 pub use order::order;
--- a/crates/place/src/round.rs
+++ b/crates/place/src/round.rs
@@ -14,7 +14,7 @@
 use table::UpstreamList;
 
 use crate::Fleet;
-use crate::Want;
+use crate::PlacementRequest;
 use crate::fleet::Weighed;
 
 /// An engine as it was weighed last.
@@ -53,7 +53,7 @@
 /// # Examples
 ///
 /// ```
-/// use place::{Fleet, Memory, Round, Want};
+/// use place::{Fleet, Memory, Round, PlacementRequest};
 /// use table::{Upstream, UpstreamList, Incarnation};
 ///
 /// let listed = |name: &str| Upstream {
@@ -61,9 +61,9 @@
 ///     service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(), domain: "nord".into(),
 ///     slots: 1, leaving: false, spot: false, weights: vec![("m".into(), 1)],
 /// };
-/// let want = Want {
-///     service: "fit", model: Some("m"), least: 1, queue: 0, domain: "nord", kin: None,
-///     avoid: &[], taken: 0, memory: Memory::default(),
+/// let want = PlacementRequest {
+///     service: "fit", model: Some("m"), min_version: 1, queue_limit: 0, domain: "nord", cached_on: None,
+///     avoid: &[], tokens: 0, memory: Memory::default(),
 /// };
 /// let (mut roster, mut fleet) = (UpstreamList::default(), Fleet::default());
 /// roster.update(vec![listed("a"), listed("b")], 0);
@@ -83,11 +83,16 @@
 impl Round {
     /// Weighs all engines of a service for samples that want the same but for what they avoid, take and are
     /// kin to.
-    pub fn new(fleet: &Fleet, roster: &UpstreamList, want: &Want<'_>, now: Millis) -> Self {
+    pub fn new(
+        fleet: &Fleet,
+        roster: &UpstreamList,
+        want: &PlacementRequest<'_>,
+        now: Millis,
+    ) -> Self {
         let usual = fleet.usual(now);
-        let least = Want {
+        let least = PlacementRequest {
             avoid: &[],
-            taken: 0,
+            tokens: 0,
             ..*want
         };
         let weigh = |one: &Arc<Upstream>| match fleet.weigh(one, &least, usual, now) {
@@ -109,7 +114,7 @@
         &mut self,
         fleet: &Fleet,
         roster: &UpstreamList,
-        want: &Want<'_>,
+        want: &PlacementRequest<'_>,
         now: Millis,
     ) -> Option<Arc<Upstream>> {
         let usual = fleet.usual(now);
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -7,8 +7,8 @@
 use place::Job;
 use place::Load;
 use place::Memory;
+use place::PlacementRequest;
 use place::Round;
-use place::Want;
 use place::order;
 use table::Incarnation;
 use table::Upstream;
@@ -39,16 +39,16 @@
     roster
 }
 
-fn want() -> Want<'static> {
-    Want {
+fn want() -> PlacementRequest<'static> {
+    PlacementRequest {
         service: "fit",
         model: Some("m"),
-        least: 1,
-        queue: 0,
+        min_version: 1,
+        queue_limit: 0,
         domain: "nord",
-        kin: None,
+        cached_on: None,
         avoid: &[],
-        taken: 0,
+        tokens: 0,
         memory: Memory::default(),
     }
 }
@@ -57,7 +57,12 @@
     name.into()
 }
 
-fn chosen(fleet: &Fleet, roster: &UpstreamList, want: &Want<'_>, now: u64) -> Option<String> {
+fn chosen(
+    fleet: &Fleet,
+    roster: &UpstreamList,
+    want: &PlacementRequest<'_>,
+    now: u64,
+) -> Option<String> {
     fleet
         .choose(roster, want, now)
         .map(|one| one.id.to_string())
@@ -100,13 +105,13 @@
 }
 
 #[parameterized(
-    old_weights = { Want { least: 3, ..want() }, None },
-    new_enough = { Want { least: 2, ..want() }, Some("new") },
-    other_service = { Want { service: "other", ..want() }, None },
-    other_model = { Want { model: Some("x"), ..want() }, None },
-    kin = { Want { kin: Some("old"), ..want() }, Some("old") },
+    old_weights = { PlacementRequest { min_version: 3, ..want() }, None },
+    new_enough = { PlacementRequest { min_version: 2, ..want() }, Some("new") },
+    other_service = { PlacementRequest { service: "other", ..want() }, None },
+    other_model = { PlacementRequest { model: Some("x"), ..want() }, None },
+    kin = { PlacementRequest { cached_on: Some("old"), ..want() }, Some("old") },
 )]
-fn an_engine_has_to_fit(want: Want<'_>, expected: Option<&str>) {
+fn an_engine_has_to_fit(want: PlacementRequest<'_>, expected: Option<&str>) {
     let roster = roster(vec![engine("new", 2, 2), engine("old", 2, 1)]);
 
     let chosen = chosen(&Fleet::default(), &roster, &want, 0);
@@ -124,7 +129,10 @@
 
     fleet.saw(&id("a"), &id("m"), 2);
 
-    let want = Want { least: 2, ..want() };
+    let want = PlacementRequest {
+        min_version: 2,
+        ..want()
+    };
     assert_eq!(chosen(&fleet, &roster, &want, 0).as_deref(), Some("a"));
 }
 
@@ -298,9 +306,9 @@
     event: 100,
 };
 
-fn growing(taken: u64) -> Want<'static> {
-    Want {
-        taken,
+fn growing(taken: u64) -> PlacementRequest<'static> {
+    PlacementRequest {
+        tokens: taken,
         memory: MEMORY,
         ..want()
     }
@@ -393,10 +401,10 @@
         for (avoid, kin, taken, has_kin) in samples {
             let avoid = [id(&format!("e{avoid:02}"))];
             let kin = format!("e{kin:02}");
-            let want = Want {
+            let want = PlacementRequest {
                 avoid: &avoid,
-                kin: (has_kin > 0).then_some(&*kin),
-                taken,
+                cached_on: (has_kin > 0).then_some(&*kin),
+                tokens: taken,
                 memory,
                 ..want()
             };
