--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -6,7 +6,7 @@
 
 use kernel::Millis;
 use load::Table;
-use place::Fleet;
+use place::EngineTracker;
 use place::Memory;
 use place::PlacementRequest;
 use place::Round;
@@ -43,17 +43,17 @@
 }
 
 /// Engines all of whose places are taken but one in `free`.
-fn fleet(engines: usize, free: usize) -> (UpstreamList, Fleet) {
+fn fleet(engines: usize, free: usize) -> (UpstreamList, EngineTracker) {
     let all: Vec<_> = (0..engines).map(listed).collect();
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
     for (at, one) in all.iter().enumerate() {
         let taken = match at % free {
             0 => SLOTS - 1,
             _ => SLOTS,
         };
-        (0..taken).for_each(|_| fleet.begin(&one.id, 100));
-        fleet.event(&one.id, 30.0 + (at % 17) as f64);
-        fleet.saw(&one.id, &"small".into(), 4);
+        (0..taken).for_each(|_| fleet.run_started(&one.id, 100));
+        fleet.event_received(&one.id, 30.0 + (at % 17) as f64);
+        fleet.version_seen(&one.id, &"small".into(), 4);
     }
     let mut roster = UpstreamList::default();
     roster.update(all, NOW);
@@ -82,7 +82,7 @@
     let mut round = Round::new(&fleet, &roster, &want, NOW);
     let mut chosen = 0;
     while let Some(one) = round.choose(&fleet, &roster, &want, NOW) {
-        fleet.begin(&one.id, want.tokens);
+        fleet.run_started(&one.id, want.tokens);
         chosen += 1;
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(chosen)
@@ -103,11 +103,11 @@
 fn better(engines: usize) -> f64 {
     let (roster, mut fleet) = fleet(engines, 10);
     let here = listed(0).id;
-    fleet.event(&here, 400.0);
+    fleet.event_received(&here, 400.0);
     let want = want();
     let begun = Instant::now();
     for at in 0..u64::from(TIMES) {
-        black_box(fleet.better(black_box(&roster), &want, &here, 40, NOW + at));
+        black_box(fleet.choose_better(black_box(&roster), &want, &here, 40, NOW + at));
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES)
 }
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -17,7 +17,7 @@
 use kernel::Set;
 use kernel::ShardedMap;
 use parking_lot::Mutex;
-use place::Fleet;
+use place::EngineTracker;
 use place::Memory;
 use plat::Client;
 use poison::Mark;
@@ -75,9 +75,9 @@
     /// The upstreams that are listed.
     pub roster: Mutex<UpstreamList>,
     /// The upstreams of plain services as this instance sees them.
-    pub plain: Mutex<Fleet>,
+    pub plain: Mutex<EngineTracker>,
     /// The engines as this instance sees them.
-    pub fleet: Mutex<Fleet>,
+    pub fleet: Mutex<EngineTracker>,
     /// Which requests crash upstreams.
     pub crashes: Arc<Watch>,
     /// What this instance has counted of the requests of teams, if they are reported.
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -147,7 +147,7 @@
     }
     let mut fleet = app.fleet.lock();
     for (model, version) in &stated.models {
-        fleet.saw(&one.id, model, *version);
+        fleet.version_seen(&one.id, model, *version);
     }
     Ok(stated)
 }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -289,7 +289,7 @@
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
-            sent.app.plain.lock().failed(&one.id, now);
+            sent.app.plain.lock().engine_failed(&one.id, now);
             let why = error.to_string();
             log::info!(target: "forward", id = &*sent.id, upstream = &*one.id,
                 took_ms = took, why = why.as_str(); "attempt failed");
@@ -302,21 +302,21 @@
     let said = sent.app.dialect.said(answer.status(), answer.headers());
     let mut plain = sent.app.plain.lock();
     if let Some(load) = said.load {
-        plain.report(&one.id, load, now);
+        plain.load_reported(&one.id, load, now);
     }
     if said.unrun || said.other {
-        plain.busy(&one.id, now + FULL);
+        plain.engine_busy(&one.id, now + FULL);
         return Came::Unrun;
     }
     if let (Some(id), Some(signature)) = (&said.id, said.signature)
         && **id == *sent.id
     {
-        plain.event(&one.id, took as f64);
+        plain.event_received(&one.id, took as f64);
         drop(plain);
         sent.answered(answer.status());
         return Came::Answer(answer, signature);
     }
-    plain.failed(&one.id, now);
+    plain.engine_failed(&one.id, now);
     let status = answer.status().as_u16();
     log::warn!(target: "forward", id = &*sent.id, upstream = &*one.id, status,
         answers = said.id.as_deref().unwrap_or("nothing"); "answer of something else");
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -150,7 +150,7 @@
         let engine = round
             .choose(&fleet, &roster, &want, now)
             .or_else(|| round.choose(&fleet, &roster, &any, now))?;
-        fleet.begin(&engine.id, want.tokens);
+        fleet.run_started(&engine.id, want.tokens);
         Some((service.clone(), engine))
     }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -103,10 +103,10 @@
     fn event(&self, gap: Option<f64>, tokens: u64) {
         self.tokens.fetch_add(tokens, Ordering::Relaxed);
         let mut fleet = self.run.app.fleet.lock();
-        fleet.grow(&self.run.engine.id, tokens);
+        fleet.run_grew(&self.run.engine.id, tokens);
         match gap {
-            Some(gap) => fleet.event(&self.run.engine.id, gap),
-            None => fleet.answered(&self.run.engine.id),
+            Some(gap) => fleet.event_received(&self.run.engine.id, gap),
+            None => fleet.engine_answered(&self.run.engine.id),
         }
     }
 }
@@ -115,7 +115,7 @@
     fn drop(&mut self) {
         let Run { app, engine, .. } = self.run;
         let tokens = self.tokens.load(Ordering::Relaxed);
-        app.fleet.lock().end(&engine.id, tokens);
+        app.fleet.lock().run_ended(&engine.id, tokens);
         app.room.notify_waiters();
     }
 }
@@ -135,7 +135,10 @@
             draft.lock().whole = true;
             self.app.crashes.whole(|| self.mark(sample));
             let events = draft.lock().last;
-            self.app.fleet.lock().whole(sample.expected, events);
+            self.app
+                .fleet
+                .lock()
+                .sample_finished(sample.expected, events);
         }
         if !matches!(
             ended,
@@ -144,7 +147,7 @@
             self.app
                 .fleet
                 .lock()
-                .failed(&self.engine.id, self.app.clock.now());
+                .engine_failed(&self.engine.id, self.app.clock.now());
         }
         if let Ended::Broken(why) = &ended
             && BROKE.contains(why)
@@ -211,10 +214,10 @@
         {
             let mut fleet = self.app.fleet.lock();
             if let Some(load) = said.load {
-                fleet.report(&self.engine.id, load, now);
+                fleet.load_reported(&self.engine.id, load, now);
             }
             if said.unrun || said.other {
-                fleet.busy(&self.engine.id, now + FULL);
+                fleet.engine_busy(&self.engine.id, now + FULL);
                 return Ended::Unrun;
             }
         }
@@ -241,7 +244,7 @@
         self.app
             .fleet
             .lock()
-            .saw(&self.engine.id, &self.model, version);
+            .version_seen(&self.engine.id, &self.model, version);
         let one = draft.versions.iter().all(|have| *have == version);
         version >= self.least && (one || !self.single)
     }
@@ -313,10 +316,10 @@
         };
         let roster = self.app.roster.lock();
         let fleet = self.app.fleet.lock();
-        let left = fleet.left(sample.expected, draft.last);
+        let left = fleet.remaining_events(sample.expected, draft.last);
         let now = self.app.clock.now();
         fleet
-            .better(&roster, &want, &self.engine.id, left, now)
+            .choose_better(&roster, &want, &self.engine.id, left, now)
             .is_some()
     }
 }
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -252,7 +252,7 @@
         let one = plain
             .choose(&roster, &want, now)
             .or_else(|| plain.choose(&roster, &any, now))?;
-        plain.begin(&one.id, 0);
+        plain.run_started(&one.id, 0);
         let stay = app.crashes.stay(|| self.mark(), &one.id);
         let app = app.clone();
         Some(Place {
@@ -281,6 +281,6 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.app.plain.lock().end(&self.one.id, 0);
+        self.app.plain.lock().run_ended(&self.one.id, 0);
     }
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -142,7 +142,7 @@
                     .app
                     .plain
                     .lock()
-                    .failed(&one.id, self.sent.app.clock.now());
+                    .engine_failed(&one.id, self.sent.app.clock.now());
                 let why = error.to_string();
                 log::info!(target: "stream", id = &*self.sent.id, upstream = &*one.id,
                     why = why.as_str(); "attempt failed");
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -85,13 +85,13 @@
 
 /// The engines as one instance sees them.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct EngineTracker {
     engines: Map<Arc<str>, Engine>,
     scale: Scale,
     paces: Cell<Option<Paces>>,
 }
 
-impl Fleet {
+impl EngineTracker {
     fn engine(&mut self, id: &Arc<str>) -> &mut Engine {
         self.engines.entry(id.clone()).or_default()
     }
@@ -103,48 +103,48 @@
     }
 
     /// Notes that a run begins at an engine, which takes so many tokens there.
-    pub fn begin(&mut self, id: &Arc<str>, tokens: u64) {
+    pub fn run_started(&mut self, id: &Arc<str>, tokens: u64) {
         self.engine(id).begin(tokens);
     }
 
     /// Notes that a run at an engine has grown by so many tokens.
-    pub fn grow(&mut self, id: &Arc<str>, tokens: u64) {
+    pub fn run_grew(&mut self, id: &Arc<str>, tokens: u64) {
         self.engine(id).tokens += tokens;
     }
 
     /// Notes that a run has left an engine, where it took so many tokens.
-    pub fn end(&mut self, id: &Arc<str>, tokens: u64) {
+    pub fn run_ended(&mut self, id: &Arc<str>, tokens: u64) {
         self.engine(id).end(tokens);
     }
 
     /// Notes the time since the event before, in milliseconds.
-    pub fn event(&mut self, id: &Arc<str>, gap: f64) {
+    pub fn event_received(&mut self, id: &Arc<str>, gap: f64) {
         self.engine(id).event(gap);
     }
 
     /// Notes that an engine answers.
-    pub fn answered(&mut self, id: &Arc<str>) {
+    pub fn engine_answered(&mut self, id: &Arc<str>) {
         self.engine(id).answered();
     }
 
     /// Notes that an engine failed; it gets nothing new for a moment.
-    pub fn failed(&mut self, id: &Arc<str>, now: Millis) {
+    pub fn engine_failed(&mut self, id: &Arc<str>, now: Millis) {
         self.engine(id).failed(now);
     }
 
     /// Notes that an engine takes nothing new until a time.
-    pub fn busy(&mut self, id: &Arc<str>, until: Millis) {
+    pub fn engine_busy(&mut self, id: &Arc<str>, until: Millis) {
         self.engine(id).busy(until);
     }
 
     /// Notes what an engine said of its load.
-    pub fn report(&mut self, id: &Arc<str>, load: Load, now: Millis) {
+    pub fn load_reported(&mut self, id: &Arc<str>, load: Load, now: Millis) {
         self.engine(id).report(load, now);
     }
 
     /// Notes the version of a model's weights that an engine stated itself, which the list tells
     /// only a second or two later.
-    pub fn saw(&mut self, id: &Arc<str>, model: &Arc<str>, version: u64) {
+    pub fn version_seen(&mut self, id: &Arc<str>, model: &Arc<str>, version: u64) {
         let seen = self.engine(id).versions.entry(model.clone()).or_default();
         *seen = version.max(*seen);
     }
@@ -155,17 +155,17 @@
     }
 
     /// Notes that a sample is whole, of which `expected` was expected.
-    pub fn whole(&mut self, expected: u32, events: u64) {
+    pub fn sample_finished(&mut self, expected: u32, events: u64) {
         self.scale.ended(expected, events);
     }
 
     /// Events that a run is expected to have left when it has `done` of them.
-    pub fn left(&self, expected: u32, done: u64) -> u32 {
+    pub fn remaining_events(&self, expected: u32, done: u64) -> u32 {
         self.scale.left(expected, done)
     }
 
     /// Runs of this instance at an engine.
-    pub fn mine(&self, id: &str) -> u32 {
+    pub fn own_runs(&self, id: &str) -> u32 {
         self.engines.get(id).map_or(0, |engine| engine.mine)
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// Chooses an engine to which a run with `left` more events had better move, if there is one.
-    pub fn better(
+    pub fn choose_better(
         &self,
         roster: &UpstreamList,
         want: &PlacementRequest<'_>,
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -13,7 +13,7 @@
 mod scale;
 
 pub use engine::Load;
-pub use fleet::Fleet;
+pub use fleet::EngineTracker;
 pub use fleet::PlacementRequest;
 pub use memory::Memory;
 pub use order::Job;
--- a/crates/place/src/round.rs
+++ b/crates/place/src/round.rs
@@ -13,7 +13,7 @@
 use table::Upstream;
 use table::UpstreamList;
 
-use crate::Fleet;
+use crate::EngineTracker;
 use crate::PlacementRequest;
 use crate::fleet::Weighed;
 
@@ -53,7 +53,7 @@
 /// # Examples
 ///
 /// ```
-/// use place::{Fleet, Memory, Round, PlacementRequest};
+/// use place::{EngineTracker, Memory, Round, PlacementRequest};
 /// use table::{Upstream, UpstreamList, Incarnation};
 ///
 /// let listed = |name: &str| Upstream {
@@ -65,12 +65,12 @@
 ///     service: "fit", model: Some("m"), min_version: 1, queue_limit: 0, domain: "nord", cached_on: None,
 ///     avoid: &[], tokens: 0, memory: Memory::default(),
 /// };
-/// let (mut roster, mut fleet) = (UpstreamList::default(), Fleet::default());
+/// let (mut roster, mut fleet) = (UpstreamList::default(), EngineTracker::default());
 /// roster.update(vec![listed("a"), listed("b")], 0);
 /// let mut round = Round::new(&fleet, &roster, &want, 0);
 /// let mut names = Vec::new();
 /// while let Some(one) = round.choose(&fleet, &roster, &want, 0) {
-///     fleet.begin(&one.id, 0);
+///     fleet.run_started(&one.id, 0);
 ///     names.push(one.id.clone());
 /// }
 /// assert_eq!(names, ["a".into(), "b".into()]);
@@ -84,7 +84,7 @@
     /// Weighs all engines of a service for samples that want the same but for what they avoid, take and are
     /// kin to.
     pub fn new(
-        fleet: &Fleet,
+        fleet: &EngineTracker,
         roster: &UpstreamList,
         want: &PlacementRequest<'_>,
         now: Millis,
@@ -112,7 +112,7 @@
     /// before the next choice.
     pub fn choose(
         &mut self,
-        fleet: &Fleet,
+        fleet: &EngineTracker,
         roster: &UpstreamList,
         want: &PlacementRequest<'_>,
         now: Millis,
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -3,7 +3,7 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-use place::Fleet;
+use place::EngineTracker;
 use place::Job;
 use place::Load;
 use place::Memory;
@@ -58,7 +58,7 @@
 }
 
 fn chosen(
-    fleet: &Fleet,
+    fleet: &EngineTracker,
     roster: &UpstreamList,
     want: &PlacementRequest<'_>,
     now: u64,
@@ -74,11 +74,11 @@
 #[test]
 fn a_full_engine_gets_nothing_more() {
     let roster = roster(vec![engine("a", 2, 1), engine("b", 1, 1)]);
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
     let mut placed = Vec::new();
 
     while let Some(one) = fleet.choose(&roster, &want(), 0) {
-        fleet.begin(&one.id, 0);
+        fleet.run_started(&one.id, 0);
         placed.push(one.id.to_string());
     }
 
@@ -89,13 +89,13 @@
 #[test]
 fn what_others_run_there_counts_for_a_moment() {
     let roster = roster(vec![engine("a", 2, 1)]);
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
     let load = Load {
         running: 2,
         waiting: 0,
     };
 
-    fleet.report(&id("a"), load, 0);
+    fleet.load_reported(&id("a"), load, 0);
 
     assert_eq!(chosen(&fleet, &roster, &want(), 100), None);
     assert_eq!(
@@ -114,7 +114,7 @@
 fn an_engine_has_to_fit(want: PlacementRequest<'_>, expected: Option<&str>) {
     let roster = roster(vec![engine("new", 2, 2), engine("old", 2, 1)]);
 
-    let chosen = chosen(&Fleet::default(), &roster, &want, 0);
+    let chosen = chosen(&EngineTracker::default(), &roster, &want, 0);
 
     assert_eq!(chosen.as_deref(), expected);
 }
@@ -125,9 +125,9 @@
 #[test]
 fn what_an_engine_states_counts_before_the_list() {
     let roster = roster(vec![engine("a", 2, 1)]);
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
 
-    fleet.saw(&id("a"), &id("m"), 2);
+    fleet.version_seen(&id("a"), &id("m"), 2);
 
     let want = PlacementRequest {
         min_version: 2,
@@ -139,11 +139,11 @@
 #[test]
 fn an_engine_that_failed_rests_longer_each_time() {
     let roster = roster(vec![engine("a", 2, 1)]);
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
 
-    fleet.failed(&id("a"), 0);
+    fleet.engine_failed(&id("a"), 0);
     let first = chosen(&fleet, &roster, &want(), 300);
-    fleet.failed(&id("a"), 300);
+    fleet.engine_failed(&id("a"), 300);
     let second = chosen(&fleet, &roster, &want(), 600);
 
     assert!(first.is_some());
@@ -160,16 +160,16 @@
         engine("b", 4, 1),
         engine("c", 4, 1),
     ]);
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
     for _ in 0..30 {
-        fleet.event(&id("a"), 40.0);
-        fleet.event(&id("b"), 40.0);
-        fleet.event(&id("c"), 160.0);
+        fleet.event_received(&id("a"), 40.0);
+        fleet.event_received(&id("b"), 40.0);
+        fleet.event_received(&id("c"), 160.0);
     }
 
-    let long = fleet.better(&roster, &want(), "c", 50, 0);
-    let short = fleet.better(&roster, &want(), "c", 1, 0);
-    let fine = fleet.better(&roster, &want(), "a", 50, 0);
+    let long = fleet.choose_better(&roster, &want(), "c", 50, 0);
+    let short = fleet.choose_better(&roster, &want(), "c", 1, 0);
+    let fine = fleet.choose_better(&roster, &want(), "a", 50, 0);
 
     assert!(long.is_some_and(|one| &*one.id != "c"));
     assert!(short.is_none());
@@ -187,10 +187,10 @@
         engine("b", 16, 1),
         engine("c", 16, 1),
     ]);
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
     for name in ["a", "b", "c"] {
         for broken in 0..8 {
-            fleet.failed(&id(name), 1_000 + broken);
+            fleet.engine_failed(&id(name), 1_000 + broken);
         }
     }
 
@@ -209,13 +209,13 @@
 #[test]
 fn an_engine_that_failed_gets_one_run_until_it_answers() {
     let roster = roster(vec![engine("a", 16, 1)]);
-    let mut fleet = Fleet::default();
-    fleet.failed(&id("a"), 0);
+    let mut fleet = EngineTracker::default();
+    fleet.engine_failed(&id("a"), 0);
 
     let trial = fleet.choose(&roster, &want(), 300);
-    fleet.begin(&id("a"), 0);
+    fleet.run_started(&id("a"), 0);
     let second = fleet.choose(&roster, &want(), 310);
-    fleet.event(&id("a"), 40.0);
+    fleet.event_received(&id("a"), 40.0);
     let after = fleet.choose(&roster, &want(), 400);
 
     assert!(trial.is_some());
@@ -285,15 +285,17 @@
 #[test]
 fn a_run_that_is_nearly_whole_does_not_move() {
     let roster = roster(vec![engine("slow", 8, 1), engine("fast", 8, 1)]);
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
     for _ in 0..30 {
-        fleet.event(&id("slow"), 100.0);
-        fleet.event(&id("fast"), 50.0);
+        fleet.event_received(&id("slow"), 100.0);
+        fleet.event_received(&id("fast"), 50.0);
     }
-    fleet.whole(1_000, 10);
+    fleet.sample_finished(1_000, 10);
     let better = |done| {
-        let left = fleet.left(2_000, done);
-        fleet.better(&roster, &want(), "slow", left, 0).is_some()
+        let left = fleet.remaining_events(2_000, done);
+        fleet
+            .choose_better(&roster, &want(), "slow", left, 0)
+            .is_some()
     };
 
     assert!(better(2));
@@ -321,13 +323,13 @@
 #[test]
 fn runs_leave_an_engine_before_its_memory_runs_out() {
     let roster = roster(vec![engine("fast", 8, 1), engine("slow", 8, 1)]);
-    let mut fleet = Fleet::default();
-    fleet.event(&id("fast"), 50.0);
-    fleet.event(&id("slow"), 60.0);
+    let mut fleet = EngineTracker::default();
+    fleet.event_received(&id("fast"), 50.0);
+    fleet.event_received(&id("slow"), 60.0);
     let mut on = Vec::new();
     for _ in 0..5 {
         let one = fleet.choose(&roster, &growing(300), 0).unwrap();
-        fleet.begin(&one.id, 300);
+        fleet.run_started(&one.id, 300);
         on.push(one.id.clone());
     }
     assert!(on.iter().filter(|one| &***one == "fast").count() > 3);
@@ -336,11 +338,11 @@
     for event in 1..=90 {
         let taken = 300 + event * 100;
         for one in &mut on {
-            fleet.grow(one, 100);
-            let better = fleet.better(&roster, &growing(taken), one, 10, 0);
+            fleet.run_grew(one, 100);
+            let better = fleet.choose_better(&roster, &growing(taken), one, 10, 0);
             if let Some(better) = better.filter(|_| event % 4 == 0) {
-                fleet.end(one, taken);
-                fleet.begin(&better.id, taken);
+                fleet.run_ended(one, taken);
+                fleet.run_started(&better.id, taken);
                 *one = better.id.clone();
             }
         }
@@ -354,18 +356,18 @@
 #[test]
 fn an_engine_whose_memory_is_full_gets_nothing_more() {
     let roster = roster(vec![engine("a", 8, 1)]);
-    let mut fleet = Fleet::default();
-    fleet.begin(&id("a"), 300);
+    let mut fleet = EngineTracker::default();
+    fleet.run_started(&id("a"), 300);
     let before = fleet.choose(&roster, &growing(300), 0).is_some();
 
-    fleet.grow(&id("a"), 28_000);
+    fleet.run_grew(&id("a"), 28_000);
 
     assert!(before);
     assert!(fleet.choose(&roster, &growing(300), 0).is_none());
 }
 
 /// A fleet of engines with places, paces and versions that differ.
-fn mixed(engines: &[(u32, u32, u8, u64)]) -> (UpstreamList, Fleet) {
+fn mixed(engines: &[(u32, u32, u8, u64)]) -> (UpstreamList, EngineTracker) {
     let name = |at: usize| format!("e{at:02}");
     let all = engines.iter().enumerate();
     let listed = all.map(|(at, (slots, ..))| Upstream {
@@ -373,14 +375,14 @@
         ..engine(&name(at), *slots, 1)
     });
     let roster = roster(listed.collect());
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
     for (at, (_, mine, pace, version)) in engines.iter().enumerate() {
         let id = id(&name(at));
-        (0..*mine).for_each(|_| fleet.begin(&id, 50));
+        (0..*mine).for_each(|_| fleet.run_started(&id, 50));
         if *pace > 0 {
-            fleet.event(&id, f64::from(*pace));
+            fleet.event_received(&id, f64::from(*pace));
         }
-        fleet.saw(&id, &"m".into(), *version);
+        fleet.version_seen(&id, &"m".into(), *version);
     }
     (roster, fleet)
 }
@@ -416,8 +418,8 @@
                 together.as_ref().map(|one| &one.id)
             );
             if let Some(engine) = single {
-                one.begin(&engine.id, taken);
-                other.begin(&engine.id, taken);
+                one.run_started(&engine.id, taken);
+                other.run_started(&engine.id, taken);
             }
         }
     }
