--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -9,7 +9,7 @@
 use place::EngineTracker;
 use place::Memory;
 use place::PlacementRequest;
-use place::Round;
+use place::PlacementRound;
 use table::Incarnation;
 use table::Upstream;
 use table::UpstreamList;
@@ -79,7 +79,7 @@
     let (roster, mut fleet) = fleet(engines, 1);
     let want = want();
     let begun = Instant::now();
-    let mut round = Round::new(&fleet, &roster, &want, NOW);
+    let mut round = PlacementRound::new(&fleet, &roster, &want, NOW);
     let mut chosen = 0;
     while let Some(one) = round.choose(&fleet, &roster, &want, NOW) {
         fleet.run_started(&one.id, want.tokens);
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -12,7 +12,7 @@
 use kernel::Millis;
 use place::Job;
 use place::PlacementRequest;
-use place::Round;
+use place::PlacementRound;
 use poison::Mark;
 use table::Config;
 use table::Route;
@@ -116,7 +116,7 @@
         &self,
         route: &Route,
         todo: &Todo,
-        rounds: &mut Map<Arc<str>, Round>,
+        rounds: &mut Map<Arc<str>, PlacementRound>,
     ) -> Option<(Arc<str>, Arc<Upstream>)> {
         let service = Config::pick_service(route, rand::random())?;
         let at = todo.job.index as usize;
@@ -146,7 +146,7 @@
         let mut fleet = self.app.fleet.lock();
         let round = rounds
             .entry(service.clone())
-            .or_insert_with(|| Round::new(&fleet, &roster, &any, now));
+            .or_insert_with(|| PlacementRound::new(&fleet, &roster, &any, now));
         let engine = round
             .choose(&fleet, &roster, &want, now)
             .or_else(|| round.choose(&fleet, &roster, &any, now))?;
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -18,5 +18,5 @@
 pub use memory::Memory;
 pub use order::Job;
 pub use order::order;
-pub use round::Round;
+pub use round::PlacementRound;
 pub use scale::Scale;
--- a/crates/place/src/round.rs
+++ b/crates/place/src/round.rs
@@ -53,7 +53,7 @@
 /// # Examples
 ///
 /// ```
-/// use place::{EngineTracker, Memory, Round, PlacementRequest};
+/// use place::{EngineTracker, Memory, PlacementRound, PlacementRequest};
 /// use table::{Upstream, UpstreamList, Incarnation};
 ///
 /// let listed = |name: &str| Upstream {
@@ -67,7 +67,7 @@
 /// };
 /// let (mut roster, mut fleet) = (UpstreamList::default(), EngineTracker::default());
 /// roster.update(vec![listed("a"), listed("b")], 0);
-/// let mut round = Round::new(&fleet, &roster, &want, 0);
+/// let mut round = PlacementRound::new(&fleet, &roster, &want, 0);
 /// let mut names = Vec::new();
 /// while let Some(one) = round.choose(&fleet, &roster, &want, 0) {
 ///     fleet.run_started(&one.id, 0);
@@ -76,11 +76,11 @@
 /// assert_eq!(names, ["a".into(), "b".into()]);
 /// ```
 #[derive(Debug)]
-pub struct Round {
+pub struct PlacementRound {
     heap: BinaryHeap<Reverse<Candidate>>,
 }
 
-impl Round {
+impl PlacementRound {
     /// Weighs all engines of a service for samples that want the same but for what they avoid, take and are
     /// kin to.
     pub fn new(
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -8,7 +8,7 @@
 use place::Load;
 use place::Memory;
 use place::PlacementRequest;
-use place::Round;
+use place::PlacementRound;
 use place::order;
 use table::Incarnation;
 use table::Upstream;
@@ -411,7 +411,7 @@
                 ..want()
             };
             let single = one.choose(&roster, &want, 0);
-            let round = round.get_or_insert_with(|| Round::new(&other, &roster, &want, 0));
+            let round = round.get_or_insert_with(|| PlacementRound::new(&other, &roster, &want, 0));
             let together = round.choose(&other, &roster, &want, 0);
             proptest::prop_assert_eq!(
                 single.as_ref().map(|one| &one.id),
