--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -6,8 +6,8 @@
 
 use kernel::Millis;
 use load::Table;
+use place::EngineMemory;
 use place::EngineTracker;
-use place::Memory;
 use place::PlacementRequest;
 use place::PlacementRound;
 use table::Incarnation;
@@ -70,7 +70,7 @@
         cached_on: None,
         avoid: &[],
         tokens: 100,
-        memory: Memory::default(),
+        memory: EngineMemory::default(),
     }
 }
 
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -17,8 +17,8 @@
 use kernel::Set;
 use kernel::ShardedMap;
 use parking_lot::Mutex;
+use place::EngineMemory;
 use place::EngineTracker;
-use place::Memory;
 use plat::Client;
 use poison::Mark;
 use spread::Board;
@@ -172,13 +172,13 @@
     }
 
     /// What the memory of a service's engines holds.
-    pub fn memory(&self, service: &str) -> Memory {
+    pub fn memory(&self, service: &str) -> EngineMemory {
         let plan = self.plan.load();
         let service = plan.as_ref().and_then(|plan| plan.service(service));
         let engine = service.and_then(|service| service.engine.as_ref());
-        engine.map_or_else(Memory::default, |engine| Memory {
-            holds: engine.memory_tokens,
-            event: engine.event_tokens,
+        engine.map_or_else(EngineMemory::default, |engine| EngineMemory {
+            capacity_tokens: engine.memory_tokens,
+            event_tokens: engine.event_tokens,
         })
     }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -68,7 +68,9 @@
         .as_ref()
         .and_then(|plan| plan.find_route(&head.host, &head.path));
     let service = route.and_then(|route| route.services.first());
-    service.map_or(0, |share| u64::from(app.memory(&share.service).event))
+    service.map_or(0, |share| {
+        u64::from(app.memory(&share.service).event_tokens)
+    })
 }
 
 /// Remembers the samples of groups that an ended step has left over.
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -131,7 +131,7 @@
             domain: &self.app.settings.domain,
             cached_on: self.kin.get(&todo.job.group).map(|kin| &**kin),
             avoid: &todo.avoid,
-            tokens: memory.taken(sample.prompt, draft.last),
+            tokens: memory.run_tokens(sample.prompt, draft.last),
             memory,
         };
         let mut apart = self.app.crashes.apart(|| self.mark(todo));
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -128,7 +128,7 @@
         let memory = self.app.memory(&self.service);
         let place = Place {
             run: self,
-            tokens: AtomicU64::new(memory.taken(sample.prompt, first)),
+            tokens: AtomicU64::new(memory.run_tokens(sample.prompt, first)),
         };
         let ended = self.attempt(sample, draft, &place).await;
         if ended == Ended::Whole {
@@ -257,7 +257,7 @@
         mut events: Events,
         place: &Place<'_>,
     ) -> Ended {
-        let tokens = u64::from(self.app.memory(&self.service).event);
+        let tokens = u64::from(self.app.memory(&self.service).event_tokens);
         let mut at = self.app.clock.now();
         let mut seen: u64 = 0;
         loop {
@@ -311,7 +311,7 @@
             domain: &self.app.settings.domain,
             cached_on: None,
             avoid: &[],
-            tokens: memory.taken(sample.prompt, draft.last),
+            tokens: memory.run_tokens(sample.prompt, draft.last),
             memory,
         };
         let roster = self.app.roster.lock();
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -14,7 +14,7 @@
 use http_body_util::Full;
 use kernel::Millis;
 use parking_lot::Mutex;
-use place::Memory;
+use place::EngineMemory;
 use place::PlacementRequest;
 use poison::Mark;
 use poison::Verdict;
@@ -241,7 +241,7 @@
             cached_on: None,
             avoid: used,
             tokens: 0,
-            memory: Memory::default(),
+            memory: EngineMemory::default(),
         };
         let want = PlacementRequest {
             avoid: &apart,
--- a/crates/place/src/fleet.rs
+++ b/crates/place/src/fleet.rs
@@ -9,8 +9,8 @@
 use table::Upstream;
 use table::UpstreamList;
 
+use crate::EngineMemory;
 use crate::Load;
-use crate::Memory;
 use crate::Scale;
 use crate::engine::Engine;
 
@@ -56,7 +56,7 @@
     /// Tokens that it takes in an engine's memory at once.
     pub tokens: u64,
     /// What an engine's memory holds.
-    pub memory: Memory,
+    pub memory: EngineMemory,
 }
 
 /// Time for which the paces of all engines are not looked through again, in milliseconds: two events. Each run
@@ -224,7 +224,7 @@
                 return Weighed::Closed;
             }
         }
-        if !want.memory.lets_in(tokens, mine, want.tokens) || want.avoid.contains(&one.id) {
+        if !want.memory.admits(tokens, mine, want.tokens) || want.avoid.contains(&one.id) {
             return Weighed::Unfit;
         }
         let far = match *one.domain == *want.domain {
@@ -233,7 +233,7 @@
         };
         let pace = engine.map_or(usual, |engine| engine.pace_or(usual));
         let part = f64::from(mine) / f64::from(one.slots.max(1));
-        let full = part.max(want.memory.part(tokens));
+        let full = part.max(want.memory.used_fraction(tokens));
         // A fuller engine is a little slower, and the last slots are kept for what comes next.
         Weighed::Fits(pace * (1.0 + 0.2 * full) + far)
     }
@@ -305,7 +305,7 @@
         let usual = paces.usual;
         let slow = self.pace(here, usual);
         let engine = self.engines.get(here);
-        let crowded = engine.is_some_and(|one| want.memory.is_crowded(one.tokens, one.mine));
+        let crowded = engine.is_some_and(|one| want.memory.is_nearly_full(one.tokens, one.mine));
         if !crowded && f64::from(left) * slow <= GAIN {
             // Not even an engine that took no time would be worth it.
             return None;
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -15,7 +15,7 @@
 pub use engine::Load;
 pub use fleet::EngineTracker;
 pub use fleet::PlacementRequest;
-pub use memory::Memory;
+pub use memory::EngineMemory;
 pub use order::Job;
 pub use order::order;
 pub use round::PlacementRound;
--- a/crates/place/src/memory.rs
+++ b/crates/place/src/memory.rs
@@ -18,55 +18,57 @@
 /// # Examples
 ///
 /// ```
-/// use place::Memory;
+/// use place::EngineMemory;
 ///
-/// let memory = Memory { holds: 30_000, event: 100 };
-/// assert_eq!(memory.taken(300, 20), 2_300);
+/// let memory = EngineMemory { capacity_tokens: 30_000, event_tokens: 100 };
+/// assert_eq!(memory.run_tokens(300, 20), 2_300);
 /// // Seven runs that have just begun leave room for an eighth one.
-/// assert!(memory.lets_in(7 * 300, 7, 300));
+/// assert!(memory.admits(7 * 300, 7, 300));
 /// // Three that are a hundred events on leave none for another one, and soon none for themselves.
-/// assert!(!memory.lets_in(3 * 10_300, 3, 300));
-/// assert!(memory.is_crowded(3 * 9_900, 3));
+/// assert!(!memory.admits(3 * 10_300, 3, 300));
+/// assert!(memory.is_nearly_full(3 * 9_900, 3));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Memory {
+pub struct EngineMemory {
     /// Tokens that it holds; 0 when it is not known.
-    pub holds: u32,
+    pub capacity_tokens: u32,
     /// Tokens in one event; 0 when it is not known.
-    pub event: u32,
+    pub event_tokens: u32,
 }
 
-impl Memory {
+impl EngineMemory {
     fn is_known(&self) -> bool {
-        self.holds > 0 && self.event > 0
+        self.capacity_tokens > 0 && self.event_tokens > 0
     }
 
     fn need(&self, tokens: u64, runs: u32, events: u64) -> u64 {
-        tokens + u64::from(runs) * events * u64::from(self.event)
+        tokens + u64::from(runs) * events * u64::from(self.event_tokens)
     }
 
     /// Tokens that a run takes with its prompt and so many events.
-    pub fn taken(&self, prompt: u32, events: u64) -> u64 {
-        u64::from(prompt) + events * u64::from(self.event)
+    pub fn run_tokens(&self, prompt: u32, events: u64) -> u64 {
+        u64::from(prompt) + events * u64::from(self.event_tokens)
     }
 
     /// Tells whether a run that takes `more` tokens may begin beside others that take `tokens`.
-    pub fn lets_in(&self, tokens: u64, runs: u32, more: u64) -> bool {
+    pub fn admits(&self, tokens: u64, runs: u32, more: u64) -> bool {
         if !self.is_known() || runs == 0 {
             return true;
         }
-        self.need(tokens + more, runs + 1, ENTER) <= u64::from(self.holds)
+        self.need(tokens + more, runs + 1, ENTER) <= u64::from(self.capacity_tokens)
     }
 
     /// Tells whether runs that take `tokens` are about to run out of memory.
-    pub fn is_crowded(&self, tokens: u64, runs: u32) -> bool {
-        self.is_known() && runs > 1 && self.need(tokens, runs, STAY) > u64::from(self.holds)
+    pub fn is_nearly_full(&self, tokens: u64, runs: u32) -> bool {
+        self.is_known()
+            && runs > 1
+            && self.need(tokens, runs, STAY) > u64::from(self.capacity_tokens)
     }
 
     /// The part of the memory that is taken.
-    pub fn part(&self, tokens: u64) -> f64 {
+    pub fn used_fraction(&self, tokens: u64) -> f64 {
         match self.is_known() {
-            true => tokens as f64 / f64::from(self.holds),
+            true => tokens as f64 / f64::from(self.capacity_tokens),
             false => 0.0,
         }
     }
--- a/crates/place/src/round.rs
+++ b/crates/place/src/round.rs
@@ -53,7 +53,7 @@
 /// # Examples
 ///
 /// ```
-/// use place::{EngineTracker, Memory, PlacementRound, PlacementRequest};
+/// use place::{EngineTracker, EngineMemory, PlacementRound, PlacementRequest};
 /// use table::{Upstream, UpstreamList, Incarnation};
 ///
 /// let listed = |name: &str| Upstream {
@@ -63,7 +63,7 @@
 /// };
 /// let want = PlacementRequest {
 ///     service: "fit", model: Some("m"), min_version: 1, queue_limit: 0, domain: "nord", cached_on: None,
-///     avoid: &[], tokens: 0, memory: Memory::default(),
+///     avoid: &[], tokens: 0, memory: EngineMemory::default(),
 /// };
 /// let (mut roster, mut fleet) = (UpstreamList::default(), EngineTracker::default());
 /// roster.update(vec![listed("a"), listed("b")], 0);
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -3,10 +3,10 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
+use place::EngineMemory;
 use place::EngineTracker;
 use place::Job;
 use place::Load;
-use place::Memory;
 use place::PlacementRequest;
 use place::PlacementRound;
 use place::order;
@@ -49,7 +49,7 @@
         cached_on: None,
         avoid: &[],
         tokens: 0,
-        memory: Memory::default(),
+        memory: EngineMemory::default(),
     }
 }
 
@@ -302,10 +302,10 @@
     assert!(!better(18));
 }
 
-/// Memory of an engine that holds three of the longest samples but not four.
-const MEMORY: Memory = Memory {
-    holds: 32_000,
-    event: 100,
+/// EngineMemory of an engine that holds three of the longest samples but not four.
+const MEMORY: EngineMemory = EngineMemory {
+    capacity_tokens: 32_000,
+    event_tokens: 100,
 };
 
 fn growing(taken: u64) -> PlacementRequest<'static> {
@@ -350,7 +350,7 @@
         most = most.max(taken * there("fast").max(there("slow")));
     }
 
-    assert!(most <= u64::from(MEMORY.holds), "{most}");
+    assert!(most <= u64::from(MEMORY.capacity_tokens), "{most}");
 }
 
 #[test]
@@ -398,7 +398,7 @@
     ) {
         let (roster, mut one) = mixed(&engines);
         let (_, mut other) = mixed(&engines);
-        let memory = Memory { holds, event: 1 };
+        let memory = EngineMemory { capacity_tokens: holds, event_tokens: 1 };
         let mut round = None;
         for (avoid, kin, taken, has_kin) in samples {
             let avoid = [id(&format!("e{avoid:02}"))];
