--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -12,7 +12,7 @@
 use batch::ledger::Next;
 use kernel::Map;
 use kernel::Millis;
-use place::Job;
+use place::PendingSample;
 use table::Upstream;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -76,11 +76,11 @@
             .map(|(index, sample)| {
                 let begun = work.drafts[index].lock().last > 0;
                 let index = index as u32;
-                Job {
+                PendingSample {
                     index,
                     group: sample.group.clone(),
-                    expected: sample.expected,
-                    carried: begun || work.again.contains(&index),
+                    expected_tokens: sample.expected,
+                    carried_over: begun || work.again.contains(&index),
                 }
             })
             .filter(|job| !ledger.has_ended(job.index));
@@ -188,11 +188,11 @@
             Ended::Unrun | Ended::Moved | Ended::Stale | Ended::Broken(_) => (),
         }
         let sample = &self.work.spec.samples[index as usize];
-        let job = Job {
+        let job = PendingSample {
             index,
             group: sample.group.clone(),
-            expected: sample.expected,
-            carried: false,
+            expected_tokens: sample.expected,
+            carried_over: false,
         };
         let avoid = match ended {
             Ended::Unrun | Ended::Stale => Vec::new(),
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -10,7 +10,7 @@
 use batch::Sample;
 use kernel::Map;
 use kernel::Millis;
-use place::Job;
+use place::PendingSample;
 use place::PlacementRequest;
 use place::PlacementRound;
 use poison::Mark;
@@ -38,7 +38,7 @@
 
 /// A sample that has to run.
 pub(super) struct Todo {
-    pub(super) job: Job,
+    pub(super) job: PendingSample,
     pub(super) avoid: Vec<Arc<str>>,
 }
 
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -16,7 +16,7 @@
 pub use fleet::EngineTracker;
 pub use fleet::PlacementRequest;
 pub use memory::EngineMemory;
-pub use order::Job;
+pub use order::PendingSample;
 pub use order::order;
 pub use round::PlacementRound;
 pub use scale::Scale;
--- a/crates/place/src/order.rs
+++ b/crates/place/src/order.rs
@@ -17,15 +17,15 @@
 
 /// A sample that has to be run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Job {
+pub struct PendingSample {
     /// Its place in the step.
     pub index: u32,
     /// Its group.
     pub group: Arc<str>,
     /// Events that it is expected to have.
-    pub expected: u32,
+    pub expected_tokens: u32,
     /// Whether it was left over from an earlier step.
-    pub carried: bool,
+    pub carried_over: bool,
 }
 
 /// Orders the samples of a step, of whose groups `wanted` are waited for.
@@ -33,21 +33,21 @@
 /// # Examples
 ///
 /// ```
-/// use place::{Job, order};
+/// use place::{PendingSample, order};
 ///
-/// let job = |index, group: &str, expected| Job {
-///     index, group: group.into(), expected, carried: false,
+/// let job = |index, group: &str, expected| PendingSample {
+///     index, group: group.into(), expected_tokens: expected, carried_over: false,
 /// };
 /// let jobs = vec![job(0, "a", 5), job(1, "b", 90), job(2, "c", 20), job(3, "c", 1)];
 /// let order: Vec<_> = order(jobs, 2).iter().map(|job| job.index).collect();
 /// assert_eq!(order, [2, 0, 3, 1]);
 /// ```
-pub fn order(mut jobs: Vec<Job>, wanted: u32) -> Vec<Job> {
+pub fn order(mut jobs: Vec<PendingSample>, wanted: u32) -> Vec<PendingSample> {
     let mut groups: Map<Arc<str>, (bool, u32)> = Map::default();
     for job in &jobs {
         let (carried, longest) = groups.entry(job.group.clone()).or_default();
-        *carried |= job.carried;
-        *longest = job.expected.max(*longest);
+        *carried |= job.carried_over;
+        *longest = job.expected_tokens.max(*longest);
     }
     let mut groups: Vec<_> = groups.into_iter().collect();
     groups.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
@@ -61,7 +61,7 @@
         .collect();
     jobs.sort_by_key(|job| {
         let last = spared.contains(&job.group);
-        (last, Reverse(job.expected), job.index)
+        (last, Reverse(job.expected_tokens), job.index)
     });
     jobs
 }
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -5,8 +5,8 @@
 
 use place::EngineMemory;
 use place::EngineTracker;
-use place::Job;
 use place::Load;
+use place::PendingSample;
 use place::PlacementRequest;
 use place::PlacementRound;
 use place::order;
@@ -223,22 +223,22 @@
     assert!(after.is_some());
 }
 
-fn job(index: u32, group: u32, expected: u32) -> Job {
-    Job {
+fn job(index: u32, group: u32, expected: u32) -> PendingSample {
+    PendingSample {
         index,
         group: format!("g{group}").into(),
-        expected,
-        carried: false,
+        expected_tokens: expected,
+        carried_over: false,
     }
 }
 
 /// When the last of the jobs ends, begun in this order on so many places.
-fn makespan(jobs: &[Job], places: usize) -> u32 {
+fn makespan(jobs: &[PendingSample], places: usize) -> u32 {
     let mut free: BinaryHeap<_> = (0..places).map(|_| std::cmp::Reverse(0)).collect();
     let mut last = 0;
     for job in jobs {
         let std::cmp::Reverse(at) = free.pop().unwrap();
-        let end = at + job.expected;
+        let end = at + job.expected_tokens;
         last = last.max(end);
         free.push(std::cmp::Reverse(end));
     }
@@ -272,7 +272,7 @@
 #[test]
 fn a_left_over_group_is_never_put_last() {
     let mut jobs = vec![job(0, 0, 10), job(1, 1, 90), job(2, 2, 20)];
-    jobs[1].carried = true;
+    jobs[1].carried_over = true;
 
     let order: Vec<_> = order(jobs, 2).iter().map(|job| job.index).collect();
 
