--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -88,7 +88,7 @@
         let (texts, jobs): (Vec<_>, _) =
             jobs.partition(|job| work.drafts[job.index as usize].lock().whole);
         drop(ledger);
-        let jobs = place::order(jobs, work.head.wanted);
+        let jobs = place::order_samples(jobs, work.head.wanted);
         let todo = jobs.into_iter().map(|job| Todo {
             job,
             avoid: Vec::new(),
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -17,6 +17,6 @@
 pub use fleet::PlacementRequest;
 pub use memory::EngineMemory;
 pub use order::PendingSample;
-pub use order::order;
+pub use order::order_samples;
 pub use round::PlacementRound;
 pub use scale::Scale;
--- a/crates/place/src/order.rs
+++ b/crates/place/src/order.rs
@@ -33,16 +33,16 @@
 /// # Examples
 ///
 /// ```
-/// use place::{PendingSample, order};
+/// use place::{PendingSample, order_samples};
 ///
 /// let job = |index, group: &str, expected| PendingSample {
 ///     index, group: group.into(), expected_tokens: expected, carried_over: false,
 /// };
 /// let jobs = vec![job(0, "a", 5), job(1, "b", 90), job(2, "c", 20), job(3, "c", 1)];
-/// let order: Vec<_> = order(jobs, 2).iter().map(|job| job.index).collect();
+/// let order: Vec<_> = order_samples(jobs, 2).iter().map(|job| job.index).collect();
 /// assert_eq!(order, [2, 0, 3, 1]);
 /// ```
-pub fn order(mut jobs: Vec<PendingSample>, wanted: u32) -> Vec<PendingSample> {
+pub fn order_samples(mut jobs: Vec<PendingSample>, wanted: u32) -> Vec<PendingSample> {
     let mut groups: Map<Arc<str>, (bool, u32)> = Map::default();
     for job in &jobs {
         let (carried, longest) = groups.entry(job.group.clone()).or_default();
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -9,7 +9,7 @@
 use place::PendingSample;
 use place::PlacementRequest;
 use place::PlacementRound;
-use place::order;
+use place::order_samples;
 use table::Incarnation;
 use table::Upstream;
 use table::UpstreamList;
@@ -255,7 +255,7 @@
         .collect();
 
     let before = makespan(&jobs, 24);
-    let after = makespan(&order(jobs, 24), 24);
+    let after = makespan(&order_samples(jobs, 24), 24);
 
     assert!(after * 10 <= before * 9, "{after} of {before}");
 }
@@ -264,7 +264,7 @@
 fn what_the_trainer_does_not_wait_for_begins_last() {
     let jobs = vec![job(0, 0, 10), job(1, 1, 90), job(2, 2, 20)];
 
-    let order: Vec<_> = order(jobs, 2).iter().map(|job| job.index).collect();
+    let order: Vec<_> = order_samples(jobs, 2).iter().map(|job| job.index).collect();
 
     assert_eq!(order, [2, 0, 1]);
 }
@@ -274,7 +274,7 @@
     let mut jobs = vec![job(0, 0, 10), job(1, 1, 90), job(2, 2, 20)];
     jobs[1].carried_over = true;
 
-    let order: Vec<_> = order(jobs, 2).iter().map(|job| job.index).collect();
+    let order: Vec<_> = order_samples(jobs, 2).iter().map(|job| job.index).collect();
 
     assert_eq!(order[0], 1);
 }
