--- a/crates/place/src/engine.rs
+++ b/crates/place/src/engine.rs
@@ -1,125 +1,125 @@
-//! One engine as one instance sees it.
+//! State of one engine as known to one instance.
 
 use std::sync::Arc;
 
 use kernel::Map;
 use kernel::Millis;
 
-/// Weight of the newest time between two events in their mean: about ten events decide.
-const SMOOTH: f64 = 0.1;
+/// Weight of the newest gap between two events in the moving average, which spans about ten events.
+const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// Time for which an engine that failed gets no new run, in milliseconds: short, since a failure
-/// of one request says little, and doubled with each further one.
-const REST: Millis = 250;
+/// Time after a failure for which an engine gets no new run, in milliseconds. It is short, since one
+/// failed request says little, and doubles with each further failure.
+const BASE_BACKOFF: Millis = 250;
 
-/// Doublings after which the rest stays as it is: at most 4 s.
-const DOUBLINGS: u32 = 4;
+/// Maximum number of times that the backoff doubles, which limits it to 4 s.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// Time for which what an engine said of its load is believed, in milliseconds.
-const REPORT_AGE: Millis = 400;
+/// Time for which a load report is used, in milliseconds.
+const MAX_REPORT_AGE: Millis = 400;
 
-/// What an engine said of its load.
+/// Load reported by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that it works on.
+    /// Number of requests that the engine is processing.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of requests queued in the engine.
     pub waiting: u32,
 }
 
-/// One engine as one instance sees it.
+/// State of one engine as known to one instance.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Engine {
-    /// Runs of this instance that are there.
-    pub(crate) mine: u32,
-    /// Tokens that they take in its memory.
+pub(crate) struct EngineState {
+    /// Number of this instance's runs on the engine.
+    pub(crate) own_runs: u32,
+    /// Tokens that these runs occupy in the engine's memory.
     pub(crate) tokens: u64,
-    /// Mean time between two events of a run, in milliseconds; 0 before the first.
-    pub(crate) pace: f64,
-    /// The newest version of each model that the engine has stated itself.
+    /// Mean time between two events of a run, in milliseconds; 0 before the first measurement.
+    pub(crate) mean_gap: f64,
+    /// Newest weight version of each model that the engine has reported itself.
     pub(crate) versions: Map<Arc<str>, u64>,
     failures: u32,
-    /// Whether a run is there that shows whether the engine answers again.
-    trial: bool,
-    rest: Millis,
+    /// Whether a run is probing if the engine responds again after a failure.
+    probing: bool,
+    backoff_until: Millis,
     load: Option<(Load, u32, Millis)>,
 }
 
-impl Engine {
-    pub(crate) fn event(&mut self, gap: f64) {
-        self.answered();
-        self.pace = match self.pace {
+impl EngineState {
+    pub(crate) fn event_received(&mut self, gap: f64) {
+        self.responded();
+        self.mean_gap = match self.mean_gap {
             0.0 => gap,
-            pace => pace + SMOOTH * (gap - pace),
+            mean => mean + SMOOTHING_FACTOR * (gap - mean),
         };
     }
 
-    /// Its pace, or the usual one as long as its own is not known.
-    pub(crate) fn pace_or(&self, usual: f64) -> f64 {
-        match self.pace > 0.0 {
-            true => self.pace,
-            false => usual,
+    /// Returns the engine's mean gap, or `default` if none has been measured.
+    pub(crate) fn mean_gap_or(&self, default: f64) -> f64 {
+        match self.mean_gap > 0.0 {
+            true => self.mean_gap,
+            false => default,
         }
     }
 
-    /// Notes that the engine answers.
-    pub(crate) fn answered(&mut self) {
+    /// Records that the engine responds.
+    pub(crate) fn responded(&mut self) {
         self.failures = 0;
-        self.trial = false;
+        self.probing = false;
     }
 
-    pub(crate) fn begin(&mut self, tokens: u64) {
-        self.mine += 1;
+    pub(crate) fn run_started(&mut self, tokens: u64) {
+        self.own_runs += 1;
         self.tokens += tokens;
-        self.trial = self.failures > 0;
+        self.probing = self.failures > 0;
     }
 
-    pub(crate) fn end(&mut self, tokens: u64) {
-        self.mine = self.mine.saturating_sub(1);
+    pub(crate) fn run_ended(&mut self, tokens: u64) {
+        self.own_runs = self.own_runs.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(tokens);
-        self.trial = false;
+        self.probing = false;
     }
 
-    /// Tells whether nobody knows yet if an engine that failed answers again, and a run is there to
-    /// show it: sent to all places of a dark engine at a time, each sample would lose the time that one loses.
-    pub(crate) fn is_on_trial(&self) -> bool {
-        self.trial && self.failures > 0
+    /// Returns whether a run is probing an engine that has failed. No other run starts meanwhile: if the
+    /// engine still doesn't respond, each run sent to it would lose as much time as the probe.
+    pub(crate) fn is_probing(&self) -> bool {
+        self.probing && self.failures > 0
     }
 
-    /// Notes that a run failed. Runs that break together tell of one failure: when connections are
-    /// reset, dozens of runs at sound engines end in the same moment, and engines that rested the
-    /// longer for it would have free places while samples wait.
-    pub(crate) fn failed(&mut self, now: Millis) {
-        if self.rests(now) {
+    /// Records a failed run. Failures during the backoff count as the same failure: a connection reset
+    /// ends dozens of runs on healthy engines at once, and a backoff doubled by each of them would leave
+    /// slots free while samples wait.
+    pub(crate) fn run_failed(&mut self, now: Millis) {
+        if self.is_backing_off(now) {
             return;
         }
-        self.rest = now + (REST << self.failures.min(DOUBLINGS));
+        self.backoff_until = now + (BASE_BACKOFF << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
     }
 
     pub(crate) fn busy(&mut self, until: Millis) {
-        self.rest = self.rest.max(until);
+        self.backoff_until = self.backoff_until.max(until);
     }
 
-    pub(crate) fn report(&mut self, load: Load, now: Millis) {
-        self.load = Some((load, self.mine, now));
+    pub(crate) fn load_reported(&mut self, load: Load, now: Millis) {
+        self.load = Some((load, self.own_runs, now));
     }
 
-    pub(crate) fn rests(&self, now: Millis) -> bool {
-        now < self.rest
+    pub(crate) fn is_backing_off(&self, now: Millis) -> bool {
+        now < self.backoff_until
     }
 
-    /// Runs that fit in beside those that are known of.
+    /// Returns how many more runs fit on the engine.
     ///
-    /// What others run there is what the engine reported less what was this instance's own then;
-    /// a report is old after a moment and then says nothing.
-    pub(crate) fn room(&self, slots: u32, now: Millis) -> u32 {
+    /// The load of other instances is the reported load less this instance's runs at that time. It is
+    /// ignored once the report is older than [`MAX_REPORT_AGE`].
+    pub(crate) fn free_slots(&self, slots: u32, now: Millis) -> u32 {
         let others = match self.load {
-            Some((load, mine, at)) if now < at + REPORT_AGE => {
-                (load.running + load.waiting).saturating_sub(mine)
+            Some((load, own_runs, at)) if now < at + MAX_REPORT_AGE => {
+                (load.running + load.waiting).saturating_sub(own_runs)
             }
             _ => 0,
         };
-        slots.saturating_sub(others + self.mine)
+        slots.saturating_sub(others + self.own_runs)
     }
 }
--- a/crates/place/src/order.rs
+++ b/crates/place/src/order.rs
@@ -1,12 +1,12 @@
-//! In which order the samples of a step begin.
+//! The order in which the samples of a step start.
 //!
-//! A group counts only whole, and the trainer goes on once enough groups are. So the samples that
-//! are expected to be longest begin first, except for those of as many of the very longest groups
-//! as the trainer does not wait for: they begin last. A group that was left over from an earlier
-//! step is waited for in any case.
+//! A group is usable only once all its samples have finished, and the trainer continues once enough
+//! groups have. So the samples with the greatest expected length start first, except those of surplus
+//! groups: as many of the longest groups as the trainer doesn't wait for start last. Groups carried over
+//! from an earlier step are always waited for.
 //!
-//! Beginning group by group was worse: while few engines had the weights that a step accepts, the
-//! first places went to the short samples of long groups, and a sample of seven seconds began three
+//! Starting samples group by group was worse: while few engines had weights that a step accepts, the
+//! first slots went to short samples of long groups, and a sample of seven seconds started three
 //! seconds late.
 
 use std::cmp::Reverse;
@@ -15,53 +15,55 @@
 use kernel::Map;
 use kernel::Set;
 
-/// A sample that has to be run.
+/// A sample that has not started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingSample {
-    /// Its place in the step.
+    /// Position in the step.
     pub index: u32,
-    /// Its group.
+    /// Group that it belongs to.
     pub group: Arc<str>,
-    /// Events that it is expected to have.
+    /// Expected length in tokens.
     pub expected_tokens: u32,
-    /// Whether it was left over from an earlier step.
+    /// Whether it was carried over from an earlier step.
     pub carried_over: bool,
 }
 
-/// Orders the samples of a step, of whose groups `wanted` are waited for.
+/// Sorts the samples of a step by start order; the trainer waits for `wanted` groups.
 ///
 /// # Examples
 ///
 /// ```
 /// use place::{PendingSample, order_samples};
 ///
-/// let job = |index, group: &str, expected| PendingSample {
+/// let sample = |index, group: &str, expected| PendingSample {
 ///     index, group: group.into(), expected_tokens: expected, carried_over: false,
 /// };
-/// let jobs = vec![job(0, "a", 5), job(1, "b", 90), job(2, "c", 20), job(3, "c", 1)];
-/// let order: Vec<_> = order_samples(jobs, 2).iter().map(|job| job.index).collect();
+/// let samples = vec![
+///     sample(0, "a", 5), sample(1, "b", 90), sample(2, "c", 20), sample(3, "c", 1),
+/// ];
+/// let order: Vec<_> = order_samples(samples, 2).iter().map(|sample| sample.index).collect();
 /// assert_eq!(order, [2, 0, 3, 1]);
 /// ```
-pub fn order_samples(mut jobs: Vec<PendingSample>, wanted: u32) -> Vec<PendingSample> {
+pub fn order_samples(mut samples: Vec<PendingSample>, wanted: u32) -> Vec<PendingSample> {
     let mut groups: Map<Arc<str>, (bool, u32)> = Map::default();
-    for job in &jobs {
-        let (carried, longest) = groups.entry(job.group.clone()).or_default();
-        *carried |= job.carried_over;
-        *longest = job.expected_tokens.max(*longest);
+    for sample in &samples {
+        let (carried, longest) = groups.entry(sample.group.clone()).or_default();
+        *carried |= sample.carried_over;
+        *longest = sample.expected_tokens.max(*longest);
     }
     let mut groups: Vec<_> = groups.into_iter().collect();
     groups.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
     let carried = groups.iter().filter(|(_, (carried, _))| *carried).count();
-    let spare = groups.len().saturating_sub(carried.max(wanted as usize));
-    let spared: Set<Arc<str>> = groups
+    let surplus = groups.len().saturating_sub(carried.max(wanted as usize));
+    let postponed: Set<Arc<str>> = groups
         .into_iter()
         .skip(carried)
-        .take(spare)
+        .take(surplus)
         .map(|(group, _)| group)
         .collect();
-    jobs.sort_by_key(|job| {
-        let last = spared.contains(&job.group);
-        (last, Reverse(job.expected_tokens), job.index)
+    samples.sort_by_key(|sample| {
+        let last = postponed.contains(&sample.group);
+        (last, Reverse(sample.expected_tokens), sample.index)
     });
-    jobs
+    samples
 }
--- a/crates/place/src/round.rs
+++ b/crates/place/src/round.rs
@@ -1,8 +1,8 @@
-//! Choosing engines for many samples at the same moment.
+//! Chooses engines for many samples at the same time.
 //!
-//! Load pattern: a step brings thousands of samples, and thousands of engines have places. Weighing all
-//! engines anew for each sample grows with the product of the two, which an instance that has a part of one
-//! core does not bear. Here all are weighed once; placing a sample changes one of them.
+//! Load pattern: a step has thousands of samples, and thousands of engines have free slots. Evaluating
+//! all engines for each sample costs the product of both, too much for an instance that has a fraction of
+//! one core. Here all engines are evaluated once, since placing a sample changes only one of them.
 
 use std::cmp::Ordering;
 use std::cmp::Reverse;
@@ -15,19 +15,19 @@
 
 use crate::EngineTracker;
 use crate::PlacementRequest;
-use crate::fleet::Weighed;
+use crate::tracker::Evaluation;
 
-/// An engine as it was weighed last.
+/// An engine with its most recent cost.
 #[derive(Clone, Debug)]
 struct Candidate {
     cost: f64,
-    one: Arc<Upstream>,
+    engine: Arc<Upstream>,
 }
 
 impl Ord for Candidate {
     fn cmp(&self, other: &Self) -> Ordering {
         let cost = self.cost.total_cmp(&other.cost);
-        cost.then_with(|| self.one.id.cmp(&other.one.id))
+        cost.then_with(|| self.engine.id.cmp(&other.engine.id))
     }
 }
 
@@ -45,10 +45,10 @@
 
 impl Eq for Candidate {}
 
-/// The engines of a service for the samples of one step, at one moment.
+/// The engines of a service, ordered by cost, for the samples of one step placed at the same time.
 ///
-/// Within a moment an engine only becomes fuller, so what was weighed before is never too dear; the
-/// cheapest is weighed anew before it is taken.
+/// During a round engines only become fuller, so an earlier cost is never too high; the cheapest engine
+/// is evaluated again before it is chosen.
 ///
 /// # Examples
 ///
@@ -56,85 +56,86 @@
 /// use place::{EngineTracker, EngineMemory, PlacementRound, PlacementRequest};
 /// use table::{Upstream, UpstreamList, Incarnation};
 ///
-/// let listed = |name: &str| Upstream {
+/// let engine = |name: &str| Upstream {
 ///     id: name.into(), incarnation: Incarnation { name: name.into(), started_at: None, heartbeats: 1 },
 ///     service: "fit".into(), addr: ([127, 0, 0, 1], 1).into(), domain: "nord".into(),
 ///     slots: 1, leaving: false, spot: false, weights: vec![("m".into(), 1)],
 /// };
-/// let want = PlacementRequest {
+/// let request = PlacementRequest {
 ///     service: "fit", model: Some("m"), min_version: 1, queue_limit: 0, domain: "nord", cached_on: None,
 ///     avoid: &[], tokens: 0, memory: EngineMemory::default(),
 /// };
-/// let (mut roster, mut fleet) = (UpstreamList::default(), EngineTracker::default());
-/// roster.update(vec![listed("a"), listed("b")], 0);
-/// let mut round = PlacementRound::new(&fleet, &roster, &want, 0);
+/// let (mut list, mut tracker) = (UpstreamList::default(), EngineTracker::default());
+/// list.update(vec![engine("a"), engine("b")], 0);
+/// let mut round = PlacementRound::new(&tracker, &list, &request, 0);
 /// let mut names = Vec::new();
-/// while let Some(one) = round.choose(&fleet, &roster, &want, 0) {
-///     fleet.run_started(&one.id, 0);
-///     names.push(one.id.clone());
+/// while let Some(chosen) = round.choose(&tracker, &list, &request, 0) {
+///     tracker.run_started(&chosen.id, 0);
+///     names.push(chosen.id.clone());
 /// }
 /// assert_eq!(names, ["a".into(), "b".into()]);
 /// ```
 #[derive(Debug)]
 pub struct PlacementRound {
-    heap: BinaryHeap<Reverse<Candidate>>,
+    candidates: BinaryHeap<Reverse<Candidate>>,
 }
 
 impl PlacementRound {
-    /// Weighs all engines of a service for samples that want the same but for what they avoid, take and are
-    /// kin to.
+    /// Evaluates all engines of a service for samples whose requests differ at most in `avoid`, `tokens` and
+    /// `cached_on`.
     pub fn new(
-        fleet: &EngineTracker,
-        roster: &UpstreamList,
-        want: &PlacementRequest<'_>,
+        tracker: &EngineTracker,
+        list: &UpstreamList,
+        request: &PlacementRequest<'_>,
         now: Millis,
     ) -> Self {
-        let usual = fleet.usual(now);
-        let least = PlacementRequest {
+        let default_gap = tracker.median_gap(now);
+        let common = PlacementRequest {
             avoid: &[],
             tokens: 0,
-            ..*want
+            ..*request
         };
-        let weigh = |one: &Arc<Upstream>| match fleet.weigh(one, &least, usual, now) {
-            Weighed::Fits(cost) => Some(Reverse(Candidate {
-                cost,
-                one: one.clone(),
-            })),
-            Weighed::Closed | Weighed::Unfit => None,
-        };
-        let heap = roster.of_service(want.service).filter_map(weigh);
+        let evaluate =
+            |engine: &Arc<Upstream>| match tracker.evaluate(engine, &common, default_gap, now) {
+                Evaluation::Fits(cost) => Some(Reverse(Candidate {
+                    cost,
+                    engine: engine.clone(),
+                })),
+                Evaluation::Unavailable | Evaluation::Unsuitable => None,
+            };
+        let candidates = list.of_service(request.service).filter_map(evaluate);
         Self {
-            heap: heap.collect(),
+            candidates: candidates.collect(),
         }
     }
 
-    /// Chooses the engine for a sample; [`None`] when none has room. Whoever takes it notes that in the fleet
-    /// before the next choice.
+    /// Chooses the engine for a sample; [`None`] if no engine has room. The caller must call
+    /// [`EngineTracker::run_started`] before the next choice.
     pub fn choose(
         &mut self,
-        fleet: &EngineTracker,
-        roster: &UpstreamList,
-        want: &PlacementRequest<'_>,
+        tracker: &EngineTracker,
+        list: &UpstreamList,
+        request: &PlacementRequest<'_>,
         now: Millis,
     ) -> Option<Arc<Upstream>> {
-        let usual = fleet.usual(now);
-        let mut aside = Vec::new();
+        let default_gap = tracker.median_gap(now);
+        let mut retained = Vec::new();
         let mut best = None;
-        while let Some(Reverse(top)) = self.heap.pop() {
-            match fleet.weigh(&top.one, want, usual, now) {
-                Weighed::Closed => (),
-                Weighed::Unfit => aside.push(Reverse(top)),
-                Weighed::Fits(cost) if cost > top.cost => {
-                    self.heap.push(Reverse(Candidate { cost, ..top }));
+        while let Some(Reverse(top)) = self.candidates.pop() {
+            match tracker.evaluate(&top.engine, request, default_gap, now) {
+                Evaluation::Unavailable => (),
+                Evaluation::Unsuitable => retained.push(Reverse(top)),
+                Evaluation::Fits(cost) if cost > top.cost => {
+                    self.candidates.push(Reverse(Candidate { cost, ..top }));
                 }
-                Weighed::Fits(_) => {
-                    best = Some(top.one.clone());
-                    aside.push(Reverse(top));
+                Evaluation::Fits(_) => {
+                    best = Some(top.engine.clone());
+                    retained.push(Reverse(top));
                     break;
                 }
             }
         }
-        self.heap.extend(aside);
-        Some(fleet.or_kin(&best?, roster, want, now))
+        self.candidates.extend(retained);
+        Some(tracker.prefer_cached(&best?, list, request, now))
     }
 }
--- a/crates/place/src/scale.rs
+++ b/crates/place/src/scale.rs
@@ -1,54 +1,54 @@
-//! From what senders expect of samples to events.
+//! Converts the expected length of samples from tokens to events.
 //!
-//! A sender states the length that it expects of a sample in tokens, and engines send several tokens
-//! in one event. Taking the one for the other made every run look a hundred times longer than it
-//! was, so that runs moved for the sake of their last events.
+//! Clients state the expected length of a sample in tokens, while engines send several tokens per event.
+//! When the two were confused, every run looked a hundred times longer than it was, and runs moved to
+//! other engines for their last few events.
 
-/// What a run that has passed its expected length is taken to have left, as a part of what it has:
-/// lengths are heavy-tailed, so the longer a run has gone on the longer it will.
-const OVERRUN: f64 = 0.5;
+/// Remaining length of a run that has exceeded its expected length, as a fraction of its length so far:
+/// lengths are heavy-tailed, so the longer a run has lasted, the longer it will continue.
+const OVERRUN_FACTOR: f64 = 0.5;
 
-/// How many events samples had for what was expected of them.
+/// Ratio of the actual number of events to the expected length, over all finished samples.
 ///
 /// # Examples
 ///
 /// ```
-/// use place::Scale;
+/// use place::LengthScale;
 ///
-/// let mut scale = Scale::default();
-/// // Nothing has ended yet: only what a run has says what it has left.
-/// assert_eq!(scale.left(900, 4), 2);
-/// scale.ended(1_000, 10);
-/// assert_eq!(scale.left(900, 4), 5);
-/// assert_eq!(scale.left(900, 40), 20);
+/// let mut scale = LengthScale::default();
+/// // No sample has finished, so the estimate depends on the events so far alone.
+/// assert_eq!(scale.remaining_events(900, 4), 2);
+/// scale.record(1_000, 10);
+/// assert_eq!(scale.remaining_events(900, 4), 5);
+/// assert_eq!(scale.remaining_events(900, 40), 20);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Scale {
+pub struct LengthScale {
     events: f64,
     expected: f64,
 }
 
-impl Scale {
-    /// Notes a sample that has ended.
-    pub fn ended(&mut self, expected: u32, events: u64) {
+impl LengthScale {
+    /// Records a finished sample.
+    pub fn record(&mut self, expected: u32, events: u64) {
         if expected > 0 {
             self.expected += f64::from(expected);
             self.events += events as f64;
         }
     }
 
-    /// Events that a run is expected to have left when it has `done` of them.
-    pub fn left(&self, expected: u32, done: u64) -> u32 {
+    /// Estimates how many more events a run sends that has sent `done` events.
+    pub fn remaining_events(&self, expected: u32, done: u64) -> u32 {
         let ratio = match self.expected > 0.0 {
             true => self.events / self.expected,
             false => 0.0,
         };
         let done = done as f64;
-        let whole = f64::from(expected) * ratio;
-        let left = match done < whole {
-            true => whole - done,
-            false => done * OVERRUN,
+        let total = f64::from(expected) * ratio;
+        let remaining = match done < total {
+            true => total - done,
+            false => done * OVERRUN_FACTOR,
         };
-        left as u32
+        remaining as u32
     }
 }
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -1,4 +1,4 @@
-//! Choice of engines, moves, and the order of samples, under the loads that they answer.
+//! Tests of engine selection, moves between engines and the start order of samples.
 
 use std::collections::BinaryHeap;
 use std::sync::Arc;
@@ -33,13 +33,13 @@
     }
 }
 
-fn roster(engines: Vec<Upstream>) -> UpstreamList {
-    let mut roster = UpstreamList::default();
-    roster.update(engines, 0);
-    roster
+fn upstream_list(engines: Vec<Upstream>) -> UpstreamList {
+    let mut list = UpstreamList::default();
+    list.update(engines, 0);
+    list
 }
 
-fn want() -> PlacementRequest<'static> {
+fn request() -> PlacementRequest<'static> {
     PlacementRequest {
         service: "fit",
         model: Some("m"),
@@ -57,29 +57,28 @@
     name.into()
 }
 
-fn chosen(
-    fleet: &EngineTracker,
-    roster: &UpstreamList,
-    want: &PlacementRequest<'_>,
+fn chosen_id(
+    tracker: &EngineTracker,
+    list: &UpstreamList,
+    request: &PlacementRequest<'_>,
     now: u64,
 ) -> Option<String> {
-    fleet
-        .choose(roster, want, now)
-        .map(|one| one.id.to_string())
+    tracker
+        .choose(list, request, now)
+        .map(|engine| engine.id.to_string())
 }
 
-// Symptom: samples wait inside an engine while another one has a free slot.
-// Sequence: more samples come at once than there are slots.
-// Cause: what waits inside an engine cannot be placed elsewhere.
+// Guards against samples queuing inside an engine while another has a free slot: when more samples arrive
+// than there are slots, those queued inside an engine cannot be placed elsewhere.
 #[test]
-fn a_full_engine_gets_nothing_more() {
-    let roster = roster(vec![engine("a", 2, 1), engine("b", 1, 1)]);
-    let mut fleet = EngineTracker::default();
+fn full_engine_gets_no_more_samples() {
+    let list = upstream_list(vec![engine("a", 2, 1), engine("b", 1, 1)]);
+    let mut tracker = EngineTracker::default();
     let mut placed = Vec::new();
 
-    while let Some(one) = fleet.choose(&roster, &want(), 0) {
-        fleet.run_started(&one.id, 0);
-        placed.push(one.id.to_string());
+    while let Some(engine) = tracker.choose(&list, &request(), 0) {
+        tracker.run_started(&engine.id, 0);
+        placed.push(engine.id.to_string());
     }
 
     placed.sort();
@@ -87,214 +86,214 @@
 }
 
 #[test]
-fn what_others_run_there_counts_for_a_moment() {
-    let roster = roster(vec![engine("a", 2, 1)]);
-    let mut fleet = EngineTracker::default();
+fn reported_load_of_others_counts_until_it_expires() {
+    let list = upstream_list(vec![engine("a", 2, 1)]);
+    let mut tracker = EngineTracker::default();
     let load = Load {
         running: 2,
         waiting: 0,
     };
 
-    fleet.load_reported(&id("a"), load, 0);
+    tracker.load_reported(&id("a"), load, 0);
 
-    assert_eq!(chosen(&fleet, &roster, &want(), 100), None);
+    assert_eq!(chosen_id(&tracker, &list, &request(), 100), None);
     assert_eq!(
-        chosen(&fleet, &roster, &want(), 1_000).as_deref(),
+        chosen_id(&tracker, &list, &request(), 1_000).as_deref(),
         Some("a")
     );
 }
 
 #[parameterized(
-    old_weights = { PlacementRequest { min_version: 3, ..want() }, None },
-    new_enough = { PlacementRequest { min_version: 2, ..want() }, Some("new") },
-    other_service = { PlacementRequest { service: "other", ..want() }, None },
-    other_model = { PlacementRequest { model: Some("x"), ..want() }, None },
-    kin = { PlacementRequest { cached_on: Some("old"), ..want() }, Some("old") },
+    old_weights = { PlacementRequest { min_version: 3, ..request() }, None },
+    new_enough = { PlacementRequest { min_version: 2, ..request() }, Some("new") },
+    other_service = { PlacementRequest { service: "other", ..request() }, None },
+    other_model = { PlacementRequest { model: Some("x"), ..request() }, None },
+    cached = { PlacementRequest { cached_on: Some("old"), ..request() }, Some("old") },
 )]
-fn an_engine_has_to_fit(want: PlacementRequest<'_>, expected: Option<&str>) {
-    let roster = roster(vec![engine("new", 2, 2), engine("old", 2, 1)]);
+fn engine_must_meet_the_request(request: PlacementRequest<'_>, expected: Option<&str>) {
+    let list = upstream_list(vec![engine("new", 2, 2), engine("old", 2, 1)]);
 
-    let chosen = chosen(&EngineTracker::default(), &roster, &want, 0);
+    let chosen = chosen_id(&EngineTracker::default(), &list, &request, 0);
 
     assert_eq!(chosen.as_deref(), expected);
 }
 
-// Symptom: samples wait for weights that an engine has had for two seconds.
-// Sequence: the engine states its new version; the list of upstreams still has the old one.
-// Cause: the list lags; what an engine states itself counts at once.
+// Guards against samples waiting for weights that an engine has had for two seconds: the engine reports its
+// new version itself while the list of upstreams still has the old one.
 #[test]
-fn what_an_engine_states_counts_before_the_list() {
-    let roster = roster(vec![engine("a", 2, 1)]);
-    let mut fleet = EngineTracker::default();
+fn version_reported_by_engine_overrides_the_list() {
+    let list = upstream_list(vec![engine("a", 2, 1)]);
+    let mut tracker = EngineTracker::default();
 
-    fleet.version_seen(&id("a"), &id("m"), 2);
+    tracker.version_seen(&id("a"), &id("m"), 2);
 
-    let want = PlacementRequest {
+    let request = PlacementRequest {
         min_version: 2,
-        ..want()
+        ..request()
     };
-    assert_eq!(chosen(&fleet, &roster, &want, 0).as_deref(), Some("a"));
+    assert_eq!(
+        chosen_id(&tracker, &list, &request, 0).as_deref(),
+        Some("a")
+    );
 }
 
 #[test]
-fn an_engine_that_failed_rests_longer_each_time() {
-    let roster = roster(vec![engine("a", 2, 1)]);
-    let mut fleet = EngineTracker::default();
+fn backoff_grows_with_each_failure() {
+    let list = upstream_list(vec![engine("a", 2, 1)]);
+    let mut tracker = EngineTracker::default();
 
-    fleet.engine_failed(&id("a"), 0);
-    let first = chosen(&fleet, &roster, &want(), 300);
-    fleet.engine_failed(&id("a"), 300);
-    let second = chosen(&fleet, &roster, &want(), 600);
+    tracker.engine_failed(&id("a"), 0);
+    let first = chosen_id(&tracker, &list, &request(), 300);
+    tracker.engine_failed(&id("a"), 300);
+    let second = chosen_id(&tracker, &list, &request(), 600);
 
     assert!(first.is_some());
     assert!(second.is_none());
 }
 
-// Symptom: a step waits for samples on engines that have turned slow.
-// Sequence: a third of the engines become four times slower while samples run there.
-// Cause: a run moves as soon as another engine with room makes it whole sooner.
+// Guards against a step waiting for samples on slow engines: a third of the engines become four times slower
+// during the step. A run must move as soon as another engine with room would finish it sooner.
 #[test]
-fn a_slow_third_does_not_hold_a_step_up() {
-    let roster = roster(vec![
+fn run_moves_off_a_slow_engine() {
+    let list = upstream_list(vec![
         engine("a", 4, 1),
         engine("b", 4, 1),
         engine("c", 4, 1),
     ]);
-    let mut fleet = EngineTracker::default();
+    let mut tracker = EngineTracker::default();
     for _ in 0..30 {
-        fleet.event_received(&id("a"), 40.0);
-        fleet.event_received(&id("b"), 40.0);
-        fleet.event_received(&id("c"), 160.0);
+        tracker.event_received(&id("a"), 40.0);
+        tracker.event_received(&id("b"), 40.0);
+        tracker.event_received(&id("c"), 160.0);
     }
 
-    let long = fleet.choose_better(&roster, &want(), "c", 50, 0);
-    let short = fleet.choose_better(&roster, &want(), "c", 1, 0);
-    let fine = fleet.choose_better(&roster, &want(), "a", 50, 0);
+    let long = tracker.choose_better(&list, &request(), "c", 50, 0);
+    let short = tracker.choose_better(&list, &request(), "c", 1, 0);
+    let fast = tracker.choose_better(&list, &request(), "a", 50, 0);
 
-    assert!(long.is_some_and(|one| &*one.id != "c"));
+    assert!(long.is_some_and(|engine| &*engine.id != "c"));
     assert!(short.is_none());
-    assert!(fine.is_none());
+    assert!(fast.is_none());
 }
 
-// Symptom: 57 samples of a step wait for four seconds before three sound engines with free places.
-// Sequence: the connections of an instance are reset, and 24 runs at three engines break at once.
-// Cause: each run that breaks doubled the time for which its engine gets nothing; those that break
-// together tell of one failure.
+// Guards against a connection reset that blocks healthy engines: 24 runs on three engines broke at once, each
+// doubled the backoff of its engine, and 57 samples waited for four seconds although slots were free.
 #[test]
-fn runs_that_break_together_are_one_failure() {
-    let roster = roster(vec![
+fn simultaneous_failures_count_once() {
+    let list = upstream_list(vec![
         engine("a", 16, 1),
         engine("b", 16, 1),
         engine("c", 16, 1),
     ]);
-    let mut fleet = EngineTracker::default();
+    let mut tracker = EngineTracker::default();
     for name in ["a", "b", "c"] {
-        for broken in 0..8 {
-            fleet.engine_failed(&id(name), 1_000 + broken);
+        for offset in 0..8 {
+            tracker.engine_failed(&id(name), 1_000 + offset);
         }
     }
 
-    let placed = (1_000..6_000).find(|now| chosen(&fleet, &roster, &want(), *now).is_some());
+    let placed = (1_000..6_000).find(|now| chosen_id(&tracker, &list, &request(), *now).is_some());
 
-    // 4,000 ms before.
+    // It was 4,000 ms later when each failure doubled the backoff.
     assert_eq!(placed, Some(1_250));
 }
 
-// Symptom: samples that were to begin at once begin seconds late, while engines of a domain that is cut
-// off look free.
-// Sequence: engines go dark with a step's samples waiting; each run there ends after half a second
-// without an answer.
-// Cause: all free places of an engine that had failed were filled again after its rest. One run shows
-// whether it answers.
+// Guards against samples starting seconds late when a failure domain is partitioned: its engines look free,
+// but each run there fails after half a second without a response. After the backoff all free slots of
+// such an engine were filled again, although one run suffices to probe whether it responds.
 #[test]
-fn an_engine_that_failed_gets_one_run_until_it_answers() {
-    let roster = roster(vec![engine("a", 16, 1)]);
-    let mut fleet = EngineTracker::default();
-    fleet.engine_failed(&id("a"), 0);
-
-    let trial = fleet.choose(&roster, &want(), 300);
-    fleet.run_started(&id("a"), 0);
-    let second = fleet.choose(&roster, &want(), 310);
-    fleet.event_received(&id("a"), 40.0);
-    let after = fleet.choose(&roster, &want(), 400);
-
-    assert!(trial.is_some());
+fn failed_engine_gets_one_run_until_it_responds() {
+    let list = upstream_list(vec![engine("a", 16, 1)]);
+    let mut tracker = EngineTracker::default();
+    tracker.engine_failed(&id("a"), 0);
+
+    let probe = tracker.choose(&list, &request(), 300);
+    tracker.run_started(&id("a"), 0);
+    let second = tracker.choose(&list, &request(), 310);
+    tracker.event_received(&id("a"), 40.0);
+    let after = tracker.choose(&list, &request(), 400);
+
+    assert!(probe.is_some());
     assert!(second.is_none());
     assert!(after.is_some());
 }
 
-fn job(index: u32, group: u32, expected: u32) -> PendingSample {
+fn sample(index: u32, group: u32, expected_tokens: u32) -> PendingSample {
     PendingSample {
         index,
         group: format!("g{group}").into(),
-        expected_tokens: expected,
+        expected_tokens,
         carried_over: false,
     }
 }
 
-/// When the last of the jobs ends, begun in this order on so many places.
-fn makespan(jobs: &[PendingSample], places: usize) -> u32 {
-    let mut free: BinaryHeap<_> = (0..places).map(|_| std::cmp::Reverse(0)).collect();
+/// Returns the time at which the last sample finishes when they start in this order on `slots` slots.
+fn makespan(samples: &[PendingSample], slots: usize) -> u32 {
+    let mut free: BinaryHeap<_> = (0..slots).map(|_| std::cmp::Reverse(0)).collect();
     let mut last = 0;
-    for job in jobs {
+    for sample in samples {
         let std::cmp::Reverse(at) = free.pop().unwrap();
-        let end = at + job.expected_tokens;
+        let end = at + sample.expected_tokens;
         last = last.max(end);
         free.push(std::cmp::Reverse(end));
     }
     last
 }
 
-// Symptom: a step ends late though there was room.
-// Sequence: a burst of samples, a tenth of them five times as long, on a quarter as many places.
-// Cause: a long sample that begins last ends last.
+// Guards against a step that ends late although slots were free: in a burst of samples, a tenth of them five
+// times as long as the rest, on a quarter as many slots, a long sample that starts last finishes last.
 #[test]
-fn a_burst_ends_sooner_with_the_longest_first() {
-    let jobs: Vec<_> = (0..96)
-        .map(|at| job(at, at / 4, if at % 11 == 10 { 125 } else { 25 }))
+fn longest_first_shortens_a_burst() {
+    let samples: Vec<_> = (0..96)
+        .map(|at| sample(at, at / 4, if at % 11 == 10 { 125 } else { 25 }))
         .collect();
 
-    let before = makespan(&jobs, 24);
-    let after = makespan(&order_samples(jobs, 24), 24);
+    let before = makespan(&samples, 24);
+    let after = makespan(&order_samples(samples, 24), 24);
 
     assert!(after * 10 <= before * 9, "{after} of {before}");
 }
 
 #[test]
-fn what_the_trainer_does_not_wait_for_begins_last() {
-    let jobs = vec![job(0, 0, 10), job(1, 1, 90), job(2, 2, 20)];
+fn surplus_groups_start_last() {
+    let samples = vec![sample(0, 0, 10), sample(1, 1, 90), sample(2, 2, 20)];
 
-    let order: Vec<_> = order_samples(jobs, 2).iter().map(|job| job.index).collect();
+    let order: Vec<_> = order_samples(samples, 2)
+        .iter()
+        .map(|sample| sample.index)
+        .collect();
 
     assert_eq!(order, [2, 0, 1]);
 }
 
 #[test]
-fn a_left_over_group_is_never_put_last() {
-    let mut jobs = vec![job(0, 0, 10), job(1, 1, 90), job(2, 2, 20)];
-    jobs[1].carried_over = true;
+fn carried_over_group_is_not_postponed() {
+    let mut samples = vec![sample(0, 0, 10), sample(1, 1, 90), sample(2, 2, 20)];
+    samples[1].carried_over = true;
 
-    let order: Vec<_> = order_samples(jobs, 2).iter().map(|job| job.index).collect();
+    let order: Vec<_> = order_samples(samples, 2)
+        .iter()
+        .map(|sample| sample.index)
+        .collect();
 
     assert_eq!(order[0], 1);
 }
 
-// Symptom: runs move to another engine for the sake of their last few events.
-// Sequence: senders expect 2,000 tokens; an engine sends a hundred of them in one event.
-// Cause: taking tokens for events.
+// Guards against runs moving for their last few events: clients state 2,000 expected tokens, an engine sends a
+// hundred of them per event, and tokens were taken for events.
 #[test]
-fn a_run_that_is_nearly_whole_does_not_move() {
-    let roster = roster(vec![engine("slow", 8, 1), engine("fast", 8, 1)]);
-    let mut fleet = EngineTracker::default();
+fn nearly_finished_run_does_not_move() {
+    let list = upstream_list(vec![engine("slow", 8, 1), engine("fast", 8, 1)]);
+    let mut tracker = EngineTracker::default();
     for _ in 0..30 {
-        fleet.event_received(&id("slow"), 100.0);
-        fleet.event_received(&id("fast"), 50.0);
+        tracker.event_received(&id("slow"), 100.0);
+        tracker.event_received(&id("fast"), 50.0);
     }
-    fleet.sample_finished(1_000, 10);
+    tracker.sample_finished(1_000, 10);
     let better = |done| {
-        let left = fleet.remaining_events(2_000, done);
-        fleet
-            .choose_better(&roster, &want(), "slow", left, 0)
+        let remaining = tracker.remaining_events(2_000, done);
+        tracker
+            .choose_better(&list, &request(), "slow", remaining, 0)
             .is_some()
     };
 
@@ -302,71 +301,70 @@
     assert!(!better(18));
 }
 
-/// EngineMemory of an engine that holds three of the longest samples but not four.
+/// Engine memory that holds three of the longest samples but not four.
 const MEMORY: EngineMemory = EngineMemory {
     capacity_tokens: 32_000,
     event_tokens: 100,
 };
 
-fn growing(taken: u64) -> PlacementRequest<'static> {
+fn growing(tokens: u64) -> PlacementRequest<'static> {
     PlacementRequest {
-        tokens: taken,
+        tokens,
         memory: MEMORY,
-        ..want()
+        ..request()
     }
 }
 
-// Symptom: samples stand still in the midst of their text, the longest of a step most of all.
-// Sequence: a burst begins with the longest samples, and all go to the fastest engine; they grow
-//   until its memory holds few of them.
-// Cause: counting slots alone. An engine whose memory runs out puts its newest run back.
+// Guards against samples, above all the longest of a step, stalling in the middle of their text: a burst starts
+// with the longest samples, all on the fastest engine, and they outgrow its memory. An engine that runs out of
+// memory suspends its newest run, so counting slots alone isn't enough.
 #[test]
-fn runs_leave_an_engine_before_its_memory_runs_out() {
-    let roster = roster(vec![engine("fast", 8, 1), engine("slow", 8, 1)]);
-    let mut fleet = EngineTracker::default();
-    fleet.event_received(&id("fast"), 50.0);
-    fleet.event_received(&id("slow"), 60.0);
-    let mut on = Vec::new();
+fn runs_move_before_memory_is_exhausted() {
+    let list = upstream_list(vec![engine("fast", 8, 1), engine("slow", 8, 1)]);
+    let mut tracker = EngineTracker::default();
+    tracker.event_received(&id("fast"), 50.0);
+    tracker.event_received(&id("slow"), 60.0);
+    let mut engines = Vec::new();
     for _ in 0..5 {
-        let one = fleet.choose(&roster, &growing(300), 0).unwrap();
-        fleet.run_started(&one.id, 300);
-        on.push(one.id.clone());
+        let engine = tracker.choose(&list, &growing(300), 0).unwrap();
+        tracker.run_started(&engine.id, 300);
+        engines.push(engine.id.clone());
     }
-    assert!(on.iter().filter(|one| &***one == "fast").count() > 3);
-    let mut most = 0;
+    assert!(engines.iter().filter(|id| &***id == "fast").count() > 3);
+    let mut peak = 0;
 
     for event in 1..=90 {
-        let taken = 300 + event * 100;
-        for one in &mut on {
-            fleet.run_grew(one, 100);
-            let better = fleet.choose_better(&roster, &growing(taken), one, 10, 0);
+        let tokens = 300 + event * 100;
+        for current in &mut engines {
+            tracker.run_grew(current, 100);
+            let better = tracker.choose_better(&list, &growing(tokens), current, 10, 0);
             if let Some(better) = better.filter(|_| event % 4 == 0) {
-                fleet.run_ended(one, taken);
-                fleet.run_started(&better.id, taken);
-                *one = better.id.clone();
+                tracker.run_ended(current, tokens);
+                tracker.run_started(&better.id, tokens);
+                *current = better.id.clone();
             }
         }
-        let there = |name: &str| on.iter().filter(|one| &***one == name).count() as u64;
-        most = most.max(taken * there("fast").max(there("slow")));
+        let runs_on = |name: &str| engines.iter().filter(|id| &***id == name).count() as u64;
+        peak = peak.max(tokens * runs_on("fast").max(runs_on("slow")));
     }
 
-    assert!(most <= u64::from(MEMORY.capacity_tokens), "{most}");
+    assert!(peak <= u64::from(MEMORY.capacity_tokens), "{peak}");
 }
 
 #[test]
-fn an_engine_whose_memory_is_full_gets_nothing_more() {
-    let roster = roster(vec![engine("a", 8, 1)]);
-    let mut fleet = EngineTracker::default();
-    fleet.run_started(&id("a"), 300);
-    let before = fleet.choose(&roster, &growing(300), 0).is_some();
+fn engine_with_full_memory_gets_no_more_samples() {
+    let list = upstream_list(vec![engine("a", 8, 1)]);
+    let mut tracker = EngineTracker::default();
+    tracker.run_started(&id("a"), 300);
+    let before = tracker.choose(&list, &growing(300), 0).is_some();
 
-    fleet.run_grew(&id("a"), 28_000);
+    tracker.run_grew(&id("a"), 28_000);
 
     assert!(before);
-    assert!(fleet.choose(&roster, &growing(300), 0).is_none());
+    assert!(tracker.choose(&list, &growing(300), 0).is_none());
 }
 
-/// A fleet of engines with places, paces and versions that differ.
+/// Engines with different slots, running samples, gaps and weight versions.
 fn mixed(engines: &[(u32, u32, u8, u64)]) -> (UpstreamList, EngineTracker) {
     let name = |at: usize| format!("e{at:02}");
     let all = engines.iter().enumerate();
@@ -374,52 +372,52 @@
         domain: ["nord", "syd"][at % 2].into(),
         ..engine(&name(at), *slots, 1)
     });
-    let roster = roster(listed.collect());
-    let mut fleet = EngineTracker::default();
-    for (at, (_, mine, pace, version)) in engines.iter().enumerate() {
+    let list = upstream_list(listed.collect());
+    let mut tracker = EngineTracker::default();
+    for (at, (_, runs, gap, version)) in engines.iter().enumerate() {
         let id = id(&name(at));
-        (0..*mine).for_each(|_| fleet.run_started(&id, 50));
-        if *pace > 0 {
-            fleet.event_received(&id, f64::from(*pace));
+        (0..*runs).for_each(|_| tracker.run_started(&id, 50));
+        if *gap > 0 {
+            tracker.event_received(&id, f64::from(*gap));
         }
-        fleet.version_seen(&id, &"m".into(), *version);
+        tracker.version_seen(&id, &"m".into(), *version);
     }
-    (roster, fleet)
+    (list, tracker)
 }
 
 proptest::proptest! {
-    // Thousands of samples that begin together weighed all engines anew each; what is weighed once must give
-    // the same engines.
+    // Evaluating all engines for each of thousands of simultaneous samples was too slow. A round evaluates them
+    // once and must choose the same engines.
     #[test]
-    fn a_round_chooses_as_single_choices_do(
+    fn round_matches_single_choices(
         engines in proptest::collection::vec((0..5_u32, 0..4_u32, 0..60_u8, 0..3_u64), 1..24),
         samples in proptest::collection::vec((0..24_usize, 0..24_usize, 0..300_u64, 0..2_u8), 1..60),
-        holds in 0..600_u32,
+        capacity_tokens in 0..600_u32,
     ) {
-        let (roster, mut one) = mixed(&engines);
-        let (_, mut other) = mixed(&engines);
-        let memory = EngineMemory { capacity_tokens: holds, event_tokens: 1 };
+        let (list, mut tracker) = mixed(&engines);
+        let (_, mut round_tracker) = mixed(&engines);
+        let memory = EngineMemory { capacity_tokens, event_tokens: 1 };
         let mut round = None;
-        for (avoid, kin, taken, has_kin) in samples {
+        for (avoid, cached, tokens, is_cached) in samples {
             let avoid = [id(&format!("e{avoid:02}"))];
-            let kin = format!("e{kin:02}");
-            let want = PlacementRequest {
+            let cached = format!("e{cached:02}");
+            let request = PlacementRequest {
                 avoid: &avoid,
-                cached_on: (has_kin > 0).then_some(&*kin),
-                tokens: taken,
+                cached_on: (is_cached > 0).then_some(&*cached),
+                tokens,
                 memory,
-                ..want()
+                ..request()
             };
-            let single = one.choose(&roster, &want, 0);
-            let round = round.get_or_insert_with(|| PlacementRound::new(&other, &roster, &want, 0));
-            let together = round.choose(&other, &roster, &want, 0);
+            let single = tracker.choose(&list, &request, 0);
+            let round = round.get_or_insert_with(|| PlacementRound::new(&round_tracker, &list, &request, 0));
+            let batched = round.choose(&round_tracker, &list, &request, 0);
             proptest::prop_assert_eq!(
-                single.as_ref().map(|one| &one.id),
-                together.as_ref().map(|one| &one.id)
+                single.as_ref().map(|engine| &engine.id),
+                batched.as_ref().map(|engine| &engine.id)
             );
             if let Some(engine) = single {
-                one.run_started(&engine.id, taken);
-                other.run_started(&engine.id, taken);
+                tracker.run_started(&engine.id, tokens);
+                round_tracker.run_started(&engine.id, tokens);
             }
         }
     }
