--- a/crates/limit/src/gate.rs
+++ b/crates/limit/src/gate.rs
@@ -28,10 +28,10 @@
     }
 }
 
-/// What a [`Gate`] says to a request.
+/// What a [`ContractLimiter`] says to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pass {
-    /// It may go on to the queue; [`Gate::leave`] must follow when it is over.
+    /// It may go on to the queue; [`ContractLimiter::release`] must follow when it is over.
     Go,
     /// It is over a limit; trying again after the wait may help.
     Over {
@@ -50,14 +50,14 @@
 
 /// The limits of one contract on one instance.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct ContractLimiter {
     rate: Bucket,
     tokens: Bucket,
     slots: u32,
     running: u32,
 }
 
-impl Gate {
+impl ContractLimiter {
     /// Makes the gate of a contract for an instance's share of it.
     pub fn new(contract: &Contract, share: Share, now: Millis) -> Self {
         let mut gate = Self {
@@ -81,14 +81,14 @@
     }
 
     /// Asks to let one request pass that may generate `tokens` tokens.
-    pub fn enter(&mut self, now: Millis, tokens: f64) -> Pass {
-        let pass = self.enter_sample(now, tokens);
+    pub fn admit(&mut self, now: Millis, tokens: f64) -> Pass {
+        let pass = self.admit_sample(now, tokens);
         if pass != Pass::Go {
             return pass;
         }
         if let Err(after) = self.rate.take(now, 1.0) {
             self.tokens.charge(now, -tokens.min(1.0));
-            self.leave();
+            self.release();
             let limit = Limit::Rate;
             return Pass::Over { limit, after };
         }
@@ -96,7 +96,7 @@
     }
 
     /// Asks to let one sample of a step pass: no request of its own, so the rate does not count.
-    pub fn enter_sample(&mut self, now: Millis, tokens: f64) -> Pass {
+    pub fn admit_sample(&mut self, now: Millis, tokens: f64) -> Pass {
         if self.running >= self.slots {
             return Pass::Over {
                 limit: Limit::Concurrency,
@@ -120,11 +120,11 @@
     }
 
     /// Ends a request that passed.
-    pub fn leave(&mut self) {
+    pub fn release(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Requests between [`Gate::enter`] and [`Gate::leave`].
+    /// Requests between [`ContractLimiter::admit`] and [`ContractLimiter::release`].
     pub fn running(&self) -> u32 {
         self.running
     }
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -1,6 +1,6 @@
 //! Admission: who may run now, who waits, and who is refused at once.
 //!
-//! A request passes its contract's [`Gate`] (rate, tokens, concurrency) and then waits in the
+//! A request passes its contract's [`ContractLimiter`] (rate, tokens, concurrency) and then waits in the
 //! queue of its pool until an upstream has room. The order in which the queue lets requests go is
 //! a plug-in ([`order`]): weighted fair, or first come first served as the baseline.
 
@@ -11,7 +11,7 @@
 pub mod share;
 
 pub use bucket::Bucket;
-pub use gate::Gate;
+pub use gate::ContractLimiter;
 pub use gate::Limit;
 pub use gate::Pass;
 pub use order::Order;
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -4,7 +4,7 @@
 use kernel::Name;
 use kernel::plugin;
 use limit::Admit;
-use limit::Gate;
+use limit::ContractLimiter;
 use limit::Limit;
 use limit::Order;
 use limit::Pass;
@@ -34,14 +34,14 @@
     }
 }
 
-fn gate(rate: u32, concurrency: u32, share: Share) -> Gate {
+fn gate(rate: u32, concurrency: u32, share: Share) -> ContractLimiter {
     let text = format!(
         "[contract]\ncustomer = a\ntoken-sha256 = {}\nservices = s\nrate = {rate}\n\
          burst = 1\nconcurrency = {concurrency}\n",
         "00".repeat(32)
     );
     let contract = form::read("a", &text).unwrap();
-    Gate::new(&contract, share, 0)
+    ContractLimiter::new(&contract, share, 0)
 }
 
 fn over(limit: Limit, after: u64) -> Pass {
@@ -55,8 +55,8 @@
 fn a_second_request_at_once_is_over(rate: u32, concurrency: u32, expected: Pass) {
     let mut gate = gate(rate, concurrency, Share::WHOLE);
 
-    let first = gate.enter(0, 0.0);
-    let second = gate.enter(0, 0.0);
+    let first = gate.admit(0, 0.0);
+    let second = gate.admit(0, 0.0);
 
     assert_eq!((first, second), (Pass::Go, expected));
 }
@@ -64,11 +64,11 @@
 #[test]
 fn leaving_frees_a_slot() {
     let mut gate = gate(1_000, 1, Share::WHOLE);
-    gate.enter(0, 0.0);
+    gate.admit(0, 0.0);
 
-    gate.leave();
+    gate.release();
 
-    assert_eq!(gate.enter(100, 0.0), Pass::Go);
+    assert_eq!(gate.admit(100, 0.0), Pass::Go);
 }
 
 // Symptom: a customer within its share waits behind another's backlog.
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -8,7 +8,7 @@
 use kernel::Millis;
 use kernel::Name;
 use kernel::ShardedMap;
-use limit::Gate;
+use limit::ContractLimiter;
 use limit::Pass;
 use limit::Share;
 use limit::share::Split;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Limiter {
     rev: i64,
-    gate: Gate,
+    gate: ContractLimiter,
     split: Split,
     arrived: u32,
     demand: f64,
@@ -69,7 +69,7 @@
             .limiters
             .with_shard(&self.customer, |limiters| {
                 if let Some(limiter) = limiters.get_mut(&self.customer) {
-                    limiter.gate.leave();
+                    limiter.gate.release();
                 }
             });
     }
@@ -91,7 +91,7 @@
     app.limits.limiters.with_shard(customer, |limiters| {
         let limiter = limiters.entry(customer.clone()).or_insert_with(|| Limiter {
             rev: held.rev,
-            gate: Gate::new(contract, share, now),
+            gate: ContractLimiter::new(contract, share, now),
             split: Split::new(share),
             arrived: 0,
             demand: 0.0,
@@ -117,7 +117,7 @@
 ) -> Result<Passage, Problem> {
     let passed = with_gate(app, held, |limiter, now| {
         limiter.arrived += 1;
-        limiter.gate.enter(now, f64::from(tokens))
+        limiter.gate.admit(now, f64::from(tokens))
     });
     match passed {
         Pass::Go => Ok(Passage {
@@ -140,7 +140,7 @@
 /// Returns the milliseconds after which to ask again.
 pub fn pass_sample(app: &Arc<App>, held: &InForce, tokens: f64) -> Result<Passage, Millis> {
     let passed = with_gate(app, held, |limiter, now| {
-        limiter.gate.enter_sample(now, tokens)
+        limiter.gate.admit_sample(now, tokens)
     });
     match passed {
         Pass::Go => Ok(Passage {
