--- a/crates/limit/src/gate.rs
+++ b/crates/limit/src/gate.rs
@@ -30,15 +30,15 @@
 
 /// What a [`ContractLimiter`] says to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
+pub enum LimitDecision {
     /// It may go on to the queue; [`ContractLimiter::release`] must follow when it is over.
-    Go,
+    Admitted,
     /// It is over a limit; trying again after the wait may help.
-    Over {
+    Rejected {
         /// The contract's line that decided.
         limit: Limit,
         /// When to come back, in milliseconds.
-        after: Millis,
+        retry_after: Millis,
     },
 }
 
@@ -81,37 +81,37 @@
     }
 
     /// Asks to let one request pass that may generate `tokens` tokens.
-    pub fn admit(&mut self, now: Millis, tokens: f64) -> Pass {
+    pub fn admit(&mut self, now: Millis, tokens: f64) -> LimitDecision {
         let pass = self.admit_sample(now, tokens);
-        if pass != Pass::Go {
+        if pass != LimitDecision::Admitted {
             return pass;
         }
-        if let Err(after) = self.rate.take(now, 1.0) {
+        if let Err(retry_after) = self.rate.take(now, 1.0) {
             self.tokens.charge(now, -tokens.min(1.0));
             self.release();
             let limit = Limit::Rate;
-            return Pass::Over { limit, after };
+            return LimitDecision::Rejected { limit, retry_after };
         }
-        Pass::Go
+        LimitDecision::Admitted
     }
 
     /// Asks to let one sample of a step pass: no request of its own, so the rate does not count.
-    pub fn admit_sample(&mut self, now: Millis, tokens: f64) -> Pass {
+    pub fn admit_sample(&mut self, now: Millis, tokens: f64) -> LimitDecision {
         if self.running >= self.slots {
-            return Pass::Over {
+            return LimitDecision::Rejected {
                 limit: Limit::Concurrency,
-                after: BUSY_WAIT,
+                retry_after: BUSY_WAIT,
             };
         }
         // A request larger than the burst would never pass; it waits for a full bucket instead,
         // and what it really used is charged afterwards.
         let gauge = tokens.min(1.0);
-        if let Err(after) = self.tokens.take(now, gauge) {
+        if let Err(retry_after) = self.tokens.take(now, gauge) {
             let limit = Limit::Tokens;
-            return Pass::Over { limit, after };
+            return LimitDecision::Rejected { limit, retry_after };
         }
         self.running += 1;
-        Pass::Go
+        LimitDecision::Admitted
     }
 
     /// Charges tokens that a request generated.
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -13,7 +13,7 @@
 pub use bucket::Bucket;
 pub use gate::ContractLimiter;
 pub use gate::Limit;
-pub use gate::Pass;
+pub use gate::LimitDecision;
 pub use order::Order;
 pub use queue::Admit;
 pub use queue::Queue;
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -6,8 +6,8 @@
 use limit::Admit;
 use limit::ContractLimiter;
 use limit::Limit;
+use limit::LimitDecision;
 use limit::Order;
-use limit::Pass;
 use limit::Queue;
 use limit::Share;
 use limit::order::Entry;
@@ -44,21 +44,21 @@
     ContractLimiter::new(&contract, share, 0)
 }
 
-fn over(limit: Limit, after: u64) -> Pass {
-    Pass::Over { limit, after }
+fn over(limit: Limit, retry_after: u64) -> LimitDecision {
+    LimitDecision::Rejected { limit, retry_after }
 }
 
 #[parameterized(
     rate = { 10, 5, over(Limit::Rate, 100) },
     concurrency = { 10, 1, over(Limit::Concurrency, 200) },
 )]
-fn a_second_request_at_once_is_over(rate: u32, concurrency: u32, expected: Pass) {
+fn a_second_request_at_once_is_over(rate: u32, concurrency: u32, expected: LimitDecision) {
     let mut gate = gate(rate, concurrency, Share::WHOLE);
 
     let first = gate.admit(0, 0.0);
     let second = gate.admit(0, 0.0);
 
-    assert_eq!((first, second), (Pass::Go, expected));
+    assert_eq!((first, second), (LimitDecision::Admitted, expected));
 }
 
 #[test]
@@ -68,7 +68,7 @@
 
     gate.release();
 
-    assert_eq!(gate.admit(100, 0.0), Pass::Go);
+    assert_eq!(gate.admit(100, 0.0), LimitDecision::Admitted);
 }
 
 // Symptom: a customer within its share waits behind another's backlog.
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -9,7 +9,7 @@
 use kernel::Name;
 use kernel::ShardedMap;
 use limit::ContractLimiter;
-use limit::Pass;
+use limit::LimitDecision;
 use limit::Share;
 use limit::share::Split;
 use route::Attempt;
@@ -120,15 +120,15 @@
         limiter.gate.admit(now, f64::from(tokens))
     });
     match passed {
-        Pass::Go => Ok(Passage {
+        LimitDecision::Admitted => Ok(Passage {
             app: app.clone(),
             customer: held.stored.contract.customer.clone(),
         }),
-        Pass::Over { limit, after } => {
+        LimitDecision::Rejected { limit, retry_after } => {
             let detail = format!("the contract's line {:?} decides", limit.key());
             trace.note(detail.as_str());
             let problem = Problem::new(Type::OverLimit, Attempt::new().refuse());
-            Err(problem.because(detail).after(after))
+            Err(problem.because(detail).after(retry_after))
         }
     }
 }
@@ -143,11 +143,11 @@
         limiter.gate.admit_sample(now, tokens)
     });
     match passed {
-        Pass::Go => Ok(Passage {
+        LimitDecision::Admitted => Ok(Passage {
             app: app.clone(),
             customer: held.stored.contract.customer.clone(),
         }),
-        Pass::Over { after, .. } => Err(after),
+        LimitDecision::Rejected { retry_after, .. } => Err(retry_after),
     }
 }
 
