--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -15,7 +15,7 @@
 pub use gate::Limit;
 pub use gate::LimitDecision;
 pub use order::Order;
-pub use queue::Admit;
 pub use queue::Queue;
+pub use queue::QueueDecision;
 pub use queue::Ticket;
 pub use share::Share;
--- a/crates/limit/src/queue.rs
+++ b/crates/limit/src/queue.rs
@@ -13,18 +13,18 @@
 
 /// What a queue says to an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admit {
+pub enum QueueDecision {
     /// It waits under this ticket.
-    Wait(Ticket),
+    Queued(Ticket),
     /// It could not be done by its deadline, so it is refused now and nothing is run.
-    Late {
+    DeadlineTooClose {
         /// When to come back, in milliseconds.
-        after: Millis,
+        retry_after: Millis,
     },
     /// The queue is full.
     Full {
         /// When to come back, in milliseconds.
-        after: Millis,
+        retry_after: Millis,
     },
 }
 
@@ -135,16 +135,18 @@
         deadline: Millis,
         work: Millis,
         value: T,
-    ) -> Admit {
+    ) -> QueueDecision {
         if self.heap.len() >= self.room {
-            let after = self.wait(self.heap.len()).max(1);
-            return Admit::Full { after };
+            let retry_after = self.wait(self.heap.len()).max(1);
+            return QueueDecision::Full { retry_after };
         }
         let rank = self.ranker.rank(entry);
         let ahead = self.heap.iter().filter(|item| item.rank <= rank).count();
         let wait = self.wait(ahead);
         if now + wait + MARGIN * work > deadline {
-            return Admit::Late { after: wait.max(1) };
+            return QueueDecision::DeadlineTooClose {
+                retry_after: wait.max(1),
+            };
         }
         self.next += 1;
         self.heap.push(Item {
@@ -153,7 +155,7 @@
             deadline,
             value,
         });
-        Admit::Wait(self.next)
+        QueueDecision::Queued(self.next)
     }
 
     /// The request that goes next, and whether it is too late for it: less than `work`
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -3,12 +3,12 @@
 use contract::form;
 use kernel::Name;
 use kernel::plugin;
-use limit::Admit;
 use limit::ContractLimiter;
 use limit::Limit;
 use limit::LimitDecision;
 use limit::Order;
 use limit::Queue;
+use limit::QueueDecision;
 use limit::Share;
 use limit::order::Entry;
 use limit::queue::Popped;
@@ -111,10 +111,10 @@
     let loose = queue.push(now, &entry("a", 1), now + 60_000, 1, "loose");
 
     assert!(
-        matches!(tight, Admit::Late { after } if after > 500),
+        matches!(tight, QueueDecision::DeadlineTooClose { retry_after } if retry_after > 500),
         "{tight:?}"
     );
-    assert!(matches!(loose, Admit::Wait(_)));
+    assert!(matches!(loose, QueueDecision::Queued(_)));
 }
 
 // Symptom: at twice its capacity a service answers almost nobody.
@@ -141,7 +141,7 @@
 #[test]
 fn a_cancelled_request_does_not_run() {
     let mut queue = queue("fair");
-    let Admit::Wait(ticket) = queue.push(0, &entry("a", 1), 10, 1, "gone") else {
+    let QueueDecision::Queued(ticket) = queue.push(0, &entry("a", 1), 10, 1, "gone") else {
         panic!("not admitted");
     };
 
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -7,9 +7,9 @@
 use kernel::Name;
 use kernel::plugin;
 use kernel::plugin::UnknownPlugin;
-use limit::Admit;
 use limit::Order;
 use limit::Queue;
+use limit::QueueDecision;
 use limit::order::Entry;
 use limit::queue::Popped;
 use parking_lot::Mutex;
@@ -215,12 +215,14 @@
         let (sender, receiver) = oneshot::channel();
         let waiter = Waiter { ask, sender };
         match state.queue.push(now, entry, deadline, work, waiter) {
-            Admit::Wait(ticket) => {
+            QueueDecision::Queued(ticket) => {
                 self.measure(&state);
                 Ok(Entered::Later(ticket, receiver))
             }
-            Admit::Late { after } => Err(refusal(Type::Late, after)),
-            Admit::Full { after } => Err(refusal(Type::Full, after)),
+            QueueDecision::DeadlineTooClose { retry_after } => {
+                Err(refusal(Type::Late, retry_after))
+            }
+            QueueDecision::Full { retry_after } => Err(refusal(Type::Full, retry_after)),
         }
     }
 
