--- a/crates/limit/src/queue.rs
+++ b/crates/limit/src/queue.rs
@@ -62,18 +62,18 @@
 
 /// A request that left the queue.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Popped<T> {
+pub enum Dequeued<T> {
     /// It goes now.
-    Run(T),
+    Ready(T),
     /// Its deadline passed while it waited; it did not run.
-    Late(T),
+    Expired(T),
 }
 
-impl<T> Popped<T> {
+impl<T> Dequeued<T> {
     /// The request, whatever becomes of it.
     pub fn into_inner(self) -> T {
         match self {
-            Self::Run(value) | Self::Late(value) => value,
+            Self::Ready(value) | Self::Expired(value) => value,
         }
     }
 }
@@ -165,15 +165,15 @@
         Some((&item.value, item.deadline <= now + work))
     }
 
-    /// Takes out the next request; one for which it is too late comes out as [`Popped::Late`].
-    pub fn pop(&mut self, now: Millis, work: Millis) -> Option<Popped<T>> {
+    /// Takes out the next request; one for which it is too late comes out as [`Dequeued::Late`].
+    pub fn pop(&mut self, now: Millis, work: Millis) -> Option<Dequeued<T>> {
         let item = self.heap.pop()?;
         if item.deadline <= now + work {
-            return Some(Popped::Late(item.value));
+            return Some(Dequeued::Expired(item.value));
         }
         self.ranker.served(item.rank);
         self.pace(now);
-        Some(Popped::Run(item.value))
+        Some(Dequeued::Ready(item.value))
     }
 
     fn pace(&mut self, now: Millis) {
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -11,7 +11,7 @@
 use limit::QueueDecision;
 use limit::Share;
 use limit::order::Entry;
-use limit::queue::Popped;
+use limit::queue::Dequeued;
 use limit::share::Split;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -86,7 +86,7 @@
     queue.push(0, &entry("calm", 1), 10_000, 1, "calm");
 
     let place = 1 + std::iter::from_fn(|| queue.pop(0, 0))
-        .take_while(|got| *got != Popped::Run("calm"))
+        .take_while(|got| *got != Dequeued::Ready("calm"))
         .count();
 
     assert_eq!(place, expected);
@@ -127,7 +127,7 @@
     queue.push(0, &entry("a", 1), 100, 1, "tight");
 
     assert_eq!(queue.peek(81, 20), Some((&"tight", true)));
-    assert_eq!(queue.pop(81, 20), Some(Popped::Late("tight")));
+    assert_eq!(queue.pop(81, 20), Some(Dequeued::Expired("tight")));
 }
 
 #[test]
@@ -135,7 +135,7 @@
     let mut queue = queue("fair");
     queue.push(0, &entry("a", 1), 10, 1, "late");
 
-    assert_eq!(queue.pop(11, 0), Some(Popped::Late("late")));
+    assert_eq!(queue.pop(11, 0), Some(Dequeued::Expired("late")));
 }
 
 #[test]
@@ -199,7 +199,7 @@
         let turns = 100 * (a + b) / a.max(b);
         let mut got = 0;
         for _ in 0..turns {
-            if queue.pop(0, 0) == Some(Popped::Run("a")) {
+            if queue.pop(0, 0) == Some(Dequeued::Ready("a")) {
                 got += 1;
             }
         }
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -11,7 +11,7 @@
 use limit::Queue;
 use limit::QueueDecision;
 use limit::order::Entry;
-use limit::queue::Popped;
+use limit::queue::Dequeued;
 use parking_lot::Mutex;
 use route::Budget;
 use route::Chooser;
@@ -257,7 +257,7 @@
                     Pick::Take(spec) => Ok(self.permit(spec, now)),
                 },
             };
-            let popped = state.queue.pop(now, work).map(Popped::into_inner);
+            let popped = state.queue.pop(now, work).map(Dequeued::into_inner);
             granted.extend(popped.map(|waiter| (waiter, result)));
         }
         self.measure(&state);
