--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -14,7 +14,7 @@
 pub use gate::ContractLimiter;
 pub use gate::Limit;
 pub use gate::LimitDecision;
-pub use order::Order;
+pub use order::QueueOrder;
 pub use queue::Queue;
 pub use queue::QueueDecision;
 pub use queue::Ticket;
--- a/crates/limit/src/order.rs
+++ b/crates/limit/src/order.rs
@@ -28,16 +28,16 @@
 }
 
 /// An order that the settings choose by name.
-pub struct Order {
+pub struct QueueOrder {
     /// The name.
     pub name: &'static str,
     /// Makes a ranker for one queue.
     pub make: fn() -> Box<dyn Ranker>,
 }
 
-inventory::collect!(Order);
+inventory::collect!(QueueOrder);
 
-impl Plugin for Order {
+impl Plugin for QueueOrder {
     const KIND: &'static str = "queue order";
 
     fn name(&self) -> &'static str {
@@ -94,9 +94,9 @@
 }
 
 inventory::submit! {
-    Order { name: "fifo", make: || Box::<Fifo>::default() }
+    QueueOrder { name: "fifo", make: || Box::<Fifo>::default() }
 }
 
 inventory::submit! {
-    Order { name: "fair", make: || Box::<Fair>::default() }
+    QueueOrder { name: "fair", make: || Box::<Fair>::default() }
 }
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -6,9 +6,9 @@
 use limit::ContractLimiter;
 use limit::Limit;
 use limit::LimitDecision;
-use limit::Order;
 use limit::Queue;
 use limit::QueueDecision;
+use limit::QueueOrder;
 use limit::Share;
 use limit::order::Entry;
 use limit::queue::Dequeued;
@@ -21,7 +21,7 @@
 }
 
 fn queue(order: &str) -> Queue<&'static str> {
-    let order = plugin::find::<Order>(order).unwrap();
+    let order = plugin::find::<QueueOrder>(order).unwrap();
     Queue::new((order.make)(), 1_000)
 }
 
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -7,9 +7,9 @@
 use kernel::Name;
 use kernel::plugin;
 use kernel::plugin::UnknownPlugin;
-use limit::Order;
 use limit::Queue;
 use limit::QueueDecision;
+use limit::QueueOrder;
 use limit::order::Entry;
 use limit::queue::Dequeued;
 use parking_lot::Mutex;
@@ -145,7 +145,7 @@
         upstreams: &[Spec],
         clock: Clock,
     ) -> Result<Self, UnknownPlugin> {
-        let order = plugin::find::<Order>(pool.order)?;
+        let order = plugin::find::<QueueOrder>(pool.order)?;
         let chooser = plugin::find::<Chooser>(pool.chooser)?;
         let mut known = Pool::new(chooser, me.domain.clone());
         let of_pool = upstreams.iter().filter(|spec| spec.pool == pool.name);
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -12,7 +12,7 @@
 use kernel::Millis;
 use kernel::Name;
 use kernel::plugin;
-use limit::Order;
+use limit::QueueOrder;
 use net::Limits;
 use route::Chooser;
 use route::Kind;
@@ -248,7 +248,7 @@
 fn pool(s: &mut Section) -> Option<Pool> {
     let name = label(s);
     let kind = s.need("kind", "engine or service");
-    let order = plugin_of::<Order>(s, "order", "fair");
+    let order = plugin_of::<QueueOrder>(s, "order", "fair");
     let chooser = plugin_of::<Chooser>(s, "chooser", "scored");
     let queue = s.or("queue", "a number of requests", 1_024);
     Some(Pool {
