--- a/crates/limit/src/order.rs
+++ b/crates/limit/src/order.rs
@@ -7,7 +7,7 @@
 
 /// What an order knows of a request.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct QueueEntry {
     /// The customer.
     pub customer: Name,
     /// The contract's weight.
@@ -21,7 +21,7 @@
 /// Gives each request a key when it arrives; the lowest key goes first.
 pub trait Ranker: Send {
     /// Ranks an arriving request.
-    fn rank(&mut self, entry: &Entry) -> f64;
+    fn rank(&mut self, entry: &QueueEntry) -> f64;
 
     /// Tells that the request with this rank goes now.
     fn served(&mut self, rank: f64);
@@ -52,7 +52,7 @@
 }
 
 impl Ranker for Fifo {
-    fn rank(&mut self, _: &Entry) -> f64 {
+    fn rank(&mut self, _: &QueueEntry) -> f64 {
         self.next += 1.0;
         self.next
     }
@@ -76,7 +76,7 @@
 const CLASS_FACTOR: f64 = 2.0;
 
 impl Ranker for Fair {
-    fn rank(&mut self, entry: &Entry) -> f64 {
+    fn rank(&mut self, entry: &QueueEntry) -> f64 {
         if self.ends.len() > MANY {
             let clock = self.clock;
             self.ends.retain(|_, end| *end > clock);
--- a/crates/limit/src/queue.rs
+++ b/crates/limit/src/queue.rs
@@ -5,7 +5,7 @@
 
 use kernel::Millis;
 
-use crate::order::Entry;
+use crate::order::QueueEntry;
 use crate::order::Ranker;
 
 /// Names one waiting request.
@@ -131,7 +131,7 @@
     pub fn push(
         &mut self,
         now: Millis,
-        entry: &Entry,
+        entry: &QueueEntry,
         deadline: Millis,
         work: Millis,
         value: T,
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -10,7 +10,7 @@
 use limit::QueueDecision;
 use limit::QueueOrder;
 use limit::Share;
-use limit::order::Entry;
+use limit::order::QueueEntry;
 use limit::queue::Dequeued;
 use limit::share::Split;
 use proptest::prelude::*;
@@ -25,8 +25,8 @@
     Queue::new((order.make)(), 1_000)
 }
 
-fn entry(customer: &str, weight: u32) -> Entry {
-    Entry {
+fn entry(customer: &str, weight: u32) -> QueueEntry {
+    QueueEntry {
         customer: name(customer),
         weight,
         class: 3,
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -9,7 +9,7 @@
 use http::header::CONTENT_TYPE;
 use kernel::Millis;
 use kernel::RequestId;
-use limit::order::Entry;
+use limit::order::QueueEntry;
 use net::Call;
 use net::Reply;
 use net::body;
@@ -68,7 +68,7 @@
 struct Job {
     asked: Completion,
     dispatcher: Arc<Dispatcher>,
-    entry: Entry,
+    entry: QueueEntry,
     class: u8,
     passage: Passage,
     deadline: Millis,
@@ -118,7 +118,7 @@
     }
     let dispatcher = model(app, &held, &asked.model)?;
     let passage = limits::pass(app, &held, asked.max_tokens, trace)?;
-    let entry = Entry {
+    let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
         class: contract.class,
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -10,7 +10,7 @@
 use limit::Queue;
 use limit::QueueDecision;
 use limit::QueueOrder;
-use limit::order::Entry;
+use limit::order::QueueEntry;
 use limit::queue::Dequeued;
 use parking_lot::Mutex;
 use route::Budget;
@@ -172,7 +172,7 @@
     /// is full, or no upstream can take it.
     pub async fn acquire(
         self: &Arc<Self>,
-        entry: &Entry,
+        entry: &QueueEntry,
         ask: Ask,
         deadline: Millis,
     ) -> Result<Permit, Refusal> {
@@ -198,7 +198,7 @@
 
     fn enter(
         self: &Arc<Self>,
-        entry: &Entry,
+        entry: &QueueEntry,
         ask: Ask,
         deadline: Millis,
     ) -> Result<Entered, Refusal> {
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -16,7 +16,7 @@
 use http::header;
 use http_body_util::Full;
 use kernel::Millis;
-use limit::order::Entry;
+use limit::order::QueueEntry;
 use net::Call;
 use net::Reply;
 use net::SendError;
@@ -126,14 +126,14 @@
 /// A call that has passed its contract's limits.
 struct Job {
     dispatcher: Arc<Dispatcher>,
-    entry: Entry,
+    entry: QueueEntry,
     outbound: Outbound,
     #[expect(dead_code, reason = "held for its drop, which frees the place")]
     passage: Passage,
 }
 
-fn entry(contract: &Contract) -> Entry {
-    Entry {
+fn entry(contract: &Contract) -> QueueEntry {
+    QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
         class: contract.class,
@@ -274,7 +274,7 @@
 }
 
 /// What a call asks for: the same for each attempt of a customer.
-fn print(entry: &Entry, dispatcher: &Dispatcher, outbound: &Outbound) -> Print {
+fn print(entry: &QueueEntry, dispatcher: &Dispatcher, outbound: &Outbound) -> Print {
     let method = outbound.method.as_str();
     let customer = entry.customer.as_bytes();
     Print::new(
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -5,7 +5,7 @@
 
 use contract::book::InForce;
 use kernel::Millis;
-use limit::order::Entry;
+use limit::order::QueueEntry;
 use poison::Print;
 use route::pool::Ask;
 use route::prefix::blocks;
@@ -110,7 +110,7 @@
 async fn acquire(app: &App, work: &Work, held: &InForce, begin: &Begin) -> Result<Permit, Millis> {
     let contract = &held.stored.contract;
     let left = begin.tokens.saturating_sub(begin.partial.tokens);
-    let entry = Entry {
+    let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
         class: contract.class,
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -6,7 +6,7 @@
 use contract::Unscored;
 use http::Method;
 use kernel::Millis;
-use limit::order::Entry;
+use limit::order::QueueEntry;
 use net::SendError;
 use net::client::JsonError;
 use net::client::uri;
@@ -98,7 +98,7 @@
     let dispatcher = app.dispatchers.get(scorer);
     let dispatcher = dispatcher.filter(|dispatcher| dispatcher.kind == Kind::Service);
     let dispatcher = dispatcher.ok_or_else(|| ScoreError::Unknown(scorer.into()))?;
-    let entry = Entry {
+    let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
         class: contract.class,
