--- a/crates/limit/src/gate.rs
+++ b/crates/limit/src/gate.rs
@@ -4,7 +4,7 @@
 use kernel::Millis;
 
 use crate::Bucket;
-use crate::Share;
+use crate::LimitShare;
 
 /// Which line of a contract turned a request away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 
 impl ContractLimiter {
     /// Makes the gate of a contract for an instance's share of it.
-    pub fn new(contract: &Contract, share: Share, now: Millis) -> Self {
+    pub fn new(contract: &Contract, share: LimitShare, now: Millis) -> Self {
         let mut gate = Self {
             rate: Bucket::new(0.0, contract.burst, now),
             tokens: Bucket::new(0.0, contract.tokens * TOKEN_BURST, now),
@@ -71,8 +71,8 @@
     }
 
     /// Takes over an amended contract or a changed share.
-    pub fn resize(&mut self, contract: &Contract, share: Share, now: Millis) {
-        let part = share.part();
+    pub fn resize(&mut self, contract: &Contract, share: LimitShare, now: Millis) {
+        let part = share.fraction();
         let burst = (contract.burst * part).max(1.0);
         self.rate.resize(contract.rate * part, burst, now);
         let tokens = contract.tokens * part;
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -18,4 +18,4 @@
 pub use queue::Queue;
 pub use queue::QueueDecision;
 pub use queue::Ticket;
-pub use share::Share;
+pub use share::LimitShare;
--- a/crates/limit/src/share.rs
+++ b/crates/limit/src/share.rs
@@ -7,15 +7,15 @@
 /// # Examples
 ///
 /// ```
-/// use limit::Share;
+/// use limit::LimitShare;
 ///
-/// let even = Share::split(4, &[], 0.0);
-/// assert_eq!(even.part(), 0.25);
-/// let busy = Share::split(2, &[10.0], 90.0);
-/// assert!(busy.part() > 0.8 && busy.part() < 0.9);
+/// let even = LimitShare::split(4, &[], 0.0);
+/// assert_eq!(even.fraction(), 0.25);
+/// let busy = LimitShare::split(2, &[10.0], 90.0);
+/// assert!(busy.fraction() > 0.8 && busy.fraction() < 0.9);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Share(f64);
+pub struct LimitShare(f64);
 
 /// Part of the limit that is split evenly whatever the demand, so that an instance whose demand
 /// begins has something before its peers have heard of it.
@@ -27,7 +27,7 @@
 /// Time that reports have to arrive from all instances before a share goes up.
 const SETTLE: Millis = 6_000;
 
-impl Share {
+impl LimitShare {
     /// The whole limit: for an instance that is alone.
     pub const WHOLE: Self = Self(1.0);
 
@@ -48,7 +48,7 @@
     }
 
     /// The part, from 0 to 1.
-    pub fn part(self) -> f64 {
+    pub fn fraction(self) -> f64 {
         self.0
     }
 
@@ -68,35 +68,35 @@
 /// # Examples
 ///
 /// ```
-/// use limit::Share;
+/// use limit::LimitShare;
 /// use limit::share::Split;
 ///
-/// let mut split = Split::new(Share::split(8, &[], 0.0));
-/// split.adapt(Share::WHOLE, 0);
-/// assert_eq!(split.share().part(), 0.125);
-/// split.adapt(Share::WHOLE, 6_000);
-/// assert!(split.share().part() > 0.3);
+/// let mut split = Split::new(LimitShare::split(8, &[], 0.0));
+/// split.adapt(LimitShare::WHOLE, 0);
+/// assert_eq!(split.share().fraction(), 0.125);
+/// split.adapt(LimitShare::WHOLE, 6_000);
+/// assert!(split.share().fraction() > 0.3);
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Split {
-    share: Share,
+    share: LimitShare,
     rising: Option<Millis>,
 }
 
 impl Split {
     /// Begins with a share.
-    pub fn new(share: Share) -> Self {
+    pub fn new(share: LimitShare) -> Self {
         let rising = None;
         Self { share, rising }
     }
 
     /// The share now.
-    pub fn share(&self) -> Share {
+    pub fn share(&self) -> LimitShare {
         self.share
     }
 
     /// Takes in what the newest reports say.
-    pub fn adapt(&mut self, target: Share, now: Millis) {
+    pub fn adapt(&mut self, target: LimitShare, now: Millis) {
         if target.0 <= self.share.0 {
             self.share = target;
             self.rising = None;
@@ -104,7 +104,7 @@
         }
         let since = *self.rising.get_or_insert(now);
         if now >= since + SETTLE {
-            self.share = Share(self.share.0 + GROW * (target.0 - self.share.0));
+            self.share = LimitShare(self.share.0 + GROW * (target.0 - self.share.0));
         }
     }
 }
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -6,10 +6,10 @@
 use limit::ContractLimiter;
 use limit::Limit;
 use limit::LimitDecision;
+use limit::LimitShare;
 use limit::Queue;
 use limit::QueueDecision;
 use limit::QueueOrder;
-use limit::Share;
 use limit::order::QueueEntry;
 use limit::queue::Dequeued;
 use limit::share::Split;
@@ -34,7 +34,7 @@
     }
 }
 
-fn gate(rate: u32, concurrency: u32, share: Share) -> ContractLimiter {
+fn gate(rate: u32, concurrency: u32, share: LimitShare) -> ContractLimiter {
     let text = format!(
         "[contract]\ncustomer = a\ntoken-sha256 = {}\nservices = s\nrate = {rate}\n\
          burst = 1\nconcurrency = {concurrency}\n",
@@ -53,7 +53,7 @@
     concurrency = { 10, 1, over(Limit::Concurrency, 200) },
 )]
 fn a_second_request_at_once_is_over(rate: u32, concurrency: u32, expected: LimitDecision) {
-    let mut gate = gate(rate, concurrency, Share::WHOLE);
+    let mut gate = gate(rate, concurrency, LimitShare::WHOLE);
 
     let first = gate.admit(0, 0.0);
     let second = gate.admit(0, 0.0);
@@ -63,7 +63,7 @@
 
 #[test]
 fn leaving_frees_a_slot() {
-    let mut gate = gate(1_000, 1, Share::WHOLE);
+    let mut gate = gate(1_000, 1, LimitShare::WHOLE);
     gate.admit(0, 0.0);
 
     gate.release();
@@ -155,8 +155,8 @@
 // Cause: a share that follows the reports upwards at once.
 #[test]
 fn a_share_waits_for_news_before_it_goes_up() {
-    let even = Share::split(8, &[], 0.0);
-    let alone = Share::split(8, &[], 75.0);
+    let even = LimitShare::split(8, &[], 0.0);
+    let alone = LimitShare::split(8, &[], 75.0);
     let mut split = Split::new(even);
 
     for second in 0..6 {
@@ -182,7 +182,7 @@
             .map(|(at, mine)| {
                 let mut others = demands.clone();
                 others.remove(at);
-                Share::split(demands.len(), &others, *mine).part()
+                LimitShare::split(demands.len(), &others, *mine).fraction()
             })
             .sum();
         prop_assert!((total - 1.0).abs() < 1e-6, "{total}");
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -10,7 +10,7 @@
 use kernel::ShardedMap;
 use limit::ContractLimiter;
 use limit::LimitDecision;
-use limit::Share;
+use limit::LimitShare;
 use limit::share::Split;
 use route::Attempt;
 use wire::Problem;
@@ -75,10 +75,10 @@
     }
 }
 
-fn share(app: &App, customer: &str, mine: f64) -> Share {
+fn share(app: &App, customer: &str, mine: f64) -> LimitShare {
     let view = app.view.lock();
     let others = view.demands(customer, app.clock.now());
-    Share::split(view.sharing(), &others, mine)
+    LimitShare::split(view.sharing(), &others, mine)
 }
 
 /// Runs `f` on the gate of a contract, made or brought up to its revision first.
