--- a/crates/limit/src/share.rs
+++ b/crates/limit/src/share.rs
@@ -69,21 +69,21 @@
 ///
 /// ```
 /// use limit::LimitShare;
-/// use limit::share::Split;
+/// use limit::share::ShareTracker;
 ///
-/// let mut split = Split::new(LimitShare::split(8, &[], 0.0));
-/// split.adapt(LimitShare::WHOLE, 0);
+/// let mut split = ShareTracker::new(LimitShare::split(8, &[], 0.0));
+/// split.update(LimitShare::WHOLE, 0);
 /// assert_eq!(split.share().fraction(), 0.125);
-/// split.adapt(LimitShare::WHOLE, 6_000);
+/// split.update(LimitShare::WHOLE, 6_000);
 /// assert!(split.share().fraction() > 0.3);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Split {
+pub struct ShareTracker {
     share: LimitShare,
     rising: Option<Millis>,
 }
 
-impl Split {
+impl ShareTracker {
     /// Begins with a share.
     pub fn new(share: LimitShare) -> Self {
         let rising = None;
@@ -96,7 +96,7 @@
     }
 
     /// Takes in what the newest reports say.
-    pub fn adapt(&mut self, target: LimitShare, now: Millis) {
+    pub fn update(&mut self, target: LimitShare, now: Millis) {
         if target.0 <= self.share.0 {
             self.share = target;
             self.rising = None;
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -12,7 +12,7 @@
 use limit::QueueOrder;
 use limit::order::QueueEntry;
 use limit::queue::Dequeued;
-use limit::share::Split;
+use limit::share::ShareTracker;
 use proptest::prelude::*;
 use yare::parameterized;
 
@@ -157,15 +157,15 @@
 fn a_share_waits_for_news_before_it_goes_up() {
     let even = LimitShare::split(8, &[], 0.0);
     let alone = LimitShare::split(8, &[], 75.0);
-    let mut split = Split::new(even);
+    let mut split = ShareTracker::new(even);
 
     for second in 0..6 {
-        split.adapt(alone, second * 1_000);
+        split.update(alone, second * 1_000);
     }
     let before = split.share();
-    split.adapt(alone, 6_000);
+    split.update(alone, 6_000);
     let after = split.share();
-    split.adapt(even, 7_000);
+    split.update(even, 7_000);
 
     assert_eq!(before, even);
     assert!(after > even);
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -11,7 +11,7 @@
 use limit::ContractLimiter;
 use limit::LimitDecision;
 use limit::LimitShare;
-use limit::share::Split;
+use limit::share::ShareTracker;
 use route::Attempt;
 use wire::Problem;
 use wire::problem::Type;
@@ -30,7 +30,7 @@
 struct Limiter {
     rev: i64,
     gate: ContractLimiter,
-    split: Split,
+    split: ShareTracker,
     arrived: u32,
     demand: f64,
 }
@@ -92,7 +92,7 @@
         let limiter = limiters.entry(customer.clone()).or_insert_with(|| Limiter {
             rev: held.rev,
             gate: ContractLimiter::new(contract, share, now),
-            split: Split::new(share),
+            split: ShareTracker::new(share),
             arrived: 0,
             demand: 0.0,
         });
@@ -185,7 +185,7 @@
     let now: Millis = app.clock.now();
     app.limits.limiters.with_shard(customer, |limiters| {
         if let Some(limiter) = limiters.get_mut(customer) {
-            limiter.split.adapt(share, now);
+            limiter.split.update(share, now);
             limiter.gate.resize(contract, limiter.split.share(), now);
         }
     });
