--- a/crates/limit/src/order.rs
+++ b/crates/limit/src/order.rs
@@ -1,37 +1,37 @@
-//! In which order a queue lets requests go: a plug-in.
+//! Queue orders, selected as plug-ins.
 
 use kernel::Map;
 use kernel::Name;
 use kernel::plugin::Plugin;
 use kernel::plugin::inventory;
 
-/// What an order knows of a request.
+/// Properties of a request that determine its rank.
 #[derive(Clone, Debug)]
 pub struct QueueEntry {
-    /// The customer.
+    /// Customer that sent the request.
     pub customer: Name,
-    /// The contract's weight.
+    /// Weight of the customer's contract.
     pub weight: u32,
-    /// The contract's priority class.
+    /// Priority class of the contract.
     pub class: u8,
-    /// Expected work in any unit that is the same over the queue.
+    /// Expected work, in any unit that is the same for the whole queue.
     pub cost: f64,
 }
 
-/// Gives each request a key when it arrives; the lowest key goes first.
+/// Assigns a rank to each arriving request; the request with the lowest rank leaves the queue first.
 pub trait Ranker: Send {
     /// Ranks an arriving request.
     fn rank(&mut self, entry: &QueueEntry) -> f64;
 
-    /// Tells that the request with this rank goes now.
-    fn served(&mut self, rank: f64);
+    /// Records that the request with this rank has left the queue to run.
+    fn dispatched(&mut self, rank: f64);
 }
 
-/// An order that the settings choose by name.
+/// A queue order that the settings select by name.
 pub struct QueueOrder {
-    /// The name.
+    /// Name in the settings.
     pub name: &'static str,
-    /// Makes a ranker for one queue.
+    /// Creates a ranker for one queue.
     pub make: fn() -> Box<dyn Ranker>,
 }
 
@@ -57,39 +57,43 @@
         self.next
     }
 
-    fn served(&mut self, _: f64) {}
+    fn dispatched(&mut self, _: f64) {}
 }
 
-/// Start-time fair queueing: each contract has a clock that its requests push on by cost over
-/// weight; the queue's clock is that of the request served last, and a contract that was idle
-/// starts there, so idle capacity is lent and never saved up.
+/// Start-time fair queueing. Each request advances its contract's virtual time by cost over weight. The
+/// queue's virtual time is the rank of the last request to leave it, and a contract that was idle starts
+/// there, so unused capacity goes to others and cannot be saved up.
 #[derive(Debug, Default)]
 struct Fair {
-    clock: f64,
-    ends: Map<Name, f64>,
+    virtual_time: f64,
+    /// Virtual time of each contract after its last request.
+    finish_times: Map<Name, f64>,
 }
 
-/// Contracts after which a fair order drops the clocks that have passed.
-const MANY: usize = 1_024;
+/// Number of contracts above which those whose virtual time has passed are removed.
+const PRUNE_THRESHOLD: usize = 1_024;
 
-/// Factor of weight between one priority class and the next.
+/// Ratio of weights between adjacent priority classes.
 const CLASS_FACTOR: f64 = 2.0;
 
 impl Ranker for Fair {
     fn rank(&mut self, entry: &QueueEntry) -> f64 {
-        if self.ends.len() > MANY {
-            let clock = self.clock;
-            self.ends.retain(|_, end| *end > clock);
+        if self.finish_times.len() > PRUNE_THRESHOLD {
+            let now = self.virtual_time;
+            self.finish_times.retain(|_, finish| *finish > now);
         }
-        let end = self.ends.entry(entry.customer.clone()).or_insert(0.0);
-        let start = end.max(self.clock);
+        let finish = self
+            .finish_times
+            .entry(entry.customer.clone())
+            .or_insert(0.0);
+        let start = finish.max(self.virtual_time);
         let weight = f64::from(entry.weight.max(1)) * CLASS_FACTOR.powi(i32::from(entry.class));
-        *end = start + entry.cost / weight;
+        *finish = start + entry.cost / weight;
         start
     }
 
-    fn served(&mut self, rank: f64) {
-        self.clock = self.clock.max(rank);
+    fn dispatched(&mut self, rank: f64) {
+        self.virtual_time = self.virtual_time.max(rank);
     }
 }
 
--- a/crates/limit/src/queue.rs
+++ b/crates/limit/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue before a pool of upstreams, bounded by deadlines.
+//! A queue in front of a pool of upstreams that rejects requests it cannot serve by their deadline.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -8,50 +8,50 @@
 use crate::order::QueueEntry;
 use crate::order::Ranker;
 
-/// Names one waiting request.
+/// Identifies a queued request.
 pub type Ticket = u64;
 
-/// What a queue says to an arriving request.
+/// Decision of a [`Queue`] on an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// It waits under this ticket.
+    /// It waits; the ticket identifies it.
     Queued(Ticket),
-    /// It could not be done by its deadline, so it is refused now and nothing is run.
+    /// It cannot finish by its deadline, so it is rejected without running.
     DeadlineTooClose {
-        /// When to come back, in milliseconds.
+        /// Wait before a retry, in milliseconds.
         retry_after: Millis,
     },
     /// The queue is full.
     Full {
-        /// When to come back, in milliseconds.
+        /// Wait before a retry, in milliseconds.
         retry_after: Millis,
     },
 }
 
 #[derive(Debug)]
-struct Item<T> {
+struct QueuedRequest<T> {
     rank: f64,
     ticket: Ticket,
     deadline: Millis,
     value: T,
 }
 
-impl<T> PartialEq for Item<T> {
+impl<T> PartialEq for QueuedRequest<T> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<T> Eq for Item<T> {}
+impl<T> Eq for QueuedRequest<T> {}
 
-impl<T> PartialOrd for Item<T> {
+impl<T> PartialOrd for QueuedRequest<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Item<T> {
-    // Reversed: a binary heap gives the greatest first, and the lowest rank goes first.
+impl<T> Ord for QueuedRequest<T> {
+    // Reversed, since a binary heap returns the greatest item first and the lowest rank must leave first.
     fn cmp(&self, other: &Self) -> Ordering {
         other
             .rank
@@ -63,14 +63,14 @@
 /// A request that left the queue.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Dequeued<T> {
-    /// It goes now.
+    /// It can run now.
     Ready(T),
-    /// Its deadline passed while it waited; it did not run.
+    /// Too little time is left before its deadline; it must not run.
     Expired(T),
 }
 
 impl<T> Dequeued<T> {
-    /// The request, whatever becomes of it.
+    /// Returns the request in either case.
     pub fn into_inner(self) -> T {
         match self {
             Self::Ready(value) | Self::Expired(value) => value,
@@ -78,56 +78,56 @@
     }
 }
 
-/// Times of the expected work that must be left when a request is admitted: waits and works vary,
-/// and a request that is refused late has held up others for nothing.
-const MARGIN: u64 = 2;
+/// Minimum time left after the expected wait for a request to be queued, in multiples of its expected work.
+/// Waiting and service times vary, and a request rejected late has delayed others for nothing.
+const WORK_MARGIN: u64 = 2;
 
-/// Weight of the newest observation in the mean of service times.
-const SMOOTH: f64 = 0.05;
+/// Weight of the newest departure interval in the moving average.
+const SMOOTHING_FACTOR: f64 = 0.05;
 
-/// A queue before a pool of upstreams.
+/// A bounded queue in front of a pool of upstreams.
 pub struct Queue<T> {
     ranker: Box<dyn Ranker>,
-    heap: BinaryHeap<Item<T>>,
-    room: usize,
-    next: Ticket,
-    /// Mean milliseconds between two departures while requests waited.
-    gap: f64,
-    last: Option<Millis>,
+    heap: BinaryHeap<QueuedRequest<T>>,
+    capacity: usize,
+    last_ticket: Ticket,
+    /// Mean time between two departures while requests waited, in milliseconds.
+    mean_interval: f64,
+    last_departure: Option<Millis>,
 }
 
 impl<T> Queue<T> {
-    /// Makes a queue with room for `room` waiting requests.
-    pub fn new(ranker: Box<dyn Ranker>, room: usize) -> Self {
+    /// Creates a queue that holds at most `capacity` requests.
+    pub fn new(ranker: Box<dyn Ranker>, capacity: usize) -> Self {
         Self {
             ranker,
             heap: BinaryHeap::new(),
-            room,
-            next: 0,
-            gap: 0.0,
-            last: None,
+            capacity,
+            last_ticket: 0,
+            mean_interval: 0.0,
+            last_departure: None,
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Tells whether no request waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
 
-    /// How long a request that arrives now is likely to wait when it has to let `ahead` others go.
-    fn wait(&self, ahead: usize) -> Millis {
-        (self.gap * ahead as f64) as Millis
+    /// Estimates how long a request waits with `ahead` others in front of it.
+    fn expected_wait(&self, ahead: usize) -> Millis {
+        (self.mean_interval * ahead as f64) as Millis
     }
 
-    /// Offers an arriving request, which takes about `work` milliseconds once it runs.
+    /// Queues an arriving request that takes about `work` milliseconds to run, or rejects it.
     ///
-    /// Only the requests with a lower rank count as ahead of it, so a contract within its share
-    /// is not refused for another's backlog.
+    /// Only requests with the same or a lower rank count as ahead of it, so a contract within its share
+    /// isn't rejected because of another contract's backlog.
     pub fn push(
         &mut self,
         now: Millis,
@@ -136,61 +136,66 @@
         work: Millis,
         value: T,
     ) -> QueueDecision {
-        if self.heap.len() >= self.room {
-            let retry_after = self.wait(self.heap.len()).max(1);
+        if self.heap.len() >= self.capacity {
+            let retry_after = self.expected_wait(self.heap.len()).max(1);
             return QueueDecision::Full { retry_after };
         }
         let rank = self.ranker.rank(entry);
-        let ahead = self.heap.iter().filter(|item| item.rank <= rank).count();
-        let wait = self.wait(ahead);
-        if now + wait + MARGIN * work > deadline {
+        let ahead = self
+            .heap
+            .iter()
+            .filter(|queued| queued.rank <= rank)
+            .count();
+        let wait = self.expected_wait(ahead);
+        if now + wait + WORK_MARGIN * work > deadline {
             return QueueDecision::DeadlineTooClose {
                 retry_after: wait.max(1),
             };
         }
-        self.next += 1;
-        self.heap.push(Item {
+        self.last_ticket += 1;
+        self.heap.push(QueuedRequest {
             rank,
-            ticket: self.next,
+            ticket: self.last_ticket,
             deadline,
             value,
         });
-        QueueDecision::Queued(self.next)
+        QueueDecision::Queued(self.last_ticket)
     }
 
-    /// The request that goes next, and whether it is too late for it: less than `work`
-    /// milliseconds are left, so that an upstream would work for nothing.
+    /// Returns the request that leaves next, and whether it has expired: at most `work` milliseconds are
+    /// left before its deadline, so running it would be wasted work.
     pub fn peek(&self, now: Millis, work: Millis) -> Option<(&T, bool)> {
-        let item = self.heap.peek()?;
-        Some((&item.value, item.deadline <= now + work))
+        let queued = self.heap.peek()?;
+        Some((&queued.value, queued.deadline <= now + work))
     }
 
-    /// Takes out the next request; one for which it is too late comes out as [`Dequeued::Late`].
+    /// Removes the next request; it is [`Dequeued::Expired`] if at most `work` milliseconds are left before
+    /// its deadline.
     pub fn pop(&mut self, now: Millis, work: Millis) -> Option<Dequeued<T>> {
-        let item = self.heap.pop()?;
-        if item.deadline <= now + work {
-            return Some(Dequeued::Expired(item.value));
+        let queued = self.heap.pop()?;
+        if queued.deadline <= now + work {
+            return Some(Dequeued::Expired(queued.value));
         }
-        self.ranker.served(item.rank);
-        self.pace(now);
-        Some(Dequeued::Ready(item.value))
+        self.ranker.dispatched(queued.rank);
+        self.record_departure(now);
+        Some(Dequeued::Ready(queued.value))
     }
 
-    fn pace(&mut self, now: Millis) {
-        // A gap counts only while requests wait: an idle queue's gaps tell of arrivals instead.
+    fn record_departure(&mut self, now: Millis) {
+        // An interval counts only while requests wait; in an idle queue it would measure arrivals instead.
         let waiting = !self.heap.is_empty();
-        let last = self.last.take();
+        let last = self.last_departure.take();
         if waiting {
-            self.last = Some(now);
+            self.last_departure = Some(now);
         }
         if let Some(last) = last {
-            let gap = now.saturating_sub(last) as f64;
-            self.gap += SMOOTH * (gap - self.gap);
+            let interval = now.saturating_sub(last) as f64;
+            self.mean_interval += SMOOTHING_FACTOR * (interval - self.mean_interval);
         }
     }
 
-    /// Removes a request whose caller has left.
+    /// Removes a request whose client has disconnected.
     pub fn cancel(&mut self, ticket: Ticket) {
-        self.heap.retain(|item| item.ticket != ticket);
+        self.heap.retain(|queued| queued.ticket != ticket);
     }
 }
--- a/crates/limit/src/share.rs
+++ b/crates/limit/src/share.rs
@@ -1,8 +1,8 @@
-//! The part of a contract's limit that one instance may use.
+//! Splits the limits of a contract over instances.
 
 use kernel::Millis;
 
-/// The part of a contract's limit that one instance may use, from 0 to 1.
+/// The fraction of a contract's limits that one instance may use, from 0 to 1.
 ///
 /// # Examples
 ///
@@ -17,26 +17,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct LimitShare(f64);
 
-/// Part of the limit that is split evenly whatever the demand, so that an instance whose demand
-/// begins has something before its peers have heard of it.
-const FLOOR: f64 = 0.1;
+/// Fraction of the limit that is split evenly regardless of demand, so that an instance whose demand begins
+/// can serve requests before its peers have received its report.
+const EVEN_FRACTION: f64 = 0.1;
 
-/// Part of the way that a share goes up with each report.
-const GROW: f64 = 0.3;
+/// Fraction of the distance to the target by which a share grows per update.
+const GROWTH_FACTOR: f64 = 0.3;
 
-/// Time that reports have to arrive from all instances before a share goes up.
-const SETTLE: Millis = 6_000;
+/// Time for reports from all instances to arrive before a share grows.
+const SETTLE_TIME: Millis = 6_000;
 
 impl LimitShare {
-    /// The whole limit: for an instance that is alone.
+    /// The whole limit, for a single instance.
     pub const WHOLE: Self = Self(1.0);
 
-    /// Splits a limit over `live` instances by their demand.
+    /// Splits a limit over `live` instances by demand.
     ///
-    /// `others` are the demands that peers reported, in requests a second; a peer that reported
-    /// none counts as 0. The shares of instances that hold the same reports add up to 1. While a
-    /// cut hides peers, `live` is what the platform's list said last, not what can be reached: the
-    /// instance keeps to its old part and the limit errs low, never high.
+    /// `mine` is this instance's demand and `others` are those that peers reported, in requests per second; a
+    /// peer without a report counts as 0. The shares of instances with the same reports add up to 1. During a
+    /// network partition, `live` must be the number in the platform's last list, not the number of reachable
+    /// peers: the instance then keeps its old share, and the total stays below the limit rather than above.
     pub fn split(live: usize, others: &[f64], mine: f64) -> Self {
         let live = live.max(1) as f64;
         let even = 1.0 / live;
@@ -44,26 +44,26 @@
         if total <= 0.0 {
             return Self(even);
         }
-        Self(FLOOR * even + (1.0 - FLOOR) * mine / total)
+        Self(EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * mine / total)
     }
 
-    /// The part, from 0 to 1.
+    /// Returns the fraction, from 0 to 1.
     pub fn fraction(self) -> f64 {
         self.0
     }
 
-    /// The part of a whole number, at least 1.
-    pub fn count(self, whole: u32) -> u32 {
-        let part = (f64::from(whole) * self.0).floor();
-        (part as u32).clamp(1, whole.max(1))
+    /// Returns this share of an integer limit, rounded down but at least 1.
+    pub fn scale(self, limit: u32) -> u32 {
+        let scaled = (f64::from(limit) * self.0).floor();
+        (scaled as u32).clamp(1, limit.max(1))
     }
 }
 
-/// The share of one instance over time: it goes down at once, and up only after a while.
+/// The share of one instance over time: it shrinks immediately and grows only after a delay.
 ///
-/// When all instances' demand begins at the same moment, each knows only old reports of the others
-/// and would take the whole limit until news come. Waiting for the news keeps the limit; the price
-/// is that an instance which is asked alone gets more than its even part only after some seconds.
+/// When demand begins on all instances at once, each has only old reports of the others and would take the
+/// whole limit until new ones arrive. Waiting for them enforces the limit; the drawback is that an instance
+/// with the only demand exceeds its even share only after some seconds.
 ///
 /// # Examples
 ///
@@ -71,40 +71,43 @@
 /// use limit::LimitShare;
 /// use limit::share::ShareTracker;
 ///
-/// let mut split = ShareTracker::new(LimitShare::split(8, &[], 0.0));
-/// split.update(LimitShare::WHOLE, 0);
-/// assert_eq!(split.share().fraction(), 0.125);
-/// split.update(LimitShare::WHOLE, 6_000);
-/// assert!(split.share().fraction() > 0.3);
+/// let mut tracker = ShareTracker::new(LimitShare::split(8, &[], 0.0));
+/// tracker.update(LimitShare::WHOLE, 0);
+/// assert_eq!(tracker.share().fraction(), 0.125);
+/// tracker.update(LimitShare::WHOLE, 6_000);
+/// assert!(tracker.share().fraction() > 0.3);
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct ShareTracker {
     share: LimitShare,
-    rising: Option<Millis>,
+    growing_since: Option<Millis>,
 }
 
 impl ShareTracker {
-    /// Begins with a share.
+    /// Creates a tracker with an initial share.
     pub fn new(share: LimitShare) -> Self {
-        let rising = None;
-        Self { share, rising }
+        let growing_since = None;
+        Self {
+            share,
+            growing_since,
+        }
     }
 
-    /// The share now.
+    /// Returns the current share.
     pub fn share(&self) -> LimitShare {
         self.share
     }
 
-    /// Takes in what the newest reports say.
+    /// Moves the share towards `target`, which follows from the newest reports.
     pub fn update(&mut self, target: LimitShare, now: Millis) {
         if target.0 <= self.share.0 {
             self.share = target;
-            self.rising = None;
+            self.growing_since = None;
             return;
         }
-        let since = *self.rising.get_or_insert(now);
-        if now >= since + SETTLE {
-            self.share = LimitShare(self.share.0 + GROW * (target.0 - self.share.0));
+        let since = *self.growing_since.get_or_insert(now);
+        if now >= since + SETTLE_TIME {
+            self.share = LimitShare(self.share.0 + GROWTH_FACTOR * (target.0 - self.share.0));
         }
     }
 }
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Tests of admission.
+//! Tests of contract limits, queues and shares.
 
 use contract::form;
 use kernel::Name;
@@ -34,7 +34,7 @@
     }
 }
 
-fn gate(rate: u32, concurrency: u32, share: LimitShare) -> ContractLimiter {
+fn limiter(rate: u32, concurrency: u32, share: LimitShare) -> ContractLimiter {
     let text = format!(
         "[contract]\ncustomer = a\ntoken-sha256 = {}\nservices = s\nrate = {rate}\n\
          burst = 1\nconcurrency = {concurrency}\n",
@@ -44,60 +44,58 @@
     ContractLimiter::new(&contract, share, 0)
 }
 
-fn over(limit: Limit, retry_after: u64) -> LimitDecision {
+fn rejected(limit: Limit, retry_after: u64) -> LimitDecision {
     LimitDecision::Rejected { limit, retry_after }
 }
 
 #[parameterized(
-    rate = { 10, 5, over(Limit::Rate, 100) },
-    concurrency = { 10, 1, over(Limit::Concurrency, 200) },
+    rate = { 10, 5, rejected(Limit::Rate, 100) },
+    concurrency = { 10, 1, rejected(Limit::Concurrency, 200) },
 )]
-fn a_second_request_at_once_is_over(rate: u32, concurrency: u32, expected: LimitDecision) {
-    let mut gate = gate(rate, concurrency, LimitShare::WHOLE);
+fn second_simultaneous_request_is_rejected(rate: u32, concurrency: u32, expected: LimitDecision) {
+    let mut limiter = limiter(rate, concurrency, LimitShare::WHOLE);
 
-    let first = gate.admit(0, 0.0);
-    let second = gate.admit(0, 0.0);
+    let first = limiter.admit(0, 0.0);
+    let second = limiter.admit(0, 0.0);
 
     assert_eq!((first, second), (LimitDecision::Admitted, expected));
 }
 
 #[test]
-fn leaving_frees_a_slot() {
-    let mut gate = gate(1_000, 1, LimitShare::WHOLE);
-    gate.admit(0, 0.0);
+fn release_frees_a_slot() {
+    let mut limiter = limiter(1_000, 1, LimitShare::WHOLE);
+    limiter.admit(0, 0.0);
 
-    gate.release();
+    limiter.release();
 
-    assert_eq!(gate.admit(100, 0.0), LimitDecision::Admitted);
+    assert_eq!(limiter.admit(100, 0.0), LimitDecision::Admitted);
 }
 
-// Symptom: a customer within its share waits behind another's backlog.
-// Sequence: `surge` queues 50 requests, then `calm` sends one.
-// Cause: one line for all; first come, first served shows it.
+// Guards against a customer within its share waiting behind another's backlog: `surge` queues 50 requests, then
+// `calm` sends one. First come, first served shows the failure.
 #[parameterized(
     fair = { "fair", 2 },
     fifo = { "fifo", 51 },
 )]
-fn a_calm_customer_after_a_surge(order: &str, expected: usize) {
+fn position_of_a_calm_customer_after_a_surge(order: &str, expected: usize) {
     let mut queue = queue(order);
     for _ in 0..50 {
         queue.push(0, &entry("surge", 1), 10_000, 1, "surge");
     }
     queue.push(0, &entry("calm", 1), 10_000, 1, "calm");
 
-    let place = 1 + std::iter::from_fn(|| queue.pop(0, 0))
+    let position = 1 + std::iter::from_fn(|| queue.pop(0, 0))
         .take_while(|got| *got != Dequeued::Ready("calm"))
         .count();
 
-    assert_eq!(place, expected);
+    assert_eq!(position, expected);
 }
 
-// Symptom: callers wait until their deadline and then get nothing, while upstreams work for
-// callers who have left.
-// Sequence: departures come 100 ms apart, ten requests wait, one more has 500 ms left.
-// Cause: admission that does not look at the deadline.
+// Guards against admission that ignores deadlines: clients would wait until their deadline for nothing, and
+// upstreams would work for clients that have disconnected. Departures are 100 ms apart, 50 requests
+// wait, and one more has 500 ms left.
 #[test]
-fn what_cannot_be_done_in_time_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_rejected() {
     let mut queue = queue("fair");
     for _ in 0..300 {
         queue.push(0, &entry("a", 1), 1_000_000, 1, "old");
@@ -117,12 +115,11 @@
     assert!(matches!(loose, QueueDecision::Queued(_)));
 }
 
-// Symptom: at twice its capacity a service answers almost nobody.
-// Sequence: requests leave the queue with a few milliseconds left; the service works on them, and
-// each is given up before its answer comes.
-// Cause: letting go what cannot be done in the time that is left.
+// Guards against a service at twice its capacity that completes almost no request: requests left the queue with
+// a few milliseconds to their deadline, the service worked on them, and each was cancelled before its
+// response.
 #[test]
-fn a_request_without_time_for_its_work_does_not_run() {
+fn request_without_time_for_its_work_expires() {
     let mut queue = queue("fair");
     queue.push(0, &entry("a", 1), 100, 1, "tight");
 
@@ -131,7 +128,7 @@
 }
 
 #[test]
-fn a_request_past_its_deadline_does_not_run() {
+fn request_past_its_deadline_expires() {
     let mut queue = queue("fair");
     queue.push(0, &entry("a", 1), 10, 1, "late");
 
@@ -139,7 +136,7 @@
 }
 
 #[test]
-fn a_cancelled_request_does_not_run() {
+fn cancelled_request_does_not_run() {
     let mut queue = queue("fair");
     let QueueDecision::Queued(ticket) = queue.push(0, &entry("a", 1), 10, 1, "gone") else {
         panic!("not admitted");
@@ -150,30 +147,29 @@
     assert_eq!(queue.pop(1, 0), None);
 }
 
-// Symptom: a customer gets 1.6 times its contract for the first seconds of a rush.
-// Sequence: the demand begins at 8 instances at once; none has heard of the others' yet.
-// Cause: a share that follows the reports upwards at once.
+// Guards against a customer getting 1.6 times its contract in the first seconds of a load peak: demand begins on
+// 8 instances at once, and none has received the others' reports, so a share must not grow immediately.
 #[test]
-fn a_share_waits_for_news_before_it_goes_up() {
+fn share_grows_only_after_a_delay() {
     let even = LimitShare::split(8, &[], 0.0);
     let alone = LimitShare::split(8, &[], 75.0);
-    let mut split = ShareTracker::new(even);
+    let mut tracker = ShareTracker::new(even);
 
     for second in 0..6 {
-        split.update(alone, second * 1_000);
+        tracker.update(alone, second * 1_000);
     }
-    let before = split.share();
-    split.update(alone, 6_000);
-    let after = split.share();
-    split.update(even, 7_000);
+    let before = tracker.share();
+    tracker.update(alone, 6_000);
+    let after = tracker.share();
+    tracker.update(even, 7_000);
 
     assert_eq!(before, even);
     assert!(after > even);
-    assert_eq!(split.share(), even);
+    assert_eq!(tracker.share(), even);
 }
 
 proptest! {
-    // Over any demands, the shares of instances that hold the same reports add up to the limit.
+    // For any demands, the shares of instances with the same reports add up to the limit.
     #[test]
     fn shares_add_up(demands in prop::collection::vec(0.0f64..1e4, 1..12)) {
         let total: f64 = demands
@@ -188,9 +184,9 @@
         prop_assert!((total - 1.0).abs() < 1e-6, "{total}");
     }
 
-    // Two customers that always have work are served in the ratio of their weights.
+    // Two customers with a constant backlog are served in proportion to their weights.
     #[test]
-    fn fair_follows_weights(a in 1u32..8, b in 1u32..8) {
+    fn fair_order_follows_weights(a in 1u32..8, b in 1u32..8) {
         let mut queue = queue("fair");
         for _ in 0..400 {
             queue.push(0, &entry("a", a), 1_000, 0, "a");
