--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -6,13 +6,13 @@
 
 use kernel::Millis;
 use load::Table;
-use place::Fleet;
-use place::Memory;
-use place::Round;
-use place::Want;
-use table::Listed;
-use table::Roster;
-use table::Start;
+use place::EngineMemory;
+use place::EngineTracker;
+use place::PlacementRequest;
+use place::PlacementRound;
+use table::Incarnation;
+use table::Upstream;
+use table::UpstreamList;
 
 /// Choices that are timed together.
 const TIMES: u32 = 400;
@@ -23,14 +23,14 @@
 /// A time at which everything is known.
 const NOW: Millis = 10_000;
 
-fn listed(at: usize) -> Listed {
+fn listed(at: usize) -> Upstream {
     let name: Arc<str> = format!("i-{at:010x}").into();
-    Listed {
+    Upstream {
         id: name.clone(),
-        start: Start {
+        incarnation: Incarnation {
             name,
-            born: None,
-            beats: 1,
+            started_at: None,
+            heartbeats: 1,
         },
         service: "fit".into(),
         addr: ([127, 0, 0, 1], 1).into(),
@@ -43,34 +43,34 @@
 }
 
 /// Engines all of whose places are taken but one in `free`.
-fn fleet(engines: usize, free: usize) -> (Roster, Fleet) {
+fn fleet(engines: usize, free: usize) -> (UpstreamList, EngineTracker) {
     let all: Vec<_> = (0..engines).map(listed).collect();
-    let mut fleet = Fleet::default();
+    let mut fleet = EngineTracker::default();
     for (at, one) in all.iter().enumerate() {
         let taken = match at % free {
             0 => SLOTS - 1,
             _ => SLOTS,
         };
-        (0..taken).for_each(|_| fleet.begin(&one.id, 100));
-        fleet.event(&one.id, 30.0 + (at % 17) as f64);
-        fleet.saw(&one.id, &"small".into(), 4);
+        (0..taken).for_each(|_| fleet.run_started(&one.id, 100));
+        fleet.event_received(&one.id, 30.0 + (at % 17) as f64);
+        fleet.version_seen(&one.id, &"small".into(), 4);
     }
-    let mut roster = Roster::default();
-    roster.read(all, NOW);
+    let mut roster = UpstreamList::default();
+    roster.update(all, NOW);
     (roster, fleet)
 }
 
-fn want() -> Want<'static> {
-    Want {
+fn want() -> PlacementRequest<'static> {
+    PlacementRequest {
         service: "fit",
         model: Some("small"),
-        least: 4,
-        queue: 0,
+        min_version: 4,
+        queue_limit: 0,
         domain: "nord",
-        kin: None,
+        cached_on: None,
         avoid: &[],
-        taken: 100,
-        memory: Memory::default(),
+        tokens: 100,
+        memory: EngineMemory::default(),
     }
 }
 
@@ -79,10 +79,10 @@
     let (roster, mut fleet) = fleet(engines, 1);
     let want = want();
     let begun = Instant::now();
-    let mut round = Round::new(&fleet, &roster, &want, NOW);
+    let mut round = PlacementRound::new(&fleet, &roster, &want, NOW);
     let mut chosen = 0;
     while let Some(one) = round.choose(&fleet, &roster, &want, NOW) {
-        fleet.begin(&one.id, want.taken);
+        fleet.run_started(&one.id, want.tokens);
         chosen += 1;
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(chosen)
@@ -103,11 +103,11 @@
 fn better(engines: usize) -> f64 {
     let (roster, mut fleet) = fleet(engines, 10);
     let here = listed(0).id;
-    fleet.event(&here, 400.0);
+    fleet.event_received(&here, 400.0);
     let want = want();
     let begun = Instant::now();
     for at in 0..u64::from(TIMES) {
-        black_box(fleet.better(black_box(&roster), &want, &here, 40, NOW + at));
+        black_box(fleet.choose_better(black_box(&roster), &want, &here, 40, NOW + at));
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES)
 }
@@ -115,11 +115,11 @@
 /// Microseconds of taking in a list of which nothing has changed.
 fn list(engines: usize) -> f64 {
     let all: Vec<_> = (0..engines).map(|at| Arc::new(listed(at))).collect();
-    let mut roster = Roster::default();
-    roster.share(all.iter().cloned(), NOW);
+    let mut roster = UpstreamList::default();
+    roster.update_shared(all.iter().cloned(), NOW);
     let begun = Instant::now();
     for _ in 0..TIMES {
-        black_box(roster.share(all.iter().cloned(), NOW));
+        black_box(roster.update_shared(all.iter().cloned(), NOW));
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES)
 }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -13,7 +13,7 @@
 pub use amend::Change;
 pub use amend::ChangeStatus;
 pub use audit::Audit;
-pub use kernel::Digest;
+pub use kernel::TokenDigest;
 pub use model::Contract;
 pub use model::CostPreference;
 pub use model::NonIdempotentRule;
--- a/crates/contract/src/model.rs
+++ b/crates/contract/src/model.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Digest;
+use crate::TokenDigest;
 
 /// The highest priority class.
 pub const MAX_CLASS: u8 = 7;
@@ -90,7 +90,7 @@
     pub customer: Name,
     /// SHA-256 digest of the bearer token.
     #[serde(rename = "token")]
-    pub token_digest: Digest,
+    pub token_digest: TokenDigest,
     /// The models that it may use.
     pub models: Vec<Name>,
     /// The plain services that it may use.
--- a/crates/contract/src/registry.rs
+++ b/crates/contract/src/registry.rs
@@ -7,8 +7,8 @@
 use serde::Serialize;
 
 use crate::Contract;
-use crate::Digest;
 use crate::Revision;
+use crate::TokenDigest;
 
 /// A contract as the platform stores it.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     contracts: Map<Name, ActiveContract>,
-    tokens: Map<Digest, Name>,
+    tokens: Map<TokenDigest, Name>,
 }
 
 impl Registry {
@@ -80,7 +80,7 @@
 
     /// Returns the contract that a bearer token belongs to.
     pub fn by_token(&self, token: &str) -> Option<&ActiveContract> {
-        let digest = Digest::of(token);
+        let digest = TokenDigest::of(token);
         let customer = self.tokens.get(&digest)?;
         let active = self.contracts.get(customer)?;
         active
--- a/crates/contract/tests/contract.rs
+++ b/crates/contract/tests/contract.rs
@@ -4,9 +4,9 @@
 
 use contract::ChangeStatus;
 use contract::Contract;
-use contract::Digest;
 use contract::Registry;
 use contract::StoredContract;
+use contract::TokenDigest;
 use contract::amend::ReadBack;
 use contract::amend::change_status;
 use contract::ini;
@@ -16,7 +16,7 @@
 use yare::parameterized;
 
 fn text(more: &str) -> String {
-    let token = Digest::of("secret");
+    let token = TokenDigest::of("secret");
     format!(
         "[contract]\ncustomer = aarhus\ntoken-sha256 = {token}\nservices = portal\n\
          rate = 10\nconcurrency = 4\n{more}"
@@ -29,7 +29,7 @@
 
 fn active(rev: i64, token: &str) -> ActiveContract {
     let mut contract = sample();
-    contract.token_digest = Digest::of(token);
+    contract.token_digest = TokenDigest::of(token);
     let change = format!("c{rev}").into();
     ActiveContract {
         rev,
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every other crate shares: names, identifiers, time, the map alias, sharded state and the
-//! plug-in registry.
+//! Types shared by all other crates: names, identifiers, time units, hash map aliases, a sharded map
+//! and the plug-in registry.
 //!
 //! Nothing here opens a socket, reads a clock or starts a thread.
 
@@ -20,7 +20,7 @@
 pub use map::Set;
 pub use name::Name;
 pub use name::NameError;
-pub use rank::rank;
-pub use shard::Shards;
+pub use rank::rendezvous_rank;
+pub use shard::ShardedMap;
 pub use time::Millis;
-pub use token::Digest;
+pub use token::TokenDigest;
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -15,10 +15,10 @@
 use kernel::Map;
 use kernel::Millis;
 use kernel::Set;
-use kernel::Shards;
+use kernel::ShardedMap;
 use parking_lot::Mutex;
-use place::Fleet;
-use place::Memory;
+use place::EngineMemory;
+use place::EngineTracker;
 use plat::Client;
 use poison::Identity;
 use spread::Board;
@@ -27,9 +27,9 @@
 use spread::Place;
 use spread::member::Turnover;
 use spread::tree;
-use table::Listed;
-use table::Plan;
-use table::Roster;
+use table::Config;
+use table::Upstream;
+use table::UpstreamList;
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use usage::Keeper;
@@ -71,13 +71,13 @@
     /// This start of this instance.
     pub me: Owner,
     /// The configuration, once it is known.
-    pub plan: ArcSwapOption<Plan>,
+    pub plan: ArcSwapOption<Config>,
     /// The upstreams that are listed.
-    pub roster: Mutex<Roster>,
+    pub roster: Mutex<UpstreamList>,
     /// The upstreams of plain services as this instance sees them.
-    pub plain: Mutex<Fleet>,
+    pub plain: Mutex<EngineTracker>,
     /// The engines as this instance sees them.
-    pub fleet: Mutex<Fleet>,
+    pub fleet: Mutex<EngineTracker>,
     /// Which requests crash upstreams.
     pub crashes: Arc<CrashTracker>,
     /// What this instance has counted of the requests of teams, if they are reported.
@@ -99,15 +99,15 @@
     /// Rings when the board has changed.
     pub news: watch::Sender<()>,
     /// The steps that this instance runs.
-    pub works: Shards<Arc<str>, Arc<Work>>,
+    pub works: ShardedMap<Arc<str>, Arc<Work>>,
     /// The steps that this instance is taking over.
     pub taking: Mutex<Set<Arc<str>>>,
     /// What this instance has read of the results of other steps.
-    pub shelves: Shards<Arc<str>, Arc<Shelf>>,
+    pub shelves: ShardedMap<Arc<str>, Arc<Shelf>>,
     /// What steps that ended here have left over.
     pub again: Mutex<Leftovers>,
     /// Who runs the steps that callers ask for here.
-    pub hints: Shards<Arc<str>, Hint>,
+    pub hints: ShardedMap<Arc<str>, Hint>,
     /// Instances that get no steps from here until a time.
     shunned: Mutex<Map<Arc<str>, Millis>>,
     /// The instance that last made a call of the platform for this one.
@@ -156,11 +156,11 @@
             peers: net::Client::idle(IDLE),
             board: Mutex::default(),
             news: watch::Sender::default(),
-            works: Shards::new(),
+            works: ShardedMap::new(),
             taking: Mutex::default(),
-            shelves: Shards::new(),
+            shelves: ShardedMap::new(),
             again: Mutex::default(),
-            hints: Shards::new(),
+            hints: ShardedMap::new(),
             shunned: Mutex::default(),
             helper: Mutex::default(),
             leaving: AtomicBool::new(false),
@@ -172,18 +172,18 @@
     }
 
     /// What the memory of a service's engines holds.
-    pub fn memory(&self, service: &str) -> Memory {
+    pub fn memory(&self, service: &str) -> EngineMemory {
         let plan = self.plan.load();
         let service = plan.as_ref().and_then(|plan| plan.service(service));
         let engine = service.and_then(|service| service.engine.as_ref());
-        engine.map_or_else(Memory::default, |engine| Memory {
-            holds: engine.memory,
-            event: engine.event,
+        engine.map_or_else(EngineMemory::default, |engine| EngineMemory {
+            capacity_tokens: engine.memory_tokens,
+            event_tokens: engine.event_tokens,
         })
     }
 
     /// Looks whether an upstream has crashed after the connection of a request broke there.
-    pub(crate) async fn broke(self: &Arc<Self>, id: &str, mark: Identity, one: &Listed) {
+    pub(crate) async fn broke(self: &Arc<Self>, id: &str, mark: Identity, one: &Upstream) {
         let (app, start) = (self.clone(), one.id.clone());
         let left = move || {
             let roster = app.roster.lock();
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -18,8 +18,8 @@
 use http_body_util::Full;
 use kernel::Millis;
 use place::Load;
-use table::Listed;
-use table::Plan;
+use table::Config;
+use table::Upstream;
 use team::Credential;
 use team::Principal;
 use usage::Report;
@@ -277,14 +277,14 @@
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn plan(&self, value: &[u8]) -> Result<Plan, DialectError>;
+    fn plan(&self, value: &[u8]) -> Result<Config, DialectError>;
 
     /// Reads the entry of a listed upstream.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn listed(&self, key: &str, value: &[u8]) -> Result<Listed, DialectError>;
+    fn listed(&self, key: &str, value: &[u8]) -> Result<Upstream, DialectError>;
 
     /// Reads an announced version: the model and the version.
     ///
@@ -331,7 +331,7 @@
         &self,
         sample: &Sample,
         host: &str,
-        upstream: &Listed,
+        upstream: &Upstream,
         last: u64,
         principal: &Principal,
     ) -> Result<Request<Full<Bytes>>, DialectError>;
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -14,10 +14,10 @@
 use net::Reply;
 use net::SendError;
 use poison::Verdict;
-use table::Kind;
-use table::Listed;
-use table::Plan;
+use table::Config;
 use table::Route;
+use table::RouteKind;
+use table::Upstream;
 use team::Principal;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -140,7 +140,7 @@
         Self {
             sent,
             route,
-            service: Plan::draw(route, rand::random()).cloned(),
+            service: Config::pick_service(route, rand::random()).cloned(),
             used: Vec::new(),
             running: JoinSet::new(),
             manner,
@@ -149,7 +149,7 @@
     }
 
     fn may_repeat(&self) -> bool {
-        self.manner == Manner::Scorer || self.route.kind == Kind::Idempotent
+        self.manner == Manner::Scorer || self.route.kind == RouteKind::Idempotent
     }
 
     async fn answer(&mut self) -> Passed {
@@ -194,7 +194,7 @@
     }
 
     fn attempts(&self) -> usize {
-        self.route.attempts.max(1) as usize
+        self.route.max_attempts.max(1) as usize
     }
 
     /// Begins an attempt if one is allowed and an upstream has room; `queue` tells whether it may
@@ -281,7 +281,7 @@
 
 fn judge(
     sent: &Sent,
-    one: &Arc<Listed>,
+    one: &Arc<Upstream>,
     answer: Result<Response<Bytes>, SendError>,
     took: Millis,
 ) -> Came {
@@ -289,7 +289,7 @@
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
-            sent.app.plain.lock().failed(&one.id, now);
+            sent.app.plain.lock().engine_failed(&one.id, now);
             let why = error.to_string();
             log::info!(target: "forward", id = &*sent.id, upstream = &*one.id,
                 took_ms = took, why = why.as_str(); "attempt failed");
@@ -302,21 +302,21 @@
     let said = sent.app.dialect.said(answer.status(), answer.headers());
     let mut plain = sent.app.plain.lock();
     if let Some(load) = said.load {
-        plain.report(&one.id, load, now);
+        plain.load_reported(&one.id, load, now);
     }
     if said.unrun || said.other {
-        plain.busy(&one.id, now + FULL);
+        plain.engine_busy(&one.id, now + FULL);
         return Came::Unrun;
     }
     if let (Some(id), Some(signature)) = (&said.id, said.signature)
         && **id == *sent.id
     {
-        plain.event(&one.id, took as f64);
+        plain.event_received(&one.id, took as f64);
         drop(plain);
         sent.answered(answer.status());
         return Came::Answer(answer, signature);
     }
-    plain.failed(&one.id, now);
+    plain.engine_failed(&one.id, now);
     let status = answer.status().as_u16();
     log::warn!(target: "forward", id = &*sent.id, upstream = &*one.id, status,
         answers = said.id.as_deref().unwrap_or("nothing"); "answer of something else");
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -6,7 +6,7 @@
 use http::request::Parts;
 use net::Call;
 use net::Reply;
-use table::Kind;
+use table::RouteKind;
 
 use crate::App;
 use crate::access;
@@ -94,7 +94,7 @@
         log::info!(target: "front", id = &*caller.id; "no configuration yet");
         return ("none", Refusal::Unrun.reply());
     };
-    let Some(route) = plan.find(&caller.host, head.uri.path()).cloned() else {
+    let Some(route) = plan.find_route(&caller.host, head.uri.path()).cloned() else {
         let age = access::age(app);
         let refusal = access::missing(app, age);
         log::info!(target: "front", id = &*caller.id, version = plan.version, age_ms = age,
@@ -105,25 +105,25 @@
         Ok(principal) => principal,
         Err(refusal) => return ("key", refusal.reply()),
     };
-    let body = match net::body::read(body, plan.body).await {
+    let body = match net::body::read(body, plan.max_body).await {
         Ok(body) => body,
         Err(net::body::ReadError::Long(_)) => return ("long", Refusal::Long.reply()),
         Err(_) => return ("cut", Refusal::Wrong.reply()),
     };
     match route.kind {
-        Kind::Rollout => (
+        RouteKind::Rollout => (
             "submit",
             steps::accept::submit(app, &head, &caller, &body, &principal).await,
         ),
-        Kind::Idempotent => (
+        RouteKind::Idempotent => (
             "call",
             forward::call(app, &route, &head, &caller, body, principal).await,
         ),
-        Kind::Once => (
+        RouteKind::Once => (
             "once",
             forward::call(app, &route, &head, &caller, body, principal).await,
         ),
-        Kind::Stream => (
+        RouteKind::Stream => (
             "stream",
             stream::pass(app, &route, &head, &caller, body, principal).await,
         ),
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 
 use kernel::Millis;
-use table::Belief;
-use table::Listed;
+use table::Upstream;
+use table::UpstreamChange;
 
 use crate::App;
 
 /// Takes in the list of upstreams as it was read at `at`, here or by whoever told it.
-pub(super) fn believe(app: &App, list: &BTreeMap<String, Arc<Listed>>, rev: i64, at: Millis) {
+pub(super) fn believe(app: &App, list: &BTreeMap<String, Arc<Upstream>>, rev: i64, at: Millis) {
     let beliefs = {
         let mut roster = app.roster.lock();
-        let beliefs = roster.share(list.values().cloned(), at);
+        let beliefs = roster.update_shared(list.values().cloned(), at);
         // Nothing is to be forgotten of upstreams while none comes or goes.
         if !beliefs.is_empty() {
             app.plain.lock().prune(&roster);
@@ -28,11 +28,11 @@
     app.room.notify_waiters();
 }
 
-fn tell(belief: &Belief, rev: i64) {
+fn tell(belief: &UpstreamChange, rev: i64) {
     let (one, what) = match belief {
-        Belief::Came(one) => (one, "upstream in"),
-        Belief::Leaving(one) => (one, "upstream leaving"),
-        Belief::Gone(one) => (one, "upstream out"),
+        UpstreamChange::Added(one) => (one, "upstream in"),
+        UpstreamChange::Leaving(one) => (one, "upstream leaving"),
+        UpstreamChange::Removed(one) => (one, "upstream out"),
     };
     let addr = one.addr.to_string();
     log::info!(target: "news", upstream = &*one.id, service = &*one.service,
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -7,9 +7,9 @@
 use kernel::Set;
 use plat::Item;
 use spread::Changes;
-use table::Listed;
-use table::Plan;
-use table::Starts;
+use table::Config;
+use table::Incarnations;
+use table::Upstream;
 
 use super::CRASHES;
 use super::belief;
@@ -36,7 +36,7 @@
 }
 
 /// Replaces the configuration by a newer one; a late answer with an older one changes nothing.
-fn replace(app: &App, plan: Plan) -> bool {
+fn replace(app: &App, plan: Config) -> bool {
     let held = app.plan.load();
     if held
         .as_ref()
@@ -52,11 +52,11 @@
 #[derive(Default)]
 pub(super) struct Intake {
     /// The upstreams by their keys.
-    list: BTreeMap<String, Arc<Listed>>,
+    list: BTreeMap<String, Arc<Upstream>>,
     /// The keys of entries that name no upstream.
     strange: Set<String>,
     /// Which start of each upstream is the newest.
-    starts: Starts,
+    starts: Incarnations,
     /// The revision of the configuration.
     plan: i64,
     /// When the entries of instances were read that it has.
@@ -88,7 +88,7 @@
         }
         // The names of all are worked out only where one may have gone.
         if !changes.gone.is_empty() {
-            let names = self.list.values().map(|one| one.start.name.clone());
+            let names = self.list.values().map(|one| one.incarnation.name.clone());
             let names: Set<_> = names.collect();
             self.starts.prune(|name| names.contains(name));
         }
@@ -136,8 +136,8 @@
                     log::info!(target: "news", key = item.key.as_str(); "strange entry gone");
                 }
                 // A late entry of a former start changes nothing.
-                if let Some(id) = self.starts.tell(&one.start, item.rev) {
-                    let one = Arc::new(Listed { id, ..one });
+                if let Some(id) = self.starts.identify(&one.incarnation, item.rev) {
+                    let one = Arc::new(Upstream { id, ..one });
                     self.list.insert(item.key.clone(), one);
                 }
             }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -66,9 +66,11 @@
     let plan = app.plan.load();
     let route = plan
         .as_ref()
-        .and_then(|plan| plan.find(&head.host, &head.path));
-    let service = route.and_then(|route| route.shares.first());
-    service.map_or(0, |share| u64::from(app.memory(&share.service).event))
+        .and_then(|plan| plan.find_route(&head.host, &head.path));
+    let service = route.and_then(|route| route.services.first());
+    service.map_or(0, |share| {
+        u64::from(app.memory(&share.service).event_tokens)
+    })
 }
 
 /// Remembers the samples of groups that an ended step has left over.
@@ -125,7 +127,7 @@
 
 /// Keeps a step in memory; false when it is run here already, by what the platform says now.
 fn keep(app: &App, work: &Arc<Work>) -> bool {
-    app.works.with(&work.step, |map| {
+    app.works.with_shard(&work.step, |map| {
         if let Some(held) = map.get(&work.step) {
             if held.rev >= work.rev {
                 return false;
@@ -165,7 +167,7 @@
             let _ = timeout(LINGER, lingers).await;
         }
         drop(drive);
-        app.works.with(&work.step, |map| {
+        app.works.with_shard(&work.step, |map| {
             if map
                 .get(&work.step)
                 .is_some_and(|held| Arc::ptr_eq(held, &work))
@@ -179,14 +181,14 @@
 /// Gathers what earlier steps have left over of this step's samples. The steps of one route are run
 /// by one instance, so it is here.
 fn gather(app: &App, work: &Work) {
-    let single = work.route(app).is_none_or(|route| route.single);
+    let single = work.route(app).is_none_or(|route| route.single_version);
     if single {
         return;
     }
     let samples = work.spec.samples.iter();
     let samples: Vec<_> = samples.map(|sample| work.print(sample)).collect();
     let mut drafts = Vec::new();
-    app.works.each(|map| {
+    app.works.for_each_shard(|map| {
         for other in map.values() {
             drafts.extend(other.hand(&work.head.model, &samples));
         }
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -12,8 +12,8 @@
 use batch::ledger::Action;
 use kernel::Map;
 use kernel::Millis;
-use place::Job;
-use table::Listed;
+use place::PendingSample;
+use table::Upstream;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
@@ -41,7 +41,7 @@
 struct Ran {
     index: u32,
     ended: Ended,
-    engine: Arc<Listed>,
+    engine: Arc<Upstream>,
 }
 
 /// What asking for a sample's score came to.
@@ -76,11 +76,11 @@
             .map(|(index, sample)| {
                 let begun = work.drafts[index].lock().last_event > 0;
                 let index = index as u32;
-                Job {
+                PendingSample {
                     index,
                     group: sample.group.clone(),
-                    expected: sample.expected,
-                    carried: begun || work.again.contains(&index),
+                    expected_tokens: sample.expected,
+                    carried_over: begun || work.again.contains(&index),
                 }
             })
             .filter(|job| !ledger.has_ended(job.index));
@@ -88,7 +88,7 @@
         let (texts, jobs): (Vec<_>, _) =
             jobs.partition(|job| work.drafts[job.index as usize].lock().complete);
         drop(ledger);
-        let jobs = place::order(jobs, work.head.required_groups);
+        let jobs = place::order_samples(jobs, work.head.required_groups);
         let todo = jobs.into_iter().map(|job| Todo {
             job,
             avoid: Vec::new(),
@@ -170,13 +170,16 @@
                 let failures = self.failures.entry(index).or_default();
                 *failures += 1;
                 let route = self.work.route(self.app);
-                let most = route.map_or(1, |route| route.attempts.max(1));
+                let most = route.map_or(1, |route| route.max_attempts.max(1));
                 if *failures >= most {
                     return self.fail(index);
                 }
             }
             Ended::Broken(why) if why.starts_with("version") => {
-                let single = self.work.route(self.app).is_some_and(|route| route.single);
+                let single = self
+                    .work
+                    .route(self.app)
+                    .is_some_and(|route| route.single_version);
                 if single {
                     *draft.lock() = Draft::default();
                     self.work.kept.lock().reset(index);
@@ -185,11 +188,11 @@
             Ended::Unrun | Ended::Moved | Ended::Stale | Ended::Broken(_) => (),
         }
         let sample = &self.work.spec.samples[index as usize];
-        let job = Job {
+        let job = PendingSample {
             index,
             group: sample.group.clone(),
-            expected: sample.expected,
-            carried: false,
+            expected_tokens: sample.expected,
+            carried_over: false,
         };
         let avoid = match ended {
             Ended::Unrun | Ended::Stale => Vec::new(),
@@ -204,7 +207,7 @@
             return self.finish(index, None);
         }
         let route = self.work.route(self.app);
-        let most = route.as_ref().map_or(1, |route| route.attempts);
+        let most = route.as_ref().map_or(1, |route| route.max_attempts);
         let ttl = route.map_or(TTL, |route| route.ttl);
         let (app, work) = (self.app.clone(), self.work.clone());
         let until = work.opened + ttl;
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -10,13 +10,13 @@
 use batch::Sample;
 use kernel::Map;
 use kernel::Millis;
-use place::Job;
-use place::Round;
-use place::Want;
+use place::PendingSample;
+use place::PlacementRequest;
+use place::PlacementRound;
 use poison::Identity;
-use table::Listed;
-use table::Plan;
+use table::Config;
 use table::Route;
+use table::Upstream;
 
 use super::Drive;
 use super::Ran;
@@ -38,7 +38,7 @@
 
 /// A sample that has to run.
 pub(super) struct Todo {
-    pub(super) job: Job,
+    pub(super) job: PendingSample,
     pub(super) avoid: Vec<Arc<str>>,
 }
 
@@ -116,28 +116,28 @@
         &self,
         route: &Route,
         todo: &Todo,
-        rounds: &mut Map<Arc<str>, Round>,
-    ) -> Option<(Arc<str>, Arc<Listed>)> {
-        let service = Plan::draw(route, rand::random())?;
+        rounds: &mut Map<Arc<str>, PlacementRound>,
+    ) -> Option<(Arc<str>, Arc<Upstream>)> {
+        let service = Config::pick_service(route, rand::random())?;
         let at = todo.job.index as usize;
         let sample = &self.work.spec.samples[at];
         let draft = self.work.drafts[at].lock();
         let memory = self.app.memory(service);
-        let want = Want {
+        let want = PlacementRequest {
             service,
             model: Some(&self.work.head.model),
-            least: self.work.head.min_version,
-            queue: 0,
+            min_version: self.work.head.min_version,
+            queue_limit: 0,
             domain: &self.app.settings.domain,
-            kin: self.kin.get(&todo.job.group).map(|kin| &**kin),
+            cached_on: self.kin.get(&todo.job.group).map(|kin| &**kin),
             avoid: &todo.avoid,
-            taken: memory.taken(sample.prompt, draft.last_event),
+            tokens: memory.run_tokens(sample.prompt, draft.last_event),
             memory,
         };
         let mut apart = self.app.crashes.upstreams_to_avoid(|| self.mark(todo));
         apart.extend_from_slice(&todo.avoid);
-        let any = Want { avoid: &[], ..want };
-        let want = Want {
+        let any = PlacementRequest { avoid: &[], ..want };
+        let want = PlacementRequest {
             avoid: &apart,
             ..want
         };
@@ -146,11 +146,11 @@
         let mut fleet = self.app.fleet.lock();
         let round = rounds
             .entry(service.clone())
-            .or_insert_with(|| Round::new(&fleet, &roster, &any, now));
+            .or_insert_with(|| PlacementRound::new(&fleet, &roster, &any, now));
         let engine = round
             .choose(&fleet, &roster, &want, now)
             .or_else(|| round.choose(&fleet, &roster, &any, now))?;
-        fleet.begin(&engine.id, want.taken);
+        fleet.run_started(&engine.id, want.tokens);
         Some((service.clone(), engine))
     }
 
@@ -158,7 +158,7 @@
         &mut self,
         route: &Route,
         service: Arc<str>,
-        engine: Arc<Listed>,
+        engine: Arc<Upstream>,
         todo: Todo,
         permit: Permit,
     ) {
@@ -171,7 +171,7 @@
             service,
             model: self.work.head.model.clone(),
             least: self.work.head.min_version,
-            single: route.single,
+            single: route.single_version,
             engine: engine.clone(),
             permit,
         };
--- a/crates/node/src/owner/looks.rs
+++ b/crates/node/src/owner/looks.rs
@@ -5,8 +5,8 @@
 
 use kernel::Millis;
 use rand::seq::SliceRandom;
-use table::Listed;
 use table::Route;
+use table::Upstream;
 use tokio::task::JoinSet;
 
 use super::Work;
@@ -47,8 +47,8 @@
         let (model, least) = (&work.head.model, work.head.min_version);
         let roster = app.roster.lock();
         let fleet = app.fleet.lock();
-        let mine = |one: &&Arc<Listed>| {
-            let mut shares = route.shares.iter();
+        let mine = |one: &&Arc<Upstream>| {
+            let mut shares = route.services.iter();
             shares.any(|share| share.service == one.service)
         };
         let mut old: Vec<_> = roster
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -13,9 +13,9 @@
 use hyper::body::Incoming;
 use kernel::Millis;
 use parking_lot::Mutex;
-use place::Want;
+use place::PlacementRequest;
 use poison::Identity;
-use table::Listed;
+use table::Upstream;
 use team::Principal;
 use tokio::time::timeout;
 
@@ -87,7 +87,7 @@
     /// Whether all events have to be made by one version.
     pub single: bool,
     /// The engine.
-    pub engine: Arc<Listed>,
+    pub engine: Arc<Upstream>,
     /// Leave to begin it: the step is open.
     pub permit: Permit,
 }
@@ -103,10 +103,10 @@
     fn event(&self, gap: Option<f64>, tokens: u64) {
         self.tokens.fetch_add(tokens, Ordering::Relaxed);
         let mut fleet = self.run.app.fleet.lock();
-        fleet.grow(&self.run.engine.id, tokens);
+        fleet.run_grew(&self.run.engine.id, tokens);
         match gap {
-            Some(gap) => fleet.event(&self.run.engine.id, gap),
-            None => fleet.answered(&self.run.engine.id),
+            Some(gap) => fleet.event_received(&self.run.engine.id, gap),
+            None => fleet.engine_answered(&self.run.engine.id),
         }
     }
 }
@@ -115,7 +115,7 @@
     fn drop(&mut self) {
         let Run { app, engine, .. } = self.run;
         let tokens = self.tokens.load(Ordering::Relaxed);
-        app.fleet.lock().end(&engine.id, tokens);
+        app.fleet.lock().run_ended(&engine.id, tokens);
         app.room.notify_waiters();
     }
 }
@@ -128,14 +128,17 @@
         let memory = self.app.memory(&self.service);
         let place = Place {
             run: self,
-            tokens: AtomicU64::new(memory.taken(sample.prompt, first)),
+            tokens: AtomicU64::new(memory.run_tokens(sample.prompt, first)),
         };
         let ended = self.attempt(sample, draft, &place).await;
         if ended == Ended::Whole {
             draft.lock().complete = true;
             self.app.crashes.record_success(|| self.mark(sample));
             let events = draft.lock().last_event;
-            self.app.fleet.lock().whole(sample.expected, events);
+            self.app
+                .fleet
+                .lock()
+                .sample_finished(sample.expected, events);
         }
         if !matches!(
             ended,
@@ -144,7 +147,7 @@
             self.app
                 .fleet
                 .lock()
-                .failed(&self.engine.id, self.app.clock.now());
+                .engine_failed(&self.engine.id, self.app.clock.now());
         }
         if let Ended::Broken(why) = &ended
             && BROKE.contains(why)
@@ -211,10 +214,10 @@
         {
             let mut fleet = self.app.fleet.lock();
             if let Some(load) = said.load {
-                fleet.report(&self.engine.id, load, now);
+                fleet.load_reported(&self.engine.id, load, now);
             }
             if said.unrun || said.other {
-                fleet.busy(&self.engine.id, now + FULL);
+                fleet.engine_busy(&self.engine.id, now + FULL);
                 return Ended::Unrun;
             }
         }
@@ -241,7 +244,7 @@
         self.app
             .fleet
             .lock()
-            .saw(&self.engine.id, &self.model, version);
+            .version_seen(&self.engine.id, &self.model, version);
         let one = draft.versions.iter().all(|have| *have == version);
         version >= self.least && (one || !self.single)
     }
@@ -254,7 +257,7 @@
         mut events: Events,
         place: &Place<'_>,
     ) -> Ended {
-        let tokens = u64::from(self.app.memory(&self.service).event);
+        let tokens = u64::from(self.app.memory(&self.service).event_tokens);
         let mut at = self.app.clock.now();
         let mut seen: u64 = 0;
         loop {
@@ -300,23 +303,23 @@
     /// Tells whether the rest of the sample would be whole sooner at another engine.
     fn had_better_move(&self, sample: &Sample, draft: &Draft) -> bool {
         let memory = self.app.memory(&self.service);
-        let want = Want {
+        let want = PlacementRequest {
             service: &self.service,
             model: Some(&self.model),
-            least: self.least,
-            queue: 0,
+            min_version: self.least,
+            queue_limit: 0,
             domain: &self.app.settings.domain,
-            kin: None,
+            cached_on: None,
             avoid: &[],
-            taken: memory.taken(sample.prompt, draft.last_event),
+            tokens: memory.run_tokens(sample.prompt, draft.last_event),
             memory,
         };
         let roster = self.app.roster.lock();
         let fleet = self.app.fleet.lock();
-        let left = fleet.left(sample.expected, draft.last_event);
+        let left = fleet.remaining_events(sample.expected, draft.last_event);
         let now = self.app.clock.now();
         fleet
-            .better(&roster, &want, &self.engine.id, left, now)
+            .choose_better(&roster, &want, &self.engine.id, left, now)
             .is_some()
     }
 }
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -64,7 +64,7 @@
         };
         let mut answer = AttemptResult::Inconclusive;
         if let Some(route) = route(app, scoring) {
-            tries.raise_limit(route.attempts);
+            tries.raise_limit(route.max_attempts);
             let sent = Sent::scoring(
                 app,
                 head.clone(),
@@ -93,7 +93,9 @@
 
 fn route(app: &App, scoring: &Scoring) -> Option<Arc<Route>> {
     let plan = app.plan.load();
-    plan.as_ref()?.find(&scoring.host, &scoring.path).cloned()
+    plan.as_ref()?
+        .find_route(&scoring.host, &scoring.path)
+        .cloned()
 }
 
 async fn ask(sent: Sent, route: &Route) -> AttemptResult {
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -14,11 +14,11 @@
 use http_body_util::Full;
 use kernel::Millis;
 use parking_lot::Mutex;
-use place::Memory;
-use place::Want;
+use place::EngineMemory;
+use place::PlacementRequest;
 use poison::Identity;
 use poison::Verdict;
-use table::Listed;
+use table::Upstream;
 use team::Principal;
 use usage::Meter;
 use usage::Run;
@@ -144,7 +144,7 @@
     }
 
     /// Looks whether an upstream has crashed after the connection broke there.
-    pub(crate) async fn broke(&self, one: &Listed) {
+    pub(crate) async fn broke(&self, one: &Upstream) {
         self.app.broke(&self.id, self.mark(), one).await;
     }
 
@@ -186,7 +186,11 @@
     }
 
     /// The request for one upstream, behind event `last` of a stream that broke.
-    pub(crate) fn request(&self, one: &Listed, last: Option<&str>) -> Option<Request<Full<Bytes>>> {
+    pub(crate) fn request(
+        &self,
+        one: &Upstream,
+        last: Option<&str>,
+    ) -> Option<Request<Full<Bytes>>> {
         if !self.is_permitted() {
             return None;
         }
@@ -199,7 +203,7 @@
         let dialect = &self.app.dialect;
         *request.headers_mut() = dialect.forward(
             &self.head.headers,
-            &one.start.name,
+            &one.incarnation.name,
             Some(self.left()),
             &self.principal,
         );
@@ -221,21 +225,25 @@
         }
         let app = &self.app;
         let roster = app.roster.lock();
-        let slots = roster.of(service).map(|one| one.slots).max().unwrap_or(0);
+        let slots = roster
+            .of_service(service)
+            .map(|one| one.slots)
+            .max()
+            .unwrap_or(0);
         let mut apart = app.crashes.upstreams_to_avoid(|| self.mark());
         apart.extend_from_slice(used);
-        let any = Want {
+        let any = PlacementRequest {
             service,
             model: None,
-            least: 0,
-            queue: if queue { slots } else { 0 },
+            min_version: 0,
+            queue_limit: if queue { slots } else { 0 },
             domain: &app.settings.domain,
-            kin: None,
+            cached_on: None,
             avoid: used,
-            taken: 0,
-            memory: Memory::default(),
+            tokens: 0,
+            memory: EngineMemory::default(),
         };
-        let want = Want {
+        let want = PlacementRequest {
             avoid: &apart,
             ..any
         };
@@ -244,7 +252,7 @@
         let one = plain
             .choose(&roster, &want, now)
             .or_else(|| plain.choose(&roster, &any, now))?;
-        plain.begin(&one.id, 0);
+        plain.run_started(&one.id, 0);
         let stay = app.crashes.track_suspect(|| self.mark(), &one.id);
         let app = app.clone();
         Some(Place {
@@ -266,13 +274,13 @@
 pub(crate) struct Place {
     app: Arc<App>,
     /// The upstream.
-    pub(crate) one: Arc<Listed>,
+    pub(crate) one: Arc<Upstream>,
     /// Held for its drop.
     _stay: Option<SuspectGuard>,
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.app.plain.lock().end(&self.one.id, 0);
+        self.app.plain.lock().run_ended(&self.one.id, 0);
     }
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -18,7 +18,7 @@
 use net::Reply;
 use net::SendError;
 use net::body::Sender;
-use table::Plan;
+use table::Config;
 use table::Route;
 use team::Principal;
 use tokio::time::timeout;
@@ -88,7 +88,7 @@
     /// Takes a place, where the stream may wait inside the upstream as calls do: if it took free places alone,
     /// it would get next to none beside calls that wait.
     fn choose(&self) -> Option<Place> {
-        let service = Plan::draw(&self.route, rand::random())?;
+        let service = Config::pick_service(&self.route, rand::random())?;
         self.sent.choose(service, &self.used, true)
     }
 
@@ -101,7 +101,7 @@
                 "upstreams crash under it");
             return Came::Quarantined(left);
         }
-        while self.used.len() < self.route.attempts.max(1) as usize {
+        while self.used.len() < self.route.max_attempts.max(1) as usize {
             let Some(place) = self.choose() else { break };
             self.used.push(place.one.id.clone());
             match self.attempt(place, last).await {
@@ -142,7 +142,7 @@
                     .app
                     .plain
                     .lock()
-                    .failed(&one.id, self.sent.app.clock.now());
+                    .engine_failed(&one.id, self.sent.app.clock.now());
                 let why = error.to_string();
                 log::info!(target: "stream", id = &*self.sent.id, upstream = &*one.id,
                     why = why.as_str(); "attempt failed");
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -7,11 +7,11 @@
 use kernel::Name;
 use kernel::plugin;
 use kernel::plugin::UnknownPlugin;
-use limit::Admit;
-use limit::Order;
 use limit::Queue;
-use limit::order::Entry;
-use limit::queue::Popped;
+use limit::QueueDecision;
+use limit::QueueOrder;
+use limit::order::QueueEntry;
+use limit::queue::Dequeued;
 use parking_lot::Mutex;
 use route::Budget;
 use route::Chooser;
@@ -145,7 +145,7 @@
         upstreams: &[Spec],
         clock: Clock,
     ) -> Result<Self, UnknownPlugin> {
-        let order = plugin::find::<Order>(pool.order)?;
+        let order = plugin::find::<QueueOrder>(pool.order)?;
         let chooser = plugin::find::<Chooser>(pool.chooser)?;
         let mut known = Pool::new(chooser, me.domain.clone());
         let of_pool = upstreams.iter().filter(|spec| spec.pool == pool.name);
@@ -172,7 +172,7 @@
     /// is full, or no upstream can take it.
     pub async fn acquire(
         self: &Arc<Self>,
-        entry: &Entry,
+        entry: &QueueEntry,
         ask: Ask,
         deadline: Millis,
     ) -> Result<Permit, Refusal> {
@@ -198,7 +198,7 @@
 
     fn enter(
         self: &Arc<Self>,
-        entry: &Entry,
+        entry: &QueueEntry,
         ask: Ask,
         deadline: Millis,
     ) -> Result<Entered, Refusal> {
@@ -215,12 +215,14 @@
         let (sender, receiver) = oneshot::channel();
         let waiter = Waiter { ask, sender };
         match state.queue.push(now, entry, deadline, work, waiter) {
-            Admit::Wait(ticket) => {
+            QueueDecision::Queued(ticket) => {
                 self.measure(&state);
                 Ok(Entered::Later(ticket, receiver))
             }
-            Admit::Late { after } => Err(refusal(Type::Late, after)),
-            Admit::Full { after } => Err(refusal(Type::Full, after)),
+            QueueDecision::DeadlineTooClose { retry_after } => {
+                Err(refusal(Type::Late, retry_after))
+            }
+            QueueDecision::Full { retry_after } => Err(refusal(Type::Full, retry_after)),
         }
     }
 
@@ -255,7 +257,7 @@
                     Pick::Take(spec) => Ok(self.permit(spec, now)),
                 },
             };
-            let popped = state.queue.pop(now, work).map(Popped::into_inner);
+            let popped = state.queue.pop(now, work).map(Dequeued::into_inner);
             granted.extend(popped.map(|waiter| (waiter, result)));
         }
         self.measure(&state);
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -7,11 +7,11 @@
 use fleet::rumour::Demand;
 use kernel::Millis;
 use kernel::Name;
-use kernel::Shards;
-use limit::Gate;
-use limit::Pass;
-use limit::Share;
-use limit::share::Split;
+use kernel::ShardedMap;
+use limit::ContractLimiter;
+use limit::LimitDecision;
+use limit::LimitShare;
+use limit::share::ShareTracker;
 use route::Attempt;
 use wire::Problem;
 use wire::problem::Type;
@@ -29,8 +29,8 @@
 #[derive(Debug)]
 struct Limiter {
     rev: i64,
-    gate: Gate,
-    split: Split,
+    gate: ContractLimiter,
+    split: ShareTracker,
     arrived: u32,
     demand: f64,
 }
@@ -38,7 +38,7 @@
 /// The limits of contracts on this instance.
 #[derive(Debug, Default)]
 pub struct Limits {
-    limiters: Shards<Name, Limiter>,
+    limiters: ShardedMap<Name, Limiter>,
 }
 
 /// A request that passed its contract's limits; dropping it frees its place.
@@ -51,28 +51,34 @@
     /// Charges tokens that the request generated.
     pub fn charge(&self, tokens: u32) {
         let now = self.app.clock.now();
-        self.app.limits.limiters.with(&self.customer, |limiters| {
-            if let Some(limiter) = limiters.get_mut(&self.customer) {
-                limiter.gate.charge(now, f64::from(tokens));
-            }
-        });
+        self.app
+            .limits
+            .limiters
+            .with_shard(&self.customer, |limiters| {
+                if let Some(limiter) = limiters.get_mut(&self.customer) {
+                    limiter.gate.charge(now, f64::from(tokens));
+                }
+            });
     }
 }
 
 impl Drop for Passage {
     fn drop(&mut self) {
-        self.app.limits.limiters.with(&self.customer, |limiters| {
-            if let Some(limiter) = limiters.get_mut(&self.customer) {
-                limiter.gate.leave();
-            }
-        });
+        self.app
+            .limits
+            .limiters
+            .with_shard(&self.customer, |limiters| {
+                if let Some(limiter) = limiters.get_mut(&self.customer) {
+                    limiter.gate.release();
+                }
+            });
     }
 }
 
-fn share(app: &App, customer: &str, mine: f64) -> Share {
+fn share(app: &App, customer: &str, mine: f64) -> LimitShare {
     let view = app.view.lock();
     let others = view.demands(customer, app.clock.now());
-    Share::split(view.sharing(), &others, mine)
+    LimitShare::split(view.sharing(), &others, mine)
 }
 
 /// Runs `f` on the gate of a contract, made or brought up to its revision first.
@@ -82,11 +88,11 @@
     let now = app.clock.now();
     // The share is read before the shard is locked, so that no two locks are held at once.
     let share = share(app, customer, 0.0);
-    app.limits.limiters.with(customer, |limiters| {
+    app.limits.limiters.with_shard(customer, |limiters| {
         let limiter = limiters.entry(customer.clone()).or_insert_with(|| Limiter {
             rev: held.rev,
-            gate: Gate::new(contract, share, now),
-            split: Split::new(share),
+            gate: ContractLimiter::new(contract, share, now),
+            split: ShareTracker::new(share),
             arrived: 0,
             demand: 0.0,
         });
@@ -111,18 +117,18 @@
 ) -> Result<Passage, Problem> {
     let passed = with_gate(app, held, |limiter, now| {
         limiter.arrived += 1;
-        limiter.gate.enter(now, f64::from(tokens))
+        limiter.gate.admit(now, f64::from(tokens))
     });
     match passed {
-        Pass::Go => Ok(Passage {
+        LimitDecision::Admitted => Ok(Passage {
             app: app.clone(),
             customer: held.stored.contract.customer.clone(),
         }),
-        Pass::Over { limit, after } => {
+        LimitDecision::Rejected { limit, retry_after } => {
             let detail = format!("the contract's line {:?} decides", limit.key());
             trace.note(detail.as_str());
             let problem = Problem::new(Type::OverLimit, Attempt::new().refuse());
-            Err(problem.because(detail).after(after))
+            Err(problem.because(detail).after(retry_after))
         }
     }
 }
@@ -134,14 +140,14 @@
 /// Returns the milliseconds after which to ask again.
 pub fn pass_sample(app: &Arc<App>, held: &ActiveContract, tokens: f64) -> Result<Passage, Millis> {
     let passed = with_gate(app, held, |limiter, now| {
-        limiter.gate.enter_sample(now, tokens)
+        limiter.gate.admit_sample(now, tokens)
     });
     match passed {
-        Pass::Go => Ok(Passage {
+        LimitDecision::Admitted => Ok(Passage {
             app: app.clone(),
             customer: held.stored.contract.customer.clone(),
         }),
-        Pass::Over { after, .. } => Err(after),
+        LimitDecision::Rejected { retry_after, .. } => Err(retry_after),
     }
 }
 
@@ -166,7 +172,7 @@
 
 fn adapt(app: &App, contract: &Contract) -> f64 {
     let customer = &contract.customer;
-    let demand = app.limits.limiters.with(customer, |limiters| {
+    let demand = app.limits.limiters.with_shard(customer, |limiters| {
         let limiter = limiters.get_mut(customer)?;
         let arrived = f64::from(std::mem::take(&mut limiter.arrived));
         limiter.demand += SMOOTH * (arrived - limiter.demand);
@@ -177,9 +183,9 @@
     };
     let share = share(app, customer, demand);
     let now: Millis = app.clock.now();
-    app.limits.limiters.with(customer, |limiters| {
+    app.limits.limiters.with_shard(customer, |limiters| {
         if let Some(limiter) = limiters.get_mut(customer) {
-            limiter.split.adapt(share, now);
+            limiter.split.update(share, now);
             limiter.gate.resize(contract, limiter.split.share(), now);
         }
     });
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -5,7 +5,7 @@
 
 use contract::registry::ActiveContract;
 use kernel::Millis;
-use limit::order::Entry;
+use limit::order::QueueEntry;
 use poison::Fingerprint;
 use route::pool::Ask;
 use route::prefix::blocks;
@@ -115,7 +115,7 @@
 ) -> Result<Permit, Millis> {
     let contract = &held.stored.contract;
     let left = begin.max_tokens.saturating_sub(begin.partial.tokens);
-    let entry = Entry {
+    let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
         class: contract.class,
