--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -11,7 +11,7 @@
 use plat::Call;
 use plat::PlatError;
 use spread::Have;
-use spread::News;
+use spread::Update;
 
 use crate::App;
 use crate::hint;
@@ -107,7 +107,7 @@
 }
 
 /// Waits for something that a follower does not have yet.
-async fn newer(app: &App, mut have: Have, wait: Millis) -> Option<News> {
+async fn newer(app: &App, mut have: Have, wait: Millis) -> Option<Update> {
     let asked = app.clock.now();
     let mut changes = app.news.subscribe();
     let age = have.age;
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 use spread::Have;
-use spread::News;
+use spread::Update;
 use usage::Share;
 use usage::Tally;
 
@@ -70,7 +70,7 @@
     Body(Option<Option<Vec<u8>>>),
     Owner(Option<Arc<str>>),
     Noted,
-    News(Option<News>),
+    News(Option<Update>),
     /// There is no newer read, since the platform does not answer.
     Blind,
     Relay(Result<Answer, PlatError>),
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -11,8 +11,8 @@
 use plat::PlatError;
 use spread::Follower;
 use spread::Lack;
-use spread::News;
 use spread::Next;
+use spread::Update;
 use spread::View;
 use spread::times;
 use tokio::time::sleep;
@@ -179,7 +179,7 @@
     }
 
     /// Takes in what a source tells.
-    fn hear(&mut self, news: &News) {
+    fn hear(&mut self, news: &Update) {
         let now = self.app.clock.now();
         let changes = self.app.post(|board| board.merge(news, now));
         self.intake.take(self.app, changes);
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -21,7 +21,7 @@
 use plat::PlatError;
 use spread::Have;
 use spread::Lack;
-use spread::News;
+use spread::Update;
 use spread::times;
 use usage::Share;
 use usage::Tally;
@@ -217,7 +217,7 @@
 /// What was heard of the configuration and the list of upstreams.
 pub enum Heard {
     /// Something that this instance does not have.
-    News(News),
+    News(Update),
     /// Nothing.
     Lack(Lack),
 }
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -8,8 +8,8 @@
 use rand::Rng;
 use spread::Lack;
 use spread::Member;
-use spread::News;
 use spread::Next;
+use spread::Update;
 use spread::ration;
 use spread::times;
 
@@ -161,7 +161,7 @@
         true
     }
 
-    fn reply(&mut self, at: usize, question: Question, answer: Result<News, Lack>) {
+    fn reply(&mut self, at: usize, question: Question, answer: Result<Update, Lack>) {
         let bytes = answer.as_ref().map_or(0, node::bytes);
         let (world, now) = (self.world, self.now);
         let left = self.nodes[at].send(&world, now, bytes) + world.hop;
@@ -184,7 +184,7 @@
         self.reply(at, question, Err(lack));
     }
 
-    fn answer(&mut self, at: usize, number: u64, answer: Result<News, Lack>) {
+    fn answer(&mut self, at: usize, number: u64, answer: Result<Update, Lack>) {
         if self.nodes[at].asked != number {
             return;
         }
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -7,7 +7,7 @@
 use kernel::Millis;
 use spread::Have;
 use spread::Lack;
-use spread::News;
+use spread::Update;
 
 /// Something that happens to an instance.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// The time is over for which a question may wait.
     Over(u64),
     /// An answer reaches it.
-    Answer(u64, Box<Result<News, Lack>>),
+    Answer(u64, Box<Result<Update, Lack>>),
     /// No answer has come in time.
     Silence(u64),
     /// A read of the platform has ended.
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -6,8 +6,8 @@
 use spread::Follower;
 use spread::Gone;
 use spread::Member;
-use spread::News;
 use spread::Place;
+use spread::Update;
 use spread::View;
 use spread::tree;
 
@@ -129,12 +129,12 @@
 }
 
 /// Bytes of news in a message.
-pub fn bytes(news: &News) -> u64 {
+pub fn bytes(news: &Update) -> u64 {
     let items = news.items.iter();
     let items: usize = items
         .map(|item| item.key.len() + item.value.len() + 12)
         .sum();
-    let gone = match &news.gone {
+    let gone = match &news.removed {
         Some(Gone::Keys(keys)) => keys.iter().map(String::len).sum(),
         Some(Gone::Others(digests)) => digests.len() * 9,
         None => 0,
--- a/crates/spread/src/board.rs
+++ b/crates/spread/src/board.rs
@@ -23,8 +23,8 @@
 use crate::Have;
 use crate::List;
 use crate::Member;
-use crate::News;
 use crate::Roll;
+use crate::Update;
 
 /// Removed entries that are remembered.
 const GONE: usize = 1_024;
@@ -57,7 +57,7 @@
 /// assert_eq!((first.items.len(), first.rev, first.edition), (2, 2, 71));
 /// board.read(Listing { items: vec![item("b", 3)], since: 3 }, 72, 850);
 /// let next = board.since(Have { rev: 2, edition: 71, ..Have::default() }, 850);
-/// assert_eq!((next.items.len(), next.gone), (1, Some(Gone::Keys(vec!["a".into()]))));
+/// assert_eq!((next.items.len(), next.removed), (1, Some(Gone::Keys(vec!["a".into()]))));
 /// ```
 #[derive(Debug, Default)]
 pub struct Board {
@@ -215,8 +215,8 @@
     }
 
     /// Takes in what another instance passes on.
-    pub fn merge(&mut self, news: &News, now: Millis) -> Changes {
-        self.plan(news.plan.clone());
+    pub fn merge(&mut self, news: &Update, now: Millis) -> Changes {
+        self.plan(news.configuration.clone());
         self.enrol(news, now);
         let mut changes = Changes::default();
         for item in &news.items {
@@ -230,10 +230,10 @@
             return changes;
         }
         self.rev = news.rev;
-        self.whole = self.whole.max(news.whole);
+        self.whole = self.whole.max(news.complete_rev);
         let at = now.saturating_sub(news.age);
         self.at = Some(self.at.map_or(at, |held| held.max(at)));
-        match &news.gone {
+        match &news.removed {
             Some(gone) => {
                 let strays = self.drop(gone, news.rev, &mut changes);
                 self.forget(&changes.gone);
@@ -269,8 +269,8 @@
     }
 
     /// Takes in the entries of instances if they are newer.
-    fn enrol(&mut self, news: &News, now: Millis) {
-        let Some(old) = news.old else {
+    fn enrol(&mut self, news: &Update, now: Millis) {
+        let Some(old) = news.members_age else {
             return;
         };
         let at = now.saturating_sub(old);
@@ -299,24 +299,24 @@
     }
 
     /// What a follower does not have yet.
-    pub fn since(&self, have: Have, now: Millis) -> News {
+    pub fn since(&self, have: Have, now: Millis) -> Update {
         let (items, rev) = self.part(have);
         // What is missing from a part may be there all the same.
         let is_last = rev == self.rev && self.is_whole();
         let roll = self.roll.as_ref();
-        let old = roll.map(|roll| now.saturating_sub(roll.at));
-        let newer = old.is_some_and(|old| have.old.is_none_or(|held| old < held));
+        let members_age = roll.map(|roll| now.saturating_sub(roll.at));
+        let newer = members_age.is_some_and(|age| have.old.is_none_or(|held| age < held));
         let members = roll.filter(|roll| newer && roll.digest != have.roll);
-        News {
+        Update {
             items,
-            gone: is_last.then(|| self.gone(have)),
+            removed: is_last.then(|| self.gone(have)),
             rev,
-            whole: self.whole.max(have.rev),
+            complete_rev: self.whole.max(have.rev),
             edition: self.edition(),
-            plan: self.plan.clone().filter(|plan| plan.rev > have.plan),
+            configuration: self.plan.clone().filter(|plan| plan.rev > have.plan),
             age: self.age(now).unwrap_or_default(),
             members: members.map(|roll| roll.members.to_vec()),
-            old,
+            members_age,
         }
     }
 
--- a/crates/spread/src/news.rs
+++ b/crates/spread/src/update.rs
@@ -30,25 +30,29 @@
 /// What a follower does not have yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Entries, by their last change.
     pub items: Vec<Arc<Item>>,
     /// Which of the follower's entries are gone; [`None`] in all parts but the last.
-    pub gone: Option<Gone>,
+    #[serde(rename = "gone")]
+    pub removed: Option<Gone>,
     /// The revision up to which the follower has the list with this.
     pub rev: i64,
     /// The revision up to which the source has it, or will have it once it knows all parts itself.
-    pub whole: i64,
+    #[serde(rename = "whole")]
+    pub complete_rev: i64,
     /// The edition of the source's list; 0 when it is none.
     pub edition: u64,
     /// The configuration, if it is newer.
-    pub plan: Option<Item>,
+    #[serde(rename = "plan")]
+    pub configuration: Option<Item>,
     /// The age of what the source has, in milliseconds.
     pub age: Millis,
     /// The instances that have entered, if they are others.
     pub members: Option<Vec<Member>>,
     /// The age of the source's roll, in milliseconds, if it has one.
-    pub old: Option<Millis>,
+    #[serde(rename = "old")]
+    pub members_age: Option<Millis>,
 }
 
 /// Entries that a follower has and the source has no more.
--- a/crates/spread/tests/board.rs
+++ b/crates/spread/tests/board.rs
@@ -10,7 +10,7 @@
 use spread::Gone;
 use spread::Have;
 use spread::Member;
-use spread::News;
+use spread::Update;
 use spread::board::PART;
 
 fn item(key: &str, rev: i64) -> Item {
@@ -60,7 +60,7 @@
     board.read(read(items.collect(), 201), 2, 850);
 
     let news = board.since(have, 850);
-    assert_eq!(news.gone, Some(Gone::Keys(Vec::new())));
+    assert_eq!(news.removed, Some(Gone::Keys(Vec::new())));
     assert_eq!(news.items, [Arc::new(item(&key(7), 201))]);
 }
 
@@ -146,7 +146,10 @@
     let news = board.since(have, 0);
     assert!(board.has_more(have, 0));
     assert_eq!((newer, again), (true, false));
-    assert_eq!((news.plan, news.items.len()), (Some(item("plan", 5)), 0));
+    assert_eq!(
+        (news.configuration, news.items.len()),
+        (Some(item("plan", 5)), 0)
+    );
 }
 
 fn member(name: &str) -> Member {
@@ -177,7 +180,7 @@
     let other = board.since(follower.have(4_000), 4_000);
 
     assert_eq!(first.members.map(|all| all.len()), Some(2));
-    assert_eq!((same.members, same.old), (None, Some(0)));
+    assert_eq!((same.members, same.members_age), (None, Some(0)));
     assert_eq!(other.members.map(|all| all.len()), Some(1));
 }
 
@@ -186,10 +189,10 @@
 fn older_entries_of_instances_change_nothing() {
     let mut board = board(1);
     board.members(vec![member("a")], 2_000);
-    let old = News {
+    let old = Update {
         members: Some(vec![member("b")]),
-        old: Some(1_500),
-        ..News::default()
+        members_age: Some(1_500),
+        ..Update::default()
     };
 
     board.merge(&old, 3_000);
