--- a/crates/bench/src/board.rs
+++ b/crates/bench/src/board.rs
@@ -7,7 +7,7 @@
 use plat::Item;
 use plat::Listing;
 use spread::Board;
-use spread::Have;
+use spread::SyncState;
 
 /// Bytes of an entry.
 const VALUE: usize = 220;
@@ -46,10 +46,10 @@
     for entries in [1_000, 10_000, 20_000, 50_000] {
         let mut board = Board::default();
         board.read(listing(entries), 1, 0);
-        let have = Have {
+        let have = SyncState {
             rev: entries as i64 - 1,
             edition: 1,
-            ..Have::default()
+            ..SyncState::default()
         };
         let begun = Instant::now();
         for _ in 0..TIMES {
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -10,7 +10,7 @@
 use plat::Answer;
 use plat::Call;
 use plat::PlatError;
-use spread::Have;
+use spread::SyncState;
 use spread::Update;
 
 use crate::App;
@@ -107,7 +107,7 @@
 }
 
 /// Waits for something that a follower does not have yet.
-async fn newer(app: &App, mut have: Have, wait: Millis) -> Option<Update> {
+async fn newer(app: &App, mut have: SyncState, wait: Millis) -> Option<Update> {
     let asked = app.clock.now();
     let mut changes = app.news.subscribe();
     let age = have.age;
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -22,9 +22,9 @@
 use plat::Client;
 use poison::Mark;
 use spread::Board;
-use spread::Have;
 use spread::Member;
 use spread::Place;
+use spread::SyncState;
 use spread::member::Turnover;
 use spread::tree;
 use table::Listed;
@@ -240,7 +240,7 @@
     }
 
     /// What this instance has of what others tell.
-    pub fn have(&self) -> Have {
+    pub fn have(&self) -> SyncState {
         self.board.lock().have(self.clock.now())
     }
 
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -9,7 +9,7 @@
 use plat::PlatError;
 use serde::Deserialize;
 use serde::Serialize;
-use spread::Have;
+use spread::SyncState;
 use spread::Update;
 use usage::Share;
 use usage::Tally;
@@ -43,7 +43,7 @@
     /// That an instance runs a step.
     Own { step: Arc<str>, owner: Arc<str> },
     /// A read of the platform that is newer than what the follower has.
-    News { have: Have, wait: Millis },
+    News { have: SyncState, wait: Millis },
     /// A call of the platform.
     Relay(Call),
     /// A call that is to be made though the platform did not serve the other one a moment ago.
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -19,8 +19,8 @@
 use plat::Answer;
 use plat::Call;
 use plat::PlatError;
-use spread::Have;
 use spread::Lack;
+use spread::SyncState;
 use spread::Update;
 use spread::times;
 use usage::Share;
@@ -223,7 +223,7 @@
 }
 
 /// Asks another instance for what this one does not have, or for a newer read.
-pub async fn news(app: &App, addr: SocketAddr, have: Have, wait: Millis) -> Heard {
+pub async fn news(app: &App, addr: SocketAddr, have: SyncState, wait: Millis) -> Heard {
     let slack = times::slack(&app.board.lock());
     match ask(app, addr, &Ask::News { have, wait }, wait + slack).await {
         Some(Told::News(Some(news))) => Heard::News(news),
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -5,8 +5,8 @@
 use std::collections::BinaryHeap;
 
 use kernel::Millis;
-use spread::Have;
 use spread::Lack;
+use spread::SyncState;
 use spread::Update;
 
 /// Something that happens to an instance.
@@ -38,7 +38,7 @@
     /// The question's number.
     pub number: u64,
     /// What it has.
-    pub have: Have,
+    pub have: SyncState,
     /// When it was asked, in milliseconds.
     pub asked: Millis,
     /// How long it may wait, in milliseconds.
--- a/crates/spread/src/board.rs
+++ b/crates/spread/src/board.rs
@@ -20,10 +20,10 @@
 
 use crate::Changes;
 use crate::Gone;
-use crate::Have;
 use crate::List;
 use crate::Member;
 use crate::Roll;
+use crate::SyncState;
 use crate::Update;
 
 /// Removed entries that are remembered.
@@ -48,15 +48,15 @@
 ///
 /// ```
 /// use plat::{Item, Listing};
-/// use spread::{Board, Gone, Have};
+/// use spread::{Board, Gone, SyncState};
 ///
 /// let item = |key: &str, rev| Item { key: key.into(), value: vec![1], rev };
 /// let mut board = Board::default();
 /// board.read(Listing { items: vec![item("a", 1), item("b", 2)], since: 2 }, 71, 0);
-/// let first = board.since(Have::default(), 0);
+/// let first = board.since(SyncState::default(), 0);
 /// assert_eq!((first.items.len(), first.rev, first.edition), (2, 2, 71));
 /// board.read(Listing { items: vec![item("b", 3)], since: 3 }, 72, 850);
-/// let next = board.since(Have { rev: 2, edition: 71, ..Have::default() }, 850);
+/// let next = board.since(SyncState { rev: 2, edition: 71, ..SyncState::default() }, 850);
 /// assert_eq!((next.items.len(), next.removed), (1, Some(Gone::Keys(vec!["a".into()]))));
 /// ```
 #[derive(Debug, Default)]
@@ -86,14 +86,14 @@
 
 impl Board {
     /// What this instance has, as it tells a source.
-    pub fn have(&self, now: Millis) -> Have {
-        Have {
+    pub fn have(&self, now: Millis) -> SyncState {
+        SyncState {
             rev: self.rev,
             edition: self.edition(),
-            plan: self.revised(),
+            configuration: self.revised(),
             age: self.age(now),
-            roll: self.roll.as_ref().map_or(0, |roll| roll.digest),
-            old: self.roll.as_ref().map(|roll| now.saturating_sub(roll.at)),
+            members_digest: self.roll.as_ref().map_or(0, |roll| roll.digest),
+            members_age: self.roll.as_ref().map(|roll| now.saturating_sub(roll.at)),
         }
     }
 
@@ -290,30 +290,35 @@
 
     /// Tells whether there is something that a follower does not have: a change, or the word that nothing has
     /// changed until lately.
-    pub fn has_more(&self, have: Have, now: Millis) -> bool {
+    pub fn has_more(&self, have: SyncState, now: Millis) -> bool {
         let Some(age) = self.age(now) else {
-            return self.revised() > have.plan;
+            return self.revised() > have.configuration;
         };
         let younger = have.age.is_none_or(|held| age + YOUNGER <= held);
-        self.rev > have.rev || self.revised() > have.plan || younger && self.rev == have.rev
+        self.rev > have.rev
+            || self.revised() > have.configuration
+            || younger && self.rev == have.rev
     }
 
     /// What a follower does not have yet.
-    pub fn since(&self, have: Have, now: Millis) -> Update {
+    pub fn since(&self, have: SyncState, now: Millis) -> Update {
         let (items, rev) = self.part(have);
         // What is missing from a part may be there all the same.
         let is_last = rev == self.rev && self.is_whole();
         let roll = self.roll.as_ref();
         let members_age = roll.map(|roll| now.saturating_sub(roll.at));
-        let newer = members_age.is_some_and(|age| have.old.is_none_or(|held| age < held));
-        let members = roll.filter(|roll| newer && roll.digest != have.roll);
+        let newer = members_age.is_some_and(|age| have.members_age.is_none_or(|held| age < held));
+        let members = roll.filter(|roll| newer && roll.digest != have.members_digest);
         Update {
             items,
             removed: is_last.then(|| self.gone(have)),
             rev,
             complete_rev: self.whole.max(have.rev),
             edition: self.edition(),
-            configuration: self.plan.clone().filter(|plan| plan.rev > have.plan),
+            configuration: self
+                .plan
+                .clone()
+                .filter(|plan| plan.rev > have.configuration),
             age: self.age(now).unwrap_or_default(),
             members: members.map(|roll| roll.members.to_vec()),
             members_age,
@@ -321,7 +326,7 @@
     }
 
     /// The next entries that a follower does not have, and the revision up to which it has the list with them.
-    fn part(&self, have: Have) -> (Vec<Arc<Item>>, i64) {
+    fn part(&self, have: SyncState) -> (Vec<Arc<Item>>, i64) {
         let whole = self.rev.max(have.rev);
         let mut new = self.items.since(have.rev).peekable();
         let mut items: Vec<_> = new.by_ref().take(PART).cloned().collect();
@@ -335,7 +340,7 @@
     }
 
     /// What of a follower's list is gone.
-    fn gone(&self, have: Have) -> Gone {
+    fn gone(&self, have: SyncState) -> Gone {
         let known = self
             .editions
             .iter()
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -28,5 +28,5 @@
 pub use tree::Place;
 pub use update::Changes;
 pub use update::Gone;
-pub use update::Have;
+pub use update::SyncState;
 pub use update::Update;
--- a/crates/spread/src/update.rs
+++ b/crates/spread/src/update.rs
@@ -12,19 +12,22 @@
 /// What a follower has already.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Have {
+pub struct SyncState {
     /// The revision up to which it has the list; 0 when it has none.
     pub rev: i64,
     /// The edition of its list; 0 when it is none, but made of several.
     pub edition: u64,
     /// The revision of its configuration.
-    pub plan: i64,
+    #[serde(rename = "plan")]
+    pub configuration: i64,
     /// The age of what it has, in milliseconds; [`None`] when it has nothing.
     pub age: Option<Millis>,
     /// The digest of the roll that it has.
-    pub roll: u64,
+    #[serde(rename = "roll")]
+    pub members_digest: u64,
     /// The age of that roll, in milliseconds.
-    pub old: Option<Millis>,
+    #[serde(rename = "old")]
+    pub members_age: Option<Millis>,
 }
 
 /// What a follower does not have yet.
--- a/crates/spread/tests/board.rs
+++ b/crates/spread/tests/board.rs
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use spread::Board;
 use spread::Gone;
-use spread::Have;
 use spread::Member;
+use spread::SyncState;
 use spread::Update;
 use spread::board::PART;
 
@@ -170,7 +170,7 @@
 fn the_same_instances_are_not_passed_on_again() {
     let mut board = board(1);
     board.members(vec![member("a"), member("b")], 0);
-    let first = board.since(Have::default(), 0);
+    let first = board.since(SyncState::default(), 0);
     let mut follower = Board::default();
     follower.merge(&first, 0);
 
@@ -257,9 +257,9 @@
         let mut rev = 0;
         while rev < board.rev() {
             let part = board.since(
-                Have {
+                SyncState {
                     rev,
-                    ..Have::default()
+                    ..SyncState::default()
                 },
                 0,
             );
