--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -4,9 +4,9 @@
 
 use spread::Board;
 use spread::Follower;
-use spread::Gone;
 use spread::Member;
 use spread::Place;
+use spread::Removed;
 use spread::Update;
 use spread::View;
 use spread::tree;
@@ -135,8 +135,8 @@
         .map(|item| item.key.len() + item.value.len() + 12)
         .sum();
     let gone = match &news.removed {
-        Some(Gone::Keys(keys)) => keys.iter().map(String::len).sum(),
-        Some(Gone::Others(digests)) => digests.len() * 9,
+        Some(Removed::Keys(keys)) => keys.iter().map(String::len).sum(),
+        Some(Removed::AllExcept(digests)) => digests.len() * 9,
         None => 0,
     };
     let members = news.members.as_ref().map_or(0, Vec::len) as u64;
--- a/crates/spread/src/board.rs
+++ b/crates/spread/src/board.rs
@@ -19,9 +19,9 @@
 use plat::Listing;
 
 use crate::Changes;
-use crate::Gone;
 use crate::List;
 use crate::Member;
+use crate::Removed;
 use crate::Roll;
 use crate::SyncState;
 use crate::Update;
@@ -48,7 +48,7 @@
 ///
 /// ```
 /// use plat::{Item, Listing};
-/// use spread::{Board, Gone, SyncState};
+/// use spread::{Board, Removed, SyncState};
 ///
 /// let item = |key: &str, rev| Item { key: key.into(), value: vec![1], rev };
 /// let mut board = Board::default();
@@ -57,7 +57,7 @@
 /// assert_eq!((first.items.len(), first.rev, first.edition), (2, 2, 71));
 /// board.read(Listing { items: vec![item("b", 3)], since: 3 }, 72, 850);
 /// let next = board.since(SyncState { rev: 2, edition: 71, ..SyncState::default() }, 850);
-/// assert_eq!((next.items.len(), next.removed), (1, Some(Gone::Keys(vec!["a".into()]))));
+/// assert_eq!((next.items.len(), next.removed), (1, Some(Removed::Keys(vec!["a".into()]))));
 /// ```
 #[derive(Debug, Default)]
 pub struct Board {
@@ -245,14 +245,14 @@
     }
 
     /// Drops entries that are gone; tells whether any is kept that the source does not have.
-    fn drop(&mut self, gone: &Gone, rev: i64, changes: &mut Changes) -> bool {
+    fn drop(&mut self, gone: &Removed, rev: i64, changes: &mut Changes) -> bool {
         match gone {
-            Gone::Keys(keys) => {
+            Removed::Keys(keys) => {
                 let held = keys.iter().filter(|key| self.items.remove(key));
                 changes.gone = held.cloned().collect();
                 false
             }
-            Gone::Others(digests) => {
+            Removed::AllExcept(digests) => {
                 let listed: Set<u64> = digests.iter().copied().collect();
                 let others = self.items.iter();
                 let others = others.filter(|item| !listed.contains(&digest(&item.key)));
@@ -340,7 +340,7 @@
     }
 
     /// What of a follower's list is gone.
-    fn gone(&self, have: SyncState) -> Gone {
+    fn gone(&self, have: SyncState) -> Removed {
         let known = self
             .editions
             .iter()
@@ -352,9 +352,9 @@
                     .gone
                     .iter()
                     .filter(|(key, at)| at > count && self.items.get(key).is_none());
-                Gone::Keys(gone.map(|(key, _)| key.clone()).collect())
+                Removed::Keys(gone.map(|(key, _)| key.clone()).collect())
             }
-            None => Gone::Others(self.items.iter().map(|item| digest(&item.key)).collect()),
+            None => Removed::AllExcept(self.items.iter().map(|item| digest(&item.key)).collect()),
         }
     }
 }
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -27,6 +27,6 @@
 pub use member::Roll;
 pub use tree::Place;
 pub use update::Changes;
-pub use update::Gone;
+pub use update::Removed;
 pub use update::SyncState;
 pub use update::Update;
--- a/crates/spread/src/update.rs
+++ b/crates/spread/src/update.rs
@@ -38,7 +38,7 @@
     pub items: Vec<Arc<Item>>,
     /// Which of the follower's entries are gone; [`None`] in all parts but the last.
     #[serde(rename = "gone")]
-    pub removed: Option<Gone>,
+    pub removed: Option<Removed>,
     /// The revision up to which the follower has the list with this.
     pub rev: i64,
     /// The revision up to which the source has it, or will have it once it knows all parts itself.
@@ -61,11 +61,12 @@
 /// Entries that a follower has and the source has no more.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Gone {
+pub enum Removed {
     /// Those with these keys.
     Keys(Vec<String>),
     /// All up to the news' revision whose keys have none of these digests.
-    Others(Vec<u64>),
+    #[serde(rename = "Others")]
+    AllExcept(Vec<u64>),
 }
 
 /// What a read or news have changed in a list.
--- a/crates/spread/tests/board.rs
+++ b/crates/spread/tests/board.rs
@@ -7,8 +7,8 @@
 use plat::Listing;
 use proptest::prelude::*;
 use spread::Board;
-use spread::Gone;
 use spread::Member;
+use spread::Removed;
 use spread::SyncState;
 use spread::Update;
 use spread::board::PART;
@@ -60,7 +60,7 @@
     board.read(read(items.collect(), 201), 2, 850);
 
     let news = board.since(have, 850);
-    assert_eq!(news.removed, Some(Gone::Keys(Vec::new())));
+    assert_eq!(news.removed, Some(Removed::Keys(Vec::new())));
     assert_eq!(news.items, [Arc::new(item(&key(7), 201))]);
 }
 
