--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -80,14 +80,14 @@
             }
             self.take_entry(app, item);
         }
-        for key in &changes.gone {
+        for key in &changes.removed {
             self.list.remove(key);
             if self.strange.remove(key) {
                 log::info!(target: "news", key = key.as_str(); "strange entry gone");
             }
         }
         // The names of all are worked out only where one may have gone.
-        if !changes.gone.is_empty() {
+        if !changes.removed.is_empty() {
             let names = self.list.values().map(|one| one.start.name.clone());
             let names: Set<_> = names.collect();
             self.starts.prune(|name| names.contains(name));
--- a/crates/spread/src/board.rs
+++ b/crates/spread/src/board.rs
@@ -146,10 +146,10 @@
     /// Takes in a read of the whole list that ended now, as an edition whose number no other read has.
     pub fn read(&mut self, read: Listing, edition: u64, now: Millis) -> Changes {
         let mut changes = Changes {
-            gone: self.lacking(&read),
+            removed: self.lacking(&read),
             ..Changes::default()
         };
-        for key in &changes.gone {
+        for key in &changes.removed {
             self.items.remove(key);
         }
         for item in read.items {
@@ -159,7 +159,7 @@
                 changes.items.push(item);
             }
         }
-        self.forget(&changes.gone);
+        self.forget(&changes.removed);
         self.publish(edition);
         self.rev = self.rev.max(read.since);
         self.whole = self.rev;
@@ -236,7 +236,7 @@
         match &news.removed {
             Some(gone) => {
                 let strays = self.drop(gone, news.rev, &mut changes);
-                self.forget(&changes.gone);
+                self.forget(&changes.removed);
                 self.publish(if strays { 0 } else { news.edition });
             }
             None => self.exact = false,
@@ -249,7 +249,7 @@
         match gone {
             Removed::Keys(keys) => {
                 let held = keys.iter().filter(|key| self.items.remove(key));
-                changes.gone = held.cloned().collect();
+                changes.removed = held.cloned().collect();
                 false
             }
             Removed::AllExcept(digests) => {
@@ -259,8 +259,8 @@
                 // What came later than the source's list may be there all the same.
                 let (old, new): (Vec<_>, Vec<_>) = others.partition(|item| item.rev <= rev);
                 let strays = !new.is_empty();
-                changes.gone = old.iter().map(|item| item.key.clone()).collect();
-                for key in &changes.gone {
+                changes.removed = old.iter().map(|item| item.key.clone()).collect();
+                for key in &changes.removed {
                     self.items.remove(key);
                 }
                 strays
--- a/crates/spread/src/update.rs
+++ b/crates/spread/src/update.rs
@@ -75,5 +75,5 @@
     /// Entries that are new or others than before.
     pub items: Vec<Arc<Item>>,
     /// Keys of entries that are gone.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
 }
