--- a/crates/bench/src/board.rs
+++ b/crates/bench/src/board.rs
@@ -6,7 +6,7 @@
 use load::Table;
 use plat::Item;
 use plat::Listing;
-use spread::Board;
+use spread::Replica;
 use spread::SyncState;
 
 /// Bytes of an entry.
@@ -29,11 +29,11 @@
 }
 
 /// Tells a follower that knows nothing the whole list; gives the parts.
-fn tell(board: &Board) -> usize {
-    let mut follower = Board::default();
+fn tell(board: &Replica) -> usize {
+    let mut follower = Replica::default();
     let mut parts = 0;
     while follower.rev() < board.rev() {
-        let news = board.since(follower.have(0), 0);
+        let news = board.update_since(follower.sync_state(0), 0);
         follower.merge(&news, 0);
         parts += 1;
     }
@@ -44,8 +44,8 @@
 pub(crate) fn run() {
     let mut table = Table::default();
     for entries in [1_000, 10_000, 20_000, 50_000] {
-        let mut board = Board::default();
-        board.read(listing(entries), 1, 0);
+        let mut board = Replica::default();
+        board.apply_read(listing(entries), 1, 0);
         let have = SyncState {
             rev: entries as i64 - 1,
             edition: 1,
@@ -53,7 +53,7 @@
         };
         let begun = Instant::now();
         for _ in 0..TIMES {
-            black_box(board.since(black_box(have), 0));
+            black_box(board.update_since(black_box(have), 0));
         }
         let each = begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES);
         table.row(
@@ -70,7 +70,7 @@
             format!("{all:.1}"),
         );
         let begun = Instant::now();
-        board.read(listing(entries), 2, 0);
+        board.apply_read(listing(entries), 2, 0);
         let read = begun.elapsed().as_secs_f64() * 1e3;
         table.row(
             format!("{entries} entries: ms to take in a read that brings nothing"),
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -120,5 +120,5 @@
     let found = tokio::time::timeout(Duration::from_millis(wait), newer).await;
     // Neither over time nor dropped.
     found.ok()?.ok()?;
-    Some(app.board.lock().since(have, app.clock.now()))
+    Some(app.board.lock().update_since(have, app.clock.now()))
 }
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -21,9 +21,9 @@
 use place::Memory;
 use plat::Client;
 use poison::Mark;
-use spread::Board;
 use spread::Member;
 use spread::Place;
+use spread::Replica;
 use spread::SyncState;
 use spread::member::Turnover;
 use spread::tree;
@@ -95,7 +95,7 @@
     /// Connections to other instances.
     pub peers: net::Client,
     /// What is known of the configuration and the list of upstreams, for others that follow.
-    pub board: Mutex<Board>,
+    pub board: Mutex<Replica>,
     /// Rings when the board has changed.
     pub news: watch::Sender<()>,
     /// The steps that this instance runs.
@@ -233,7 +233,7 @@
     }
 
     /// Changes what is known for others, and wakes those who wait for it.
-    pub fn post<R>(&self, change: impl FnOnce(&mut Board) -> R) -> R {
+    pub fn post<R>(&self, change: impl FnOnce(&mut Replica) -> R) -> R {
         let done = change(&mut self.board.lock());
         self.news.send_replace(());
         done
@@ -241,7 +241,7 @@
 
     /// What this instance has of what others tell.
     pub fn have(&self) -> SyncState {
-        self.board.lock().have(self.clock.now())
+        self.board.lock().sync_state(self.clock.now())
     }
 
     /// Notes the instances that have entered.
@@ -277,7 +277,7 @@
 
     /// Tells whether the entries of all were read at once, here or by whoever this instance follows.
     pub fn is_told(&self) -> bool {
-        self.board.lock().roll().is_some()
+        self.board.lock().membership().is_some()
     }
 
     /// The instances that have entered, and those whose entries are gone since a while. All entries lapse in a long
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -137,7 +137,7 @@
             };
             while let Heard::News(news) = peer::news(self.app, other, self.app.have(), 0).await {
                 self.hear(&news);
-                if self.app.board.lock().is_whole() {
+                if self.app.board.lock().is_complete() {
                     return true;
                 }
             }
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -94,7 +94,7 @@
         }
         let (whole, rev, at) = {
             let board = app.board.lock();
-            (board.is_whole(), board.rev(), board.at())
+            (board.is_complete(), board.rev(), board.read_at())
         };
         // Of what is known in part, what is missing is not gone.
         if let Some(at) = at.filter(|_| whole) {
@@ -106,8 +106,8 @@
     fn take_roll(&mut self, app: &App) {
         let members = {
             let board = app.board.lock();
-            let new = board.roll().filter(|roll| Some(roll.at) != self.met);
-            self.met = board.roll().map(|roll| roll.at);
+            let new = board.membership().filter(|roll| Some(roll.at) != self.met);
+            self.met = board.membership().map(|roll| roll.at);
             new.map(|roll| roll.members.clone())
         };
         if let Some(members) = members {
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -49,9 +49,9 @@
         let now = app.clock.now();
         let changes = app.post(|board| {
             if let Some(members) = members {
-                board.members(members, now);
+                board.set_members(members, now);
             }
-            board.read(list, rand::random(), now)
+            board.apply_read(list, rand::random(), now)
         });
         intake.take(app, changes);
         Ok(())
@@ -80,7 +80,7 @@
 
 async fn read_plan(app: &App, intake: &mut Intake) -> Result<(), PlatError> {
     let plan = app.plat.get(app.dialect.places().plan).await?;
-    if app.post(|board| board.plan(plan)) {
+    if app.post(|board| board.set_configuration(plan)) {
         intake.take_plan(app);
     }
     Ok(())
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -64,7 +64,7 @@
 
     /// Reads the entries of some instances.
     fn meet(&mut self, at: usize) {
-        if self.nodes[at].board.roll().is_some() {
+        if self.nodes[at].board.membership().is_some() {
             return;
         }
         let entered = |one: &&Member| {
@@ -125,7 +125,7 @@
         let question = Question {
             from: at,
             number,
-            have: node.board.have(now),
+            have: node.board.sync_state(now),
             asked: now,
             wait,
         };
@@ -156,7 +156,7 @@
         if !node.board.has_more(have, now) {
             return false;
         }
-        let news = node.board.since(have, now);
+        let news = node.board.update_since(have, now);
         self.reply(at, question, Ok(news));
         true
     }
@@ -210,7 +210,7 @@
     /// Tells whoever waits, and takes in who has entered.
     fn changed(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        let roll = node.board.roll().map(|roll| roll.members.clone());
+        let roll = node.board.membership().map(|roll| roll.members.clone());
         if let Some(members) = roll.filter(|members| !Arc::ptr_eq(members, &node.members)) {
             node.met(members);
         }
@@ -252,11 +252,12 @@
         if self.reads[at] % times::MEMBERS == 1 {
             let members: Vec<_> = self.all.iter().filter(alive).cloned().collect();
             self.carry(members.len() as u64 * MEMBER);
-            self.nodes[at].board.members(members, now);
+            self.nodes[at].board.set_members(members, now);
         }
         let begun = self.nodes[at].begun / MS;
         let node = &mut self.nodes[at];
-        node.board.read(self.store.read(), self.rng.random(), now);
+        node.board
+            .apply_read(self.store.read(), self.rng.random(), now);
         node.follower.took(now - begun);
         self.changed(at);
         let next = (begun + times::LIST).max(now + times::LEAST);
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use spread::Board;
 use spread::Follower;
 use spread::Member;
 use spread::Place;
 use spread::Removed;
+use spread::Replica;
 use spread::Update;
 use spread::View;
 use spread::tree;
@@ -30,7 +30,7 @@
     /// Whether the platform serves it.
     pub served: bool,
     /// What it knows.
-    pub board: Board,
+    pub board: Replica,
     /// Whom it asks.
     pub follower: Follower,
     /// The instances that it knows.
@@ -60,7 +60,7 @@
             member,
             alive: false,
             served: true,
-            board: Board::default(),
+            board: Replica::default(),
             follower: Follower::default(),
             members: Arc::new([]),
             place: Place::default(),
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/play.rs
@@ -126,7 +126,7 @@
             self.run(1);
             let count = self.nodes.iter().filter(|node| node.alive).count();
             for (node, knows) in self.nodes.iter().zip(&mut knows) {
-                let has = node.alive && node.board.is_whole() && node.board.rev() >= rev;
+                let has = node.alive && node.board.is_complete() && node.board.rev() >= rev;
                 if has && !std::mem::replace(knows, true) {
                     known.push(self.now() - begun);
                 }
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -7,17 +7,16 @@
 //!
 //! Nothing here reads a socket or a clock.
 
-pub mod board;
 pub mod follow;
 pub mod lease;
 pub mod list;
 pub mod member;
 pub mod ration;
+pub mod replica;
 pub mod times;
 pub mod tree;
 pub mod update;
 
-pub use board::Board;
 pub use follow::Follower;
 pub use follow::Lack;
 pub use follow::Next;
@@ -25,6 +24,7 @@
 pub use list::List;
 pub use member::Member;
 pub use member::Roll;
+pub use replica::Replica;
 pub use tree::Place;
 pub use update::Changes;
 pub use update::Removed;
--- a/crates/spread/src/board.rs
+++ b/crates/spread/src/replica.rs
@@ -48,19 +48,19 @@
 ///
 /// ```
 /// use plat::{Item, Listing};
-/// use spread::{Board, Removed, SyncState};
+/// use spread::{Replica, Removed, SyncState};
 ///
 /// let item = |key: &str, rev| Item { key: key.into(), value: vec![1], rev };
-/// let mut board = Board::default();
-/// board.read(Listing { items: vec![item("a", 1), item("b", 2)], since: 2 }, 71, 0);
-/// let first = board.since(SyncState::default(), 0);
+/// let mut replica = Replica::default();
+/// replica.apply_read(Listing { items: vec![item("a", 1), item("b", 2)], since: 2 }, 71, 0);
+/// let first = replica.update_since(SyncState::default(), 0);
 /// assert_eq!((first.items.len(), first.rev, first.edition), (2, 2, 71));
-/// board.read(Listing { items: vec![item("b", 3)], since: 3 }, 72, 850);
-/// let next = board.since(SyncState { rev: 2, edition: 71, ..SyncState::default() }, 850);
+/// replica.apply_read(Listing { items: vec![item("b", 3)], since: 3 }, 72, 850);
+/// let next = replica.update_since(SyncState { rev: 2, edition: 71, ..SyncState::default() }, 850);
 /// assert_eq!((next.items.len(), next.removed), (1, Some(Removed::Keys(vec!["a".into()]))));
 /// ```
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Replica {
     items: List,
     /// Keys of entries that have gone, each with the number of the change by which it did.
     gone: VecDeque<(String, u64)>,
@@ -84,9 +84,9 @@
     rank(key, "entry")
 }
 
-impl Board {
+impl Replica {
     /// What this instance has, as it tells a source.
-    pub fn have(&self, now: Millis) -> SyncState {
+    pub fn sync_state(&self, now: Millis) -> SyncState {
         SyncState {
             rev: self.rev,
             edition: self.edition(),
@@ -124,12 +124,12 @@
     }
 
     /// Tells whether the list is known and no part of it is missing.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.rev > 0 && self.rev >= self.whole
     }
 
     /// When what is known was read at the platform, on the steady clock of this instance.
-    pub fn at(&self) -> Option<Millis> {
+    pub fn read_at(&self) -> Option<Millis> {
         self.at
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Takes in a read of the whole list that ended now, as an edition whose number no other read has.
-    pub fn read(&mut self, read: Listing, edition: u64, now: Millis) -> Changes {
+    pub fn apply_read(&mut self, read: Listing, edition: u64, now: Millis) -> Changes {
         let mut changes = Changes {
             removed: self.lacking(&read),
             ..Changes::default()
@@ -200,7 +200,7 @@
     }
 
     /// Takes in a configuration; tells whether it is newer.
-    pub fn plan(&mut self, plan: Option<Item>) -> bool {
+    pub fn set_configuration(&mut self, plan: Option<Item>) -> bool {
         let held = self.revised();
         let Some(plan) = plan.filter(|plan| plan.rev > held) else {
             return false;
@@ -210,13 +210,13 @@
     }
 
     /// Takes in the entries of instances, read now.
-    pub fn members(&mut self, members: Vec<Member>, now: Millis) {
+    pub fn set_members(&mut self, members: Vec<Member>, now: Millis) {
         self.roll = Some(Roll::new(members, now));
     }
 
     /// Takes in what another instance passes on.
     pub fn merge(&mut self, news: &Update, now: Millis) -> Changes {
-        self.plan(news.configuration.clone());
+        self.set_configuration(news.configuration.clone());
         self.enrol(news, now);
         let mut changes = Changes::default();
         for item in &news.items {
@@ -284,7 +284,7 @@
     }
 
     /// The entries of instances.
-    pub fn roll(&self) -> Option<&Roll> {
+    pub fn membership(&self) -> Option<&Roll> {
         self.roll.as_ref()
     }
 
@@ -301,10 +301,10 @@
     }
 
     /// What a follower does not have yet.
-    pub fn since(&self, have: SyncState, now: Millis) -> Update {
+    pub fn update_since(&self, have: SyncState, now: Millis) -> Update {
         let (items, rev) = self.part(have);
         // What is missing from a part may be there all the same.
-        let is_last = rev == self.rev && self.is_whole();
+        let is_last = rev == self.rev && self.is_complete();
         let roll = self.roll.as_ref();
         let members_age = roll.map(|roll| now.saturating_sub(roll.at));
         let newer = members_age.is_some_and(|age| have.members_age.is_none_or(|held| age < held));
--- a/crates/spread/src/times.rs
+++ b/crates/spread/src/times.rs
@@ -2,7 +2,7 @@
 
 use kernel::Millis;
 
-use crate::Board;
+use crate::Replica;
 
 /// Time between two reads. A leaving upstream must get nothing new two seconds after the platform
 /// knows, and a configuration must be in force by then; a read of this pace that fails once still
@@ -34,14 +34,14 @@
 /// # Examples
 ///
 /// ```
-/// use spread::Board;
+/// use spread::Replica;
 /// use spread::times::slack;
 ///
 /// // An instance that has just started lacks all parts of the list.
-/// assert_eq!(slack(&Board::default()), 1_000);
+/// assert_eq!(slack(&Replica::default()), 1_000);
 /// ```
-pub fn slack(board: &Board) -> Millis {
-    match board.is_whole() {
+pub fn slack(board: &Replica) -> Millis {
+    match board.is_complete() {
         true => NEWS,
         false => PART,
     }
--- a/crates/spread/tests/board.rs
+++ b/crates/spread/tests/replica.rs
@@ -6,12 +6,12 @@
 use plat::Item;
 use plat::Listing;
 use proptest::prelude::*;
-use spread::Board;
 use spread::Member;
 use spread::Removed;
+use spread::Replica;
 use spread::SyncState;
 use spread::Update;
-use spread::board::PART;
+use spread::replica::PART;
 
 fn item(key: &str, rev: i64) -> Item {
     Item {
@@ -31,18 +31,18 @@
 }
 
 /// A board with `count` entries, the one at position n changed last at revision n + 1.
-fn board(count: usize) -> Board {
-    let mut board = Board::default();
+fn board(count: usize) -> Replica {
+    let mut board = Replica::default();
     let items = (0..count).map(|at| item(&key(at), at as i64 + 1));
-    board.read(read(items.collect(), count as i64), 1, 0);
+    board.apply_read(read(items.collect(), count as i64), 1, 0);
     board
 }
 
 /// Asks until there is no more; gives the entries that were told and the answers.
-fn follow(board: &mut Board, source: &Board) -> (usize, usize) {
+fn follow(board: &mut Replica, source: &Replica) -> (usize, usize) {
     let (mut items, mut answers) = (0, 0);
-    while source.has_more(board.have(0), 0) {
-        let news = source.since(board.have(0), 0);
+    while source.has_more(board.sync_state(0), 0) {
+        let news = source.update_since(board.sync_state(0), 0);
         items += news.items.len();
         answers += 1;
         board.merge(&news, 0);
@@ -54,12 +54,12 @@
 #[test]
 fn what_has_not_changed_is_not_passed_on() {
     let mut board = board(200);
-    let have = board.have(0);
+    let have = board.sync_state(0);
     let items = (0..200).map(|at| item(&key(at), if at == 7 { 201 } else { at as i64 + 1 }));
 
-    board.read(read(items.collect(), 201), 2, 850);
+    board.apply_read(read(items.collect(), 201), 2, 850);
 
-    let news = board.since(have, 850);
+    let news = board.update_since(have, 850);
     assert_eq!(news.removed, Some(Removed::Keys(Vec::new())));
     assert_eq!(news.items, [Arc::new(item(&key(7), 201))]);
 }
@@ -68,11 +68,11 @@
 #[test]
 fn a_follower_that_changes_its_source_hears_what_it_lacks() {
     let mut first = board(10_000);
-    let (mut second, mut follower) = (Board::default(), Board::default());
+    let (mut second, mut follower) = (Replica::default(), Replica::default());
     follow(&mut second, &first);
     follow(&mut follower, &first);
     let items = (3..10_000).map(|at| item(&key(at), at as i64 + 1));
-    first.read(read(items.collect(), 10_001), 2, 0);
+    first.apply_read(read(items.collect(), 10_001), 2, 0);
     follow(&mut second, &first);
 
     let (items, answers) = follow(&mut follower, &second);
@@ -85,19 +85,19 @@
 #[test]
 fn a_long_list_is_told_in_parts_that_can_be_passed_on() {
     let source = board(10_000);
-    let (mut near, mut far) = (Board::default(), Board::default());
+    let (mut near, mut far) = (Replica::default(), Replica::default());
 
-    let news = source.since(near.have(0), 0);
+    let news = source.update_since(near.sync_state(0), 0);
     near.merge(&news, 0);
     let (early, _) = follow(&mut far, &near);
 
     assert_eq!(news.items.len(), PART);
     assert_eq!(early, PART);
-    assert!(!near.is_whole() && !far.is_whole());
+    assert!(!near.is_complete() && !far.is_complete());
     let (rest, answers) = follow(&mut near, &source);
     assert_eq!((rest, answers), (10_000 - PART, 10_000 / PART));
     follow(&mut far, &near);
-    assert!(far.is_whole());
+    assert!(far.is_complete());
     assert_eq!(far.len(), 10_000);
 }
 
@@ -105,18 +105,18 @@
 #[test]
 fn a_part_is_not_whole_with_the_rest_of_an_older_list() {
     let old = board(1_000);
-    let mut new = Board::default();
+    let mut new = Replica::default();
     follow(&mut new, &old);
     let items = (0..1_000).map(|at| item(&key(at), if at == 5 { 1_001 } else { at as i64 + 1 }));
-    new.read(read(items.collect(), 1_001), 2, 0);
-    let mut follower = Board::default();
-    follower.merge(&new.since(follower.have(0), 0), 0);
+    new.apply_read(read(items.collect(), 1_001), 2, 0);
+    let mut follower = Replica::default();
+    follower.merge(&new.update_since(follower.sync_state(0), 0), 0);
 
     follow(&mut follower, &old);
 
-    assert!(!follower.is_whole());
+    assert!(!follower.is_complete());
     follow(&mut follower, &new);
-    assert!(follower.is_whole());
+    assert!(follower.is_complete());
     assert_eq!(follower.len(), 1_000);
 }
 
@@ -124,26 +124,26 @@
 #[test]
 fn a_read_that_changed_nothing_is_news_to_whoever_has_an_older_one() {
     let mut board = board(3);
-    let have = board.have(900);
+    let have = board.sync_state(900);
 
     let before = board.has_more(have, 900);
     let items = (0..3).map(|at| item(&key(at), at as i64 + 1));
-    board.read(read(items.collect(), 3), 2, 900);
+    board.apply_read(read(items.collect(), 3), 2, 900);
 
     assert!(!before);
     assert!(board.has_more(have, 900));
-    assert!(!board.has_more(board.have(950), 950));
+    assert!(!board.has_more(board.sync_state(950), 950));
 }
 
 #[test]
 fn a_configuration_is_passed_on_by_itself() {
     let mut board = board(1);
-    let have = board.have(0);
+    let have = board.sync_state(0);
 
-    let newer = board.plan(Some(item("plan", 5)));
-    let again = board.plan(Some(item("plan", 5)));
+    let newer = board.set_configuration(Some(item("plan", 5)));
+    let again = board.set_configuration(Some(item("plan", 5)));
 
-    let news = board.since(have, 0);
+    let news = board.update_since(have, 0);
     assert!(board.has_more(have, 0));
     assert_eq!((newer, again), (true, false));
     assert_eq!(
@@ -169,15 +169,15 @@
 #[test]
 fn the_same_instances_are_not_passed_on_again() {
     let mut board = board(1);
-    board.members(vec![member("a"), member("b")], 0);
-    let first = board.since(SyncState::default(), 0);
-    let mut follower = Board::default();
+    board.set_members(vec![member("a"), member("b")], 0);
+    let first = board.update_since(SyncState::default(), 0);
+    let mut follower = Replica::default();
     follower.merge(&first, 0);
 
-    board.members(vec![member("b"), member("a")], 2_000);
-    let same = board.since(follower.have(2_000), 2_000);
-    board.members(vec![member("b")], 4_000);
-    let other = board.since(follower.have(4_000), 4_000);
+    board.set_members(vec![member("b"), member("a")], 2_000);
+    let same = board.update_since(follower.sync_state(2_000), 2_000);
+    board.set_members(vec![member("b")], 4_000);
+    let other = board.update_since(follower.sync_state(4_000), 4_000);
 
     assert_eq!(first.members.map(|all| all.len()), Some(2));
     assert_eq!((same.members, same.members_age), (None, Some(0)));
@@ -188,7 +188,7 @@
 #[test]
 fn older_entries_of_instances_change_nothing() {
     let mut board = board(1);
-    board.members(vec![member("a")], 2_000);
+    board.set_members(vec![member("a")], 2_000);
     let old = Update {
         members: Some(vec![member("b")]),
         members_age: Some(1_500),
@@ -197,7 +197,7 @@
 
     board.merge(&old, 3_000);
 
-    let names = board.roll().map(|roll| roll.members.to_vec());
+    let names = board.membership().map(|roll| roll.members.to_vec());
     assert_eq!(names, Some(vec![member("a")]));
 }
 
@@ -249,14 +249,14 @@
     }
 
     /// Checks what an instance has that follows others.
-    fn check(&self, board: &Board) -> Result<(), TestCaseError> {
-        let mut all = Board::default();
+    fn check(&self, board: &Replica) -> Result<(), TestCaseError> {
+        let mut all = Replica::default();
         follow(&mut all, board);
         prop_assert_eq!(all.len(), board.len(), "not all is passed on");
         let mut have: BTreeMap<String, i64> = BTreeMap::new();
         let mut rev = 0;
         while rev < board.rev() {
-            let part = board.since(
+            let part = board.update_since(
                 SyncState {
                     rev,
                     ..SyncState::default()
@@ -270,13 +270,13 @@
             if *rev <= board.rev() {
                 prop_assert_eq!(have.get(key), Some(rev), "{} is missing or old", key);
             }
-            if board.is_whole() && *came <= board.rev() {
+            if board.is_complete() && *came <= board.rev() {
                 prop_assert!(have.contains_key(key), "{} is missing", key);
             }
         }
         // What is gone is told with the last part.
         let gone = have.keys().filter(|key| !self.items.contains_key(*key));
-        for key in gone.filter(|_| board.is_whole()) {
+        for key in gone.filter(|_| board.is_complete()) {
             prop_assert!(self.gone[key] > board.rev(), "{} is gone", key);
         }
         Ok(())
@@ -299,16 +299,16 @@
                 prop::collection::vec((0..ALL, 0..ALL, any::<bool>()), 0..8), 0..12_usize), 1..25)
     ) {
         let mut store = Store::default();
-        let mut boards: Vec<Board> = (0..ALL).map(|_| Board::default()).collect();
+        let mut boards: Vec<Replica> = (0..ALL).map(|_| Replica::default()).collect();
         for (edition, (changes, between, reader, asks, start)) in (1..).zip(turns) {
             for (block, is_there) in changes {
                 store.change(block, is_there);
             }
             if let Some(board) = boards.get_mut(start) {
-                *board = Board::default();
+                *board = Replica::default();
             }
             let read = store.read(between);
-            boards[reader].read(read, edition, 0);
+            boards[reader].apply_read(read, edition, 0);
             for (to, from, all) in asks {
                 if to == from {
                     continue;
@@ -316,8 +316,8 @@
                 let mut board = std::mem::take(&mut boards[to]);
                 if all {
                     follow(&mut board, &boards[from]);
-                } else if boards[from].has_more(board.have(0), 0) {
-                    let news = boards[from].since(board.have(0), 0);
+                } else if boards[from].has_more(board.sync_state(0), 0) {
+                    let news = boards[from].update_since(board.sync_state(0), 0);
                     board.merge(&news, 0);
                 }
                 boards[to] = board;
