--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -106,8 +106,10 @@
     fn take_roll(&mut self, app: &App) {
         let members = {
             let board = app.board.lock();
-            let new = board.membership().filter(|roll| Some(roll.at) != self.met);
-            self.met = board.membership().map(|roll| roll.at);
+            let new = board
+                .membership()
+                .filter(|roll| Some(roll.read_at) != self.met);
+            self.met = board.membership().map(|roll| roll.read_at);
             new.map(|roll| roll.members.clone())
         };
         if let Some(members) = members {
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -23,7 +23,7 @@
 pub use follow::View;
 pub use list::List;
 pub use member::Member;
-pub use member::Roll;
+pub use member::Membership;
 pub use replica::Replica;
 pub use tree::Place;
 pub use update::Changes;
--- a/crates/spread/src/member.rs
+++ b/crates/spread/src/member.rs
@@ -30,18 +30,18 @@
 
 /// The entries of all instances at one moment.
 #[derive(Clone, Debug)]
-pub struct Roll {
+pub struct Membership {
     /// The entries.
     pub members: Arc<[Member]>,
     /// A digest of the entries, equal wherever they are; 0 for none.
     pub digest: u64,
     /// When they were read, on the steady clock of whoever holds them.
-    pub at: Millis,
+    pub read_at: Millis,
 }
 
-impl Roll {
+impl Membership {
     /// Makes the roll of entries that were read at `at`.
-    pub fn new(mut members: Vec<Member>, at: Millis) -> Self {
+    pub fn new(mut members: Vec<Member>, read_at: Millis) -> Self {
         members.sort_unstable_by(|a, b| a.owner.instance.cmp(&b.owner.instance));
         let mut hasher = DefaultHasher::new();
         members.hash(&mut hasher);
@@ -49,7 +49,7 @@
         Self {
             members: members.into(),
             digest,
-            at,
+            read_at,
         }
     }
 }
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -21,8 +21,8 @@
 use crate::Changes;
 use crate::List;
 use crate::Member;
+use crate::Membership;
 use crate::Removed;
-use crate::Roll;
 use crate::SyncState;
 use crate::Update;
 
@@ -75,7 +75,7 @@
     /// The revision from which on no part is missing: an entry may have changed after the part in which it was.
     whole: i64,
     plan: Option<Item>,
-    roll: Option<Roll>,
+    roll: Option<Membership>,
     at: Option<Millis>,
 }
 
@@ -93,7 +93,10 @@
             configuration: self.revised(),
             age: self.age(now),
             members_digest: self.roll.as_ref().map_or(0, |roll| roll.digest),
-            members_age: self.roll.as_ref().map(|roll| now.saturating_sub(roll.at)),
+            members_age: self
+                .roll
+                .as_ref()
+                .map(|roll| now.saturating_sub(roll.read_at)),
         }
     }
 
@@ -211,7 +214,7 @@
 
     /// Takes in the entries of instances, read now.
     pub fn set_members(&mut self, members: Vec<Member>, now: Millis) {
-        self.roll = Some(Roll::new(members, now));
+        self.roll = Some(Membership::new(members, now));
     }
 
     /// Takes in what another instance passes on.
@@ -274,17 +277,17 @@
             return;
         };
         let at = now.saturating_sub(old);
-        let newer = self.roll.as_ref().is_none_or(|roll| at > roll.at);
+        let newer = self.roll.as_ref().is_none_or(|roll| at > roll.read_at);
         match (&news.members, &mut self.roll) {
-            (Some(members), _) if newer => self.roll = Some(Roll::new(members.clone(), at)),
+            (Some(members), _) if newer => self.roll = Some(Membership::new(members.clone(), at)),
             // They are the same.
-            (None, Some(roll)) if newer => roll.at = at,
+            (None, Some(roll)) if newer => roll.read_at = at,
             _ => (),
         }
     }
 
     /// The entries of instances.
-    pub fn membership(&self) -> Option<&Roll> {
+    pub fn membership(&self) -> Option<&Membership> {
         self.roll.as_ref()
     }
 
@@ -306,7 +309,7 @@
         // What is missing from a part may be there all the same.
         let is_last = rev == self.rev && self.is_complete();
         let roll = self.roll.as_ref();
-        let members_age = roll.map(|roll| now.saturating_sub(roll.at));
+        let members_age = roll.map(|roll| now.saturating_sub(roll.read_at));
         let newer = members_age.is_some_and(|age| have.members_age.is_none_or(|held| age < held));
         let members = roll.filter(|roll| newer && roll.digest != have.members_digest);
         Update {
