--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -10,8 +10,8 @@
 use kernel::Millis;
 use plat::PlatError;
 use spread::Follower;
-use spread::Lack;
 use spread::Next;
+use spread::PollFailure;
 use spread::Update;
 use spread::View;
 use spread::times;
@@ -168,11 +168,11 @@
         }
     }
 
-    fn lacks(&mut self, lack: Lack) -> Next {
+    fn lacks(&mut self, lack: PollFailure) -> Next {
         let next = self
             .follower
             .lacks(&self.view(), lack, self.app.clock.now());
-        if (next, lack) == (Next::Pause, Lack::Blind) {
+        if (next, lack) == (Next::Pause, PollFailure::PlatformUnreachable) {
             self.app.set_blind(true);
         }
         next
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -19,7 +19,7 @@
 use plat::Answer;
 use plat::Call;
 use plat::PlatError;
-use spread::Lack;
+use spread::PollFailure;
 use spread::SyncState;
 use spread::Update;
 use spread::times;
@@ -219,7 +219,7 @@
     /// Something that this instance does not have.
     News(Update),
     /// Nothing.
-    Lack(Lack),
+    Lack(PollFailure),
 }
 
 /// Asks another instance for what this one does not have, or for a newer read.
@@ -227,9 +227,9 @@
     let slack = times::slack(&app.board.lock());
     match ask(app, addr, &Ask::News { have, wait }, wait + slack).await {
         Some(Told::News(Some(news))) => Heard::News(news),
-        Some(Told::Blind) => Heard::Lack(Lack::Blind),
-        Some(Told::News(None)) => Heard::Lack(Lack::Late),
-        _ => Heard::Lack(Lack::Silent),
+        Some(Told::Blind) => Heard::Lack(PollFailure::PlatformUnreachable),
+        Some(Told::News(None)) => Heard::Lack(PollFailure::NoUpdate),
+        _ => Heard::Lack(PollFailure::NoReply),
     }
 }
 
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -6,9 +6,9 @@
 use kernel::Millis;
 use plat::wide;
 use rand::Rng;
-use spread::Lack;
 use spread::Member;
 use spread::Next;
+use spread::PollFailure;
 use spread::Update;
 use spread::ration;
 use spread::times;
@@ -48,7 +48,7 @@
             What::Question(question) => self.question(at, question),
             What::Over(number) => self.over(at, number),
             What::Answer(number, answer) => self.answer(at, number, *answer),
-            What::Silence(number) => self.answer(at, number, Err(Lack::Silent)),
+            What::Silence(number) => self.answer(at, number, Err(PollFailure::NoReply)),
             What::Read => self.read(at),
         }
     }
@@ -161,7 +161,7 @@
         true
     }
 
-    fn reply(&mut self, at: usize, question: Question, answer: Result<Update, Lack>) {
+    fn reply(&mut self, at: usize, question: Question, answer: Result<Update, PollFailure>) {
         let bytes = answer.as_ref().map_or(0, node::bytes);
         let (world, now) = (self.world, self.now);
         let left = self.nodes[at].send(&world, now, bytes) + world.hop;
@@ -178,13 +178,13 @@
         };
         let question = waiting.swap_remove(found);
         let lack = match self.nodes[at].served {
-            true => Lack::Late,
-            false => Lack::Blind,
+            true => PollFailure::NoUpdate,
+            false => PollFailure::PlatformUnreachable,
         };
         self.reply(at, question, Err(lack));
     }
 
-    fn answer(&mut self, at: usize, number: u64, answer: Result<Update, Lack>) {
+    fn answer(&mut self, at: usize, number: u64, answer: Result<Update, PollFailure>) {
         if self.nodes[at].asked != number {
             return;
         }
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -5,7 +5,7 @@
 use std::collections::BinaryHeap;
 
 use kernel::Millis;
-use spread::Lack;
+use spread::PollFailure;
 use spread::SyncState;
 use spread::Update;
 
@@ -23,7 +23,7 @@
     /// The time is over for which a question may wait.
     Over(u64),
     /// An answer reaches it.
-    Answer(u64, Box<Result<Update, Lack>>),
+    Answer(u64, Box<Result<Update, PollFailure>>),
     /// No answer has come in time.
     Silence(u64),
     /// A read of the platform has ended.
--- a/crates/spread/src/follow.rs
+++ b/crates/spread/src/follower.rs
@@ -71,13 +71,13 @@
 
 /// What came of a question that brought no news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lack {
+pub enum PollFailure {
     /// The platform does not answer whoever was asked.
-    Blind,
+    PlatformUnreachable,
     /// It answers, and had none in time.
-    Late,
+    NoUpdate,
     /// It did not answer.
-    Silent,
+    NoReply,
 }
 
 /// What an instance does next.
@@ -105,7 +105,7 @@
 /// # Examples
 ///
 /// ```
-/// use spread::follow::{Follower, Lack, Next, View};
+/// use spread::follower::{Follower, PollFailure, Next, View};
 /// use spread::Place;
 /// use std::sync::Arc;
 ///
@@ -116,9 +116,9 @@
 /// };
 /// let mut follower = Follower::default();
 /// assert_eq!(follower.begin(&view, 0), Next::Ask(addr(1), 1_050));
-/// assert_eq!(follower.lacks(&view, Lack::Silent, 100), Next::Ask(addr(2), 250));
+/// assert_eq!(follower.lacks(&view, PollFailure::NoReply, 100), Next::Ask(addr(2), 250));
 /// // A few instances may all read.
-/// assert_eq!(follower.lacks(&view, Lack::Silent, 200), Next::Read);
+/// assert_eq!(follower.lacks(&view, PollFailure::NoReply, 200), Next::Read);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
@@ -147,7 +147,7 @@
         self.shunned.retain(|_, until| now < *until);
         self.others = 0;
         self.last = None;
-        self.ask_next(view, 0, Lack::Silent, now)
+        self.ask_next(view, 0, PollFailure::NoReply, now)
     }
 
     /// Notes that news came.
@@ -161,27 +161,27 @@
     }
 
     /// Notes that the last question brought no news.
-    pub fn lacks(&mut self, view: &View, lack: Lack, now: Millis) -> Next {
+    pub fn lacks(&mut self, view: &View, lack: PollFailure, now: Millis) -> Next {
         let Some((asked, addr)) = self.last else {
             return self.decide(view, lack, now);
         };
         let is_main = asked == Asked::Source(0);
-        let patient = lack == Lack::Late && self.is_patient();
+        let patient = lack == PollFailure::NoUpdate && self.is_patient();
         // Whoever may not read waits where it is: its source hears sooner or later.
-        let is_late = lack == Lack::Late && is_main && !patient && may_read(view);
-        if is_late || lack == Lack::Silent {
+        let is_late = lack == PollFailure::NoUpdate && is_main && !patient && may_read(view);
+        if is_late || lack == PollFailure::NoReply {
             self.shun(addr, now);
         }
         match asked {
             Asked::Source(_) if patient && is_main => self.decide(view, lack, now),
             Asked::Source(at) => self.ask_next(view, at + 1, lack, now),
-            Asked::Other if lack == Lack::Silent => self.ask_other(view, lack, now),
+            Asked::Other if lack == PollFailure::NoReply => self.ask_other(view, lack, now),
             Asked::Other => self.decide(view, lack, now),
         }
     }
 
     /// Asks the next source from a position on that has not been silent lately.
-    fn ask_next(&mut self, view: &View, from: usize, lack: Lack, now: Millis) -> Next {
+    fn ask_next(&mut self, view: &View, from: usize, lack: PollFailure, now: Millis) -> Next {
         let mut sources = view.place.sources.iter().enumerate().skip(from);
         let next = sources.find(|(_, addr)| !self.is_shunned(**addr));
         let Some((at, addr)) = next.filter(|(at, _)| *at < 2 || !may_read(view)) else {
@@ -197,8 +197,8 @@
     }
 
     /// Asks any other instance where this one may not read at once.
-    fn ask_other(&mut self, view: &View, lack: Lack, now: Millis) -> Next {
-        let may_ask = lack == Lack::Silent && !may_read(view) && self.others < OTHERS;
+    fn ask_other(&mut self, view: &View, lack: PollFailure, now: Millis) -> Next {
+        let may_ask = lack == PollFailure::NoReply && !may_read(view) && self.others < OTHERS;
         match self.other(view).filter(|_| may_ask) {
             Some(other) => {
                 self.others += 1;
@@ -209,23 +209,23 @@
         }
     }
 
-    fn decide(&mut self, view: &View, lack: Lack, now: Millis) -> Next {
+    fn decide(&mut self, view: &View, lack: PollFailure, now: Millis) -> Next {
         self.lacked += 1;
-        if lack != Lack::Blind {
+        if lack != PollFailure::PlatformUnreachable {
             self.blind = 0;
         }
         let is_turn = ration::is_turn(&view.me, self.lacked, view.every());
         match (lack, view.place.sources.first()) {
             // With nobody else to follow it is the first ones that have to find out, at full pace.
-            (Lack::Blind, Some(main)) if view.place.heads => {
+            (PollFailure::PlatformUnreachable, Some(main)) if view.place.heads => {
                 self.shun(*main, now);
                 Next::Read
             }
-            (Lack::Blind, _) => match self.waits() && is_turn {
+            (PollFailure::PlatformUnreachable, _) => match self.waits() && is_turn {
                 true => Next::Read,
                 false => Next::Pause,
             },
-            (Lack::Late, _) if self.trusts() => Next::Pause,
+            (PollFailure::NoUpdate, _) if self.trusts() => Next::Pause,
             _ if view.place.heads || is_turn => Next::Read,
             _ => Next::Pause,
         }
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! Nothing here reads a socket or a clock.
 
-pub mod follow;
+pub mod follower;
 pub mod lease;
 pub mod list;
 pub mod member;
@@ -17,10 +17,10 @@
 pub mod tree;
 pub mod update;
 
-pub use follow::Follower;
-pub use follow::Lack;
-pub use follow::Next;
-pub use follow::View;
+pub use follower::Follower;
+pub use follower::Next;
+pub use follower::PollFailure;
+pub use follower::View;
 pub use list::List;
 pub use member::Member;
 pub use member::Membership;
