--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -9,8 +9,8 @@
 
 use kernel::Millis;
 use plat::PlatError;
+use spread::Action;
 use spread::Follower;
-use spread::Next;
 use spread::PollFailure;
 use spread::Update;
 use spread::View;
@@ -151,7 +151,7 @@
         let mut next = self.follower.begin(&self.view(), self.app.clock.now());
         loop {
             match next {
-                Next::Ask(addr, wait) => {
+                Action::Poll(addr, wait) => {
                     match peer::news(self.app, addr, self.app.have(), wait).await {
                         Heard::News(news) => {
                             self.hear(&news);
@@ -162,17 +162,17 @@
                         Heard::Lack(lack) => next = self.lacks(lack),
                     }
                 }
-                Next::Pause => return Done::Lacked,
-                Next::Read => return Done::Read(self.read().await),
+                Action::Pause => return Done::Lacked,
+                Action::Read => return Done::Read(self.read().await),
             }
         }
     }
 
-    fn lacks(&mut self, lack: PollFailure) -> Next {
+    fn lacks(&mut self, lack: PollFailure) -> Action {
         let next = self
             .follower
             .lacks(&self.view(), lack, self.app.clock.now());
-        if (next, lack) == (Next::Pause, PollFailure::PlatformUnreachable) {
+        if (next, lack) == (Action::Pause, PollFailure::PlatformUnreachable) {
             self.app.set_blind(true);
         }
         next
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -6,8 +6,8 @@
 use kernel::Millis;
 use plat::wide;
 use rand::Rng;
+use spread::Action;
 use spread::Member;
-use spread::Next;
 use spread::PollFailure;
 use spread::Update;
 use spread::ration;
@@ -104,11 +104,11 @@
         self.act(at, next);
     }
 
-    fn act(&mut self, at: usize, next: Next) {
+    fn act(&mut self, at: usize, next: Action) {
         match next {
-            Next::Ask(addr, wait) => self.ask(at, addr, wait),
-            Next::Read => self.begin_read(at),
-            Next::Pause => {
+            Action::Poll(addr, wait) => self.ask(at, addr, wait),
+            Action::Read => self.begin_read(at),
+            Action::Pause => {
                 let begun = self.nodes[at].begun;
                 let next = (begun + times::LIST * MS).max(self.now);
                 self.queue.add(next, at, What::Round);
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -82,9 +82,9 @@
 
 /// What an instance does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// It asks another one that may wait so long for news, in milliseconds.
-    Ask(SocketAddr, Millis),
+    Poll(SocketAddr, Millis),
     /// It reads the platform itself.
     Read,
     /// It begins anew after the time between two reads.
@@ -105,7 +105,7 @@
 /// # Examples
 ///
 /// ```
-/// use spread::follower::{Follower, PollFailure, Next, View};
+/// use spread::follower::{Follower, PollFailure, Action, View};
 /// use spread::Place;
 /// use std::sync::Arc;
 ///
@@ -115,10 +115,10 @@
 ///     me: "s3".into(), domain: "syd".into(), place, members: Arc::new([]), entries: 50, dice: 0,
 /// };
 /// let mut follower = Follower::default();
-/// assert_eq!(follower.begin(&view, 0), Next::Ask(addr(1), 1_050));
-/// assert_eq!(follower.lacks(&view, PollFailure::NoReply, 100), Next::Ask(addr(2), 250));
+/// assert_eq!(follower.begin(&view, 0), Action::Poll(addr(1), 1_050));
+/// assert_eq!(follower.lacks(&view, PollFailure::NoReply, 100), Action::Poll(addr(2), 250));
 /// // A few instances may all read.
-/// assert_eq!(follower.lacks(&view, PollFailure::NoReply, 200), Next::Read);
+/// assert_eq!(follower.lacks(&view, PollFailure::NoReply, 200), Action::Read);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
@@ -140,9 +140,9 @@
 
 impl Follower {
     /// Begins a round.
-    pub fn begin(&mut self, view: &View, now: Millis) -> Next {
+    pub fn begin(&mut self, view: &View, now: Millis) -> Action {
         if view.place.sources.is_empty() {
-            return Next::Read;
+            return Action::Read;
         }
         self.shunned.retain(|_, until| now < *until);
         self.others = 0;
@@ -161,7 +161,7 @@
     }
 
     /// Notes that the last question brought no news.
-    pub fn lacks(&mut self, view: &View, lack: PollFailure, now: Millis) -> Next {
+    pub fn lacks(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
         let Some((asked, addr)) = self.last else {
             return self.decide(view, lack, now);
         };
@@ -181,7 +181,7 @@
     }
 
     /// Asks the next source from a position on that has not been silent lately.
-    fn ask_next(&mut self, view: &View, from: usize, lack: PollFailure, now: Millis) -> Next {
+    fn ask_next(&mut self, view: &View, from: usize, lack: PollFailure, now: Millis) -> Action {
         let mut sources = view.place.sources.iter().enumerate().skip(from);
         let next = sources.find(|(_, addr)| !self.is_shunned(**addr));
         let Some((at, addr)) = next.filter(|(at, _)| *at < 2 || !may_read(view)) else {
@@ -193,23 +193,23 @@
             Some(_) => STEP,
         };
         self.last = Some((Asked::Source(at), *addr));
-        Next::Ask(*addr, wait)
+        Action::Poll(*addr, wait)
     }
 
     /// Asks any other instance where this one may not read at once.
-    fn ask_other(&mut self, view: &View, lack: PollFailure, now: Millis) -> Next {
+    fn ask_other(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
         let may_ask = lack == PollFailure::NoReply && !may_read(view) && self.others < OTHERS;
         match self.other(view).filter(|_| may_ask) {
             Some(other) => {
                 self.others += 1;
                 self.last = Some((Asked::Other, other));
-                Next::Ask(other, STEP)
+                Action::Poll(other, STEP)
             }
             None => self.decide(view, lack, now),
         }
     }
 
-    fn decide(&mut self, view: &View, lack: PollFailure, now: Millis) -> Next {
+    fn decide(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
         self.lacked += 1;
         if lack != PollFailure::PlatformUnreachable {
             self.blind = 0;
@@ -219,15 +219,15 @@
             // With nobody else to follow it is the first ones that have to find out, at full pace.
             (PollFailure::PlatformUnreachable, Some(main)) if view.place.heads => {
                 self.shun(*main, now);
-                Next::Read
+                Action::Read
             }
             (PollFailure::PlatformUnreachable, _) => match self.waits() && is_turn {
-                true => Next::Read,
-                false => Next::Pause,
+                true => Action::Read,
+                false => Action::Pause,
             },
-            (PollFailure::NoUpdate, _) if self.trusts() => Next::Pause,
-            _ if view.place.heads || is_turn => Next::Read,
-            _ => Next::Pause,
+            (PollFailure::NoUpdate, _) if self.trusts() => Action::Pause,
+            _ if view.place.heads || is_turn => Action::Read,
+            _ => Action::Pause,
         }
     }
 
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -17,8 +17,8 @@
 pub mod tree;
 pub mod update;
 
+pub use follower::Action;
 pub use follower::Follower;
-pub use follower::Next;
 pub use follower::PollFailure;
 pub use follower::View;
 pub use list::List;
