--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -132,7 +132,7 @@
     /// Asks some others for the list; tells whether one had it.
     async fn ask_some(&mut self) -> bool {
         for _ in 0..ASKED {
-            let Some(other) = self.follower.other(&self.view()) else {
+            let Some(other) = self.follower.pick_other(&self.view()) else {
                 return false;
             };
             while let Heard::News(news) = peer::news(self.app, other, self.app.have(), 0).await {
@@ -141,21 +141,23 @@
                     return true;
                 }
             }
-            self.follower.shun(other, self.app.clock.now());
+            self.follower.avoid(other, self.app.clock.now());
         }
         false
     }
 
     /// Asks the sources in turn, or reads.
     async fn round(&mut self) -> Done {
-        let mut next = self.follower.begin(&self.view(), self.app.clock.now());
+        let mut next = self
+            .follower
+            .begin_round(&self.view(), self.app.clock.now());
         loop {
             match next {
                 Action::Poll(addr, wait) => {
                     match peer::news(self.app, addr, self.app.have(), wait).await {
                         Heard::News(news) => {
                             self.hear(&news);
-                            self.follower.told();
+                            self.follower.update_received();
                             self.app.set_blind(false);
                             return Done::Told;
                         }
@@ -171,7 +173,7 @@
     fn lacks(&mut self, lack: PollFailure) -> Action {
         let next = self
             .follower
-            .lacks(&self.view(), lack, self.app.clock.now());
+            .poll_failed(&self.view(), lack, self.app.clock.now());
         if (next, lack) == (Action::Pause, PollFailure::PlatformUnreachable) {
             self.app.set_blind(true);
         }
@@ -188,7 +190,7 @@
     async fn read(&mut self) -> Result<(), PlatError> {
         let begun = self.app.clock.now();
         let done = self.reader.read(self.app, &mut self.intake).await;
-        self.follower.took(self.app.clock.now() - begun);
+        self.follower.read_took(self.app.clock.now() - begun);
         self.app.set_blind(done.is_err());
         done
     }
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -100,7 +100,7 @@
         let node = &mut self.nodes[at];
         node.begun = self.now;
         let view = node.view(dice);
-        let next = node.follower.begin(&view, now);
+        let next = node.follower.begin_round(&view, now);
         self.act(at, next);
     }
 
@@ -195,13 +195,13 @@
         match answer {
             Ok(news) => {
                 node.board.merge(&news, now);
-                node.follower.told();
+                node.follower.update_received();
                 self.changed(at);
                 self.round(at);
             }
             Err(lack) => {
                 let view = node.view(dice);
-                let next = node.follower.lacks(&view, lack, now);
+                let next = node.follower.poll_failed(&view, lack, now);
                 self.act(at, next);
             }
         }
@@ -258,7 +258,7 @@
         let node = &mut self.nodes[at];
         node.board
             .apply_read(self.store.read(), self.rng.random(), now);
-        node.follower.took(now - begun);
+        node.follower.read_took(now - begun);
         self.changed(at);
         let next = (begun + times::LIST).max(now + times::LEAST);
         self.queue.add(next * MS, at, What::Round);
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -115,10 +115,10 @@
 ///     me: "s3".into(), domain: "syd".into(), place, members: Arc::new([]), entries: 50, dice: 0,
 /// };
 /// let mut follower = Follower::default();
-/// assert_eq!(follower.begin(&view, 0), Action::Poll(addr(1), 1_050));
-/// assert_eq!(follower.lacks(&view, PollFailure::NoReply, 100), Action::Poll(addr(2), 250));
+/// assert_eq!(follower.begin_round(&view, 0), Action::Poll(addr(1), 1_050));
+/// assert_eq!(follower.poll_failed(&view, PollFailure::NoReply, 100), Action::Poll(addr(2), 250));
 /// // A few instances may all read.
-/// assert_eq!(follower.lacks(&view, PollFailure::NoReply, 200), Action::Read);
+/// assert_eq!(follower.poll_failed(&view, PollFailure::NoReply, 200), Action::Read);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
@@ -140,7 +140,7 @@
 
 impl Follower {
     /// Begins a round.
-    pub fn begin(&mut self, view: &View, now: Millis) -> Action {
+    pub fn begin_round(&mut self, view: &View, now: Millis) -> Action {
         if view.place.sources.is_empty() {
             return Action::Read;
         }
@@ -151,17 +151,17 @@
     }
 
     /// Notes that news came.
-    pub fn told(&mut self) {
+    pub fn update_received(&mut self) {
         (self.late, self.lacked, self.blind) = (0, 0, 0);
     }
 
     /// Notes a read of its own and the time that it took, in milliseconds.
-    pub fn took(&mut self, took: Millis) {
+    pub fn read_took(&mut self, took: Millis) {
         self.took = took;
     }
 
     /// Notes that the last question brought no news.
-    pub fn lacks(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
+    pub fn poll_failed(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
         let Some((asked, addr)) = self.last else {
             return self.decide(view, lack, now);
         };
@@ -170,7 +170,7 @@
         // Whoever may not read waits where it is: its source hears sooner or later.
         let is_late = lack == PollFailure::NoUpdate && is_main && !patient && may_read(view);
         if is_late || lack == PollFailure::NoReply {
-            self.shun(addr, now);
+            self.avoid(addr, now);
         }
         match asked {
             Asked::Source(_) if patient && is_main => self.decide(view, lack, now),
@@ -199,7 +199,7 @@
     /// Asks any other instance where this one may not read at once.
     fn ask_other(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
         let may_ask = lack == PollFailure::NoReply && !may_read(view) && self.others < OTHERS;
-        match self.other(view).filter(|_| may_ask) {
+        match self.pick_other(view).filter(|_| may_ask) {
             Some(other) => {
                 self.others += 1;
                 self.last = Some((Asked::Other, other));
@@ -218,7 +218,7 @@
         match (lack, view.place.sources.first()) {
             // With nobody else to follow it is the first ones that have to find out, at full pace.
             (PollFailure::PlatformUnreachable, Some(main)) if view.place.heads => {
-                self.shun(*main, now);
+                self.avoid(*main, now);
                 Action::Read
             }
             (PollFailure::PlatformUnreachable, _) => match self.waits() && is_turn {
@@ -232,7 +232,7 @@
     }
 
     /// Any other instance that has not been silent lately, of the same failure domain if there is one.
-    pub fn other(&self, view: &View) -> Option<SocketAddr> {
+    pub fn pick_other(&self, view: &View) -> Option<SocketAddr> {
         let is_other = |one: &&Member| {
             one.reads && one.owner.instance != view.me && !self.is_shunned(one.addr)
         };
@@ -249,7 +249,7 @@
     }
 
     /// Asks an instance no more for a while.
-    pub fn shun(&mut self, addr: SocketAddr, now: Millis) {
+    pub fn avoid(&mut self, addr: SocketAddr, now: Millis) {
         self.shunned.insert(addr, now + SHUN);
     }
 
