--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -106,7 +106,7 @@
         View {
             me: app.me.instance.clone(),
             domain: app.settings.domain.clone(),
-            place: app.place(),
+            position: app.place(),
             members: app.members.lock().clone(),
             entries: self.intake.len(),
             dice: rand::random(),
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -91,7 +91,7 @@
         View {
             me: self.member.owner.instance.clone(),
             domain: self.member.domain.clone(),
-            place: self.place.clone(),
+            position: self.place.clone(),
             members: self.members.clone(),
             entries: self.board.len(),
             dice,
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -49,7 +49,7 @@
     /// Its failure domain.
     pub domain: Arc<str>,
     /// Where it stands.
-    pub place: Place,
+    pub position: Place,
     /// The instances that have entered.
     pub members: Arc<[Member]>,
     /// Entries of its list.
@@ -61,7 +61,7 @@
 impl View {
     /// Rounds of which this instance may use one for a read of its own.
     fn every(&self) -> u32 {
-        let members = match self.place.partial {
+        let members = match self.position.partial {
             true => self.members.len().max(ration::MANY),
             false => self.members.len(),
         };
@@ -110,9 +110,9 @@
 /// use std::sync::Arc;
 ///
 /// let addr = |port: u16| ([127, 0, 0, 1], port).into();
-/// let place = Place { sources: vec![addr(1), addr(2)], ..Place::default() };
+/// let position = Place { sources: vec![addr(1), addr(2)], ..Place::default() };
 /// let view = View {
-///     me: "s3".into(), domain: "syd".into(), place, members: Arc::new([]), entries: 50, dice: 0,
+///     me: "s3".into(), domain: "syd".into(), position, members: Arc::new([]), entries: 50, dice: 0,
 /// };
 /// let mut follower = Follower::default();
 /// assert_eq!(follower.begin_round(&view, 0), Action::Poll(addr(1), 1_050));
@@ -141,7 +141,7 @@
 impl Follower {
     /// Begins a round.
     pub fn begin_round(&mut self, view: &View, now: Millis) -> Action {
-        if view.place.sources.is_empty() {
+        if view.position.sources.is_empty() {
             return Action::Read;
         }
         self.shunned.retain(|_, until| now < *until);
@@ -182,14 +182,14 @@
 
     /// Asks the next source from a position on that has not been silent lately.
     fn ask_next(&mut self, view: &View, from: usize, lack: PollFailure, now: Millis) -> Action {
-        let mut sources = view.place.sources.iter().enumerate().skip(from);
+        let mut sources = view.position.sources.iter().enumerate().skip(from);
         let next = sources.find(|(_, addr)| !self.is_shunned(**addr));
         let Some((at, addr)) = next.filter(|(at, _)| *at < 2 || !may_read(view)) else {
             return self.ask_other(view, lack, now);
         };
         // Whoever is asked after another one has heard of it as well by now, and asks others or reads.
         let wait = match self.last {
-            None => wait(&view.place),
+            None => wait(&view.position),
             Some(_) => STEP,
         };
         self.last = Some((Asked::Source(at), *addr));
@@ -215,9 +215,9 @@
             self.blind = 0;
         }
         let is_turn = ration::is_turn(&view.me, self.lacked, view.every());
-        match (lack, view.place.sources.first()) {
+        match (lack, view.position.sources.first()) {
             // With nobody else to follow it is the first ones that have to find out, at full pace.
-            (PollFailure::PlatformUnreachable, Some(main)) if view.place.heads => {
+            (PollFailure::PlatformUnreachable, Some(main)) if view.position.heads => {
                 self.avoid(*main, now);
                 Action::Read
             }
@@ -226,7 +226,7 @@
                 false => Action::Pause,
             },
             (PollFailure::NoUpdate, _) if self.trusts() => Action::Pause,
-            _ if view.place.heads || is_turn => Action::Read,
+            _ if view.position.heads || is_turn => Action::Read,
             _ => Action::Pause,
         }
     }
@@ -274,7 +274,7 @@
 
 /// Tells whether an instance may read in any round, or as soon as its sources are silent.
 fn may_read(view: &View) -> bool {
-    view.place.heads || view.every() == 1
+    view.position.heads || view.every() == 1
 }
 
 /// Time that the first source of an instance may wait for news.
