--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -109,7 +109,7 @@
             position: app.place(),
             members: app.members.lock().clone(),
             entries: self.intake.len(),
-            dice: rand::random(),
+            random: rand::random(),
         }
     }
 
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -94,7 +94,7 @@
             position: self.place.clone(),
             members: self.members.clone(),
             entries: self.board.len(),
-            dice,
+            random: dice,
         }
     }
 
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -55,7 +55,7 @@
     /// Entries of its list.
     pub entries: usize,
     /// A random number, for a choice among equals.
-    pub dice: u64,
+    pub random: u64,
 }
 
 impl View {
@@ -112,7 +112,7 @@
 /// let addr = |port: u16| ([127, 0, 0, 1], port).into();
 /// let position = Place { sources: vec![addr(1), addr(2)], ..Place::default() };
 /// let view = View {
-///     me: "s3".into(), domain: "syd".into(), position, members: Arc::new([]), entries: 50, dice: 0,
+///     me: "s3".into(), domain: "syd".into(), position, members: Arc::new([]), entries: 50, random: 0,
 /// };
 /// let mut follower = Follower::default();
 /// assert_eq!(follower.begin_round(&view, 0), Action::Poll(addr(1), 1_050));
@@ -240,7 +240,7 @@
         let near = others.iter().filter(|one| one.domain == view.domain);
         let near: Vec<_> = near.copied().collect();
         let among = if near.is_empty() { others } else { near };
-        let at = view.dice as usize % among.len().max(1);
+        let at = view.random as usize % among.len().max(1);
         among.get(at).map(|one| one.addr)
     }
 
