--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -22,9 +22,9 @@
 use plat::Client;
 use poison::Mark;
 use spread::Member;
-use spread::Place;
 use spread::Replica;
 use spread::SyncState;
+use spread::TreePosition;
 use spread::member::Turnover;
 use spread::tree;
 use table::Listed;
@@ -89,7 +89,7 @@
     /// The instances that have entered, this one among them.
     pub members: Mutex<Arc<[Member]>>,
     /// Where this instance stands among them.
-    place: Mutex<Place>,
+    place: Mutex<TreePosition>,
     /// The instances that had entered some time ago, and when they were last seen.
     former: Mutex<Map<Arc<str>, (Member, Millis)>>,
     /// Connections to other instances.
@@ -271,7 +271,7 @@
     }
 
     /// Where this instance stands among those that have entered.
-    pub fn place(&self) -> Place {
+    pub fn place(&self) -> TreePosition {
         self.place.lock().clone()
     }
 
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -72,7 +72,7 @@
         let (now, met) = (app.clock.now(), app.last_met());
         let is_young = pause < FOLLOW && !app.is_told();
         // Control instances have nobody to tell them unless they lead.
-        let waits = app.settings.role == Role::Entry && app.place().partial;
+        let waits = app.settings.role == Role::Entry && app.place().is_partial;
         if is_young || waits {
             meet(&app).await;
         } else if now >= met + OLD && is_turn(&app, round) {
@@ -192,10 +192,10 @@
 /// or is among those that the others of its failure domain follow.
 fn wanted(app: &App) -> Millis {
     let place = app.place();
-    if app.settings.role == Role::Control || !app.works.is_empty() || place.heads {
+    if app.settings.role == Role::Control || !app.works.is_empty() || place.is_head {
         return lease::SHORT;
     }
-    match place.leaf {
+    match place.is_leaf {
         true => lease::idle(app.members.lock().len()),
         false => lease::IDLE,
     }
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -4,9 +4,9 @@
 
 use spread::Follower;
 use spread::Member;
-use spread::Place;
 use spread::Removed;
 use spread::Replica;
+use spread::TreePosition;
 use spread::Update;
 use spread::View;
 use spread::tree;
@@ -36,7 +36,7 @@
     /// The instances that it knows.
     pub members: Arc<[Member]>,
     /// Where it stands among them.
-    pub place: Place,
+    pub place: TreePosition,
     /// Questions that wait here.
     pub waiting: Vec<Question>,
     /// The number of its last question.
@@ -63,7 +63,7 @@
             board: Replica::default(),
             follower: Follower::default(),
             members: Arc::new([]),
-            place: Place::default(),
+            place: TreePosition::default(),
             waiting: Vec::new(),
             asked: 0,
             begun: 0,
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -11,7 +11,7 @@
 use kernel::Millis;
 
 use crate::Member;
-use crate::Place;
+use crate::TreePosition;
 use crate::ration;
 
 /// Time within which the reader that an instance follows has to have newer news, in milliseconds:
@@ -49,7 +49,7 @@
     /// Its failure domain.
     pub domain: Arc<str>,
     /// Where it stands.
-    pub position: Place,
+    pub position: TreePosition,
     /// The instances that have entered.
     pub members: Arc<[Member]>,
     /// Entries of its list.
@@ -61,7 +61,7 @@
 impl View {
     /// Rounds of which this instance may use one for a read of its own.
     fn every(&self) -> u32 {
-        let members = match self.position.partial {
+        let members = match self.position.is_partial {
             true => self.members.len().max(ration::MANY),
             false => self.members.len(),
         };
@@ -106,11 +106,11 @@
 ///
 /// ```
 /// use spread::follower::{Follower, PollFailure, Action, View};
-/// use spread::Place;
+/// use spread::TreePosition;
 /// use std::sync::Arc;
 ///
 /// let addr = |port: u16| ([127, 0, 0, 1], port).into();
-/// let position = Place { sources: vec![addr(1), addr(2)], ..Place::default() };
+/// let position = TreePosition { sources: vec![addr(1), addr(2)], ..TreePosition::default() };
 /// let view = View {
 ///     me: "s3".into(), domain: "syd".into(), position, members: Arc::new([]), entries: 50, random: 0,
 /// };
@@ -217,7 +217,7 @@
         let is_turn = ration::is_turn(&view.me, self.lacked, view.every());
         match (lack, view.position.sources.first()) {
             // With nobody else to follow it is the first ones that have to find out, at full pace.
-            (PollFailure::PlatformUnreachable, Some(main)) if view.position.heads => {
+            (PollFailure::PlatformUnreachable, Some(main)) if view.position.is_head => {
                 self.avoid(*main, now);
                 Action::Read
             }
@@ -226,7 +226,7 @@
                 false => Action::Pause,
             },
             (PollFailure::NoUpdate, _) if self.trusts() => Action::Pause,
-            _ if view.position.heads || is_turn => Action::Read,
+            _ if view.position.is_head || is_turn => Action::Read,
             _ => Action::Pause,
         }
     }
@@ -274,10 +274,10 @@
 
 /// Tells whether an instance may read in any round, or as soon as its sources are silent.
 fn may_read(view: &View) -> bool {
-    view.position.heads || view.every() == 1
+    view.position.is_head || view.every() == 1
 }
 
 /// Time that the first source of an instance may wait for news.
-fn wait(place: &Place) -> Millis {
+fn wait(place: &TreePosition) -> Millis {
     WAIT + STEP * Millis::from(place.depth)
 }
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -25,7 +25,7 @@
 pub use member::Member;
 pub use member::Membership;
 pub use replica::Replica;
-pub use tree::Place;
+pub use tree::TreePosition;
 pub use update::Changes;
 pub use update::Removed;
 pub use update::SyncState;
--- a/crates/spread/src/tree.rs
+++ b/crates/spread/src/tree.rs
@@ -23,18 +23,18 @@
 
 /// Where an instance stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct TreePosition {
     /// Whom it asks in turn: its parent first, the one beside it, on to the first ones of its failure domain, and those
     /// of the others. None when it reads the platform itself.
     pub sources: Vec<SocketAddr>,
     /// Instances between it and the first one of its failure domain, and one more when that one follows another.
     pub depth: u32,
     /// Whether it is among the first of its failure domain, on which all others there depend.
-    pub heads: bool,
+    pub is_head: bool,
     /// Whether it is known that nobody follows it as first source.
-    pub leaf: bool,
+    pub is_leaf: bool,
     /// Whether it knows some of the others only.
-    pub partial: bool,
+    pub is_partial: bool,
 }
 
 /// The order of instances. The strongest comes first: whoever reads for all has the whole list to read, and the
@@ -81,32 +81,32 @@
 /// assert_eq!(sources("s2", "syd"), (vec![addr(2)], 1));
 /// assert_eq!(sources("s3", "syd"), (vec![addr(2), addr(3), addr(1)], 1));
 /// ```
-pub fn place(members: &[Member], me: &str, domain: &str) -> Place {
+pub fn place(members: &[Member], me: &str, domain: &str) -> TreePosition {
     let readers = || members.iter().filter(|one| one.reads);
     let Some(first) = readers().min_by(|a, b| order(a, b)) else {
-        return Place::default();
+        return TreePosition::default();
     };
     let near = readers().filter(|one| *one.domain == *domain);
     let mut near: Vec<&Member> = near.collect();
     near.sort_unstable_by(|a, b| order(a, b));
     let Some(head) = near.first() else {
         // Nobody else of this domain is known.
-        return Place {
+        return TreePosition {
             sources: vec![first.addr],
-            ..Place::default()
+            ..TreePosition::default()
         };
     };
     let far = u32::from(head.addr != first.addr);
     let heads = || heads(readers(), domain);
     match near.iter().position(|one| *one.owner.instance == *me) {
-        Some(0) => Place {
+        Some(0) => TreePosition {
             sources: if far == 1 {
                 vec![first.addr]
             } else {
                 Vec::new()
             },
-            heads: true,
-            ..Place::default()
+            is_head: true,
+            ..TreePosition::default()
         },
         Some(at) => {
             let parent = (at - 1) / DEGREE;
@@ -114,8 +114,8 @@
         }
         None => {
             let parent = rank(me, domain) as usize % near.len();
-            Place {
-                leaf: false,
+            TreePosition {
+                is_leaf: false,
                 ..below(&near, parent, near.len(), far, heads())
             }
         }
@@ -124,7 +124,7 @@
 
 /// Where an instance stands that knows some of the others only. It follows any of those that come before it, so that
 /// whoever starts together forms a tree before anybody knows all.
-pub fn among(some: &[Member], me: &Member) -> Place {
+pub fn among(some: &[Member], me: &Member) -> TreePosition {
     let before = |one: &&Member| one.reads && order(one, me) == Ordering::Less;
     let before: Vec<_> = some.iter().filter(before).collect();
     let any = |turn: usize| {
@@ -133,10 +133,10 @@
     };
     let mut sources: Vec<_> = (0..SOME).filter_map(any).collect();
     sources.dedup();
-    Place {
+    TreePosition {
         sources,
-        partial: true,
-        ..Place::default()
+        is_partial: true,
+        ..TreePosition::default()
     }
 }
 
@@ -156,7 +156,13 @@
 
 /// The place of the instance at position `at` that follows the one at `parent`. When all above it are gone, the
 /// first ones of other failure domains, `heads`, are left.
-fn below(near: &[&Member], parent: usize, at: usize, far: u32, heads: Vec<SocketAddr>) -> Place {
+fn below(
+    near: &[&Member],
+    parent: usize,
+    at: usize,
+    far: u32,
+    heads: Vec<SocketAddr>,
+) -> TreePosition {
     let mut sources = Vec::new();
     let mut above = parent;
     loop {
@@ -174,12 +180,12 @@
     if at >= HEADS {
         sources.extend(heads);
     }
-    Place {
+    TreePosition {
         sources,
         depth: depth(parent) + far,
-        heads: at < HEADS,
-        leaf: at * DEGREE + 1 >= near.len(),
-        partial: false,
+        is_head: at < HEADS,
+        is_leaf: at * DEGREE + 1 >= near.len(),
+        is_partial: false,
     }
 }
 
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -101,12 +101,12 @@
     for (addr, place) in &places {
         for source in &place.sources {
             // The first ones of failure domains ask nobody but the first one of all and their own.
-            let is_head = places[source].heads && !place.heads;
+            let is_head = places[source].is_head && !place.is_head;
             assert!(is_head || at(*source) < at(*addr), "{addr} {place:?}");
         }
         // The parent, the one beside it, two on each level above, and one of each other failure domain.
         let levels = place.depth as usize + 1;
         assert!(place.sources.len() < 2 * levels + DOMAINS, "{place:?}");
-        assert!(place.heads || place.sources.len() > 1, "{place:?}");
+        assert!(place.is_head || place.sources.len() > 1, "{place:?}");
     }
 }
