--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -254,7 +254,7 @@
             former.insert(one.owner.instance.clone(), (one.clone(), now));
         }
         drop(former);
-        *self.place.lock() = tree::place(&members, &self.me.instance, &self.settings.domain);
+        *self.place.lock() = tree::position(&members, &self.me.instance, &self.settings.domain);
         let before = std::mem::replace(&mut *self.members.lock(), members.clone());
         let Turnover { came, gone } = Turnover::between(&before, &members);
         if came + gone > 0 {
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -76,7 +76,7 @@
 
     /// Notes who has entered.
     pub fn met(&mut self, members: Arc<[Member]>) {
-        self.place = tree::place(&members, &self.member.owner.instance, &self.member.domain);
+        self.place = tree::position(&members, &self.member.owner.instance, &self.member.domain);
         self.members = members;
     }
 
--- a/crates/spread/src/tree.rs
+++ b/crates/spread/src/tree.rs
@@ -56,7 +56,7 @@
 ///
 /// ```
 /// use spread::Member;
-/// use spread::tree::place;
+/// use spread::tree::position;
 ///
 /// let member = |name: &str, domain: &str, port| Member {
 ///     owner: batch::Owner { instance: name.into(), start: 1 },
@@ -73,15 +73,15 @@
 /// ];
 /// let addr = |port| ([127, 0, 0, 1], port).into();
 /// let sources = |name, domain| {
-///     let place = place(&members, name, domain);
-///     (place.sources, place.depth)
+///     let position = position(&members, name, domain);
+///     (position.sources, position.depth)
 /// };
 /// assert_eq!(sources("n1", "nord"), (vec![], 0));
 /// assert_eq!(sources("s1", "syd"), (vec![addr(1)], 0));
 /// assert_eq!(sources("s2", "syd"), (vec![addr(2)], 1));
 /// assert_eq!(sources("s3", "syd"), (vec![addr(2), addr(3), addr(1)], 1));
 /// ```
-pub fn place(members: &[Member], me: &str, domain: &str) -> TreePosition {
+pub fn position(members: &[Member], me: &str, domain: &str) -> TreePosition {
     let readers = || members.iter().filter(|one| one.reads);
     let Some(first) = readers().min_by(|a, b| order(a, b)) else {
         return TreePosition::default();
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -7,7 +7,7 @@
 use spread::Member;
 use spread::tree::DEGREE;
 use spread::tree::order;
-use spread::tree::place;
+use spread::tree::position;
 
 /// Failure domains.
 const DOMAINS: usize = 5;
@@ -32,7 +32,7 @@
 /// Whom each instance follows first, and at which depth.
 fn parents(members: &[Member]) -> BTreeMap<SocketAddr, (Option<SocketAddr>, u32)> {
     let placed = members.iter().map(|one| {
-        let place = place(members, &one.owner.instance, &one.domain);
+        let place = position(members, &one.owner.instance, &one.domain);
         (one.addr, (place.sources.first().copied(), place.depth))
     });
     placed.collect()
@@ -93,9 +93,12 @@
     let mut sorted = members.clone();
     sorted.sort_by(order);
     let at = |addr| sorted.iter().position(|one| one.addr == addr);
-    let places = members
-        .iter()
-        .map(|one| (one.addr, place(&members, &one.owner.instance, &one.domain)));
+    let places = members.iter().map(|one| {
+        (
+            one.addr,
+            position(&members, &one.owner.instance, &one.domain),
+        )
+    });
     let places: BTreeMap<_, _> = places.collect();
 
     for (addr, place) in &places {
