--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -265,7 +265,7 @@
 
     /// Notes some of the instances that have entered, as long as nobody has told of all.
     pub fn met_some(&self, some: Vec<Member>, me: &Member) {
-        *self.place.lock() = tree::among(&some, me);
+        *self.place.lock() = tree::partial_position(&some, me);
         *self.members.lock() = some.into();
         self.met.store(self.clock.now(), Ordering::Relaxed);
     }
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -82,7 +82,7 @@
 
     /// Notes some of those that have entered.
     pub fn met_some(&mut self, some: Arc<[Member]>) {
-        self.place = tree::among(&some, &self.member);
+        self.place = tree::partial_position(&some, &self.member);
         self.members = some;
     }
 
--- a/crates/spread/src/tree.rs
+++ b/crates/spread/src/tree.rs
@@ -124,7 +124,7 @@
 
 /// Where an instance stands that knows some of the others only. It follows any of those that come before it, so that
 /// whoever starts together forms a tree before anybody knows all.
-pub fn among(some: &[Member], me: &Member) -> TreePosition {
+pub fn partial_position(some: &[Member], me: &Member) -> TreePosition {
     let before = |one: &&Member| one.reads && order(one, me) == Ordering::Less;
     let before: Vec<_> = some.iter().filter(before).collect();
     let any = |turn: usize| {
