--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -12,7 +12,7 @@
 use spread::Member;
 use spread::lease;
 use spread::lease::Next;
-use spread::ration;
+use spread::read_budget;
 use spread::times;
 use tokio::time::sleep;
 
@@ -86,8 +86,8 @@
 /// Tells whether this instance may read all entries in this round. Those that give orders are few.
 fn is_turn(app: &App, round: u32) -> bool {
     let members = app.members.lock().len();
-    let every = ration::every(members, members);
-    app.settings.role == Role::Control || ration::is_turn(&app.me.instance, round, every)
+    let every = read_budget::every(members, members);
+    app.settings.role == Role::Control || read_budget::is_turn(&app.me.instance, round, every)
 }
 
 async fn read_all(app: &App) {
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -10,7 +10,7 @@
 use spread::Member;
 use spread::PollFailure;
 use spread::Update;
-use spread::ration;
+use spread::read_budget;
 use spread::times;
 
 use crate::Play;
@@ -236,7 +236,7 @@
         };
         let waits = turns as u64 * (self.world.call + 2 * self.world.hop);
         let entries = pages * self.world.page;
-        let carried = self.carry((entries * ration::ENTRY) as u64);
+        let carried = self.carry((entries * read_budget::ENTRY) as u64);
         self.counts.reads += 1;
         self.queue
             .add(carried.max(self.now + waits), at, What::Read);
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -12,7 +12,7 @@
 
 use crate::Member;
 use crate::TreePosition;
-use crate::ration;
+use crate::read_budget;
 
 /// Time within which the reader that an instance follows has to have newer news, in milliseconds:
 /// somewhat more than the time between two reads.
@@ -62,10 +62,10 @@
     /// Rounds of which this instance may use one for a read of its own.
     fn every(&self) -> u32 {
         let members = match self.position.is_partial {
-            true => self.members.len().max(ration::MANY),
+            true => self.members.len().max(read_budget::MANY),
             false => self.members.len(),
         };
-        ration::every(members, self.entries)
+        read_budget::every(members, self.entries)
     }
 }
 
@@ -214,7 +214,7 @@
         if lack != PollFailure::PlatformUnreachable {
             self.blind = 0;
         }
-        let is_turn = ration::is_turn(&view.me, self.lacked, view.every());
+        let is_turn = read_budget::is_turn(&view.me, self.lacked, view.every());
         match (lack, view.position.sources.first()) {
             // With nobody else to follow it is the first ones that have to find out, at full pace.
             (PollFailure::PlatformUnreachable, Some(main)) if view.position.is_head => {
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod lease;
 pub mod list;
 pub mod member;
-pub mod ration;
+pub mod read_budget;
 pub mod replica;
 pub mod times;
 pub mod tree;
--- a/crates/spread/src/ration.rs
+++ b/crates/spread/src/read_budget.rs
@@ -25,7 +25,7 @@
 /// # Examples
 ///
 /// ```
-/// use spread::ration::every;
+/// use spread::read_budget::every;
 ///
 /// // A few may all read at once.
 /// assert_eq!(every(12, 15), 1);
--- a/crates/spread/tests/ration.rs
+++ b/crates/spread/tests/read_budget.rs
@@ -1,7 +1,7 @@
 //! How many instances read the platform for themselves when nobody is told anything.
 
-use spread::ration::every;
-use spread::ration::is_turn;
+use spread::read_budget::every;
+use spread::read_budget::is_turn;
 
 /// Bytes that a read of the list takes an entry.
 const ENTRY: usize = 400;
