--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -86,7 +86,7 @@
 /// Tells whether this instance may read all entries in this round. Those that give orders are few.
 fn is_turn(app: &App, round: u32) -> bool {
     let members = app.members.lock().len();
-    let every = read_budget::every(members, members);
+    let every = read_budget::rounds_per_read(members, members);
     app.settings.role == Role::Control || read_budget::is_turn(&app.me.instance, round, every)
 }
 
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -65,7 +65,7 @@
             true => self.members.len().max(read_budget::MANY),
             false => self.members.len(),
         };
-        read_budget::every(members, self.entries)
+        read_budget::rounds_per_read(members, self.entries)
     }
 }
 
--- a/crates/spread/src/read_budget.rs
+++ b/crates/spread/src/read_budget.rs
@@ -25,15 +25,15 @@
 /// # Examples
 ///
 /// ```
-/// use spread::read_budget::every;
+/// use spread::read_budget::rounds_per_read;
 ///
 /// // A few may all read at once.
-/// assert_eq!(every(12, 15), 1);
+/// assert_eq!(rounds_per_read(12, 15), 1);
 /// // Of a thousand two may, each round, and of two thousand one with twice as long a list.
-/// assert_eq!(every(1_000, 10_000), 477);
-/// assert_eq!(every(2_000, 20_000), 1_908);
+/// assert_eq!(rounds_per_read(1_000, 10_000), 477);
+/// assert_eq!(rounds_per_read(2_000, 20_000), 1_908);
 /// ```
-pub fn every(members: usize, entries: usize) -> u32 {
+pub fn rounds_per_read(members: usize, entries: usize) -> u32 {
     let entries = match entries {
         0 => UNKNOWN,
         entries => entries,
--- a/crates/spread/tests/read_budget.rs
+++ b/crates/spread/tests/read_budget.rs
@@ -1,7 +1,7 @@
 //! How many instances read the platform for themselves when nobody is told anything.
 
-use spread::read_budget::every;
 use spread::read_budget::is_turn;
+use spread::read_budget::rounds_per_read;
 
 /// Bytes that a read of the list takes an entry.
 const ENTRY: usize = 400;
@@ -18,7 +18,7 @@
         (2_000, 20_000),
         (5_000, 50_000),
     ] {
-        let every = every(members, entries);
+        let every = rounds_per_read(members, entries);
 
         for round in 0..20 {
             let reads = |at: &usize| is_turn(&format!("n{at}"), round, every);
@@ -33,7 +33,7 @@
 // Guards against an instance that waits for its turn though a few may all read.
 #[test]
 fn where_instances_are_few_each_may_read_in_any_round() {
-    let every = every(65, 50);
+    let every = rounds_per_read(65, 50);
 
     for round in 0..5 {
         assert!(is_turn("n1", round, every));
@@ -43,7 +43,7 @@
 // Guards against an instance that never reads.
 #[test]
 fn each_instance_has_its_turn() {
-    let every = every(1_000, 1_000);
+    let every = rounds_per_read(1_000, 1_000);
 
     let turns = (0..every).filter(|round| is_turn("n1", *round, every));
 
