--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -236,7 +236,7 @@
         };
         let waits = turns as u64 * (self.world.call + 2 * self.world.hop);
         let entries = pages * self.world.page;
-        let carried = self.carry((entries * read_budget::ENTRY) as u64);
+        let carried = self.carry((entries * read_budget::ENTRY_BYTES) as u64);
         self.counts.reads += 1;
         self.queue
             .add(carried.max(self.now + waits), at, What::Read);
--- a/crates/spread/src/read_budget.rs
+++ b/crates/spread/src/read_budget.rs
@@ -12,7 +12,7 @@
 const SHARE: usize = 8 << 20;
 
 /// Bytes of an entry of the list on the platform's link.
-pub const ENTRY: usize = 400;
+pub const ENTRY_BYTES: usize = 400;
 
 /// Entries that a list is taken to have before it is known.
 const UNKNOWN: usize = 1_000;
@@ -38,7 +38,7 @@
         0 => UNKNOWN,
         entries => entries,
     };
-    let all = members.max(1) * entries * ENTRY;
+    let all = members.max(1) * entries * ENTRY_BYTES;
     u32::try_from(all.div_ceil(SHARE)).unwrap_or(u32::MAX)
 }
 
