--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -13,7 +13,7 @@
 use spread::lease;
 use spread::lease::Next;
 use spread::read_budget;
-use spread::times;
+use spread::timing;
 use tokio::time::sleep;
 
 use crate::App;
@@ -65,7 +65,7 @@
     }
     meet(&app).await;
     // All instances may have started in the same moment, and whoever knows no other one reads everything for itself.
-    let mut pause = Duration::from_millis(times::LOOK);
+    let mut pause = Duration::from_millis(timing::LOOK);
     let mut round = 0;
     loop {
         sleep(pause).await;
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -14,7 +14,7 @@
 use spread::PollFailure;
 use spread::Update;
 use spread::View;
-use spread::times;
+use spread::timing;
 use tokio::time::sleep;
 
 use crate::App;
@@ -60,15 +60,15 @@
             Done::Lacked => 0,
             Done::Read(Ok(())) => {
                 reach.back();
-                times::LEAST
+                timing::LEAST
             }
             Done::Read(Err(error)) => {
                 reach.lost(&error);
-                times::LEAST
+                timing::LEAST
             }
         };
         let used = app.clock.now() - begun;
-        let rest = times::LIST.saturating_sub(used).max(pause);
+        let rest = timing::LIST.saturating_sub(used).max(pause);
         sleep(Duration::from_millis(rest)).await;
     }
 }
@@ -125,7 +125,7 @@
         if !app.place().sources.is_empty() || self.ask_some().await {
             return;
         }
-        sleep(Duration::from_millis(times::SETTLE)).await;
+        sleep(Duration::from_millis(timing::SETTLE)).await;
         member::meet(app).await;
     }
 
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -5,7 +5,7 @@
 use plat::Listing;
 use plat::PlatError;
 use plat::Wide;
-use spread::times;
+use spread::timing;
 use tokio::time::sleep;
 
 use super::CRASHES;
@@ -40,7 +40,7 @@
         list.join(seen);
         self.count += 1;
         // Without them this read is as good.
-        let members = match self.count % times::MEMBERS == 1 {
+        let members = match self.count % timing::MEMBERS == 1 {
             true => member::list(app).await.ok(),
             false => None,
         };
@@ -72,7 +72,7 @@
             tokio::select! {
                 (seen, list) = &mut lists => return Ok((seen?, list?)),
                 // A list of thousands takes seconds at a busy platform, and a configuration must be in force by then.
-                () = sleep(Duration::from_millis(times::LIST)) => read_plan(app, intake).await?,
+                () = sleep(Duration::from_millis(timing::LIST)) => read_plan(app, intake).await?,
             }
         }
     }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -22,7 +22,7 @@
 use spread::PollFailure;
 use spread::SyncState;
 use spread::Update;
-use spread::times;
+use spread::timing;
 use usage::Share;
 use usage::Tally;
 
@@ -224,7 +224,7 @@
 
 /// Asks another instance for what this one does not have, or for a newer read.
 pub async fn news(app: &App, addr: SocketAddr, have: SyncState, wait: Millis) -> Heard {
-    let slack = times::slack(&app.board.lock());
+    let slack = timing::slack(&app.board.lock());
     match ask(app, addr, &Ask::News { have, wait }, wait + slack).await {
         Some(Told::News(Some(news))) => Heard::News(news),
         Some(Told::Blind) => Heard::Lack(PollFailure::PlatformUnreachable),
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -11,7 +11,7 @@
 use spread::PollFailure;
 use spread::Update;
 use spread::read_budget;
-use spread::times;
+use spread::timing;
 
 use crate::Play;
 use crate::event::Question;
@@ -30,7 +30,7 @@
 
 /// Time after a start of a look at who has entered, in milliseconds: the pause doubles from look to look.
 fn look(number: u32) -> u64 {
-    ENTER + times::LOOK * ((1 << number) - 1)
+    ENTER + timing::LOOK * ((1 << number) - 1)
 }
 
 impl Play {
@@ -58,7 +58,7 @@
         for number in 0..LOOKS {
             self.queue.add(self.now + look(number) * MS, at, What::Meet);
         }
-        let first = self.now + (ENTER + times::SETTLE) * MS;
+        let first = self.now + (ENTER + timing::SETTLE) * MS;
         self.queue.add(first, at, What::Round);
     }
 
@@ -110,7 +110,7 @@
             Action::Read => self.begin_read(at),
             Action::Pause => {
                 let begun = self.nodes[at].begun;
-                let next = (begun + times::LIST * MS).max(self.now);
+                let next = (begun + timing::LIST * MS).max(self.now);
                 self.queue.add(next, at, What::Round);
             }
         }
@@ -121,7 +121,7 @@
         let node = &mut self.nodes[at];
         node.asked += 1;
         let number = node.asked;
-        let slack = times::slack(&node.board);
+        let slack = timing::slack(&node.board);
         let question = Question {
             from: at,
             number,
@@ -223,7 +223,8 @@
 
     fn begin_read(&mut self, at: usize) {
         if !self.nodes[at].served {
-            let next = (self.nodes[at].begun + times::LIST * MS).max(self.now + times::LEAST * MS);
+            let next =
+                (self.nodes[at].begun + timing::LIST * MS).max(self.now + timing::LEAST * MS);
             self.queue.add(next, at, What::Round);
             return;
         }
@@ -249,7 +250,7 @@
             let node = self.at.get(&one.addr).and_then(|at| self.nodes.get(*at));
             node.is_none_or(|node| node.alive)
         };
-        if self.reads[at] % times::MEMBERS == 1 {
+        if self.reads[at] % timing::MEMBERS == 1 {
             let members: Vec<_> = self.all.iter().filter(alive).cloned().collect();
             self.carry(members.len() as u64 * MEMBER);
             self.nodes[at].board.set_members(members, now);
@@ -260,7 +261,7 @@
             .apply_read(self.store.read(), self.rng.random(), now);
         node.follower.read_took(now - begun);
         self.changed(at);
-        let next = (begun + times::LIST).max(now + times::LEAST);
+        let next = (begun + timing::LIST).max(now + timing::LEAST);
         self.queue.add(next * MS, at, What::Round);
     }
 }
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod member;
 pub mod read_budget;
 pub mod replica;
-pub mod times;
+pub mod timing;
 pub mod tree;
 pub mod update;
 
--- a/crates/spread/src/times.rs
+++ b/crates/spread/src/timing.rs
@@ -35,7 +35,7 @@
 ///
 /// ```
 /// use spread::Replica;
-/// use spread::times::slack;
+/// use spread::timing::slack;
 ///
 /// // An instance that has just started lacks all parts of the list.
 /// assert_eq!(slack(&Replica::default()), 1_000);
