--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -68,7 +68,7 @@
             }
         };
         let used = app.clock.now() - begun;
-        let rest = timing::LIST.saturating_sub(used).max(pause);
+        let rest = timing::READ_INTERVAL.saturating_sub(used).max(pause);
         sleep(Duration::from_millis(rest)).await;
     }
 }
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -72,7 +72,7 @@
             tokio::select! {
                 (seen, list) = &mut lists => return Ok((seen?, list?)),
                 // A list of thousands takes seconds at a busy platform, and a configuration must be in force by then.
-                () = sleep(Duration::from_millis(timing::LIST)) => read_plan(app, intake).await?,
+                () = sleep(Duration::from_millis(timing::READ_INTERVAL)) => read_plan(app, intake).await?,
             }
         }
     }
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -110,7 +110,7 @@
             Action::Read => self.begin_read(at),
             Action::Pause => {
                 let begun = self.nodes[at].begun;
-                let next = (begun + timing::LIST * MS).max(self.now);
+                let next = (begun + timing::READ_INTERVAL * MS).max(self.now);
                 self.queue.add(next, at, What::Round);
             }
         }
@@ -223,8 +223,8 @@
 
     fn begin_read(&mut self, at: usize) {
         if !self.nodes[at].served {
-            let next =
-                (self.nodes[at].begun + timing::LIST * MS).max(self.now + timing::LEAST * MS);
+            let next = (self.nodes[at].begun + timing::READ_INTERVAL * MS)
+                .max(self.now + timing::LEAST * MS);
             self.queue.add(next, at, What::Round);
             return;
         }
@@ -261,7 +261,7 @@
             .apply_read(self.store.read(), self.rng.random(), now);
         node.follower.read_took(now - begun);
         self.changed(at);
-        let next = (begun + timing::LIST).max(now + timing::LEAST);
+        let next = (begun + timing::READ_INTERVAL).max(now + timing::LEAST);
         self.queue.add(next * MS, at, What::Round);
     }
 }
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -7,7 +7,7 @@
 /// Time between two reads. A leaving upstream must get nothing new two seconds after the platform
 /// knows, and a configuration must be in force by then; a read of this pace that fails once still
 /// leaves time for the next one.
-pub const LIST: Millis = 850;
+pub const READ_INTERVAL: Millis = 850;
 
 /// Shortest pause between two reads.
 pub const LEAST: Millis = 200;
