--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -60,11 +60,11 @@
             Done::Lacked => 0,
             Done::Read(Ok(())) => {
                 reach.back();
-                timing::LEAST
+                timing::MIN_READ_PAUSE
             }
             Done::Read(Err(error)) => {
                 reach.lost(&error);
-                timing::LEAST
+                timing::MIN_READ_PAUSE
             }
         };
         let used = app.clock.now() - begun;
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -224,7 +224,7 @@
     fn begin_read(&mut self, at: usize) {
         if !self.nodes[at].served {
             let next = (self.nodes[at].begun + timing::READ_INTERVAL * MS)
-                .max(self.now + timing::LEAST * MS);
+                .max(self.now + timing::MIN_READ_PAUSE * MS);
             self.queue.add(next, at, What::Round);
             return;
         }
@@ -261,7 +261,7 @@
             .apply_read(self.store.read(), self.rng.random(), now);
         node.follower.read_took(now - begun);
         self.changed(at);
-        let next = (begun + timing::READ_INTERVAL).max(now + timing::LEAST);
+        let next = (begun + timing::READ_INTERVAL).max(now + timing::MIN_READ_PAUSE);
         self.queue.add(next * MS, at, What::Round);
     }
 }
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -10,7 +10,7 @@
 pub const READ_INTERVAL: Millis = 850;
 
 /// Shortest pause between two reads.
-pub const LEAST: Millis = 200;
+pub const MIN_READ_PAUSE: Millis = 200;
 
 /// Time after which whoever would read the platform as the first one of all looks again who has entered: those who
 /// start together do so within it.
