--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -125,7 +125,7 @@
         if !app.place().sources.is_empty() || self.ask_some().await {
             return;
         }
-        sleep(Duration::from_millis(timing::SETTLE)).await;
+        sleep(Duration::from_millis(timing::STARTUP_SETTLE)).await;
         member::meet(app).await;
     }
 
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -58,7 +58,7 @@
         for number in 0..LOOKS {
             self.queue.add(self.now + look(number) * MS, at, What::Meet);
         }
-        let first = self.now + (ENTER + timing::SETTLE) * MS;
+        let first = self.now + (ENTER + timing::STARTUP_SETTLE) * MS;
         self.queue.add(first, at, What::Round);
     }
 
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -14,7 +14,7 @@
 
 /// Time after which whoever would read the platform as the first one of all looks again who has entered: those who
 /// start together do so within it.
-pub const SETTLE: Millis = 300;
+pub const STARTUP_SETTLE: Millis = 300;
 
 /// First time between two looks at who has entered, as long as nobody tells it; each further one is twice as long.
 pub const LOOK: Millis = 250;
