--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -65,7 +65,7 @@
     }
     meet(&app).await;
     // All instances may have started in the same moment, and whoever knows no other one reads everything for itself.
-    let mut pause = Duration::from_millis(timing::LOOK);
+    let mut pause = Duration::from_millis(timing::FIRST_MEMBER_POLL);
     let mut round = 0;
     loop {
         sleep(pause).await;
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -30,7 +30,7 @@
 
 /// Time after a start of a look at who has entered, in milliseconds: the pause doubles from look to look.
 fn look(number: u32) -> u64 {
-    ENTER + timing::LOOK * ((1 << number) - 1)
+    ENTER + timing::FIRST_MEMBER_POLL * ((1 << number) - 1)
 }
 
 impl Play {
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -17,7 +17,7 @@
 pub const STARTUP_SETTLE: Millis = 300;
 
 /// First time between two looks at who has entered, as long as nobody tells it; each further one is twice as long.
-pub const LOOK: Millis = 250;
+pub const FIRST_MEMBER_POLL: Millis = 250;
 
 /// Reads after which the entries of instances are read again.
 pub const MEMBERS: u64 = 3;
