--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -40,7 +40,7 @@
         list.join(seen);
         self.count += 1;
         // Without them this read is as good.
-        let members = match self.count % timing::MEMBERS == 1 {
+        let members = match self.count % timing::READS_PER_MEMBER_READ == 1 {
             true => member::list(app).await.ok(),
             false => None,
         };
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -250,7 +250,7 @@
             let node = self.at.get(&one.addr).and_then(|at| self.nodes.get(*at));
             node.is_none_or(|node| node.alive)
         };
-        if self.reads[at] % timing::MEMBERS == 1 {
+        if self.reads[at] % timing::READS_PER_MEMBER_READ == 1 {
             let members: Vec<_> = self.all.iter().filter(alive).cloned().collect();
             self.carry(members.len() as u64 * MEMBER);
             self.nodes[at].board.set_members(members, now);
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -20,7 +20,7 @@
 pub const FIRST_MEMBER_POLL: Millis = 250;
 
 /// Reads after which the entries of instances are read again.
-pub const MEMBERS: u64 = 3;
+pub const READS_PER_MEMBER_READ: u64 = 3;
 
 /// Time that an answer to a question for news may take beyond what it may wait for: what is new has
 /// to be in force within seconds, and one that is gone is noticed by this.
