--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -224,7 +224,7 @@
 
 /// Asks another instance for what this one does not have, or for a newer read.
 pub async fn news(app: &App, addr: SocketAddr, have: SyncState, wait: Millis) -> Heard {
-    let slack = timing::slack(&app.board.lock());
+    let slack = timing::reply_slack(&app.board.lock());
     match ask(app, addr, &Ask::News { have, wait }, wait + slack).await {
         Some(Told::News(Some(news))) => Heard::News(news),
         Some(Told::Blind) => Heard::Lack(PollFailure::PlatformUnreachable),
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -121,7 +121,7 @@
         let node = &mut self.nodes[at];
         node.asked += 1;
         let number = node.asked;
-        let slack = timing::slack(&node.board);
+        let slack = timing::reply_slack(&node.board);
         let question = Question {
             from: at,
             number,
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -35,12 +35,12 @@
 ///
 /// ```
 /// use spread::Replica;
-/// use spread::timing::slack;
+/// use spread::timing::reply_slack;
 ///
 /// // An instance that has just started lacks all parts of the list.
-/// assert_eq!(slack(&Replica::default()), 1_000);
+/// assert_eq!(reply_slack(&Replica::default()), 1_000);
 /// ```
-pub fn slack(board: &Replica) -> Millis {
+pub fn reply_slack(board: &Replica) -> Millis {
     match board.is_complete() {
         true => NEWS,
         false => PART,
