--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -11,7 +11,7 @@
 use plat::Txn;
 use spread::Member;
 use spread::lease;
-use spread::lease::Next;
+use spread::lease::LeaseAction;
 use spread::read_budget;
 use spread::timing;
 use tokio::time::sleep;
@@ -235,9 +235,9 @@
         }
         let renewed = last.map_or(now, |(_, at)| at);
         match lease::next(ttl, wanted(app), now - renewed) {
-            Next::Keep => continue,
-            Next::Enter => return,
-            Next::Renew => (),
+            LeaseAction::Keep => continue,
+            LeaseAction::Rewrite => return,
+            LeaseAction::Renew => (),
         }
         match app.plat.renew(lease).await {
             Ok(true) => {
--- a/crates/spread/src/lease.rs
+++ b/crates/spread/src/lease.rs
@@ -52,13 +52,13 @@
 
 /// What an instance does about its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum LeaseAction {
     /// Nothing yet.
     Keep,
     /// It renews it.
     Renew,
     /// It writes it anew, with another time to live.
-    Enter,
+    Rewrite,
 }
 
 /// What an instance does about an entry that lives for `ttl` and was renewed `since` ago, when one that is written
@@ -70,24 +70,24 @@
 /// # Examples
 ///
 /// ```
-/// use spread::lease::{IDLE, Next, SHORT, next};
+/// use spread::lease::{IDLE, LeaseAction, SHORT, next};
 ///
-/// assert_eq!(next(IDLE, IDLE, 1_000), Next::Keep);
-/// assert_eq!(next(IDLE, IDLE, 4_800), Next::Renew);
+/// assert_eq!(next(IDLE, IDLE, 1_000), LeaseAction::Keep);
+/// assert_eq!(next(IDLE, IDLE, 4_800), LeaseAction::Renew);
 /// // Others depend on it from now on.
-/// assert_eq!(next(IDLE, SHORT, 1_000), Next::Enter);
+/// assert_eq!(next(IDLE, SHORT, 1_000), LeaseAction::Rewrite);
 /// // It has heard how many others there are.
-/// assert_eq!(next(IDLE, 40_000, 4_800), Next::Enter);
+/// assert_eq!(next(IDLE, 40_000, 4_800), LeaseAction::Rewrite);
 /// ```
-pub fn next(ttl: Millis, wanted: Millis, since: Millis) -> Next {
+pub fn next(ttl: Millis, wanted: Millis, since: Millis) -> LeaseAction {
     if wanted <= ttl / 2 {
-        return Next::Enter;
+        return LeaseAction::Rewrite;
     }
     if since < renew(ttl) {
-        return Next::Keep;
+        return LeaseAction::Keep;
     }
     match ttl >= IDLE && wanted >= 2 * ttl {
-        true => Next::Enter,
-        false => Next::Renew,
+        true => LeaseAction::Rewrite,
+        false => LeaseAction::Renew,
     }
 }
--- a/crates/spread/tests/lease.rs
+++ b/crates/spread/tests/lease.rs
@@ -1,7 +1,7 @@
 //! How long entries live, and how often they are renewed.
 
 use spread::lease::IDLE;
-use spread::lease::Next;
+use spread::lease::LeaseAction;
 use spread::lease::SHORT;
 use spread::lease::idle;
 use spread::lease::next;
@@ -16,9 +16,9 @@
     let (mut ttl, mut renewed, mut calls) = (IDLE, 0, 0);
     for now in (0..time).step_by(LOOK as usize) {
         match next(ttl, idle(members), now - renewed) {
-            Next::Keep => continue,
-            Next::Renew => calls += 1,
-            Next::Enter => {
+            LeaseAction::Keep => continue,
+            LeaseAction::Renew => calls += 1,
+            LeaseAction::Rewrite => {
                 // A lease, and the entry.
                 calls += 2;
                 ttl = idle(members);
@@ -49,9 +49,9 @@
 #[test]
 fn an_instance_on_which_others_depend_lives_short_however_many_there_are() {
     for members in [10, 1_000, 5_000] {
-        assert_eq!(next(idle(members), SHORT, 0), Next::Enter);
+        assert_eq!(next(idle(members), SHORT, 0), LeaseAction::Rewrite);
     }
-    assert_eq!(next(SHORT, idle(1_000), renew(SHORT)), Next::Renew);
+    assert_eq!(next(SHORT, idle(1_000), renew(SHORT)), LeaseAction::Renew);
 }
 
 /// Guards against entries that lapse while their instance lives: two renewals in a row may be lost.
@@ -68,7 +68,7 @@
     let ttl = idle(1_000);
 
     for members in [600, 900, 1_100, 1_900] {
-        assert_eq!(next(ttl, idle(members), 0), Next::Keep);
-        assert_eq!(next(ttl, idle(members), renew(ttl)), Next::Renew);
+        assert_eq!(next(ttl, idle(members), 0), LeaseAction::Keep);
+        assert_eq!(next(ttl, idle(members), renew(ttl)), LeaseAction::Renew);
     }
 }
