--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -234,7 +234,7 @@
             last = Some((lease, now));
         }
         let renewed = last.map_or(now, |(_, at)| at);
-        match lease::next(ttl, wanted(app), now - renewed) {
+        match lease::next_action(ttl, wanted(app), now - renewed) {
             LeaseAction::Keep => continue,
             LeaseAction::Rewrite => return,
             LeaseAction::Renew => (),
--- a/crates/spread/src/lease.rs
+++ b/crates/spread/src/lease.rs
@@ -70,16 +70,16 @@
 /// # Examples
 ///
 /// ```
-/// use spread::lease::{IDLE, LeaseAction, SHORT, next};
+/// use spread::lease::{IDLE, LeaseAction, SHORT, next_action};
 ///
-/// assert_eq!(next(IDLE, IDLE, 1_000), LeaseAction::Keep);
-/// assert_eq!(next(IDLE, IDLE, 4_800), LeaseAction::Renew);
+/// assert_eq!(next_action(IDLE, IDLE, 1_000), LeaseAction::Keep);
+/// assert_eq!(next_action(IDLE, IDLE, 4_800), LeaseAction::Renew);
 /// // Others depend on it from now on.
-/// assert_eq!(next(IDLE, SHORT, 1_000), LeaseAction::Rewrite);
+/// assert_eq!(next_action(IDLE, SHORT, 1_000), LeaseAction::Rewrite);
 /// // It has heard how many others there are.
-/// assert_eq!(next(IDLE, 40_000, 4_800), LeaseAction::Rewrite);
+/// assert_eq!(next_action(IDLE, 40_000, 4_800), LeaseAction::Rewrite);
 /// ```
-pub fn next(ttl: Millis, wanted: Millis, since: Millis) -> LeaseAction {
+pub fn next_action(ttl: Millis, wanted: Millis, since: Millis) -> LeaseAction {
     if wanted <= ttl / 2 {
         return LeaseAction::Rewrite;
     }
--- a/crates/spread/tests/lease.rs
+++ b/crates/spread/tests/lease.rs
@@ -4,7 +4,7 @@
 use spread::lease::LeaseAction;
 use spread::lease::SHORT;
 use spread::lease::idle;
-use spread::lease::next;
+use spread::lease::next_action;
 use spread::lease::renew;
 use yare::parameterized;
 
@@ -15,7 +15,7 @@
 fn calls(members: usize, time: u64) -> u64 {
     let (mut ttl, mut renewed, mut calls) = (IDLE, 0, 0);
     for now in (0..time).step_by(LOOK as usize) {
-        match next(ttl, idle(members), now - renewed) {
+        match next_action(ttl, idle(members), now - renewed) {
             LeaseAction::Keep => continue,
             LeaseAction::Renew => calls += 1,
             LeaseAction::Rewrite => {
@@ -49,9 +49,12 @@
 #[test]
 fn an_instance_on_which_others_depend_lives_short_however_many_there_are() {
     for members in [10, 1_000, 5_000] {
-        assert_eq!(next(idle(members), SHORT, 0), LeaseAction::Rewrite);
+        assert_eq!(next_action(idle(members), SHORT, 0), LeaseAction::Rewrite);
     }
-    assert_eq!(next(SHORT, idle(1_000), renew(SHORT)), LeaseAction::Renew);
+    assert_eq!(
+        next_action(SHORT, idle(1_000), renew(SHORT)),
+        LeaseAction::Renew
+    );
 }
 
 /// Guards against entries that lapse while their instance lives: two renewals in a row may be lost.
@@ -68,7 +71,10 @@
     let ttl = idle(1_000);
 
     for members in [600, 900, 1_100, 1_900] {
-        assert_eq!(next(ttl, idle(members), 0), LeaseAction::Keep);
-        assert_eq!(next(ttl, idle(members), renew(ttl)), LeaseAction::Renew);
+        assert_eq!(next_action(ttl, idle(members), 0), LeaseAction::Keep);
+        assert_eq!(
+            next_action(ttl, idle(members), renew(ttl)),
+            LeaseAction::Renew
+        );
     }
 }
