--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -172,7 +172,7 @@
 /// Returns [`PlatError`].
 pub async fn shorten(app: &App) -> Result<(), PlatError> {
     match app.entered() {
-        Some(entered) if entered.ttl > lease::SHORT => enter(app, lease::SHORT).await,
+        Some(entered) if entered.ttl > lease::ACTIVE_TTL => enter(app, lease::ACTIVE_TTL).await,
         _ => Ok(()),
     }
 }
@@ -193,7 +193,7 @@
 fn wanted(app: &App) -> Millis {
     let place = app.place();
     if app.settings.role == Role::Control || !app.works.is_empty() || place.is_head {
-        return lease::SHORT;
+        return lease::ACTIVE_TTL;
     }
     match place.is_leaf {
         true => lease::idle(app.members.lock().len()),
--- a/crates/spread/src/lease.rs
+++ b/crates/spread/src/lease.rs
@@ -8,7 +8,7 @@
 
 /// Time to live of the entry of an instance that others depend on, in milliseconds: a dead instance's steps are
 /// taken up soon after, and two renewals may be lost before that.
-pub const SHORT: Millis = 3_000;
+pub const ACTIVE_TTL: Millis = 3_000;
 
 /// Time to live of the entry of an instance that some others follow, in milliseconds, and shortest one of an instance
 /// that nobody follows. Others notice by themselves that one is gone.
@@ -42,9 +42,9 @@
 /// # Examples
 ///
 /// ```
-/// use spread::lease::{SHORT, renew};
+/// use spread::lease::{ACTIVE_TTL, renew};
 ///
-/// assert_eq!(renew(SHORT), 1_200);
+/// assert_eq!(renew(ACTIVE_TTL), 1_200);
 /// ```
 pub fn renew(ttl: Millis) -> Millis {
     ttl * FIFTHS / 5
@@ -70,12 +70,12 @@
 /// # Examples
 ///
 /// ```
-/// use spread::lease::{IDLE, LeaseAction, SHORT, next_action};
+/// use spread::lease::{IDLE, LeaseAction, ACTIVE_TTL, next_action};
 ///
 /// assert_eq!(next_action(IDLE, IDLE, 1_000), LeaseAction::Keep);
 /// assert_eq!(next_action(IDLE, IDLE, 4_800), LeaseAction::Renew);
 /// // Others depend on it from now on.
-/// assert_eq!(next_action(IDLE, SHORT, 1_000), LeaseAction::Rewrite);
+/// assert_eq!(next_action(IDLE, ACTIVE_TTL, 1_000), LeaseAction::Rewrite);
 /// // It has heard how many others there are.
 /// assert_eq!(next_action(IDLE, 40_000, 4_800), LeaseAction::Rewrite);
 /// ```
--- a/crates/spread/tests/lease.rs
+++ b/crates/spread/tests/lease.rs
@@ -1,8 +1,8 @@
 //! How long entries live, and how often they are renewed.
 
+use spread::lease::ACTIVE_TTL;
 use spread::lease::IDLE;
 use spread::lease::LeaseAction;
-use spread::lease::SHORT;
 use spread::lease::idle;
 use spread::lease::next_action;
 use spread::lease::renew;
@@ -49,16 +49,19 @@
 #[test]
 fn an_instance_on_which_others_depend_lives_short_however_many_there_are() {
     for members in [10, 1_000, 5_000] {
-        assert_eq!(next_action(idle(members), SHORT, 0), LeaseAction::Rewrite);
+        assert_eq!(
+            next_action(idle(members), ACTIVE_TTL, 0),
+            LeaseAction::Rewrite
+        );
     }
     assert_eq!(
-        next_action(SHORT, idle(1_000), renew(SHORT)),
+        next_action(ACTIVE_TTL, idle(1_000), renew(ACTIVE_TTL)),
         LeaseAction::Renew
     );
 }
 
 /// Guards against entries that lapse while their instance lives: two renewals in a row may be lost.
-#[parameterized(short = { SHORT }, few = { idle(10) }, many = { idle(1_000) })]
+#[parameterized(short = { ACTIVE_TTL }, few = { idle(10) }, many = { idle(1_000) })]
 fn two_renewals_fit_into_the_time_to_live(ttl: u64) {
     let pause = renew(ttl).div_ceil(LOOK) * LOOK;
 
