--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -197,7 +197,7 @@
     }
     match place.is_leaf {
         true => lease::idle(app.members.lock().len()),
-        false => lease::IDLE,
+        false => lease::IDLE_TTL,
     }
 }
 
--- a/crates/spread/src/lease.rs
+++ b/crates/spread/src/lease.rs
@@ -12,7 +12,7 @@
 
 /// Time to live of the entry of an instance that some others follow, in milliseconds, and shortest one of an instance
 /// that nobody follows. Others notice by themselves that one is gone.
-pub const IDLE: Millis = 12_000;
+pub const IDLE_TTL: Millis = 12_000;
 
 /// Renewals of the entries of all instances that nobody follows, a second.
 const RENEWALS: u64 = 64;
@@ -34,7 +34,7 @@
 /// ```
 pub fn idle(members: usize) -> Millis {
     let pause = members as u64 * 1_000 / RENEWALS;
-    IDLE.max(pause * 5 / FIFTHS)
+    IDLE_TTL.max(pause * 5 / FIFTHS)
 }
 
 /// Time between two renewals of an entry with a time to live, in milliseconds.
@@ -70,14 +70,14 @@
 /// # Examples
 ///
 /// ```
-/// use spread::lease::{IDLE, LeaseAction, ACTIVE_TTL, next_action};
+/// use spread::lease::{IDLE_TTL, LeaseAction, ACTIVE_TTL, next_action};
 ///
-/// assert_eq!(next_action(IDLE, IDLE, 1_000), LeaseAction::Keep);
-/// assert_eq!(next_action(IDLE, IDLE, 4_800), LeaseAction::Renew);
+/// assert_eq!(next_action(IDLE_TTL, IDLE_TTL, 1_000), LeaseAction::Keep);
+/// assert_eq!(next_action(IDLE_TTL, IDLE_TTL, 4_800), LeaseAction::Renew);
 /// // Others depend on it from now on.
-/// assert_eq!(next_action(IDLE, ACTIVE_TTL, 1_000), LeaseAction::Rewrite);
+/// assert_eq!(next_action(IDLE_TTL, ACTIVE_TTL, 1_000), LeaseAction::Rewrite);
 /// // It has heard how many others there are.
-/// assert_eq!(next_action(IDLE, 40_000, 4_800), LeaseAction::Rewrite);
+/// assert_eq!(next_action(IDLE_TTL, 40_000, 4_800), LeaseAction::Rewrite);
 /// ```
 pub fn next_action(ttl: Millis, wanted: Millis, since: Millis) -> LeaseAction {
     if wanted <= ttl / 2 {
@@ -86,7 +86,7 @@
     if since < renew(ttl) {
         return LeaseAction::Keep;
     }
-    match ttl >= IDLE && wanted >= 2 * ttl {
+    match ttl >= IDLE_TTL && wanted >= 2 * ttl {
         true => LeaseAction::Rewrite,
         false => LeaseAction::Renew,
     }
--- a/crates/spread/tests/lease.rs
+++ b/crates/spread/tests/lease.rs
@@ -1,7 +1,7 @@
 //! How long entries live, and how often they are renewed.
 
 use spread::lease::ACTIVE_TTL;
-use spread::lease::IDLE;
+use spread::lease::IDLE_TTL;
 use spread::lease::LeaseAction;
 use spread::lease::idle;
 use spread::lease::next_action;
@@ -13,7 +13,7 @@
 
 /// Calls that one instance makes for its entry in so many milliseconds, from its start on.
 fn calls(members: usize, time: u64) -> u64 {
-    let (mut ttl, mut renewed, mut calls) = (IDLE, 0, 0);
+    let (mut ttl, mut renewed, mut calls) = (IDLE_TTL, 0, 0);
     for now in (0..time).step_by(LOOK as usize) {
         match next_action(ttl, idle(members), now - renewed) {
             LeaseAction::Keep => continue,
