--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -196,7 +196,7 @@
         return lease::ACTIVE_TTL;
     }
     match place.is_leaf {
-        true => lease::idle(app.members.lock().len()),
+        true => lease::leaf_ttl(app.members.lock().len()),
         false => lease::IDLE_TTL,
     }
 }
--- a/crates/spread/src/lease.rs
+++ b/crates/spread/src/lease.rs
@@ -25,14 +25,14 @@
 /// # Examples
 ///
 /// ```
-/// use spread::lease::idle;
+/// use spread::lease::leaf_ttl;
 ///
-/// assert_eq!(idle(65), 12_000);
+/// assert_eq!(leaf_ttl(65), 12_000);
 /// // Of a thousand each renews as seldom as 64 renewals a second allow.
-/// assert_eq!(idle(1_000), 39_062);
-/// assert_eq!(idle(2_000), 78_125);
+/// assert_eq!(leaf_ttl(1_000), 39_062);
+/// assert_eq!(leaf_ttl(2_000), 78_125);
 /// ```
-pub fn idle(members: usize) -> Millis {
+pub fn leaf_ttl(members: usize) -> Millis {
     let pause = members as u64 * 1_000 / RENEWALS;
     IDLE_TTL.max(pause * 5 / FIFTHS)
 }
--- a/crates/spread/tests/lease.rs
+++ b/crates/spread/tests/lease.rs
@@ -3,7 +3,7 @@
 use spread::lease::ACTIVE_TTL;
 use spread::lease::IDLE_TTL;
 use spread::lease::LeaseAction;
-use spread::lease::idle;
+use spread::lease::leaf_ttl;
 use spread::lease::next_action;
 use spread::lease::renew;
 use yare::parameterized;
@@ -15,13 +15,13 @@
 fn calls(members: usize, time: u64) -> u64 {
     let (mut ttl, mut renewed, mut calls) = (IDLE_TTL, 0, 0);
     for now in (0..time).step_by(LOOK as usize) {
-        match next_action(ttl, idle(members), now - renewed) {
+        match next_action(ttl, leaf_ttl(members), now - renewed) {
             LeaseAction::Keep => continue,
             LeaseAction::Renew => calls += 1,
             LeaseAction::Rewrite => {
                 // A lease, and the entry.
                 calls += 2;
-                ttl = idle(members);
+                ttl = leaf_ttl(members);
             }
         }
         renewed = now;
@@ -50,18 +50,18 @@
 fn an_instance_on_which_others_depend_lives_short_however_many_there_are() {
     for members in [10, 1_000, 5_000] {
         assert_eq!(
-            next_action(idle(members), ACTIVE_TTL, 0),
+            next_action(leaf_ttl(members), ACTIVE_TTL, 0),
             LeaseAction::Rewrite
         );
     }
     assert_eq!(
-        next_action(ACTIVE_TTL, idle(1_000), renew(ACTIVE_TTL)),
+        next_action(ACTIVE_TTL, leaf_ttl(1_000), renew(ACTIVE_TTL)),
         LeaseAction::Renew
     );
 }
 
 /// Guards against entries that lapse while their instance lives: two renewals in a row may be lost.
-#[parameterized(short = { ACTIVE_TTL }, few = { idle(10) }, many = { idle(1_000) })]
+#[parameterized(short = { ACTIVE_TTL }, few = { leaf_ttl(10) }, many = { leaf_ttl(1_000) })]
 fn two_renewals_fit_into_the_time_to_live(ttl: u64) {
     let pause = renew(ttl).div_ceil(LOOK) * LOOK;
 
@@ -71,12 +71,12 @@
 /// Guards against an entry that is written anew each time an instance comes or goes.
 #[test]
 fn a_small_change_of_how_many_there_are_costs_no_call() {
-    let ttl = idle(1_000);
+    let ttl = leaf_ttl(1_000);
 
     for members in [600, 900, 1_100, 1_900] {
-        assert_eq!(next_action(ttl, idle(members), 0), LeaseAction::Keep);
+        assert_eq!(next_action(ttl, leaf_ttl(members), 0), LeaseAction::Keep);
         assert_eq!(
-            next_action(ttl, idle(members), renew(ttl)),
+            next_action(ttl, leaf_ttl(members), renew(ttl)),
             LeaseAction::Renew
         );
     }
