--- a/crates/spread/src/lease.rs
+++ b/crates/spread/src/lease.rs
@@ -42,11 +42,11 @@
 /// # Examples
 ///
 /// ```
-/// use spread::lease::{ACTIVE_TTL, renew};
+/// use spread::lease::{ACTIVE_TTL, renew_interval};
 ///
-/// assert_eq!(renew(ACTIVE_TTL), 1_200);
+/// assert_eq!(renew_interval(ACTIVE_TTL), 1_200);
 /// ```
-pub fn renew(ttl: Millis) -> Millis {
+pub fn renew_interval(ttl: Millis) -> Millis {
     ttl * FIFTHS / 5
 }
 
@@ -83,7 +83,7 @@
     if wanted <= ttl / 2 {
         return LeaseAction::Rewrite;
     }
-    if since < renew(ttl) {
+    if since < renew_interval(ttl) {
         return LeaseAction::Keep;
     }
     match ttl >= IDLE_TTL && wanted >= 2 * ttl {
--- a/crates/spread/tests/lease.rs
+++ b/crates/spread/tests/lease.rs
@@ -5,7 +5,7 @@
 use spread::lease::LeaseAction;
 use spread::lease::leaf_ttl;
 use spread::lease::next_action;
-use spread::lease::renew;
+use spread::lease::renew_interval;
 use yare::parameterized;
 
 /// Time between two looks at an entry, in milliseconds.
@@ -55,7 +55,7 @@
         );
     }
     assert_eq!(
-        next_action(ACTIVE_TTL, leaf_ttl(1_000), renew(ACTIVE_TTL)),
+        next_action(ACTIVE_TTL, leaf_ttl(1_000), renew_interval(ACTIVE_TTL)),
         LeaseAction::Renew
     );
 }
@@ -63,7 +63,7 @@
 /// Guards against entries that lapse while their instance lives: two renewals in a row may be lost.
 #[parameterized(short = { ACTIVE_TTL }, few = { leaf_ttl(10) }, many = { leaf_ttl(1_000) })]
 fn two_renewals_fit_into_the_time_to_live(ttl: u64) {
-    let pause = renew(ttl).div_ceil(LOOK) * LOOK;
+    let pause = renew_interval(ttl).div_ceil(LOOK) * LOOK;
 
     assert!(2 * pause < ttl);
 }
@@ -76,7 +76,7 @@
     for members in [600, 900, 1_100, 1_900] {
         assert_eq!(next_action(ttl, leaf_ttl(members), 0), LeaseAction::Keep);
         assert_eq!(
-            next_action(ttl, leaf_ttl(members), renew(ttl)),
+            next_action(ttl, leaf_ttl(members), renew_interval(ttl)),
             LeaseAction::Renew
         );
     }
