--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -1,8 +1,8 @@
-//! Whom an instance asks next for news, and when it reads the platform for itself.
+//! Decides which instance to poll next for updates, and when to read the platform instead.
 //!
-//! Load pattern: the source of hundreds of instances is slow, gone or turned away by the platform. Each of them asks
-//! the next one beside it, then any other, and only the first ones of each failure domain read at once; the rest
-//! have their turns, so that the platform's link is left to those whose reads are passed on.
+//! Load pattern: the source of hundreds of instances is slow, dead or refused by the platform. Each of them polls the
+//! next source beside it and then any other instance. Only the heads of each failure domain read the platform at once.
+//! The others take turns, so that the platform's link is free for those whose reads are passed on.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,93 +14,92 @@
 use crate::TreePosition;
 use crate::read_budget;
 
-/// Time within which the reader that an instance follows has to have newer news, in milliseconds:
-/// somewhat more than the time between two reads.
-const WAIT: Millis = 1_050;
+/// Time within which the reader that an instance follows must have an update, in milliseconds: a little more than the
+/// interval between reads.
+const BASE_WAIT: Millis = 1_050;
 
-/// Time that an instance waits longer than whom it follows, in milliseconds: so that one that is gone is
-/// noticed first by those who follow it, and the others hear of it from them.
-const STEP: Millis = 250;
+/// Time that an instance waits longer than its source, in milliseconds, so that the direct followers of a dead
+/// instance notice it first and the instances below hear of it from them.
+const WAIT_PER_LEVEL: Millis = 250;
 
-/// Rounds of which one is used for a read while the sources of a follower say that the platform does
-/// not answer; it may be those alone that are turned away.
-const BLIND: u32 = 3;
+/// Rounds for each own read while the sources report that the platform is unreachable. Possibly the platform refuses
+/// only the sources.
+const ROUNDS_PER_UNREACHABLE_READ: u32 = 3;
 
-/// Time that a read of its own takes from which a follower does not read at once when its source is late, in
-/// milliseconds. So slow a read means a long list or a busy platform, and then the source is late for the
-/// same reason.
-const SLOW: Millis = 500;
+/// Duration of the last own read, in milliseconds, from which on a follower does not read at once when its source has
+/// no update. Such a read means a long list or a busy platform, which delays the source as well.
+const SLOW_READ: Millis = 500;
 
-/// Rounds for which such a follower goes on asking before it reads.
-const ROUNDS: u32 = 3;
+/// Rounds for which such a follower keeps polling before it reads.
+const MAX_PATIENT_ROUNDS: u32 = 3;
 
-/// Time for which a source that had nothing in time is not asked again, in milliseconds.
-const SHUN: Millis = 3_000;
+/// Time for which a source that failed to deliver is not polled again, in milliseconds.
+const AVOID_TIME: Millis = 3_000;
 
-/// Others that are asked in one round: when half of all instances are lost at once, most of those that are left
-/// find one that lives.
-const OTHERS: u32 = 4;
+/// Other instances that are polled in one round. With four, most survivors of the loss of half of all instances find a
+/// live one.
+const MAX_OTHERS_PER_ROUND: u32 = 4;
 
-/// What an instance knows that decides whom it asks.
+/// State of an instance on which the choice of whom to poll depends.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Its name.
+    /// Name of the instance.
     pub me: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Where it stands.
+    /// Its position in the distribution tree.
     pub position: TreePosition,
-    /// The instances that have entered.
+    /// The known members.
     pub members: Arc<[Member]>,
-    /// Entries of its list.
+    /// Number of entries in its list.
     pub entries: usize,
-    /// A random number, for a choice among equals.
+    /// A random number that selects one of several equal candidates.
     pub random: u64,
 }
 
 impl View {
-    /// Rounds of which this instance may use one for a read of its own.
-    fn every(&self) -> u32 {
+    /// Number of rounds in which this instance may read the platform once.
+    fn rounds_per_read(&self) -> u32 {
         let members = match self.position.is_partial {
-            true => self.members.len().max(read_budget::MANY),
+            true => self.members.len().max(read_budget::ASSUMED_MEMBERS),
             false => self.members.len(),
         };
         read_budget::rounds_per_read(members, self.entries)
     }
 }
 
-/// What came of a question that brought no news.
+/// Why a poll brought no update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollFailure {
-    /// The platform does not answer whoever was asked.
+    /// The polled instance gets no answer from the platform.
     PlatformUnreachable,
-    /// It answers, and had none in time.
+    /// The polled instance replied, and had no update within the wait.
     NoUpdate,
-    /// It did not answer.
+    /// The polled instance did not reply.
     NoReply,
 }
 
 /// What an instance does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// It asks another one that may wait so long for news, in milliseconds.
+    /// Poll the instance at this address, which may wait this long for an update, in milliseconds.
     Poll(SocketAddr, Millis),
-    /// It reads the platform itself.
+    /// Read the platform.
     Read,
-    /// It begins anew after the time between two reads.
+    /// Begin a new round when the interval between reads has passed.
     Pause,
 }
 
-/// Who was asked last.
+/// The kind of instance that was polled last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
-    /// The source at a position.
+enum Polled {
+    /// The source at this index.
     Source(usize),
-    /// Any other instance.
+    /// An instance that is not among the sources.
     Other,
 }
 
-/// An instance that follows others.
+/// An instance that receives its updates from others.
 ///
 /// # Examples
 ///
@@ -117,25 +116,25 @@
 /// let mut follower = Follower::default();
 /// assert_eq!(follower.begin_round(&view, 0), Action::Poll(addr(1), 1_050));
 /// assert_eq!(follower.poll_failed(&view, PollFailure::NoReply, 100), Action::Poll(addr(2), 250));
-/// // A few instances may all read.
+/// // A few instances may all read at once.
 /// assert_eq!(follower.poll_failed(&view, PollFailure::NoReply, 200), Action::Read);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
-    /// Who was asked last, and where.
-    last: Option<(Asked, SocketAddr)>,
-    /// Others that were asked in this round.
+    /// The instance that was polled last, and its address.
+    last: Option<(Polled, SocketAddr)>,
+    /// Other instances that were polled in this round.
     others: u32,
-    /// Until when sources are not asked.
-    shunned: Map<SocketAddr, Millis>,
-    /// Rounds in a row in which the platform answered nobody.
-    blind: u32,
-    /// Time that its last read of its own took, in milliseconds.
-    took: Millis,
-    /// Rounds in a row in which its source was late.
-    late: u32,
-    /// Rounds in a row in which nobody told it anything.
-    lacked: u32,
+    /// Addresses that are not polled, each until the given time.
+    avoided: Map<SocketAddr, Millis>,
+    /// Consecutive rounds in which the platform was reported unreachable.
+    unreachable_rounds: u32,
+    /// Duration of the last own read, in milliseconds.
+    last_read: Millis,
+    /// Consecutive rounds in which the source had no update.
+    stale_rounds: u32,
+    /// Consecutive rounds without an update.
+    failed_rounds: u32,
 }
 
 impl Follower {
@@ -144,140 +143,147 @@
         if view.position.sources.is_empty() {
             return Action::Read;
         }
-        self.shunned.retain(|_, until| now < *until);
+        self.avoided.retain(|_, until| now < *until);
         self.others = 0;
         self.last = None;
-        self.ask_next(view, 0, PollFailure::NoReply, now)
+        self.poll_next(view, 0, PollFailure::NoReply, now)
     }
 
-    /// Notes that news came.
+    /// Records that an update arrived.
     pub fn update_received(&mut self) {
-        (self.late, self.lacked, self.blind) = (0, 0, 0);
+        (
+            self.stale_rounds,
+            self.failed_rounds,
+            self.unreachable_rounds,
+        ) = (0, 0, 0);
     }
 
-    /// Notes a read of its own and the time that it took, in milliseconds.
-    pub fn read_took(&mut self, took: Millis) {
-        self.took = took;
+    /// Records an own read and its duration in milliseconds.
+    pub fn read_took(&mut self, duration: Millis) {
+        self.last_read = duration;
     }
 
-    /// Notes that the last question brought no news.
-    pub fn poll_failed(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
-        let Some((asked, addr)) = self.last else {
-            return self.decide(view, lack, now);
+    /// Records that the last poll failed, and returns what to do next.
+    pub fn poll_failed(&mut self, view: &View, failure: PollFailure, now: Millis) -> Action {
+        let Some((polled, addr)) = self.last else {
+            return self.read_or_pause(view, failure, now);
         };
-        let is_main = asked == Asked::Source(0);
-        let patient = lack == PollFailure::NoUpdate && self.is_patient();
-        // Whoever may not read waits where it is: its source hears sooner or later.
-        let is_late = lack == PollFailure::NoUpdate && is_main && !patient && may_read(view);
-        if is_late || lack == PollFailure::NoReply {
+        let is_parent = polled == Polled::Source(0);
+        let patient = failure == PollFailure::NoUpdate && self.is_patient();
+        // An instance that may not read keeps its source, which gets the update sooner or later.
+        let is_stale = failure == PollFailure::NoUpdate && is_parent && !patient && may_read(view);
+        if is_stale || failure == PollFailure::NoReply {
             self.avoid(addr, now);
         }
-        match asked {
-            Asked::Source(_) if patient && is_main => self.decide(view, lack, now),
-            Asked::Source(at) => self.ask_next(view, at + 1, lack, now),
-            Asked::Other if lack == PollFailure::NoReply => self.ask_other(view, lack, now),
-            Asked::Other => self.decide(view, lack, now),
+        match polled {
+            Polled::Source(_) if patient && is_parent => self.read_or_pause(view, failure, now),
+            Polled::Source(at) => self.poll_next(view, at + 1, failure, now),
+            Polled::Other if failure == PollFailure::NoReply => self.poll_other(view, failure, now),
+            Polled::Other => self.read_or_pause(view, failure, now),
         }
     }
 
-    /// Asks the next source from a position on that has not been silent lately.
-    fn ask_next(&mut self, view: &View, from: usize, lack: PollFailure, now: Millis) -> Action {
+    /// Polls the first source from an index on that is not avoided.
+    fn poll_next(&mut self, view: &View, from: usize, failure: PollFailure, now: Millis) -> Action {
         let mut sources = view.position.sources.iter().enumerate().skip(from);
-        let next = sources.find(|(_, addr)| !self.is_shunned(**addr));
+        let next = sources.find(|(_, addr)| !self.is_avoided(**addr));
         let Some((at, addr)) = next.filter(|(at, _)| *at < 2 || !may_read(view)) else {
-            return self.ask_other(view, lack, now);
+            return self.poll_other(view, failure, now);
         };
-        // Whoever is asked after another one has heard of it as well by now, and asks others or reads.
+        // By now the next source has noticed the failure too, and polls others or reads, so a short wait suffices.
         let wait = match self.last {
             None => wait(&view.position),
-            Some(_) => STEP,
+            Some(_) => WAIT_PER_LEVEL,
         };
-        self.last = Some((Asked::Source(at), *addr));
+        self.last = Some((Polled::Source(at), *addr));
         Action::Poll(*addr, wait)
     }
 
-    /// Asks any other instance where this one may not read at once.
-    fn ask_other(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
-        let may_ask = lack == PollFailure::NoReply && !may_read(view) && self.others < OTHERS;
-        match self.pick_other(view).filter(|_| may_ask) {
+    /// Polls any other instance if this one may not read at once.
+    fn poll_other(&mut self, view: &View, failure: PollFailure, now: Millis) -> Action {
+        let may_poll = failure == PollFailure::NoReply
+            && !may_read(view)
+            && self.others < MAX_OTHERS_PER_ROUND;
+        match self.pick_other(view).filter(|_| may_poll) {
             Some(other) => {
                 self.others += 1;
-                self.last = Some((Asked::Other, other));
-                Action::Poll(other, STEP)
+                self.last = Some((Polled::Other, other));
+                Action::Poll(other, WAIT_PER_LEVEL)
             }
-            None => self.decide(view, lack, now),
+            None => self.read_or_pause(view, failure, now),
         }
     }
 
-    fn decide(&mut self, view: &View, lack: PollFailure, now: Millis) -> Action {
-        self.lacked += 1;
-        if lack != PollFailure::PlatformUnreachable {
-            self.blind = 0;
+    fn read_or_pause(&mut self, view: &View, failure: PollFailure, now: Millis) -> Action {
+        self.failed_rounds += 1;
+        if failure != PollFailure::PlatformUnreachable {
+            self.unreachable_rounds = 0;
         }
-        let is_turn = read_budget::is_turn(&view.me, self.lacked, view.every());
-        match (lack, view.position.sources.first()) {
-            // With nobody else to follow it is the first ones that have to find out, at full pace.
-            (PollFailure::PlatformUnreachable, Some(main)) if view.position.is_head => {
-                self.avoid(*main, now);
+        let is_turn = read_budget::is_turn(&view.me, self.failed_rounds, view.rounds_per_read());
+        match (failure, view.position.sources.first()) {
+            // The heads have no one else to follow and have to find out whether the platform is back, so they read in
+            // each round.
+            (PollFailure::PlatformUnreachable, Some(parent)) if view.position.is_head => {
+                self.avoid(*parent, now);
                 Action::Read
             }
-            (PollFailure::PlatformUnreachable, _) => match self.waits() && is_turn {
+            (PollFailure::PlatformUnreachable, _) => match self.unreachable_read_due() && is_turn {
                 true => Action::Read,
                 false => Action::Pause,
             },
-            (PollFailure::NoUpdate, _) if self.trusts() => Action::Pause,
+            (PollFailure::NoUpdate, _) if self.keep_polling() => Action::Pause,
             _ if view.position.is_head || is_turn => Action::Read,
             _ => Action::Pause,
         }
     }
 
-    /// Any other instance that has not been silent lately, of the same failure domain if there is one.
+    /// Picks another instance that is not avoided, of the same failure domain if there is one.
     pub fn pick_other(&self, view: &View) -> Option<SocketAddr> {
-        let is_other = |one: &&Member| {
-            one.reads && one.owner.instance != view.me && !self.is_shunned(one.addr)
+        let is_other = |member: &&Member| {
+            member.reads && member.owner.instance != view.me && !self.is_avoided(member.addr)
         };
         let others: Vec<_> = view.members.iter().filter(is_other).collect();
-        let near = others.iter().filter(|one| one.domain == view.domain);
+        let near = others.iter().filter(|member| member.domain == view.domain);
         let near: Vec<_> = near.copied().collect();
-        let among = if near.is_empty() { others } else { near };
-        let at = view.random as usize % among.len().max(1);
-        among.get(at).map(|one| one.addr)
+        let candidates = if near.is_empty() { others } else { near };
+        let at = view.random as usize % candidates.len().max(1);
+        candidates.get(at).map(|member| member.addr)
     }
 
-    fn is_shunned(&self, addr: SocketAddr) -> bool {
-        self.shunned.contains_key(&addr)
+    fn is_avoided(&self, addr: SocketAddr) -> bool {
+        self.avoided.contains_key(&addr)
     }
 
-    /// Asks an instance no more for a while.
+    /// Stops polling an instance for a while.
     pub fn avoid(&mut self, addr: SocketAddr, now: Millis) {
-        self.shunned.insert(addr, now + SHUN);
+        self.avoided.insert(addr, now + AVOID_TIME);
     }
 
-    /// Tells whether a source that is late had better be asked again than the platform.
+    /// Tells whether polling a source that had no update again is better than reading the platform.
     fn is_patient(&self) -> bool {
-        self.took >= SLOW && self.late < ROUNDS
+        self.last_read >= SLOW_READ && self.stale_rounds < MAX_PATIENT_ROUNDS
     }
 
-    /// Tells whether to go on asking a source that was late, and counts the round.
-    fn trusts(&mut self) -> bool {
+    /// Tells whether to keep polling a source that had no update, and counts the round.
+    fn keep_polling(&mut self) -> bool {
         let patient = self.is_patient();
-        self.late = if patient { self.late + 1 } else { 0 };
+        self.stale_rounds = if patient { self.stale_rounds + 1 } else { 0 };
         patient
     }
 
-    /// Counts a round in which the platform answered nobody; tells whether enough have passed to look for itself.
-    fn waits(&mut self) -> bool {
-        self.blind = (self.blind + 1) % BLIND;
-        self.blind == 0
+    /// Counts a round in which the platform was reported unreachable; tells whether an own read is due.
+    fn unreachable_read_due(&mut self) -> bool {
+        self.unreachable_rounds = (self.unreachable_rounds + 1) % ROUNDS_PER_UNREACHABLE_READ;
+        self.unreachable_rounds == 0
     }
 }
 
-/// Tells whether an instance may read in any round, or as soon as its sources are silent.
+/// Tells whether an instance may read in any round, or as soon as its sources do not reply.
 fn may_read(view: &View) -> bool {
-    view.position.is_head || view.every() == 1
+    view.position.is_head || view.rounds_per_read() == 1
 }
 
-/// Time that the first source of an instance may wait for news.
-fn wait(place: &TreePosition) -> Millis {
-    WAIT + STEP * Millis::from(place.depth)
+/// Time that the first source of an instance may wait for an update.
+fn wait(position: &TreePosition) -> Millis {
+    BASE_WAIT + WAIT_PER_LEVEL * Millis::from(position.depth)
 }
--- a/crates/spread/src/lease.rs
+++ b/crates/spread/src/lease.rs
@@ -1,26 +1,26 @@
-//! How long the entry of an instance lives at the platform, and when it is renewed.
+//! Time to live of an instance's member entry at the platform, and when the entry is renewed.
 //!
-//! Load pattern: hundreds of instances renew their entries, all day. Renewed at one pace they make more calls the more
-//! instances there are. Seven of eight are leaves of the tree along which news goes, and nobody waits for a leaf: their
-//! entries are renewed a bounded number of times a second together.
+//! Load pattern: hundreds of instances renew their entries all the time. With one fixed interval the number of calls
+//! grows with the number of instances. Seven of eight instances are leaves of the distribution tree, and nothing waits
+//! for a leaf, so the renewals of all leaves together are limited to a fixed rate.
 
 use kernel::Millis;
 
-/// Time to live of the entry of an instance that others depend on, in milliseconds: a dead instance's steps are
-/// taken up soon after, and two renewals may be lost before that.
+/// Time to live of the entry of an instance that others depend on, in milliseconds. It is short so that a dead
+/// instance's steps are taken over soon, yet two renewals may be lost before the entry expires.
 pub const ACTIVE_TTL: Millis = 3_000;
 
-/// Time to live of the entry of an instance that some others follow, in milliseconds, and shortest one of an instance
-/// that nobody follows. Others notice by themselves that one is gone.
+/// Time to live of the entry of an instance that has followers, and the minimum for one that has none, in
+/// milliseconds. Followers detect a dead source themselves.
 pub const IDLE_TTL: Millis = 12_000;
 
-/// Renewals of the entries of all instances that nobody follows, a second.
-const RENEWALS: u64 = 64;
+/// Renewals per second of the entries of all leaves together.
+const LEAF_RENEWALS_PER_SECOND: u64 = 64;
 
-/// Fifths of its time to live after which an entry is renewed: two renewals fit into it.
-const FIFTHS: u64 = 2;
+/// Fifths of the time to live after which an entry is renewed, so that two renewals fit into it.
+const RENEW_AFTER_FIFTHS: u64 = 2;
 
-/// Time to live of the entry of an instance that nobody follows, among so many, in milliseconds.
+/// Time to live of a leaf's entry, in milliseconds, when there are `members` instances.
 ///
 /// # Examples
 ///
@@ -28,16 +28,16 @@
 /// use spread::lease::leaf_ttl;
 ///
 /// assert_eq!(leaf_ttl(65), 12_000);
-/// // Of a thousand each renews as seldom as 64 renewals a second allow.
+/// // With a thousand instances, each renews as rarely as 64 renewals per second require.
 /// assert_eq!(leaf_ttl(1_000), 39_062);
 /// assert_eq!(leaf_ttl(2_000), 78_125);
 /// ```
 pub fn leaf_ttl(members: usize) -> Millis {
-    let pause = members as u64 * 1_000 / RENEWALS;
-    IDLE_TTL.max(pause * 5 / FIFTHS)
+    let interval = members as u64 * 1_000 / LEAF_RENEWALS_PER_SECOND;
+    IDLE_TTL.max(interval * 5 / RENEW_AFTER_FIFTHS)
 }
 
-/// Time between two renewals of an entry with a time to live, in milliseconds.
+/// Interval between renewals of an entry with this time to live, in milliseconds.
 ///
 /// # Examples
 ///
@@ -47,25 +47,25 @@
 /// assert_eq!(renew_interval(ACTIVE_TTL), 1_200);
 /// ```
 pub fn renew_interval(ttl: Millis) -> Millis {
-    ttl * FIFTHS / 5
+    ttl * RENEW_AFTER_FIFTHS / 5
 }
 
-/// What an instance does about its entry.
+/// What an instance does about its member entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing yet.
+    /// Nothing is due.
     Keep,
-    /// It renews it.
+    /// Renew the entry's lease.
     Renew,
-    /// It writes it anew, with another time to live.
+    /// Write the entry again with a new time to live.
     Rewrite,
 }
 
-/// What an instance does about an entry that lives for `ttl` and was renewed `since` ago, when one that is written
-/// now would live for `wanted`; all in milliseconds.
+/// Returns what to do about an entry with time to live `ttl` that was renewed `since` ago, when an entry written now
+/// would get `wanted`. All times are in milliseconds.
 ///
-/// An entry that lives short stays so: an instance that has run a step is soon to run another. Small changes of how many
-/// instances there are cost no call.
+/// A short time to live is not raised: an instance that has run a step is likely to run another soon. Small changes of
+/// the number of instances cause no calls.
 ///
 /// # Examples
 ///
@@ -74,9 +74,9 @@
 ///
 /// assert_eq!(next_action(IDLE_TTL, IDLE_TTL, 1_000), LeaseAction::Keep);
 /// assert_eq!(next_action(IDLE_TTL, IDLE_TTL, 4_800), LeaseAction::Renew);
-/// // Others depend on it from now on.
+/// // Other instances have begun to depend on it.
 /// assert_eq!(next_action(IDLE_TTL, ACTIVE_TTL, 1_000), LeaseAction::Rewrite);
-/// // It has heard how many others there are.
+/// // It has learned how many instances there are.
 /// assert_eq!(next_action(IDLE_TTL, 40_000, 4_800), LeaseAction::Rewrite);
 /// ```
 pub fn next_action(ttl: Millis, wanted: Millis, since: Millis) -> LeaseAction {
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,11 +1,12 @@
-//! How what one instance reads of the platform reaches all others.
+//! Distribution of the platform's data from the instances that read it to all others.
 //!
-//! One instance reads the configuration, the list of upstreams and the entries of instances. The others hear
-//! it along a [`tree`] in which nobody tells more than a few. What is passed on is what has changed since
-//! a revision of the platform's store, so a follower can go on at any other instance. Only when nobody tells an
-//! instance anything does it read for itself, as often as all instances together may: a [`ration`].
+//! One instance reads the configuration, the list of upstreams and the member entries of all instances. The others
+//! receive them along a [`tree`] in which each instance serves a bounded number of followers. Updates hold what has
+//! changed since a revision of the platform's store, so a follower can continue from any other instance. An instance
+//! reads the platform itself only when it gets no updates, and no more often than the [`read_budget`] of all instances
+//! together allows.
 //!
-//! Nothing here reads a socket or a clock.
+//! This crate does no I/O and reads no clock.
 
 pub mod follower;
 pub mod lease;
--- a/crates/spread/src/list.rs
+++ b/crates/spread/src/list.rs
@@ -1,7 +1,8 @@
-//! The entries of the platform's list, by key and by revision.
+//! The entries of the platform's list, indexed by key and by revision.
 //!
-//! Load pattern: thousands of entries, of which few have changed since a follower was told last, and hundreds of
-//! answers a second. Looked for by revision, what is told costs as much as it is, however long the list.
+//! Load pattern: a list of thousands of entries, of which few have changed since a follower's last update, and
+//! hundreds of replies per second. With the index by revision the cost of a reply depends on the number of changed
+//! entries and not on the length of the list.
 
 use std::borrow::Borrow;
 use std::cmp::Ordering;
@@ -10,7 +11,7 @@
 
 use plat::Item;
 
-/// An entry in the order of keys.
+/// An entry ordered by key.
 #[derive(Debug)]
 struct ByKey(Arc<Item>);
 
@@ -46,12 +47,12 @@
 
 impl Eq for ByKey {}
 
-/// An entry in the order of revisions.
+/// An entry ordered by revision, then key.
 #[derive(Debug)]
 struct ByRev(Arc<Item>);
 
 impl ByRev {
-    /// What comes before all entries of a revision.
+    /// A bound that precedes all entries of a revision.
     fn first(rev: i64) -> Self {
         Self(Arc::new(Item {
             key: String::new(),
@@ -82,7 +83,7 @@
 
 impl Eq for ByRev {}
 
-/// Entries, each key once.
+/// Entries with unique keys.
 ///
 /// # Examples
 ///
@@ -110,7 +111,7 @@
         self.keys.len()
     }
 
-    /// Tells whether there are none.
+    /// Tells whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
@@ -120,7 +121,7 @@
         self.keys.get(key).map(|entry| &entry.0)
     }
 
-    /// Adds an entry in place of the one that has its key.
+    /// Adds an entry, replacing the one with the same key.
     pub fn insert(&mut self, item: Arc<Item>) {
         if let Some(held) = self.keys.replace(ByKey(item.clone())) {
             self.revs.remove(&ByRev(held.0));
@@ -134,12 +135,12 @@
         held.is_some_and(|held| self.revs.remove(&ByRev(held.0)))
     }
 
-    /// All entries, by key.
+    /// All entries, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Item>> {
         self.keys.iter().map(|entry| &entry.0)
     }
 
-    /// The entries that have changed after a revision, by the revision at which they did.
+    /// The entries that have changed after a revision, ordered by revision.
     pub fn since(&self, rev: i64) -> impl Iterator<Item = &Arc<Item>> {
         let first = ByRev::first(rev.saturating_add(1));
         self.revs.range(first..).map(|entry| &entry.0)
--- a/crates/spread/src/member.rs
+++ b/crates/spread/src/member.rs
@@ -1,4 +1,4 @@
-//! The entries of instances.
+//! Member entries, by which instances register at the platform.
 
 use std::hash::DefaultHasher;
 use std::hash::Hash;
@@ -12,35 +12,35 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// An instance's entry.
+/// The entry of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
-    /// Which start of which instance.
+    /// The instance and its start.
     pub owner: Owner,
-    /// Its failure domain.
+    /// The failure domain of the instance.
     pub domain: Arc<str>,
-    /// Where others reach it.
+    /// Address at which other instances reach it.
     pub addr: SocketAddr,
-    /// Whether it reads the list of upstreams for others.
+    /// Whether it may read the list of upstreams on behalf of others.
     pub reads: bool,
-    /// The processor that it has, in hundredths of a core.
+    /// CPU available to it, in hundredths of a core.
     pub power: u32,
 }
 
-/// The entries of all instances at one moment.
+/// The member entries of all instances at one moment.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    /// The entries.
+    /// The entries, sorted by instance.
     pub members: Arc<[Member]>,
-    /// A digest of the entries, equal wherever they are; 0 for none.
+    /// Digest of the entries, equal on all instances that have the same entries; 0 stands for none.
     pub digest: u64,
-    /// When they were read, on the steady clock of whoever holds them.
+    /// When they were read, on the monotonic clock of the instance that holds them.
     pub read_at: Millis,
 }
 
 impl Membership {
-    /// Makes the roll of entries that were read at `at`.
+    /// Makes the list of entries that were read at `read_at`.
     pub fn new(mut members: Vec<Member>, read_at: Millis) -> Self {
         members.sort_unstable_by(|a, b| a.owner.instance.cmp(&b.owner.instance));
         let mut hasher = DefaultHasher::new();
@@ -54,17 +54,17 @@
     }
 }
 
-/// How the instances that are known have changed, each start by itself.
+/// Number of instances that came and went between two lists of members. Each start of an instance counts by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Turnover {
-    /// Those that were not known before.
+    /// Starts that were not known before.
     pub came: usize,
-    /// Those that are not known any more.
+    /// Starts that are no longer known.
     pub gone: usize,
 }
 
 impl Turnover {
-    /// Compares the instances that were known before with those that are now.
+    /// Compares the members known before with those known now.
     ///
     /// # Examples
     ///
@@ -79,14 +79,17 @@
     ///     reads: true,
     ///     power: 50,
     /// };
-    /// // One has started again, and one has left.
+    /// // Instance b has restarted and c has left.
     /// let before = [member("a", 1), member("b", 1), member("c", 1)];
     /// let now = [member("a", 1), member("b", 2)];
     /// assert_eq!(Turnover::between(&before, &now), Turnover { came: 1, gone: 2 });
     /// ```
     pub fn between(before: &[Member], now: &[Member]) -> Self {
-        let known: Set<&Owner> = before.iter().map(|one| &one.owner).collect();
-        let stayed = now.iter().filter(|one| known.contains(&one.owner)).count();
+        let known: Set<&Owner> = before.iter().map(|member| &member.owner).collect();
+        let stayed = now
+            .iter()
+            .filter(|member| known.contains(&member.owner))
+            .count();
         Self {
             came: now.len() - stayed,
             gone: before.len() - stayed,
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -1,13 +1,14 @@
-//! What an instance knows of the configuration, the list of upstreams and the entries of instances, and what of it
-//! others have not heard yet.
+//! The replica of the platform's data at an instance: configuration, list of upstreams and member entries, and the
+//! updates that others lack.
 //!
-//! Load pattern: thousands of upstreams and hundreds of instances. Few entries change between two reads, so only
-//! those are passed on. Which have changed is told by the revision of the platform's store, which is the same
-//! everywhere, so a follower that changes its source hears what it lacks and not the whole list; and it is told in
-//! parts of bounded size, so a follower on a slow link passes the first part on while it waits for the next.
+//! Load pattern: thousands of upstreams and hundreds of instances. Few entries change between two reads, so only those
+//! are sent on. The revision of the platform's store, which is the same everywhere, tells which have changed, so a
+//! follower that switches to another source receives what it lacks and not the whole list. Updates have parts of
+//! bounded size, so a follower on a slow link can serve the first part while it waits for the next.
 //!
-//! Entries that are gone have no revision. Each read is an edition of the list: to whoever has one that the source
-//! had too, the source tells what has gone since; to anybody else it tells which entries there are.
+//! Removed entries have no revision. Each read of the list is therefore an edition with its own number. If the source
+//! has had the follower's edition, it sends the keys removed since; otherwise it sends digests of all entries that
+//! exist.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -27,22 +28,21 @@
 use crate::Update;
 
 /// Removed entries that are remembered.
-const GONE: usize = 1_024;
+const MAX_REMEMBERED_REMOVALS: usize = 1_024;
 
-/// Editions that are remembered: those of the last minute, and nobody is behind for longer without starting anew.
-const EDITIONS: usize = 64;
+/// Editions that are remembered: those of the last minute. An instance that is further behind has restarted.
+const MAX_EDITIONS: usize = 64;
 
-/// Entries that are told at once, but for more that have changed at the same revision.
-pub const PART: usize = 512;
+/// Entries per part of an update. A part has more if more entries have the same revision.
+pub const PART_ENTRIES: usize = 512;
 
-/// Time by which news has to be younger to be told when nothing else is new, in milliseconds: a part of the time
-/// between two reads, and more than news takes from one instance to the next.
-const YOUNGER: Millis = 300;
+/// Minimum difference of age, in milliseconds, at which newer data without any other change is an update: less than
+/// the interval between reads, and more than the transfer from one instance to the next takes.
+const MIN_AGE_GAIN: Millis = 300;
 
-/// What an instance knows.
+/// The platform's data as an instance knows it.
 ///
-/// A list that was read page by page is no snapshot: it has everything up to one revision, and some of what came
-/// after it.
+/// A list that was read page by page is no snapshot: it has all changes up to one revision and some later ones.
 ///
 /// # Examples
 ///
@@ -62,53 +62,57 @@
 #[derive(Debug, Default)]
 pub struct Replica {
     items: List,
-    /// Keys of entries that have gone, each with the number of the change by which it did.
-    gone: VecDeque<(String, u64)>,
-    /// Editions that this board has been, each with the number of the change that made it.
+    /// Keys of removed entries, each with the number of the change that removed it.
+    removed: VecDeque<(String, u64)>,
+    /// Editions that this list has been, each with the number of the change that made it.
     editions: VecDeque<(u64, u64)>,
-    /// The number of the last change.
-    count: u64,
-    /// Whether the list is the last of the editions.
-    exact: bool,
-    /// Everything up to this revision is here.
+    /// Number of the last change.
+    change_number: u64,
+    /// Whether the list equals the last edition.
+    is_edition: bool,
+    /// Revision up to which all changes have been applied.
     rev: i64,
-    /// The revision from which on no part is missing: an entry may have changed after the part in which it was.
-    whole: i64,
-    plan: Option<Item>,
-    roll: Option<Membership>,
-    at: Option<Millis>,
+    /// Revision from which on the list is complete: an entry may change after the part that would have held it was
+    /// sent.
+    complete_rev: i64,
+    configuration: Option<Item>,
+    membership: Option<Membership>,
+    read_at: Option<Millis>,
 }
 
-/// What stands for a key among those of other entries.
+/// Digest that represents a key in [`Removed::AllExcept`].
 fn digest(key: &str) -> u64 {
     rank(key, "entry")
 }
 
 impl Replica {
-    /// What this instance has, as it tells a source.
+    /// The state to send with a poll.
     pub fn sync_state(&self, now: Millis) -> SyncState {
         SyncState {
             rev: self.rev,
             edition: self.edition(),
-            configuration: self.revised(),
+            configuration: self.configuration_rev(),
             age: self.age(now),
-            members_digest: self.roll.as_ref().map_or(0, |roll| roll.digest),
+            members_digest: self
+                .membership
+                .as_ref()
+                .map_or(0, |membership| membership.digest),
             members_age: self
-                .roll
+                .membership
                 .as_ref()
-                .map(|roll| now.saturating_sub(roll.read_at)),
+                .map(|membership| now.saturating_sub(membership.read_at)),
         }
     }
 
-    /// The edition of the list; 0 when it is made of several.
+    /// Edition of the list; 0 if the list equals no single edition.
     fn edition(&self) -> u64 {
-        let last = self.editions.back().filter(|_| self.exact);
+        let last = self.editions.back().filter(|_| self.is_edition);
         last.map_or(0, |(edition, _)| *edition)
     }
 
     /// The configuration.
     pub fn configuration(&self) -> Option<&Item> {
-        self.plan.as_ref()
+        self.configuration.as_ref()
     }
 
     /// The number of entries.
@@ -121,35 +125,37 @@
         self.items.is_empty()
     }
 
-    /// The revision up to which the list is known; 0 when it is not.
+    /// Revision up to which the list is known; 0 without a list.
     pub fn rev(&self) -> i64 {
         self.rev
     }
 
     /// Tells whether the list is known and no part of it is missing.
     pub fn is_complete(&self) -> bool {
-        self.rev > 0 && self.rev >= self.whole
+        self.rev > 0 && self.rev >= self.complete_rev
     }
 
-    /// When what is known was read at the platform, on the steady clock of this instance.
+    /// When the data was read at the platform, on the monotonic clock of this instance.
     pub fn read_at(&self) -> Option<Millis> {
-        self.at
+        self.read_at
     }
 
-    /// The age of what is known, in milliseconds; [`None`] when nothing is.
+    /// Age of the data, in milliseconds; [`None`] without data.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.at.map(|at| now.saturating_sub(at))
+        self.read_at.map(|at| now.saturating_sub(at))
     }
 
-    /// The revision of the configuration; 0 when there is none.
-    fn revised(&self) -> i64 {
-        self.plan.as_ref().map_or(0, |plan| plan.rev)
+    /// Revision of the configuration; 0 without one.
+    fn configuration_rev(&self) -> i64 {
+        self.configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.rev)
     }
 
-    /// Takes in a read of the whole list that ended now, as an edition whose number no other read has.
+    /// Applies a read of the whole list that ended at `now`. `edition` must be unique among all reads.
     pub fn apply_read(&mut self, read: Listing, edition: u64, now: Millis) -> Changes {
         let mut changes = Changes {
-            removed: self.lacking(&read),
+            removed: self.missing_keys(&read),
             ..Changes::default()
         };
         for key in &changes.removed {
@@ -162,94 +168,95 @@
                 changes.items.push(item);
             }
         }
-        self.forget(&changes.removed);
-        self.publish(edition);
+        self.remember_removed(&changes.removed);
+        self.record_edition(edition);
         self.rev = self.rev.max(read.since);
-        self.whole = self.rev;
-        self.at = Some(now);
+        self.complete_rev = self.rev;
+        self.read_at = Some(now);
         changes
     }
 
-    /// Keys of entries that a read of the whole list does not have.
-    fn lacking(&self, read: &Listing) -> Vec<String> {
+    /// Keys of held entries that a read of the whole list does not have.
+    fn missing_keys(&self, read: &Listing) -> Vec<String> {
         let listed: Set<&str> = read.items.iter().map(|item| &*item.key).collect();
         let held = self.items.iter().map(|item| &item.key);
-        let lacking = held.filter(|key| !listed.contains(key.as_str()));
-        lacking.cloned().collect()
+        let missing_keys = held.filter(|key| !listed.contains(key.as_str()));
+        missing_keys.cloned().collect()
     }
 
-    /// Remembers entries that have gone with this change.
-    fn forget(&mut self, keys: &[String]) {
-        self.count += 1;
-        let keys = keys.iter().map(|key| (key.clone(), self.count));
-        self.gone.extend(keys);
-        while self.gone.len() > GONE
-            && let Some((_, lost)) = self.gone.pop_front()
+    /// Remembers the entries that this change removed.
+    fn remember_removed(&mut self, keys: &[String]) {
+        self.change_number += 1;
+        let keys = keys.iter().map(|key| (key.clone(), self.change_number));
+        self.removed.extend(keys);
+        while self.removed.len() > MAX_REMEMBERED_REMOVALS
+            && let Some((_, lost)) = self.removed.pop_front()
         {
-            // Of editions before it not all is known that has gone since.
+            // For editions before this change not all removals are known any more.
             self.editions.retain(|(_, count)| *count >= lost);
         }
     }
 
-    /// Notes that the list is an edition now.
-    fn publish(&mut self, edition: u64) {
-        self.exact = edition != 0;
-        if self.exact && self.edition() != edition {
-            self.editions.push_back((edition, self.count));
+    /// Records the edition that the list now equals; 0 for none.
+    fn record_edition(&mut self, edition: u64) {
+        self.is_edition = edition != 0;
+        if self.is_edition && self.edition() != edition {
+            self.editions.push_back((edition, self.change_number));
         }
-        if self.editions.len() > EDITIONS {
+        if self.editions.len() > MAX_EDITIONS {
             self.editions.pop_front();
         }
     }
 
-    /// Takes in a configuration; tells whether it is newer.
-    pub fn set_configuration(&mut self, plan: Option<Item>) -> bool {
-        let held = self.revised();
-        let Some(plan) = plan.filter(|plan| plan.rev > held) else {
+    /// Sets the configuration if it is newer; tells whether it is.
+    pub fn set_configuration(&mut self, configuration: Option<Item>) -> bool {
+        let held = self.configuration_rev();
+        let Some(configuration) = configuration.filter(|configuration| configuration.rev > held)
+        else {
             return false;
         };
-        self.plan = Some(plan);
+        self.configuration = Some(configuration);
         true
     }
 
-    /// Takes in the entries of instances, read now.
+    /// Sets the member entries, read at `now`.
     pub fn set_members(&mut self, members: Vec<Member>, now: Millis) {
-        self.roll = Some(Membership::new(members, now));
+        self.membership = Some(Membership::new(members, now));
     }
 
-    /// Takes in what another instance passes on.
-    pub fn merge(&mut self, news: &Update, now: Millis) -> Changes {
-        self.set_configuration(news.configuration.clone());
-        self.enrol(news, now);
+    /// Applies an update from another instance.
+    pub fn merge(&mut self, update: &Update, now: Millis) -> Changes {
+        self.set_configuration(update.configuration.clone());
+        self.merge_members(update, now);
         let mut changes = Changes::default();
-        for item in &news.items {
+        for item in &update.items {
             let held = self.items.get(&item.key);
             if held.is_none_or(|held| held.rev < item.rev) {
                 self.items.insert(item.clone());
                 changes.items.push(item.clone());
             }
         }
-        if news.rev < self.rev {
+        if update.rev < self.rev {
             return changes;
         }
-        self.rev = news.rev;
-        self.whole = self.whole.max(news.complete_rev);
-        let at = now.saturating_sub(news.age);
-        self.at = Some(self.at.map_or(at, |held| held.max(at)));
-        match &news.removed {
-            Some(gone) => {
-                let strays = self.drop(gone, news.rev, &mut changes);
-                self.forget(&changes.removed);
-                self.publish(if strays { 0 } else { news.edition });
+        self.rev = update.rev;
+        self.complete_rev = self.complete_rev.max(update.complete_rev);
+        let at = now.saturating_sub(update.age);
+        self.read_at = Some(self.read_at.map_or(at, |held| held.max(at)));
+        match &update.removed {
+            Some(removed) => {
+                let has_newer = self.remove(removed, update.rev, &mut changes);
+                self.remember_removed(&changes.removed);
+                self.record_edition(if has_newer { 0 } else { update.edition });
             }
-            None => self.exact = false,
+            None => self.is_edition = false,
         }
         changes
     }
 
-    /// Drops entries that are gone; tells whether any is kept that the source does not have.
-    fn drop(&mut self, gone: &Removed, rev: i64, changes: &mut Changes) -> bool {
-        match gone {
+    /// Removes entries; tells whether any is kept that the source does not have.
+    fn remove(&mut self, removed: &Removed, rev: i64, changes: &mut Changes) -> bool {
+        match removed {
             Removed::Keys(keys) => {
                 let held = keys.iter().filter(|key| self.items.remove(key));
                 changes.removed = held.cloned().collect();
@@ -259,103 +266,107 @@
                 let listed: Set<u64> = digests.iter().copied().collect();
                 let others = self.items.iter();
                 let others = others.filter(|item| !listed.contains(&digest(&item.key)));
-                // What came later than the source's list may be there all the same.
+                // An entry newer than the source's list may exist all the same.
                 let (old, new): (Vec<_>, Vec<_>) = others.partition(|item| item.rev <= rev);
-                let strays = !new.is_empty();
+                let has_newer = !new.is_empty();
                 changes.removed = old.iter().map(|item| item.key.clone()).collect();
                 for key in &changes.removed {
                     self.items.remove(key);
                 }
-                strays
+                has_newer
             }
         }
     }
 
-    /// Takes in the entries of instances if they are newer.
-    fn enrol(&mut self, news: &Update, now: Millis) {
-        let Some(old) = news.members_age else {
+    /// Sets the member entries from an update if they are newer.
+    fn merge_members(&mut self, update: &Update, now: Millis) {
+        let Some(age) = update.members_age else {
             return;
         };
-        let at = now.saturating_sub(old);
-        let newer = self.roll.as_ref().is_none_or(|roll| at > roll.read_at);
-        match (&news.members, &mut self.roll) {
-            (Some(members), _) if newer => self.roll = Some(Membership::new(members.clone(), at)),
-            // They are the same.
-            (None, Some(roll)) if newer => roll.read_at = at,
+        let at = now.saturating_sub(age);
+        let newer = self
+            .membership
+            .as_ref()
+            .is_none_or(|membership| at > membership.read_at);
+        match (&update.members, &mut self.membership) {
+            (Some(new), _) if newer => self.membership = Some(Membership::new(new.clone(), at)),
+            // The entries are the same; only their age is new.
+            (None, Some(membership)) if newer => membership.read_at = at,
             _ => (),
         }
     }
 
-    /// The entries of instances.
+    /// The member entries, if known.
     pub fn membership(&self) -> Option<&Membership> {
-        self.roll.as_ref()
+        self.membership.as_ref()
     }
 
-    /// Tells whether there is something that a follower does not have: a change, or the word that nothing has
-    /// changed until lately.
-    pub fn has_more(&self, have: SyncState, now: Millis) -> bool {
+    /// Tells whether there is an update for a follower: a change, or the information that nothing had changed until
+    /// more recently.
+    pub fn has_more(&self, state: SyncState, now: Millis) -> bool {
         let Some(age) = self.age(now) else {
-            return self.revised() > have.configuration;
+            return self.configuration_rev() > state.configuration;
         };
-        let younger = have.age.is_none_or(|held| age + YOUNGER <= held);
-        self.rev > have.rev
-            || self.revised() > have.configuration
-            || younger && self.rev == have.rev
+        let younger = state.age.is_none_or(|held| age + MIN_AGE_GAIN <= held);
+        self.rev > state.rev
+            || self.configuration_rev() > state.configuration
+            || younger && self.rev == state.rev
     }
 
-    /// What a follower does not have yet.
-    pub fn update_since(&self, have: SyncState, now: Millis) -> Update {
-        let (items, rev) = self.part(have);
-        // What is missing from a part may be there all the same.
+    /// The update for a follower in this state.
+    pub fn update_since(&self, state: SyncState, now: Millis) -> Update {
+        let (items, rev) = self.next_part(state);
+        // Only the last part tells removals: entries missing from an earlier part may exist all the same.
         let is_last = rev == self.rev && self.is_complete();
-        let roll = self.roll.as_ref();
-        let members_age = roll.map(|roll| now.saturating_sub(roll.read_at));
-        let newer = members_age.is_some_and(|age| have.members_age.is_none_or(|held| age < held));
-        let members = roll.filter(|roll| newer && roll.digest != have.members_digest);
+        let membership = self.membership.as_ref();
+        let members_age = membership.map(|membership| now.saturating_sub(membership.read_at));
+        let newer = members_age.is_some_and(|age| state.members_age.is_none_or(|held| age < held));
+        let members =
+            membership.filter(|membership| newer && membership.digest != state.members_digest);
         Update {
             items,
-            removed: is_last.then(|| self.gone(have)),
+            removed: is_last.then(|| self.removed_since(state)),
             rev,
-            complete_rev: self.whole.max(have.rev),
+            complete_rev: self.complete_rev.max(state.rev),
             edition: self.edition(),
             configuration: self
-                .plan
+                .configuration
                 .clone()
-                .filter(|plan| plan.rev > have.configuration),
+                .filter(|configuration| configuration.rev > state.configuration),
             age: self.age(now).unwrap_or_default(),
-            members: members.map(|roll| roll.members.to_vec()),
+            members: members.map(|membership| membership.members.to_vec()),
             members_age,
         }
     }
 
-    /// The next entries that a follower does not have, and the revision up to which it has the list with them.
-    fn part(&self, have: SyncState) -> (Vec<Arc<Item>>, i64) {
-        let whole = self.rev.max(have.rev);
-        let mut new = self.items.since(have.rev).peekable();
-        let mut items: Vec<_> = new.by_ref().take(PART).cloned().collect();
+    /// The next entries that a follower lacks, and the revision up to which it has the list with them.
+    fn next_part(&self, state: SyncState) -> (Vec<Arc<Item>>, i64) {
+        let full_rev = self.rev.max(state.rev);
+        let mut new = self.items.since(state.rev).peekable();
+        let mut items: Vec<_> = new.by_ref().take(PART_ENTRIES).cloned().collect();
         let (Some(last), true) = (items.last().map(|item| item.rev), new.peek().is_some()) else {
-            return (items, whole);
+            return (items, full_rev);
         };
-        // What came while the list was read is told with the last part, or it would be told by nobody.
-        let rest = if last < whole { last } else { i64::MAX };
+        // Entries that changed while the list was read go with the last part; otherwise no part would have them.
+        let rest = if last < full_rev { last } else { i64::MAX };
         items.extend(new.take_while(|item| item.rev <= rest).cloned());
-        (items, last.min(whole))
+        (items, last.min(full_rev))
     }
 
-    /// What of a follower's list is gone.
-    fn gone(&self, have: SyncState) -> Removed {
+    /// The entries that a follower has to remove.
+    fn removed_since(&self, state: SyncState) -> Removed {
         let known = self
             .editions
             .iter()
-            .find(|(edition, _)| *edition == have.edition);
+            .find(|(edition, _)| *edition == state.edition);
         match known {
             Some((_, count)) => {
-                // What has come again since is among the entries.
-                let gone = self
-                    .gone
+                // Entries that were removed and added again are sent with the entries.
+                let removed = self
+                    .removed
                     .iter()
                     .filter(|(key, at)| at > count && self.items.get(key).is_none());
-                Removed::Keys(gone.map(|(key, _)| key.clone()).collect())
+                Removed::Keys(removed.map(|(key, _)| key.clone()).collect())
             }
             None => Removed::AllExcept(self.items.iter().map(|item| digest(&item.key)).collect()),
         }
--- a/crates/spread/src/timing.rs
+++ b/crates/spread/src/timing.rs
@@ -1,35 +1,35 @@
-//! The times of rounds, reads and answers, in milliseconds: instances keep to them, and so does a simulation of them.
+//! Intervals and timeouts of rounds, reads and replies, in milliseconds, shared by the instances and the simulation.
 
 use kernel::Millis;
 
 use crate::Replica;
 
-/// Time between two reads. A leaving upstream must get nothing new two seconds after the platform
-/// knows, and a configuration must be in force by then; a read of this pace that fails once still
-/// leaves time for the next one.
+/// Interval between reads of the platform. Within two seconds of the platform knowing, a leaving upstream must get no
+/// new requests and a new configuration must be in force. At this interval one failed read still leaves time for the
+/// next.
 pub const READ_INTERVAL: Millis = 850;
 
 /// Shortest pause between two reads.
 pub const MIN_READ_PAUSE: Millis = 200;
 
-/// Time after which whoever would read the platform as the first one of all looks again who has entered: those who
-/// start together do so within it.
+/// Wait before an instance that would be the first to read the platform looks up the members again: instances that
+/// start together enter within this time.
 pub const STARTUP_SETTLE: Millis = 300;
 
-/// First time between two looks at who has entered, as long as nobody tells it; each further one is twice as long.
+/// First interval between lookups of the members while no update brings them; it doubles with each lookup.
 pub const FIRST_MEMBER_POLL: Millis = 250;
 
-/// Reads after which the entries of instances are read again.
+/// Reads of the list after which the member entries are read again.
 pub const READS_PER_MEMBER_READ: u64 = 3;
 
-/// Time that an answer to a question for news may take beyond what it may wait for: what is new has
-/// to be in force within seconds, and one that is gone is noticed by this.
-const NEWS: Millis = 200;
+/// Time that a reply may take beyond the wait that the poll allows. Changes have to be in force within seconds, and
+/// this bounds how long a dead source goes unnoticed.
+const CHANGE_REPLY_SLACK: Millis = 200;
 
-/// The same while parts of the list are missing, which come one after the other and are large.
-const PART: Millis = 1_000;
+/// The same while parts of the list are missing: they are sent one after the other and are large.
+const PART_REPLY_SLACK: Millis = 1_000;
 
-/// Time that an answer to a question for news may take beyond what it may wait for, by what the asking instance has.
+/// Returns how long a reply may take beyond the wait that the poll allows, depending on what the polling instance has.
 ///
 /// # Examples
 ///
@@ -40,9 +40,9 @@
 /// // An instance that has just started lacks all parts of the list.
 /// assert_eq!(reply_slack(&Replica::default()), 1_000);
 /// ```
-pub fn reply_slack(board: &Replica) -> Millis {
-    match board.is_complete() {
-        true => NEWS,
-        false => PART,
+pub fn reply_slack(replica: &Replica) -> Millis {
+    match replica.is_complete() {
+        true => CHANGE_REPLY_SLACK,
+        false => PART_REPLY_SLACK,
     }
 }
--- a/crates/spread/src/tree.rs
+++ b/crates/spread/src/tree.rs
@@ -1,8 +1,8 @@
-//! Whom an instance follows.
+//! The distribution tree: which instance follows which.
 //!
-//! Load pattern: hundreds of instances in a failure domain. Where all followed the same two, each change was sent
-//! hundreds of times over one link, and a start of all at once took longer than news may be late. In a tree an
-//! instance tells a bounded number of others however large the domain is, and each level adds one hop.
+//! Load pattern: a failure domain has hundreds of instances. When all followed the same two, each change was sent
+//! hundreds of times over one link, and a simultaneous start of all instances took longer than updates may be late. In
+//! a tree each instance serves a bounded number of followers however large the domain is, and each level adds one hop.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -12,45 +12,48 @@
 
 use crate::Member;
 
-/// Instances that follow one instance as their first source.
+/// Maximum number of followers of an instance within its failure domain, counting those that have it as first source.
 pub const DEGREE: usize = 8;
 
-/// Instances that one which knows some of the others only asks in turn.
-const SOME: usize = 4;
+/// Sources of an instance that knows only some of the members.
+const PARTIAL_SOURCES: usize = 4;
 
-/// Instances of a failure domain, the strongest first, that read for themselves as soon as their source is silent.
-pub const HEADS: usize = 2;
+/// Number of heads of a failure domain: its first instances, in the order of [`order`], which read the platform as
+/// soon as their source does not reply.
+pub const HEADS_PER_DOMAIN: usize = 2;
 
-/// Where an instance stands.
+/// Position of an instance in the distribution tree.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TreePosition {
-    /// Whom it asks in turn: its parent first, the one beside it, on to the first ones of its failure domain, and those
-    /// of the others. None when it reads the platform itself.
+    /// Sources that it polls in turn: its parent, the instance beside the parent, the same on each level up to the
+    /// first instance of its failure domain, and the first instances of the other domains. Empty if it reads the
+    /// platform itself.
     pub sources: Vec<SocketAddr>,
-    /// Instances between it and the first one of its failure domain, and one more when that one follows another.
+    /// Number of instances between it and the first instance of its failure domain, plus one if that one follows
+    /// another.
     pub depth: u32,
-    /// Whether it is among the first of its failure domain, on which all others there depend.
+    /// Whether it is a head of its failure domain, on which all other instances there depend.
     pub is_head: bool,
-    /// Whether it is known that nobody follows it as first source.
+    /// Whether it is known to be the first source of no instance.
     pub is_leaf: bool,
-    /// Whether it knows some of the others only.
+    /// Whether it knows only some of the members.
     pub is_partial: bool,
 }
 
-/// The order of instances. The strongest comes first: whoever reads for all has the whole list to read, and the
-/// next ones tell the most.
+/// Orders instances by CPU, highest first: the first instance reads the whole list for all, and the next ones serve
+/// the most followers.
 pub fn order(a: &Member, b: &Member) -> Ordering {
     let power = b.power.cmp(&a.power);
     let domain = power.then_with(|| a.domain.cmp(&b.domain));
     domain.then_with(|| a.owner.instance.cmp(&b.owner.instance))
 }
 
-/// Where an instance stands among those that have entered.
+/// Returns the position of an instance among the members.
 ///
-/// The first one of all reads the platform, and the first one of each other failure domain follows it. The others
-/// of a domain form a tree below its first one. An instance whose parent is silent asks the next one beside it, and then
-/// those above: who waits at one of these waits for nobody that waits for it. Whoever does not read for others, or
-/// is not listed yet, hangs below any of them.
+/// The first instance of all reads the platform, and the first one of each other failure domain follows it. The other
+/// instances of a domain form a tree below its first one. An instance whose parent does not reply polls the one beside
+/// the parent, and then those above. All of these come earlier in the order, so instances never wait for each other in
+/// a cycle. An instance that does not read for others, or is not listed yet, follows an arbitrary one.
 ///
 /// # Examples
 ///
@@ -82,25 +85,28 @@
 /// assert_eq!(sources("s3", "syd"), (vec![addr(2), addr(3), addr(1)], 1));
 /// ```
 pub fn position(members: &[Member], me: &str, domain: &str) -> TreePosition {
-    let readers = || members.iter().filter(|one| one.reads);
+    let readers = || members.iter().filter(|member| member.reads);
     let Some(first) = readers().min_by(|a, b| order(a, b)) else {
         return TreePosition::default();
     };
-    let near = readers().filter(|one| *one.domain == *domain);
-    let mut near: Vec<&Member> = near.collect();
-    near.sort_unstable_by(|a, b| order(a, b));
-    let Some(head) = near.first() else {
-        // Nobody else of this domain is known.
+    let same_domain = readers().filter(|member| *member.domain == *domain);
+    let mut same_domain: Vec<&Member> = same_domain.collect();
+    same_domain.sort_unstable_by(|a, b| order(a, b));
+    let Some(head) = same_domain.first() else {
+        // No other instance of this domain is known.
         return TreePosition {
             sources: vec![first.addr],
             ..TreePosition::default()
         };
     };
-    let far = u32::from(head.addr != first.addr);
-    let heads = || heads(readers(), domain);
-    match near.iter().position(|one| *one.owner.instance == *me) {
+    let extra_hop = u32::from(head.addr != first.addr);
+    let heads = || domain_heads(readers(), domain);
+    match same_domain
+        .iter()
+        .position(|member| *member.owner.instance == *me)
+    {
         Some(0) => TreePosition {
-            sources: if far == 1 {
+            sources: if extra_hop == 1 {
                 vec![first.addr]
             } else {
                 Vec::new()
@@ -110,28 +116,28 @@
         },
         Some(at) => {
             let parent = (at - 1) / DEGREE;
-            below(&near, parent, at, far, heads())
+            child_position(&same_domain, parent, at, extra_hop, heads())
         }
         None => {
-            let parent = rank(me, domain) as usize % near.len();
+            let parent = rank(me, domain) as usize % same_domain.len();
             TreePosition {
                 is_leaf: false,
-                ..below(&near, parent, near.len(), far, heads())
+                ..child_position(&same_domain, parent, same_domain.len(), extra_hop, heads())
             }
         }
     }
 }
 
-/// Where an instance stands that knows some of the others only. It follows any of those that come before it, so that
-/// whoever starts together forms a tree before anybody knows all.
+/// Returns the position of an instance that knows only some of the members. It follows any of those that precede it in
+/// the order, so that instances that start together form a tree before any of them knows all members.
 pub fn partial_position(some: &[Member], me: &Member) -> TreePosition {
-    let before = |one: &&Member| one.reads && order(one, me) == Ordering::Less;
+    let before = |member: &&Member| member.reads && order(member, me) == Ordering::Less;
     let before: Vec<_> = some.iter().filter(before).collect();
-    let any = |turn: usize| {
+    let pick = |turn: usize| {
         let at = rank(&me.owner.instance, turn) as usize % before.len().max(1);
-        before.get(at).map(|one| one.addr)
+        before.get(at).map(|member| member.addr)
     };
-    let mut sources: Vec<_> = (0..SOME).filter_map(any).collect();
+    let mut sources: Vec<_> = (0..PARTIAL_SOURCES).filter_map(pick).collect();
     sources.dedup();
     TreePosition {
         sources,
@@ -140,56 +146,56 @@
     }
 }
 
-/// The first ones of all failure domains but one.
-fn heads<'a>(readers: impl Iterator<Item = &'a Member>, domain: &str) -> Vec<SocketAddr> {
+/// Addresses of the first instances of all failure domains but one.
+fn domain_heads<'a>(readers: impl Iterator<Item = &'a Member>, domain: &str) -> Vec<SocketAddr> {
     let mut heads: Map<&str, &Member> = Map::default();
-    for one in readers.filter(|one| *one.domain != *domain) {
-        let head = heads.entry(&*one.domain).or_insert(one);
-        if order(one, head) == Ordering::Less {
-            *head = one;
+    for member in readers.filter(|member| *member.domain != *domain) {
+        let head = heads.entry(&*member.domain).or_insert(member);
+        if order(member, head) == Ordering::Less {
+            *head = member;
         }
     }
     let mut heads: Vec<_> = heads.into_values().collect();
     heads.sort_unstable_by(|a, b| order(a, b));
-    heads.into_iter().map(|one| one.addr).collect()
+    heads.into_iter().map(|member| member.addr).collect()
 }
 
-/// The place of the instance at position `at` that follows the one at `parent`. When all above it are gone, the
-/// first ones of other failure domains, `heads`, are left.
-fn below(
-    near: &[&Member],
+/// Position of the instance at index `at` that follows the one at index `parent`. If all instances above it are dead,
+/// the first instances of the other failure domains, `heads`, remain.
+fn child_position(
+    same_domain: &[&Member],
     parent: usize,
     at: usize,
-    far: u32,
+    extra_hop: u32,
     heads: Vec<SocketAddr>,
 ) -> TreePosition {
     let mut sources = Vec::new();
-    let mut above = parent;
+    let mut ancestor = parent;
     loop {
-        // The one beside comes after it in the order, and so never hears from the instance itself.
-        for place in [above, above + 1] {
-            let source = near.get(place).filter(|_| place < at);
-            let source = source.map(|one| one.addr);
+        // Only instances that precede this one are its sources, so none of them waits for this one.
+        for index in [ancestor, ancestor + 1] {
+            let source = same_domain.get(index).filter(|_| index < at);
+            let source = source.map(|member| member.addr);
             sources.extend(source.filter(|addr| !sources.contains(addr)));
         }
-        if above == 0 {
+        if ancestor == 0 {
             break;
         }
-        above = (above - 1) / DEGREE;
+        ancestor = (ancestor - 1) / DEGREE;
     }
-    if at >= HEADS {
+    if at >= HEADS_PER_DOMAIN {
         sources.extend(heads);
     }
     TreePosition {
         sources,
-        depth: depth(parent) + far,
-        is_head: at < HEADS,
-        is_leaf: at * DEGREE + 1 >= near.len(),
+        depth: depth(parent) + extra_hop,
+        is_head: at < HEADS_PER_DOMAIN,
+        is_leaf: at * DEGREE + 1 >= same_domain.len(),
         is_partial: false,
     }
 }
 
-/// Levels of the tree between the first one and the children of `parent`.
+/// Number of levels between the first instance and the children of `parent`.
 fn depth(mut parent: usize) -> u32 {
     let mut depth = 0;
     while parent > 0 {
--- a/crates/spread/src/update.rs
+++ b/crates/spread/src/update.rs
@@ -1,4 +1,4 @@
-//! What instances tell one another of the configuration, the list of upstreams and the entries of instances.
+//! Messages by which instances synchronise the configuration, the list of upstreams and the member entries.
 
 use std::sync::Arc;
 
@@ -9,71 +9,71 @@
 
 use crate::Member;
 
-/// What a follower has already.
+/// What a follower already has, sent with each poll.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SyncState {
-    /// The revision up to which it has the list; 0 when it has none.
+    /// Revision up to which the follower has the list; 0 without a list.
     pub rev: i64,
-    /// The edition of its list; 0 when it is none, but made of several.
+    /// Edition of the follower's list; 0 if the list equals no single edition.
     pub edition: u64,
-    /// The revision of its configuration.
+    /// Revision of the follower's configuration.
     #[serde(rename = "plan")]
     pub configuration: i64,
-    /// The age of what it has, in milliseconds; [`None`] when it has nothing.
+    /// Age of the follower's data, in milliseconds; [`None`] without data.
     pub age: Option<Millis>,
-    /// The digest of the roll that it has.
+    /// Digest of the follower's member entries.
     #[serde(rename = "roll")]
     pub members_digest: u64,
-    /// The age of that roll, in milliseconds.
+    /// Age of the follower's member entries, in milliseconds.
     #[serde(rename = "old")]
     pub members_age: Option<Millis>,
 }
 
-/// What a follower does not have yet.
+/// What a follower lacks, sent in reply to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Update {
-    /// Entries, by their last change.
+    /// Entries that have changed, in the order of their revisions.
     pub items: Vec<Arc<Item>>,
-    /// Which of the follower's entries are gone; [`None`] in all parts but the last.
+    /// Entries that the follower has to remove; [`None`] in all parts but the last.
     #[serde(rename = "gone")]
     pub removed: Option<Removed>,
-    /// The revision up to which the follower has the list with this.
+    /// Revision up to which the follower has the list once it has applied this update.
     pub rev: i64,
-    /// The revision up to which the source has it, or will have it once it knows all parts itself.
+    /// Revision up to which the source has the list, or will have it once it has received all parts itself.
     #[serde(rename = "whole")]
     pub complete_rev: i64,
-    /// The edition of the source's list; 0 when it is none.
+    /// Edition of the source's list; 0 if the list equals no single edition.
     pub edition: u64,
-    /// The configuration, if it is newer.
+    /// The configuration, if it is newer than the follower's.
     #[serde(rename = "plan")]
     pub configuration: Option<Item>,
-    /// The age of what the source has, in milliseconds.
+    /// Age of the source's data, in milliseconds.
     pub age: Millis,
-    /// The instances that have entered, if they are others.
+    /// The member entries, if they differ from the follower's.
     pub members: Option<Vec<Member>>,
-    /// The age of the source's roll, in milliseconds, if it has one.
+    /// Age of the source's member entries, in milliseconds, if it has any.
     #[serde(rename = "old")]
     pub members_age: Option<Millis>,
 }
 
-/// Entries that a follower has and the source has no more.
+/// Entries that a follower may have and the source has not.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Removed {
-    /// Those with these keys.
+    /// The entries with these keys.
     Keys(Vec<String>),
-    /// All up to the news' revision whose keys have none of these digests.
+    /// All entries up to the update's revision but those whose keys have one of these digests.
     #[serde(rename = "Others")]
     AllExcept(Vec<u64>),
 }
 
-/// What a read or news have changed in a list.
+/// The changes that a read or an update made to the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Entries that are new or others than before.
+    /// Entries that were added or changed.
     pub items: Vec<Arc<Item>>,
-    /// Keys of entries that are gone.
+    /// Keys of entries that were removed.
     pub removed: Vec<String>,
 }
--- a/crates/spread/tests/lease.rs
+++ b/crates/spread/tests/lease.rs
@@ -1,4 +1,4 @@
-//! How long entries live, and how often they are renewed.
+//! Time to live and renewals of member entries.
 
 use spread::lease::ACTIVE_TTL;
 use spread::lease::IDLE_TTL;
@@ -8,18 +8,18 @@
 use spread::lease::renew_interval;
 use yare::parameterized;
 
-/// Time between two looks at an entry, in milliseconds.
-const LOOK: u64 = 300;
+/// Interval between checks of an entry, in milliseconds.
+const CHECK_INTERVAL: u64 = 300;
 
-/// Calls that one instance makes for its entry in so many milliseconds, from its start on.
+/// Number of calls that one instance makes for its entry within `time` milliseconds of its start.
 fn calls(members: usize, time: u64) -> u64 {
     let (mut ttl, mut renewed, mut calls) = (IDLE_TTL, 0, 0);
-    for now in (0..time).step_by(LOOK as usize) {
+    for now in (0..time).step_by(CHECK_INTERVAL as usize) {
         match next_action(ttl, leaf_ttl(members), now - renewed) {
             LeaseAction::Keep => continue,
             LeaseAction::Renew => calls += 1,
             LeaseAction::Rewrite => {
-                // A lease, and the entry.
+                // One call for the lease, one for the entry.
                 calls += 2;
                 ttl = leaf_ttl(members);
             }
@@ -29,7 +29,7 @@
     calls
 }
 
-/// Guards against calls of the platform that grow with the number of instances.
+/// Guards against a number of calls that grows with the number of instances.
 #[parameterized(
     a_hundred = { 100 },
     three_hundred = { 300 },
@@ -37,7 +37,7 @@
     two_thousand = { 2_000 },
     five_thousand = { 5_000 },
 )]
-fn all_that_nobody_follows_renew_a_bounded_number_of_times_together(members: usize) {
+fn renewals_of_all_leaves_are_bounded(members: usize) {
     let hour = 3_600_000;
 
     let all = calls(members, hour) * members as u64;
@@ -45,9 +45,9 @@
     assert!(all <= 64 * hour / 1_000 + 2 * members as u64, "{all}");
 }
 
-/// Guards against a dead owner whose steps nobody takes up.
+/// Guards against a dead owner whose steps no instance takes over.
 #[test]
-fn an_instance_on_which_others_depend_lives_short_however_many_there_are() {
+fn an_instance_that_others_depend_on_gets_the_short_ttl() {
     for members in [10, 1_000, 5_000] {
         assert_eq!(
             next_action(leaf_ttl(members), ACTIVE_TTL, 0),
@@ -60,17 +60,17 @@
     );
 }
 
-/// Guards against entries that lapse while their instance lives: two renewals in a row may be lost.
+/// Guards against the expiry of a live instance's entry: two renewals in a row may be lost.
 #[parameterized(short = { ACTIVE_TTL }, few = { leaf_ttl(10) }, many = { leaf_ttl(1_000) })]
 fn two_renewals_fit_into_the_time_to_live(ttl: u64) {
-    let pause = renew_interval(ttl).div_ceil(LOOK) * LOOK;
+    let interval = renew_interval(ttl).div_ceil(CHECK_INTERVAL) * CHECK_INTERVAL;
 
-    assert!(2 * pause < ttl);
+    assert!(2 * interval < ttl);
 }
 
-/// Guards against an entry that is written anew each time an instance comes or goes.
+/// Guards against an entry that is written again whenever an instance comes or goes.
 #[test]
-fn a_small_change_of_how_many_there_are_costs_no_call() {
+fn small_membership_changes_cost_no_call() {
     let ttl = leaf_ttl(1_000);
 
     for members in [600, 900, 1_100, 1_900] {
--- a/crates/spread/tests/list.rs
+++ b/crates/spread/tests/list.rs
@@ -1,4 +1,4 @@
-//! The list of entries by key and by revision, beside one that is walked whole.
+//! Compares the indexed list of entries with a full scan.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,17 +7,17 @@
 use proptest::prelude::*;
 use spread::List;
 
-/// What happens to a list.
+/// An operation on a list.
 #[derive(Clone, Debug)]
-enum Step {
+enum Operation {
     Insert(u8, i64),
     Remove(u8),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        3 => (0_u8..12, 1_i64..20).prop_map(|(key, rev)| Step::Insert(key, rev)),
-        1 => (0_u8..12).prop_map(Step::Remove),
+        3 => (0_u8..12, 1_i64..20).prop_map(|(key, rev)| Operation::Insert(key, rev)),
+        1 => (0_u8..12).prop_map(Operation::Remove),
     ]
 }
 
@@ -36,31 +36,31 @@
 }
 
 proptest! {
-    /// Guards against a change that is never told, or an entry that is told though it is gone.
+    /// Guards against a change that is never returned, or a removed entry that is returned.
     #[test]
-    fn what_has_changed_is_what_a_walk_of_the_whole_list_finds(
-        steps in proptest::collection::vec(step(), 0..60),
+    fn changes_since_a_revision_match_a_full_scan(
+        operations in proptest::collection::vec(operation(), 0..60),
         from in 0_i64..20,
     ) {
-        let (mut list, mut walked) = (List::default(), BTreeMap::new());
+        let (mut list, mut scanned) = (List::default(), BTreeMap::new());
 
-        for step in steps {
-            match step {
-                Step::Insert(key, rev) => {
+        for operation in operations {
+            match operation {
+                Operation::Insert(key, rev) => {
                     list.insert(item(key, rev));
-                    walked.insert(format!("k{key:02}"), item(key, rev));
+                    scanned.insert(format!("k{key:02}"), item(key, rev));
                 }
-                Step::Remove(key) => {
+                Operation::Remove(key) => {
                     let key = format!("k{key:02}");
-                    prop_assert_eq!(list.remove(&key), walked.remove(&key).is_some());
+                    prop_assert_eq!(list.remove(&key), scanned.remove(&key).is_some());
                 }
             }
         }
 
-        let newer = walked.values().filter(|item| item.rev > from);
+        let newer = scanned.values().filter(|item| item.rev > from);
         prop_assert_eq!(sorted(list.since(from)), sorted(newer));
         prop_assert!(list.since(from).is_sorted_by_key(|item| item.rev));
-        prop_assert!(list.iter().eq(walked.values()));
-        prop_assert_eq!(list.len(), walked.len());
+        prop_assert!(list.iter().eq(scanned.values()));
+        prop_assert_eq!(list.len(), scanned.len());
     }
 }
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -1,4 +1,4 @@
-//! What is passed on of the list of upstreams: only what has changed, and all of it, whoever tells it.
+//! Updates of the list of upstreams hold only what has changed, and all of it, whichever instance sends them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use spread::Replica;
 use spread::SyncState;
 use spread::Update;
-use spread::replica::PART;
+use spread::replica::PART_ENTRIES;
 
 fn item(key: &str, rev: i64) -> Item {
     Item {
@@ -25,49 +25,49 @@
     format!("u{at:05}")
 }
 
-/// A read of a list that did not change meanwhile.
+/// A read of a list that did not change during the read.
 fn read(items: Vec<Item>, rev: i64) -> Listing {
     Listing { items, since: rev }
 }
 
-/// A board with `count` entries, the one at position n changed last at revision n + 1.
-fn board(count: usize) -> Replica {
-    let mut board = Replica::default();
+/// A replica with `count` entries; the entry at index n last changed at revision n + 1.
+fn replica(count: usize) -> Replica {
+    let mut replica = Replica::default();
     let items = (0..count).map(|at| item(&key(at), at as i64 + 1));
-    board.apply_read(read(items.collect(), count as i64), 1, 0);
-    board
+    replica.apply_read(read(items.collect(), count as i64), 1, 0);
+    replica
 }
 
-/// Asks until there is no more; gives the entries that were told and the answers.
-fn follow(board: &mut Replica, source: &Replica) -> (usize, usize) {
+/// Polls until there are no more updates; returns the number of entries received and of replies.
+fn follow(replica: &mut Replica, source: &Replica) -> (usize, usize) {
     let (mut items, mut answers) = (0, 0);
-    while source.has_more(board.sync_state(0), 0) {
-        let news = source.update_since(board.sync_state(0), 0);
-        items += news.items.len();
+    while source.has_more(replica.sync_state(0), 0) {
+        let update = source.update_since(replica.sync_state(0), 0);
+        items += update.items.len();
         answers += 1;
-        board.merge(&news, 0);
+        replica.merge(&update, 0);
     }
     (items, answers)
 }
 
-// Guards against the whole list being sent with each read.
+// Guards against sending the whole list after each read.
 #[test]
-fn what_has_not_changed_is_not_passed_on() {
-    let mut board = board(200);
-    let have = board.sync_state(0);
+fn unchanged_entries_are_not_sent() {
+    let mut replica = replica(200);
+    let state = replica.sync_state(0);
     let items = (0..200).map(|at| item(&key(at), if at == 7 { 201 } else { at as i64 + 1 }));
 
-    board.apply_read(read(items.collect(), 201), 2, 850);
+    replica.apply_read(read(items.collect(), 201), 2, 850);
 
-    let news = board.update_since(have, 850);
-    assert_eq!(news.removed, Some(Removed::Keys(Vec::new())));
-    assert_eq!(news.items, [Arc::new(item(&key(7), 201))]);
+    let update = replica.update_since(state, 850);
+    assert_eq!(update.removed, Some(Removed::Keys(Vec::new())));
+    assert_eq!(update.items, [Arc::new(item(&key(7), 201))]);
 }
 
-// Guards against a list of thousands being sent whole to each instance that changes its source.
+// Guards against sending a list of thousands of entries to each instance that switches to another source.
 #[test]
-fn a_follower_that_changes_its_source_hears_what_it_lacks() {
-    let mut first = board(10_000);
+fn a_follower_that_switches_sources_receives_only_missing_changes() {
+    let mut first = replica(10_000);
     let (mut second, mut follower) = (Replica::default(), Replica::default());
     follow(&mut second, &first);
     follow(&mut follower, &first);
@@ -81,30 +81,33 @@
     assert_eq!(follower.len(), 9_997);
 }
 
-// Guards against an answer so large that it is not there in time on a slow link, and is begun again.
+// Guards against a reply so large that it times out on a slow link and is started again.
 #[test]
-fn a_long_list_is_told_in_parts_that_can_be_passed_on() {
-    let source = board(10_000);
+fn a_long_list_is_sent_in_parts_that_can_be_forwarded() {
+    let source = replica(10_000);
     let (mut near, mut far) = (Replica::default(), Replica::default());
 
-    let news = source.update_since(near.sync_state(0), 0);
-    near.merge(&news, 0);
+    let update = source.update_since(near.sync_state(0), 0);
+    near.merge(&update, 0);
     let (early, _) = follow(&mut far, &near);
 
-    assert_eq!(news.items.len(), PART);
-    assert_eq!(early, PART);
+    assert_eq!(update.items.len(), PART_ENTRIES);
+    assert_eq!(early, PART_ENTRIES);
     assert!(!near.is_complete() && !far.is_complete());
     let (rest, answers) = follow(&mut near, &source);
-    assert_eq!((rest, answers), (10_000 - PART, 10_000 / PART));
+    assert_eq!(
+        (rest, answers),
+        (10_000 - PART_ENTRIES, 10_000 / PART_ENTRIES)
+    );
     follow(&mut far, &near);
     assert!(far.is_complete());
     assert_eq!(far.len(), 10_000);
 }
 
-// Guards against an instance that takes its list for whole when the source of the rest has an older one.
+// Guards against an instance that considers its list complete when the source of the remaining parts has an older one.
 #[test]
-fn a_part_is_not_whole_with_the_rest_of_an_older_list() {
-    let old = board(1_000);
+fn a_part_with_the_rest_of_an_older_list_is_incomplete() {
+    let old = replica(1_000);
     let mut new = Replica::default();
     follow(&mut new, &old);
     let items = (0..1_000).map(|at| item(&key(at), if at == 5 { 1_001 } else { at as i64 + 1 }));
@@ -120,34 +123,34 @@
     assert_eq!(follower.len(), 1_000);
 }
 
-// Guards against followers that take a source with nothing new for a silent one, or an old read for a new one.
+// Guards against followers that take a source without changes for a dead one, or an old read for a new one.
 #[test]
-fn a_read_that_changed_nothing_is_news_to_whoever_has_an_older_one() {
-    let mut board = board(3);
-    let have = board.sync_state(900);
+fn a_read_without_changes_is_an_update_for_older_replicas() {
+    let mut replica = replica(3);
+    let state = replica.sync_state(900);
 
-    let before = board.has_more(have, 900);
+    let before = replica.has_more(state, 900);
     let items = (0..3).map(|at| item(&key(at), at as i64 + 1));
-    board.apply_read(read(items.collect(), 3), 2, 900);
+    replica.apply_read(read(items.collect(), 3), 2, 900);
 
     assert!(!before);
-    assert!(board.has_more(have, 900));
-    assert!(!board.has_more(board.sync_state(950), 950));
+    assert!(replica.has_more(state, 900));
+    assert!(!replica.has_more(replica.sync_state(950), 950));
 }
 
 #[test]
-fn a_configuration_is_passed_on_by_itself() {
-    let mut board = board(1);
-    let have = board.sync_state(0);
+fn a_new_configuration_is_sent_alone() {
+    let mut replica = replica(1);
+    let state = replica.sync_state(0);
 
-    let newer = board.set_configuration(Some(item("plan", 5)));
-    let again = board.set_configuration(Some(item("plan", 5)));
+    let newer = replica.set_configuration(Some(item("plan", 5)));
+    let again = replica.set_configuration(Some(item("plan", 5)));
 
-    let news = board.update_since(have, 0);
-    assert!(board.has_more(have, 0));
+    let update = replica.update_since(state, 0);
+    assert!(replica.has_more(state, 0));
     assert_eq!((newer, again), (true, false));
     assert_eq!(
-        (news.configuration, news.items.len()),
+        (update.configuration, update.items.len()),
         (Some(item("plan", 5)), 0)
     );
 }
@@ -165,71 +168,76 @@
     }
 }
 
-// Guards against the entries of hundreds of instances being sent with each read of them.
+// Guards against sending the entries of hundreds of instances after each read of them.
 #[test]
-fn the_same_instances_are_not_passed_on_again() {
-    let mut board = board(1);
-    board.set_members(vec![member("a"), member("b")], 0);
-    let first = board.update_since(SyncState::default(), 0);
+fn unchanged_member_entries_are_not_sent_again() {
+    let mut replica = replica(1);
+    replica.set_members(vec![member("a"), member("b")], 0);
+    let first = replica.update_since(SyncState::default(), 0);
     let mut follower = Replica::default();
     follower.merge(&first, 0);
 
-    board.set_members(vec![member("b"), member("a")], 2_000);
-    let same = board.update_since(follower.sync_state(2_000), 2_000);
-    board.set_members(vec![member("b")], 4_000);
-    let other = board.update_since(follower.sync_state(4_000), 4_000);
+    replica.set_members(vec![member("b"), member("a")], 2_000);
+    let same = replica.update_since(follower.sync_state(2_000), 2_000);
+    replica.set_members(vec![member("b")], 4_000);
+    let other = replica.update_since(follower.sync_state(4_000), 4_000);
 
     assert_eq!(first.members.map(|all| all.len()), Some(2));
     assert_eq!((same.members, same.members_age), (None, Some(0)));
     assert_eq!(other.members.map(|all| all.len()), Some(1));
 }
 
-// Guards against an instance that goes back to the entries of instances that it had.
+// Guards against an instance that replaces its member entries by older ones.
 #[test]
-fn older_entries_of_instances_change_nothing() {
-    let mut board = board(1);
-    board.set_members(vec![member("a")], 2_000);
+fn older_member_entries_are_ignored() {
+    let mut replica = replica(1);
+    replica.set_members(vec![member("a")], 2_000);
     let old = Update {
         members: Some(vec![member("b")]),
         members_age: Some(1_500),
         ..Update::default()
     };
 
-    board.merge(&old, 3_000);
+    replica.merge(&old, 3_000);
 
-    let names = board.membership().map(|roll| roll.members.to_vec());
+    let names = replica
+        .membership()
+        .map(|membership| membership.members.to_vec());
     assert_eq!(names, Some(vec![member("a")]));
 }
 
-/// Instances that read the platform.
+/// Number of instances that read the platform.
 const READERS: usize = 2;
 
-/// All instances.
-const ALL: usize = 5;
+/// Number of all instances.
+const INSTANCES: usize = 5;
 
-/// Keys that change together, so that a list has several parts.
-const BLOCK: usize = 40;
+/// Number of keys that change together, so that a list has several parts.
+const BLOCK_KEYS: usize = 40;
 
-/// The platform's store.
+/// A model of the platform's store.
 #[derive(Default)]
 struct Store {
     rev: i64,
-    /// The revisions at which entries were changed and came.
+    /// For each entry, the revisions of its last change and of its creation.
     items: BTreeMap<String, (i64, i64)>,
-    /// The revision at which an entry went last.
-    gone: BTreeMap<String, i64>,
+    /// For each removed key, the revision of its last removal.
+    removed: BTreeMap<String, i64>,
 }
 
 impl Store {
-    fn change(&mut self, block: usize, is_there: bool) {
-        for at in block * BLOCK..(block + 1) * BLOCK {
+    fn change(&mut self, block: usize, exists: bool) {
+        for at in block * BLOCK_KEYS..(block + 1) * BLOCK_KEYS {
             self.rev += 1;
             let key = key(at);
-            if is_there {
-                let came = self.items.get(&key).map_or(self.rev, |(_, came)| *came);
-                self.items.insert(key, (self.rev, came));
+            if exists {
+                let created = self
+                    .items
+                    .get(&key)
+                    .map_or(self.rev, |(_, created)| *created);
+                self.items.insert(key, (self.rev, created));
             } else if self.items.remove(&key).is_some() {
-                self.gone.insert(key, self.rev);
+                self.removed.insert(key, self.rev);
             }
         }
     }
@@ -240,23 +248,23 @@
     }
 
     /// Reads two pages with a change between them.
-    fn read(&mut self, (block, is_there): (usize, bool)) -> Listing {
-        let middle = key(10 * BLOCK);
+    fn read(&mut self, (block, exists): (usize, bool)) -> Listing {
+        let middle = key(10 * BLOCK_KEYS);
         let (since, mut items) = (self.rev, self.page(|key| *key < *middle));
-        self.change(block, is_there);
+        self.change(block, exists);
         items.extend(self.page(|key| *key >= *middle));
         Listing { items, since }
     }
 
-    /// Checks what an instance has that follows others.
-    fn check(&self, board: &Replica) -> Result<(), TestCaseError> {
+    /// Checks the replica of an instance that receives updates from others.
+    fn check(&self, replica: &Replica) -> Result<(), TestCaseError> {
         let mut all = Replica::default();
-        follow(&mut all, board);
-        prop_assert_eq!(all.len(), board.len(), "not all is passed on");
+        follow(&mut all, replica);
+        prop_assert_eq!(all.len(), replica.len(), "some entries are not sent on");
         let mut have: BTreeMap<String, i64> = BTreeMap::new();
         let mut rev = 0;
-        while rev < board.rev() {
-            let part = board.update_since(
+        while rev < replica.rev() {
+            let part = replica.update_since(
                 SyncState {
                     rev,
                     ..SyncState::default()
@@ -266,18 +274,18 @@
             have.extend(part.items.iter().map(|item| (item.key.clone(), item.rev)));
             rev = part.rev;
         }
-        for (key, (rev, came)) in &self.items {
-            if *rev <= board.rev() {
+        for (key, (rev, created)) in &self.items {
+            if *rev <= replica.rev() {
                 prop_assert_eq!(have.get(key), Some(rev), "{} is missing or old", key);
             }
-            if board.is_complete() && *came <= board.rev() {
+            if replica.is_complete() && *created <= replica.rev() {
                 prop_assert!(have.contains_key(key), "{} is missing", key);
             }
         }
-        // What is gone is told with the last part.
-        let gone = have.keys().filter(|key| !self.items.contains_key(*key));
-        for key in gone.filter(|_| board.is_complete()) {
-            prop_assert!(self.gone[key] > board.rev(), "{} is gone", key);
+        // Removals are sent with the last part.
+        let removed = have.keys().filter(|key| !self.items.contains_key(*key));
+        for key in removed.filter(|_| replica.is_complete()) {
+            prop_assert!(self.removed[key] > replica.rev(), "{} was removed", key);
         }
         Ok(())
     }
@@ -290,40 +298,40 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    // Guards against a change that is passed on to nobody. Any of changes, also within a read, two readers, followers
-    // that ask any other for one part or for all, and starts.
+    // Guards against a change that no instance sends on. Combines arbitrary changes, also during a read, two readers,
+    // followers that poll any instance for one part or for all, and restarts.
     #[test]
-    fn whoever_hears_what_has_changed_has_the_list(
+    fn replicas_that_merge_updates_have_the_whole_list(
         turns in prop::collection::vec(
             (prop::collection::vec(change(), 0..4), change(), 0..READERS,
-                prop::collection::vec((0..ALL, 0..ALL, any::<bool>()), 0..8), 0..12_usize), 1..25)
+                prop::collection::vec((0..INSTANCES, 0..INSTANCES, any::<bool>()), 0..8), 0..12_usize), 1..25)
     ) {
         let mut store = Store::default();
-        let mut boards: Vec<Replica> = (0..ALL).map(|_| Replica::default()).collect();
-        for (edition, (changes, between, reader, asks, start)) in (1..).zip(turns) {
-            for (block, is_there) in changes {
-                store.change(block, is_there);
+        let mut replicas: Vec<Replica> = (0..INSTANCES).map(|_| Replica::default()).collect();
+        for (edition, (changes, between, reader, polls, start)) in (1..).zip(turns) {
+            for (block, exists) in changes {
+                store.change(block, exists);
             }
-            if let Some(board) = boards.get_mut(start) {
-                *board = Replica::default();
+            if let Some(replica) = replicas.get_mut(start) {
+                *replica = Replica::default();
             }
             let read = store.read(between);
-            boards[reader].apply_read(read, edition, 0);
-            for (to, from, all) in asks {
+            replicas[reader].apply_read(read, edition, 0);
+            for (to, from, all) in polls {
                 if to == from {
                     continue;
                 }
-                let mut board = std::mem::take(&mut boards[to]);
+                let mut replica = std::mem::take(&mut replicas[to]);
                 if all {
-                    follow(&mut board, &boards[from]);
-                } else if boards[from].has_more(board.sync_state(0), 0) {
-                    let news = boards[from].update_since(board.sync_state(0), 0);
-                    board.merge(&news, 0);
+                    follow(&mut replica, &replicas[from]);
+                } else if replicas[from].has_more(replica.sync_state(0), 0) {
+                    let update = replicas[from].update_since(replica.sync_state(0), 0);
+                    replica.merge(&update, 0);
                 }
-                boards[to] = board;
+                replicas[to] = replica;
             }
-            for board in &boards {
-                store.check(board)?;
+            for replica in &replicas {
+                store.check(replica)?;
             }
         }
     }
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree along which news goes: bounded at every instance, and whole though instances are gone.
+//! The distribution tree: a bounded load for every instance, and no cycles when instances are dead.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,11 +9,11 @@
 use spread::tree::order;
 use spread::tree::position;
 
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: usize = 5;
 
-/// Instances with much processor in each.
-const STRONG: usize = 10;
+/// Number of instances with many cores in each failure domain.
+const STRONG_PER_DOMAIN: usize = 10;
 
 fn members(count: usize) -> Vec<Member> {
     let member = |at: usize| Member {
@@ -24,41 +24,48 @@
         domain: format!("d{}", at % DOMAINS).into(),
         addr: SocketAddr::from(([127, 0, 0, 1], at as u16 + 1)),
         reads: true,
-        power: if at < STRONG * DOMAINS { 50 } else { 12 },
+        power: if at < STRONG_PER_DOMAIN * DOMAINS {
+            50
+        } else {
+            12
+        },
     };
     (0..count).map(member).collect()
 }
 
-/// Whom each instance follows first, and at which depth.
+/// First source and depth of each instance.
 fn parents(members: &[Member]) -> BTreeMap<SocketAddr, (Option<SocketAddr>, u32)> {
-    let placed = members.iter().map(|one| {
-        let place = position(members, &one.owner.instance, &one.domain);
-        (one.addr, (place.sources.first().copied(), place.depth))
+    let placed = members.iter().map(|member| {
+        let position = position(members, &member.owner.instance, &member.domain);
+        (
+            member.addr,
+            (position.sources.first().copied(), position.depth),
+        )
     });
     placed.collect()
 }
 
-// Guards against a source that tells more instances than its link bears.
+// Guards against a source with more followers than its link can serve.
 #[test]
-fn no_instance_tells_more_than_a_few_however_many_there_are() {
+fn followers_per_instance_are_bounded() {
     for count in [20, 100, 300, 1_000, 2_000] {
         let members = members(count);
 
-        let mut told = BTreeMap::new();
+        let mut followers = BTreeMap::new();
         for (parent, _) in parents(&members).values() {
-            *told.entry(*parent).or_insert(0) += 1;
+            *followers.entry(*parent).or_insert(0) += 1;
         }
 
-        told.remove(&None);
-        let most = told.values().max().copied().unwrap_or_default();
-        // The first one of all tells those of the other failure domains too.
+        followers.remove(&None);
+        let most = followers.values().max().copied().unwrap_or_default();
+        // The first instance of all also serves the first ones of the other failure domains.
         assert!(most < DEGREE + DOMAINS, "{count}: {most}");
     }
 }
 
-// Guards against news that come late because they take many hops.
+// Guards against updates that are late because they take many hops.
 #[test]
-fn ten_times_as_many_instances_are_few_hops_more() {
+fn depth_grows_slowly_with_the_number_of_instances() {
     let deepest = |count: usize| {
         let members = members(count);
         let all = parents(&members);
@@ -70,46 +77,49 @@
     assert_eq!(deepest(3_000), Some(4));
 }
 
-// Guards against instances that hear only of one another, and never of a read.
+// Guards against instances that follow only each other and never receive a read.
 #[test]
-fn whoever_is_followed_in_turn_leads_to_the_first_one() {
+fn parents_lead_to_the_first_instance() {
     let members = members(1_000);
     let parents = parents(&members);
 
     for mut addr in parents.keys().copied() {
         let mut seen = BTreeSet::new();
         while let (Some(parent), _) = parents[&addr] {
-            assert!(seen.insert(addr), "a circle at {addr}");
+            assert!(seen.insert(addr), "a cycle at {addr}");
             addr = parent;
         }
         assert_eq!(addr, members[0].addr);
     }
 }
 
-// Guards against instances that wait for one another while those above them are gone.
+// Guards against instances that wait for each other while those above them are dead.
 #[test]
-fn whoever_is_asked_comes_before_whoever_asks() {
+fn sources_precede_their_followers() {
     let members = members(1_000);
     let mut sorted = members.clone();
     sorted.sort_by(order);
-    let at = |addr| sorted.iter().position(|one| one.addr == addr);
-    let places = members.iter().map(|one| {
-        (
-            one.addr,
-            position(&members, &one.owner.instance, &one.domain),
-        )
-    });
-    let places: BTreeMap<_, _> = places.collect();
+    let at = |addr| sorted.iter().position(|member| member.addr == addr);
+    let positions = members
+        .iter()
+        .map(|m| (m.addr, position(&members, &m.owner.instance, &m.domain)));
+    let positions: BTreeMap<_, _> = positions.collect();
 
-    for (addr, place) in &places {
-        for source in &place.sources {
-            // The first ones of failure domains ask nobody but the first one of all and their own.
-            let is_head = places[source].is_head && !place.is_head;
-            assert!(is_head || at(*source) < at(*addr), "{addr} {place:?}");
+    for (addr, position) in &positions {
+        for source in &position.sources {
+            // The heads of a failure domain poll only the first instance of all and the first one of their domain.
+            let is_head = positions[source].is_head && !position.is_head;
+            assert!(is_head || at(*source) < at(*addr), "{addr} {position:?}");
         }
-        // The parent, the one beside it, two on each level above, and one of each other failure domain.
-        let levels = place.depth as usize + 1;
-        assert!(place.sources.len() < 2 * levels + DOMAINS, "{place:?}");
-        assert!(place.is_head || place.sources.len() > 1, "{place:?}");
+        // The parent, the instance beside it, two on each level above, and the first one of each other failure domain.
+        let levels = position.depth as usize + 1;
+        assert!(
+            position.sources.len() < 2 * levels + DOMAINS,
+            "{position:?}"
+        );
+        assert!(
+            position.is_head || position.sources.len() > 1,
+            "{position:?}"
+        );
     }
 }
