--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -205,18 +205,18 @@
     async fn collect(&self, ledger: &Ledger, window: u64, now: Millis) -> Option<Report> {
         let members = self.meet().await;
         let entered = self.app.members.lock().clone();
-        let live = entered.iter().filter(|one| one.reads);
+        let live = entered.iter().filter(|one| one.is_reader);
         let live: Set<_> = live
             .map(|one| (one.owner.instance.clone(), one.owner.start))
             .collect();
-        let keepers = members.iter().filter(|one| !one.reads);
+        let keepers = members.iter().filter(|one| !one.is_reader);
         let asks = keepers.map(|one| peer::shares(self.app, one.addr, window));
         let told = join_all(asks).await;
         let mut shares: Vec<Share> = told.into_iter().flatten().flatten().collect();
         shares.extend(crate::tally::shares(self.app, window));
         let age = now.saturating_sub(self.windows.end(window));
         if age >= DIRECT {
-            let known = members.iter().filter(|one| one.reads);
+            let known = members.iter().filter(|one| one.is_reader);
             let known = known.map(|one| (one.owner.instance.clone(), one.owner.start));
             let missing = Ledger::missing(&shares, &known.collect());
             let silent = members
@@ -301,7 +301,7 @@
         let members = self.app.members.lock().clone();
         let others = members
             .iter()
-            .filter(|one| !one.reads && one.owner.instance != self.app.me.instance);
+            .filter(|one| !one.is_reader && one.owner.instance != self.app.me.instance);
         let asks = others.map(|one| peer::reaches(self.app, one.addr));
         join_all(asks).await.contains(&true)
     }
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -43,7 +43,7 @@
 ///     owner: batch::Owner { instance: name.into(), start: 1 },
 ///     domain: domain.into(),
 ///     addr: ([127, 0, 0, 1], 7720).into(),
-///     reads: true,
+///     is_reader: true,
 ///     power,
 /// };
 /// let members = [member("a", "nord", 12), member("b", "nord", 50), member("c", "syd", 50)];
@@ -55,7 +55,7 @@
 pub fn takers<'a>(members: &'a [Member], domain: &str, route: &str) -> Vec<&'a Member> {
     let near = || {
         let all = members.iter();
-        all.filter(|one| one.reads && *one.domain == *domain)
+        all.filter(|one| one.is_reader && *one.domain == *domain)
     };
     let most = near().map(|one| one.power).max().unwrap_or(0);
     let strong = |one: &&Member| f64::from(one.power) >= f64::from(most) * STRONG;
--- a/crates/node/src/hint.rs
+++ b/crates/node/src/hint.rs
@@ -28,7 +28,7 @@
 /// The instance that keeps the hint of a step.
 fn keeper(app: &App, step: &str) -> Option<Member> {
     let members = app.members.lock();
-    let entries = members.iter().filter(|one| one.reads);
+    let entries = members.iter().filter(|one| one.is_reader);
     let best = entries.max_by_key(|one| rank(&one.owner.instance, step));
     best.cloned()
 }
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -183,7 +183,7 @@
         owner: app.me.clone(),
         domain: app.settings.domain.clone(),
         addr: SocketAddr::new(app.settings.address, app.settings.peer),
-        reads: app.settings.role == Role::Entry,
+        is_reader: app.settings.role == Role::Entry,
         power: (app.settings.cores * HUNDREDTHS) as u32,
     }
 }
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -74,7 +74,7 @@
 /// The instances that keep what this one counts: those of its failure domain first.
 fn keepers(app: &App) -> Vec<Member> {
     let members = app.members.lock();
-    let all = members.iter().filter(|one| !one.reads);
+    let all = members.iter().filter(|one| !one.is_reader);
     let mut all: Vec<&Member> = all.collect();
     let far = |one: &&Member| *one.domain != *app.settings.domain;
     all.sort_by_key(|one| (far(one), rank(&one.owner.instance, &app.me.instance)));
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -77,7 +77,7 @@
             domain: format!("d{domain}").into(),
             // Ports are the names of instances here.
             addr: ([10, 0, (at >> 8) as u8, at as u8], 1).into(),
-            reads: true,
+            is_reader: true,
             power: if place < STRONG { 50 } else { 12 },
         }
     };
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -240,7 +240,7 @@
     /// Picks another instance that is not avoided, of the same failure domain if there is one.
     pub fn pick_other(&self, view: &View) -> Option<SocketAddr> {
         let is_other = |member: &&Member| {
-            member.reads && member.owner.instance != view.me && !self.is_avoided(member.addr)
+            member.is_reader && member.owner.instance != view.me && !self.is_avoided(member.addr)
         };
         let others: Vec<_> = view.members.iter().filter(is_other).collect();
         let near = others.iter().filter(|member| member.domain == view.domain);
--- a/crates/spread/src/member.rs
+++ b/crates/spread/src/member.rs
@@ -23,7 +23,8 @@
     /// Address at which other instances reach it.
     pub addr: SocketAddr,
     /// Whether it may read the list of upstreams on behalf of others.
-    pub reads: bool,
+    #[serde(rename = "reads")]
+    pub is_reader: bool,
     /// CPU available to it, in hundredths of a core.
     pub power: u32,
 }
@@ -76,7 +77,7 @@
     ///     owner: batch::Owner { instance: name.into(), start },
     ///     domain: "nord".into(),
     ///     addr: ([127, 0, 0, 1], 1).into(),
-    ///     reads: true,
+    ///     is_reader: true,
     ///     power: 50,
     /// };
     /// // Instance b has restarted and c has left.
--- a/crates/spread/src/tree.rs
+++ b/crates/spread/src/tree.rs
@@ -65,7 +65,7 @@
 ///     owner: batch::Owner { instance: name.into(), start: 1 },
 ///     domain: domain.into(),
 ///     addr: ([127, 0, 0, 1], port).into(),
-///     reads: true,
+///     is_reader: true,
 ///     power: 50,
 /// };
 /// let members = [
@@ -85,7 +85,7 @@
 /// assert_eq!(sources("s3", "syd"), (vec![addr(2), addr(3), addr(1)], 1));
 /// ```
 pub fn position(members: &[Member], me: &str, domain: &str) -> TreePosition {
-    let readers = || members.iter().filter(|member| member.reads);
+    let readers = || members.iter().filter(|member| member.is_reader);
     let Some(first) = readers().min_by(|a, b| order(a, b)) else {
         return TreePosition::default();
     };
@@ -131,7 +131,7 @@
 /// Returns the position of an instance that knows only some of the members. It follows any of those that precede it in
 /// the order, so that instances that start together form a tree before any of them knows all members.
 pub fn partial_position(some: &[Member], me: &Member) -> TreePosition {
-    let before = |member: &&Member| member.reads && order(member, me) == Ordering::Less;
+    let before = |member: &&Member| member.is_reader && order(member, me) == Ordering::Less;
     let before: Vec<_> = some.iter().filter(before).collect();
     let pick = |turn: usize| {
         let at = rank(&me.owner.instance, turn) as usize % before.len().max(1);
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -163,7 +163,7 @@
         },
         domain: "nord".into(),
         addr: ([127, 0, 0, 1], 1).into(),
-        reads: true,
+        is_reader: true,
         power: 50,
     }
 }
