--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -39,12 +39,12 @@
 /// use node::hand::takers;
 /// use spread::Member;
 ///
-/// let member = |name: &str, domain: &str, power| Member {
+/// let member = |name: &str, domain: &str, centicores| Member {
 ///     owner: batch::Owner { instance: name.into(), start: 1 },
 ///     domain: domain.into(),
 ///     addr: ([127, 0, 0, 1], 7720).into(),
 ///     is_reader: true,
-///     power,
+///     centicores,
 /// };
 /// let members = [member("a", "nord", 12), member("b", "nord", 50), member("c", "syd", 50)];
 /// let takers = takers(&members, "nord", "steps");
@@ -57,8 +57,8 @@
         let all = members.iter();
         all.filter(|one| one.is_reader && *one.domain == *domain)
     };
-    let most = near().map(|one| one.power).max().unwrap_or(0);
-    let strong = |one: &&Member| f64::from(one.power) >= f64::from(most) * STRONG;
+    let most = near().map(|one| one.centicores).max().unwrap_or(0);
+    let strong = |one: &&Member| f64::from(one.centicores) >= f64::from(most) * STRONG;
     let mut takers: Vec<_> = near().filter(strong).collect();
     takers.sort_by_key(|one| Reverse(rank(&one.owner.instance, route)));
     takers
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -184,7 +184,7 @@
         domain: app.settings.domain.clone(),
         addr: SocketAddr::new(app.settings.address, app.settings.peer),
         is_reader: app.settings.role == Role::Entry,
-        power: (app.settings.cores * HUNDREDTHS) as u32,
+        centicores: (app.settings.cores * HUNDREDTHS) as u32,
     }
 }
 
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -100,7 +100,7 @@
 
     /// Whether it has much processor and a wide link.
     fn is_strong(&self) -> bool {
-        self.member.power >= 50
+        self.member.centicores >= 50
     }
 
     /// Sends a message; gives when it has left, in microseconds.
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -78,7 +78,7 @@
             // Ports are the names of instances here.
             addr: ([10, 0, (at >> 8) as u8, at as u8], 1).into(),
             is_reader: true,
-            power: if place < STRONG { 50 } else { 12 },
+            centicores: if place < STRONG { 50 } else { 12 },
         }
     };
     (0..size.instances).map(member).collect()
--- a/crates/spread/src/member.rs
+++ b/crates/spread/src/member.rs
@@ -26,7 +26,8 @@
     #[serde(rename = "reads")]
     pub is_reader: bool,
     /// CPU available to it, in hundredths of a core.
-    pub power: u32,
+    #[serde(rename = "power")]
+    pub centicores: u32,
 }
 
 /// The member entries of all instances at one moment.
@@ -78,7 +79,7 @@
     ///     domain: "nord".into(),
     ///     addr: ([127, 0, 0, 1], 1).into(),
     ///     is_reader: true,
-    ///     power: 50,
+    ///     centicores: 50,
     /// };
     /// // Instance b has restarted and c has left.
     /// let before = [member("a", 1), member("b", 1), member("c", 1)];
--- a/crates/spread/src/tree.rs
+++ b/crates/spread/src/tree.rs
@@ -43,7 +43,7 @@
 /// Orders instances by CPU, highest first: the first instance reads the whole list for all, and the next ones serve
 /// the most followers.
 pub fn order(a: &Member, b: &Member) -> Ordering {
-    let power = b.power.cmp(&a.power);
+    let power = b.centicores.cmp(&a.centicores);
     let domain = power.then_with(|| a.domain.cmp(&b.domain));
     domain.then_with(|| a.owner.instance.cmp(&b.owner.instance))
 }
@@ -66,7 +66,7 @@
 ///     domain: domain.into(),
 ///     addr: ([127, 0, 0, 1], port).into(),
 ///     is_reader: true,
-///     power: 50,
+///     centicores: 50,
 /// };
 /// let members = [
 ///     member("n1", "nord", 1),
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -164,7 +164,7 @@
         domain: "nord".into(),
         addr: ([127, 0, 0, 1], 1).into(),
         is_reader: true,
-        power: 50,
+        centicores: 50,
     }
 }
 
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -24,7 +24,7 @@
         domain: format!("d{}", at % DOMAINS).into(),
         addr: SocketAddr::from(([127, 0, 0, 1], at as u16 + 1)),
         is_reader: true,
-        power: if at < STRONG_PER_DOMAIN * DOMAINS {
+        centicores: if at < STRONG_PER_DOMAIN * DOMAINS {
             50
         } else {
             12
