--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -95,7 +95,7 @@
 ///     life: Life::Alive,
 /// };
 /// let mut view = View::new(member("nord-1"), 0);
-/// view.meet(member("nord-2"), 0);
+/// view.add_member(member("nord-2"), 0);
 /// assert_eq!(view.live().count(), 2);
 /// assert!(view.is_reader());
 /// ```
@@ -136,7 +136,7 @@
     }
 
     /// Adds an instance that the settings or the platform's list name, if it is not known.
-    pub fn meet(&mut self, member: Member, now: Millis) {
+    pub fn add_member(&mut self, member: Member, now: Millis) {
         if member.name == self.me.name || self.others.contains_key(&member.name) {
             return;
         }
@@ -160,12 +160,12 @@
 
     /// Instances that a limit is split over: all but those that said goodbye. One that fell silent
     /// may be cut off and go on serving, so it counts until it is forgotten.
-    pub fn sharing(&self) -> usize {
+    pub fn limit_shares(&self) -> usize {
         self.all().filter(|m| m.life != Life::Left).count()
     }
 
     /// The live instances of this instance's failure domain.
-    pub fn near(&self) -> impl Iterator<Item = &Member> {
+    pub fn same_domain(&self) -> impl Iterator<Item = &Member> {
         self.live().filter(|member| member.domain == self.me.domain)
     }
 
@@ -173,7 +173,9 @@
     /// the first name does. When views differ two may read, or for a moment none, which costs a
     /// call or some time and nothing else.
     pub fn is_reader(&self) -> bool {
-        let alive = self.near().filter(|member| member.life == Life::Alive);
+        let alive = self
+            .same_domain()
+            .filter(|member| member.life == Life::Alive);
         alive.map(|member| &member.name).min() == Some(&self.me.name)
     }
 
@@ -234,12 +236,12 @@
     }
 
     /// Notes that a probed instance answered.
-    pub fn answered(&mut self, member: &Member, now: Millis) {
-        self.hear(Rumour::Member(member.clone()), now);
+    pub fn probe_answered(&mut self, member: &Member, now: Millis) {
+        self.receive(Rumour::Member(member.clone()), now);
     }
 
     /// Notes that an instance did not answer; `asked` says whether helpers have tried as well.
-    pub fn silent(&mut self, name: &str, asked: bool, now: Millis) -> Silence {
+    pub fn probe_failed(&mut self, name: &str, asked: bool, now: Millis) -> Silence {
         let Some(known) = self.others.get(name) else {
             return Silence::Nothing;
         };
@@ -247,7 +249,7 @@
             return Silence::Nothing;
         }
         let helpers: Vec<_> = self
-            .near()
+            .same_domain()
             .filter(|m| m.life == Life::Alive && m.name != self.me.name && &*m.name != name)
             .take(HELPERS)
             .map(Probe::of)
@@ -269,7 +271,7 @@
     }
 
     /// The rumours to put into the next message to an instance of a failure domain.
-    pub fn tell(&mut self, domain: &Name) -> Vec<Rumour> {
+    pub fn outgoing(&mut self, domain: &Name) -> Vec<Rumour> {
         let way = match *domain == self.me.domain {
             true => Way::Near,
             false => Way::Far,
@@ -277,7 +279,7 @@
         let is_far = |member: &Member| member.domain != self.me.domain;
         let due = Due {
             instances: self.others.len() + 1,
-            near: self.near().any(|member| member.name != self.me.name),
+            near: self.same_domain().any(|member| member.name != self.me.name),
             // Others probe no other domain, and would keep what nobody asks them for.
             far: self.is_reader() && self.live().any(is_far),
         };
@@ -285,7 +287,7 @@
     }
 
     /// Takes a rumour in; tells whether it was news, so that it is passed on.
-    pub fn hear(&mut self, rumour: Rumour, now: Millis) -> bool {
+    pub fn receive(&mut self, rumour: Rumour, now: Millis) -> bool {
         let new = match &rumour {
             Rumour::Member(member) => return self.hear_member(member, now),
             Rumour::Upstream { name, leaving, at } => self.hear_upstream(name, *leaving, *at),
@@ -354,19 +356,19 @@
     }
 
     /// Reports this instance's own demand to its peers.
-    pub fn demand(&mut self, turn: u64, rates: Vec<Demand>) {
+    pub fn report_demand(&mut self, turn: u64, rates: Vec<Demand>) {
         let from = self.me.name.clone();
         self.broadcast.add(Rumour::Demand { from, turn, rates });
     }
 
     /// Reports to its peers what this instance has seen of crashes.
-    pub fn crashes(&mut self, at: u64, report: Seen) {
+    pub fn report_crashes(&mut self, at: u64, report: Seen) {
         let from = self.me.name.clone();
         self.broadcast.add(Rumour::Crashes { from, at, report });
     }
 
     /// What other live instances reported of a customer.
-    pub fn demands(&self, customer: &str, now: Millis) -> Vec<f64> {
+    pub fn peer_demands(&self, customer: &str, now: Millis) -> Vec<f64> {
         let rate = |wanted: &Wanted| {
             let mine = |d: &&Demand| &*d.customer == customer;
             wanted.rates.iter().find(mine).map(|d| d.rate)
@@ -379,7 +381,7 @@
     }
 
     /// What is known of an upstream's leaving.
-    pub fn leaving(&self, upstream: &str) -> Option<bool> {
+    pub fn is_leaving(&self, upstream: &str) -> Option<bool> {
         self.upstreams.get(upstream).map(|(leaving, _)| *leaving)
     }
 
--- a/crates/fleet/tests/domains.rs
+++ b/crates/fleet/tests/domains.rs
@@ -39,12 +39,14 @@
 fn views(names: &[&str]) -> Vec<View> {
     let view = |me: &&str| {
         let mut view = View::new(member(me), 0);
-        names.iter().for_each(|other| view.meet(member(other), 0));
+        names
+            .iter()
+            .for_each(|other| view.add_member(member(other), 0));
         view
     };
     let mut views: Vec<_> = names.iter().map(view).collect();
     for engine in 0..ENGINES {
-        views[0].hear(state(engine), 0);
+        views[0].receive(state(engine), 0);
     }
     views
 }
@@ -61,11 +63,11 @@
 /// Passes on what one instance tells another; tells whether it was told of crashes that it did not know.
 fn pass(views: &mut [View], from: usize, to: usize, now: Millis) -> bool {
     let domain = views[to].me().domain.clone();
-    let told = views[from].tell(&domain);
+    let told = views[from].outgoing(&domain);
     let mut news = false;
     for rumour in told {
         let crashes = matches!(rumour, Rumour::Crashes { .. });
-        news |= views[to].hear(rumour, now) && crashes;
+        news |= views[to].receive(rumour, now) && crashes;
     }
     news
 }
@@ -85,8 +87,8 @@
             break;
         }
         if from == 0 && now >= seen && !told {
-            views[0].demand(1, Vec::new());
-            views[0].crashes(now, Seen::default());
+            views[0].report_demand(1, Vec::new());
+            views[0].report_crashes(now, Seen::default());
             told = true;
         }
         for probe in views[from].tick(now) {
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -33,7 +33,7 @@
 fn view(me: &str, others: &[&str]) -> View {
     let mut view = View::new(member(me, "nord"), 0);
     for other in others {
-        view.meet(member(other, "nord"), 0);
+        view.add_member(member(other, "nord"), 0);
     }
     view
 }
@@ -58,8 +58,8 @@
 fn silence_leads_to_helpers_then_suspicion_then_removal() {
     let mut view = view("a", &["b", "c"]);
 
-    let first = view.silent("b", false, 0);
-    let second = view.silent("b", true, 100);
+    let first = view.probe_failed("b", false, 0);
+    let second = view.probe_failed("b", true, 100);
     view.tick(100 + SUSPICION - 1);
     let during = life(&view, "b");
     view.tick(100 + SUSPICION);
@@ -84,9 +84,9 @@
 )]
 fn lives_are_told_apart(first: u64, was: Life, second: u64, then: Life, expected: Life) {
     let mut view = view("a", &["b"]);
-    view.hear(news("b", first, was), 0);
+    view.receive(news("b", first, was), 0);
 
-    view.hear(news("b", second, then), 1);
+    view.receive(news("b", second, then), 1);
 
     assert_eq!(life(&view, "b"), Some(expected));
 }
@@ -94,11 +94,11 @@
 #[test]
 fn a_suspected_instance_contradicts() {
     let mut view = view("a", &["b"]);
-    view.tell(&name("nord"));
+    view.outgoing(&name("nord"));
 
-    view.hear(news("a", 1, Life::Suspect), 0);
+    view.receive(news("a", 1, Life::Suspect), 0);
 
-    let told = view.tell(&name("nord"));
+    let told = view.outgoing(&name("nord"));
     let mine = |r: &Rumour| matches!(r, Rumour::Member(m) if &*m.name == "a" && m.incarnation == 2);
     assert!(told.iter().any(mine), "{told:?}");
     assert_eq!(view.me().life, Life::Alive);
@@ -109,7 +109,7 @@
     let mut view = view("b", &["a", "c"]);
     let before = view.is_reader();
 
-    view.silent("a", true, 0);
+    view.probe_failed("a", true, 0);
 
     assert!(!before);
     assert!(view.is_reader());
@@ -120,8 +120,8 @@
     let (mut one, mut two) = (view("a", &["b"]), view("b", &["a"]));
 
     one.leave();
-    for rumour in one.tell(&name("nord")) {
-        two.hear(rumour, 0);
+    for rumour in one.outgoing(&name("nord")) {
+        two.receive(rumour, 0);
     }
 
     assert_eq!(life(&two, "a"), Some(Life::Left));
@@ -136,11 +136,11 @@
         at,
     };
 
-    let first = view.hear(upstream(true, 9), 0);
-    let late = view.hear(upstream(false, 7), 0);
+    let first = view.receive(upstream(true, 9), 0);
+    let late = view.receive(upstream(false, 7), 0);
 
     assert_eq!((first, late), (true, false));
-    assert_eq!(view.leaving("engine-1"), Some(true));
+    assert_eq!(view.is_leaving("engine-1"), Some(true));
 }
 
 #[test]
@@ -154,9 +154,9 @@
     };
 
     let heard = [
-        view.hear(engine(3, 9), 0),
-        view.hear(engine(2, 7), 0),
-        view.hear(engine(3, 9), 0),
+        view.receive(engine(3, 9), 0),
+        view.receive(engine(2, 7), 0),
+        view.receive(engine(3, 9), 0),
     ];
 
     assert_eq!(heard, [true, false, false]);
@@ -172,11 +172,11 @@
     let from = name("b");
     let turn = 1;
 
-    view.hear(Rumour::Demand { from, turn, rates }, 0);
+    view.receive(Rumour::Demand { from, turn, rates }, 0);
 
-    assert_eq!(view.demands("aarhus", 1), [12.0]);
-    assert!(view.demands("aarhus", 60_000).is_empty());
-    assert!(view.demands("other", 1).is_empty());
+    assert_eq!(view.peer_demands("aarhus", 1), [12.0]);
+    assert!(view.peer_demands("aarhus", 60_000).is_empty());
+    assert!(view.peer_demands("other", 1).is_empty());
 }
 
 // Symptom: orders of two holders reach an engine.
@@ -216,18 +216,18 @@
             let to = views.iter().position(|v| v.me().name == probe.name);
             let reached = to.filter(|to| up[*to] && !lost());
             let Some(to) = reached else {
-                views[from].silent(&probe.name, true, now);
+                views[from].probe_failed(&probe.name, true, now);
                 continue;
             };
-            let told = views[from].tell(&name("nord"));
+            let told = views[from].outgoing(&name("nord"));
             for rumour in told {
-                views[to].hear(rumour, now);
+                views[to].receive(rumour, now);
             }
             let answer = views[to].me().clone();
-            let told = views[to].tell(&name("nord"));
-            views[from].answered(&answer, now);
+            let told = views[to].outgoing(&name("nord"));
+            views[from].probe_answered(&answer, now);
             for rumour in told {
-                views[from].hear(rumour, now);
+                views[from].receive(rumour, now);
             }
         }
     }
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -183,7 +183,7 @@
             incarnation: 0,
             life: Life::Alive,
         };
-        view.meet(member, clock.now());
+        view.add_member(member, clock.now());
     }
     view
 }
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -124,7 +124,7 @@
     let report = app.crashes.own();
     if report != *told {
         *told = report.clone();
-        app.view.lock().crashes(app.clock.wall(), report);
+        app.view.lock().report_crashes(app.clock.wall(), report);
     }
 }
 
@@ -139,7 +139,7 @@
     let due = turn.is_multiple_of(REPEAT) || demands.iter().any(changed);
     let mut view = app.view.lock();
     if due && !(demands.is_empty() && told.is_empty()) {
-        view.demand(app.clock.wall(), demands.clone());
+        view.report_demand(app.clock.wall(), demands.clone());
         *told = demands;
     }
     let live = view.live().count();
@@ -157,7 +157,7 @@
         return;
     }
     let now = app.clock.now();
-    let silence = app.view.lock().silent(&probe.name, false, now);
+    let silence = app.view.lock().probe_failed(&probe.name, false, now);
     let Silence::Ask(helpers) = silence else {
         return;
     };
@@ -171,7 +171,9 @@
             return;
         }
     }
-    app.view.lock().silent(&probe.name, true, app.clock.now());
+    app.view
+        .lock()
+        .probe_failed(&probe.name, true, app.clock.now());
 }
 
 /// Sends one probe and takes in what the answer says.
@@ -199,7 +201,7 @@
     let mut view = app.view.lock();
     Ping {
         from: view.me().clone(),
-        rumours: view.tell(domain),
+        rumours: view.outgoing(domain),
         newest: app.newest(),
         known: app.known(),
         contracts: Vec::new(),
@@ -218,9 +220,9 @@
     let now = app.clock.now();
     let mut news = Vec::new();
     let mut view = app.view.lock();
-    view.answered(from, now);
+    view.probe_answered(from, now);
     for rumour in rumours {
-        if view.hear(rumour.clone(), now) {
+        if view.receive(rumour.clone(), now) {
             news.push(rumour);
         }
     }
@@ -268,7 +270,7 @@
     let mut view = app.view.lock();
     Pong {
         from: view.me().clone(),
-        rumours: view.tell(&ping.from.domain),
+        rumours: view.outgoing(&ping.from.domain),
         newest: app.newest(),
         known: app.known(),
         contracts,
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -71,8 +71,8 @@
 
 fn share(app: &App, customer: &str, mine: f64) -> Share {
     let view = app.view.lock();
-    let others = view.demands(customer, app.clock.now());
-    Share::split(view.sharing(), &others, mine)
+    let others = view.peer_demands(customer, app.clock.now());
+    Share::split(view.limit_shares(), &others, mine)
 }
 
 /// Runs `f` on the gate of a contract, made or brought up to its revision first.
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -100,7 +100,7 @@
             leaving: load.leaving,
             at: app.clock.wall(),
         };
-        app.view.lock().hear(rumour, app.clock.now());
+        app.view.lock().receive(rumour, app.clock.now());
     }
     tell(app, spec, version, single, quarantined);
 }
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -58,7 +58,7 @@
 
     /// Looks whether an upstream has crashed after the connection broke there.
     pub(crate) async fn broke(&self, app: &App, spec: &Spec) {
-        let leaving = app.view.lock().leaving(&spec.name).unwrap_or(false);
+        let leaving = app.view.lock().is_leaving(&spec.name).unwrap_or(false);
         let left = move || leaving;
         let start = start(app, spec);
         let looking = app
--- a/crates/serve/src/sync.rs
+++ b/crates/serve/src/sync.rs
@@ -149,7 +149,7 @@
         at: app.clock.wall(),
     };
     let now = app.clock.now();
-    if app.view.lock().hear(rumour, now) {
+    if app.view.lock().receive(rumour, now) {
         leaving(app, &name, is_leaving);
     }
 }
