--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -58,13 +58,13 @@
 
 /// What a silent probe calls for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Silence {
+pub enum ProbeFailure {
     /// Ask these peers to probe it, then call [`View::silent`] again if none reached it.
-    Ask(Vec<Probe>),
+    AskHelpers(Vec<Probe>),
     /// It is a suspect now.
     Suspected,
     /// It is not a member any more.
-    Nothing,
+    NotAlive,
 }
 
 #[derive(Debug)]
@@ -241,12 +241,12 @@
     }
 
     /// Notes that an instance did not answer; `asked` says whether helpers have tried as well.
-    pub fn probe_failed(&mut self, name: &str, asked: bool, now: Millis) -> Silence {
+    pub fn probe_failed(&mut self, name: &str, asked: bool, now: Millis) -> ProbeFailure {
         let Some(known) = self.others.get(name) else {
-            return Silence::Nothing;
+            return ProbeFailure::NotAlive;
         };
         if known.member.life != Life::Alive {
-            return Silence::Nothing;
+            return ProbeFailure::NotAlive;
         }
         let helpers: Vec<_> = self
             .same_domain()
@@ -255,19 +255,19 @@
             .map(Probe::of)
             .collect();
         if !asked && !helpers.is_empty() {
-            return Silence::Ask(helpers);
+            return ProbeFailure::AskHelpers(helpers);
         }
         self.suspect(name, now)
     }
 
-    fn suspect(&mut self, name: &str, now: Millis) -> Silence {
+    fn suspect(&mut self, name: &str, now: Millis) -> ProbeFailure {
         let Some(known) = self.others.get_mut(name) else {
-            return Silence::Nothing;
+            return ProbeFailure::NotAlive;
         };
         known.member.life = Life::Suspect;
         known.since = now;
         self.broadcast.add(Rumour::Member(known.member.clone()));
-        Silence::Suspected
+        ProbeFailure::Suspected
     }
 
     /// The rumours to put into the next message to an instance of a failure domain.
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -10,8 +10,8 @@
 use fleet::rumour::Demand;
 use fleet::view::FORGET;
 use fleet::view::PERIOD;
+use fleet::view::ProbeFailure;
 use fleet::view::SUSPICION;
-use fleet::view::Silence;
 use kernel::Name;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -66,8 +66,8 @@
     let after = life(&view, "b");
     view.tick(100 + SUSPICION + FORGET);
 
-    assert!(matches!(first, Silence::Ask(helpers) if &*helpers[0].name == "c"));
-    assert_eq!(second, Silence::Suspected);
+    assert!(matches!(first, ProbeFailure::AskHelpers(helpers) if &*helpers[0].name == "c"));
+    assert_eq!(second, ProbeFailure::Suspected);
     assert_eq!((during, after), (Some(Life::Suspect), Some(Life::Gone)));
     assert_eq!(life(&view, "b"), None);
 }
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -9,7 +9,7 @@
 use fleet::Probe;
 use fleet::Rumour;
 use fleet::view::PERIOD;
-use fleet::view::Silence;
+use fleet::view::ProbeFailure;
 use http::Request;
 use http::StatusCode;
 use http::header::CONTENT_TYPE;
@@ -158,7 +158,7 @@
     }
     let now = app.clock.now();
     let silence = app.view.lock().probe_failed(&probe.name, false, now);
-    let Silence::Ask(helpers) = silence else {
+    let ProbeFailure::AskHelpers(helpers) = silence else {
         return;
     };
     let member = {
