--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -17,7 +17,7 @@
 use crate::rumour::Way;
 
 /// Time between two probes of an instance.
-pub const PERIOD: Millis = 1_000;
+pub const PROBE_INTERVAL: Millis = 1_000;
 
 /// Time that a suspected instance has to contradict.
 pub const SUSPICION: Millis = 5_000;
--- a/crates/fleet/tests/domains.rs
+++ b/crates/fleet/tests/domains.rs
@@ -6,7 +6,7 @@
 use fleet::Member;
 use fleet::Rumour;
 use fleet::View;
-use fleet::view::PERIOD;
+use fleet::view::PROBE_INTERVAL;
 use kernel::Millis;
 use kernel::Name;
 use poison::Seen;
@@ -114,7 +114,7 @@
     // probes of the other domain has room for them. Cause: one count for those near and those far.
     #[test]
     fn another_failure_domain_hears_of_crashes_beside_other_news(
-        pauses in prop::collection::vec(PERIOD * 9 / 10..PERIOD * 11 / 10, 64),
+        pauses in prop::collection::vec(PROBE_INTERVAL * 9 / 10..PROBE_INTERVAL * 11 / 10, 64),
         seen in 0..START,
     ) {
         let mut views = views(&["nord-0", "nord-1", "syd-0", "syd-1"]);
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -9,7 +9,7 @@
 use fleet::lease::Next;
 use fleet::rumour::Demand;
 use fleet::view::FORGET;
-use fleet::view::PERIOD;
+use fleet::view::PROBE_INTERVAL;
 use fleet::view::ProbeFailure;
 use fleet::view::SUSPICION;
 use kernel::Name;
@@ -248,7 +248,7 @@
         let mut sent = 0;
         for turn in 1..60 {
             let mut lose = || { sent += 1; lost.contains(&sent) };
-            round(&mut views, &up, turn * PERIOD, &mut lose);
+            round(&mut views, &up, turn * PROBE_INTERVAL, &mut lose);
         }
         for (at, view) in views.iter().enumerate().filter(|(at, _)| up[*at]) {
             let live = view.live().count();
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -8,7 +8,7 @@
 use fleet::Member;
 use fleet::Probe;
 use fleet::Rumour;
-use fleet::view::PERIOD;
+use fleet::view::PROBE_INTERVAL;
 use fleet::view::ProbeFailure;
 use http::Request;
 use http::StatusCode;
@@ -113,7 +113,7 @@
             tokio::spawn(async move { reach(&app, probe).await });
         }
         // Jitter keeps instances that started together from probing together.
-        let pause = PERIOD as f64 * (0.9 + 0.2 * rand::random::<f64>());
+        let pause = PROBE_INTERVAL as f64 * (0.9 + 0.2 * rand::random::<f64>());
         tokio::time::sleep(Duration::from_millis(pause as u64)).await;
     }
 }
