--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -11,18 +11,19 @@
 /// The order is that of precedence at the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub enum Life {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It did not answer; it has some time to contradict.
     Suspect,
     /// It did not contradict the suspicion: dead, or cut off.
-    Gone,
+    #[serde(rename = "Gone")]
+    Dead,
     /// It said goodbye.
     Left,
 }
 
-impl Life {
+impl MemberState {
     /// Tells whether the instance counts as one that can be asked.
     pub fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
@@ -43,7 +44,7 @@
     /// of a suspicion that was answered, do not count.
     pub incarnation: u64,
     /// Whether it is thought to be there.
-    pub life: Life,
+    pub life: MemberState,
 }
 
 impl Member {
@@ -52,16 +53,16 @@
     /// # Examples
     ///
     /// ```
-    /// use fleet::{Life, Member};
+    /// use fleet::{MemberState, Member};
     ///
     /// let old = Member {
     ///     name: "nord-1".parse()?,
     ///     domain: "nord".parse()?,
     ///     addr: "127.0.0.1:1".parse()?,
     ///     incarnation: 1,
-    ///     life: Life::Suspect,
+    ///     life: MemberState::Suspect,
     /// };
-    /// let back = Member { incarnation: 2, life: Life::Alive, ..old.clone() };
+    /// let back = Member { incarnation: 2, life: MemberState::Alive, ..old.clone() };
     /// assert!(old.yields_to(&back));
     /// assert!(!back.yields_to(&old));
     /// # Ok::<(), Box<dyn std::error::Error>>(())
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -8,8 +8,8 @@
 use kernel::Name;
 use poison::Seen;
 
-use crate::Life;
 use crate::Member;
+use crate::MemberState;
 use crate::Rumour;
 use crate::rumour::Broadcast;
 use crate::rumour::Demand;
@@ -85,14 +85,14 @@
 /// # Examples
 ///
 /// ```
-/// use fleet::{Life, Member, View};
+/// use fleet::{MemberState, Member, View};
 ///
 /// let member = |name: &str| Member {
 ///     name: name.parse().expect("a name"),
 ///     domain: "nord".parse().expect("a name"),
 ///     addr: "127.0.0.1:1".parse().expect("an address"),
 ///     incarnation: 1,
-///     life: Life::Alive,
+///     life: MemberState::Alive,
 /// };
 /// let mut view = View::new(member("nord-1"), 0);
 /// view.add_member(member("nord-2"), 0);
@@ -161,7 +161,7 @@
     /// Instances that a limit is split over: all but those that said goodbye. One that fell silent
     /// may be cut off and go on serving, so it counts until it is forgotten.
     pub fn limit_shares(&self) -> usize {
-        self.all().filter(|m| m.life != Life::Left).count()
+        self.all().filter(|m| m.life != MemberState::Left).count()
     }
 
     /// The live instances of this instance's failure domain.
@@ -175,7 +175,7 @@
     pub fn is_reader(&self) -> bool {
         let alive = self
             .same_domain()
-            .filter(|member| member.life == Life::Alive);
+            .filter(|member| member.life == MemberState::Alive);
         alive.map(|member| &member.name).min() == Some(&self.me.name)
     }
 
@@ -221,8 +221,8 @@
         let mut gone = Vec::new();
         for known in self.others.values_mut() {
             let over = now >= known.since + SUSPICION;
-            if known.member.life == Life::Suspect && over {
-                known.member.life = Life::Gone;
+            if known.member.life == MemberState::Suspect && over {
+                known.member.life = MemberState::Dead;
                 known.since = now;
                 gone.push(known.member.clone());
             }
@@ -245,12 +245,12 @@
         let Some(known) = self.others.get(name) else {
             return ProbeFailure::NotAlive;
         };
-        if known.member.life != Life::Alive {
+        if known.member.life != MemberState::Alive {
             return ProbeFailure::NotAlive;
         }
         let helpers: Vec<_> = self
             .same_domain()
-            .filter(|m| m.life == Life::Alive && m.name != self.me.name && &*m.name != name)
+            .filter(|m| m.life == MemberState::Alive && m.name != self.me.name && &*m.name != name)
             .take(HELPERS)
             .map(Probe::of)
             .collect();
@@ -264,7 +264,7 @@
         let Some(known) = self.others.get_mut(name) else {
             return ProbeFailure::NotAlive;
         };
-        known.member.life = Life::Suspect;
+        known.member.life = MemberState::Suspect;
         known.since = now;
         self.broadcast.add(Rumour::Member(known.member.clone()));
         ProbeFailure::Suspected
@@ -387,7 +387,7 @@
 
     /// Says goodbye: peers stop counting on this instance at once.
     pub fn leave(&mut self) {
-        self.me.life = Life::Left;
+        self.me.life = MemberState::Left;
         self.broadcast.add(Rumour::Member(self.me.clone()));
     }
 }
--- a/crates/fleet/tests/domains.rs
+++ b/crates/fleet/tests/domains.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use fleet::Life;
 use fleet::Member;
+use fleet::MemberState;
 use fleet::Rumour;
 use fleet::View;
 use fleet::view::PROBE_INTERVAL;
@@ -32,7 +32,7 @@
         domain: name(domain),
         addr: "127.0.0.1:1".parse().unwrap(),
         incarnation: 1,
-        life: Life::Alive,
+        life: MemberState::Alive,
     }
 }
 
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 use fleet::Fence;
 use fleet::Lease;
-use fleet::Life;
 use fleet::Member;
+use fleet::MemberState;
 use fleet::Rumour;
 use fleet::View;
 use fleet::lease::Next;
@@ -26,7 +26,7 @@
         domain: name(domain),
         addr: "127.0.0.1:1".parse().unwrap(),
         incarnation: 1,
-        life: Life::Alive,
+        life: MemberState::Alive,
     }
 }
 
@@ -38,12 +38,12 @@
     view
 }
 
-fn life(view: &View, name: &str) -> Option<Life> {
+fn life(view: &View, name: &str) -> Option<MemberState> {
     let found = view.all().find(|member| &*member.name == name);
     found.map(|member| member.life)
 }
 
-fn news(text: &str, incarnation: u64, life: Life) -> Rumour {
+fn news(text: &str, incarnation: u64, life: MemberState) -> Rumour {
     Rumour::Member(Member {
         incarnation,
         life,
@@ -68,7 +68,10 @@
 
     assert!(matches!(first, ProbeFailure::AskHelpers(helpers) if &*helpers[0].name == "c"));
     assert_eq!(second, ProbeFailure::Suspected);
-    assert_eq!((during, after), (Some(Life::Suspect), Some(Life::Gone)));
+    assert_eq!(
+        (during, after),
+        (Some(MemberState::Suspect), Some(MemberState::Dead))
+    );
     assert_eq!(life(&view, "b"), None);
 }
 
@@ -76,13 +79,19 @@
 // Sequence: it dies, is suspected and removed, and starts again under the same name.
 // Cause: lives of one name that cannot be told apart.
 #[parameterized(
-    same_life = { 1, Life::Gone, 1, Life::Alive, Life::Gone },
-    next_life = { 1, Life::Gone, 2, Life::Alive, Life::Alive },
-    contradicted = { 1, Life::Suspect, 2, Life::Alive, Life::Alive },
-    late_news = { 2, Life::Alive, 1, Life::Gone, Life::Alive },
-    suspicion = { 1, Life::Alive, 1, Life::Suspect, Life::Suspect },
+    same_life = { 1, MemberState::Dead, 1, MemberState::Alive, MemberState::Dead },
+    next_life = { 1, MemberState::Dead, 2, MemberState::Alive, MemberState::Alive },
+    contradicted = { 1, MemberState::Suspect, 2, MemberState::Alive, MemberState::Alive },
+    late_news = { 2, MemberState::Alive, 1, MemberState::Dead, MemberState::Alive },
+    suspicion = { 1, MemberState::Alive, 1, MemberState::Suspect, MemberState::Suspect },
 )]
-fn lives_are_told_apart(first: u64, was: Life, second: u64, then: Life, expected: Life) {
+fn lives_are_told_apart(
+    first: u64,
+    was: MemberState,
+    second: u64,
+    then: MemberState,
+    expected: MemberState,
+) {
     let mut view = view("a", &["b"]);
     view.receive(news("b", first, was), 0);
 
@@ -96,12 +105,12 @@
     let mut view = view("a", &["b"]);
     view.outgoing(&name("nord"));
 
-    view.receive(news("a", 1, Life::Suspect), 0);
+    view.receive(news("a", 1, MemberState::Suspect), 0);
 
     let told = view.outgoing(&name("nord"));
     let mine = |r: &Rumour| matches!(r, Rumour::Member(m) if &*m.name == "a" && m.incarnation == 2);
     assert!(told.iter().any(mine), "{told:?}");
-    assert_eq!(view.me().life, Life::Alive);
+    assert_eq!(view.me().life, MemberState::Alive);
 }
 
 #[test]
@@ -124,7 +133,7 @@
         two.receive(rumour, 0);
     }
 
-    assert_eq!(life(&two, "a"), Some(Life::Left));
+    assert_eq!(life(&two, "a"), Some(MemberState::Left));
 }
 
 #[test]
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -10,8 +10,8 @@
 use contract::book::InForce;
 use contract::book::Offer;
 use crash::Watch;
-use fleet::Life;
 use fleet::Member;
+use fleet::MemberState;
 use fleet::View;
 use kernel::Map;
 use kernel::Millis;
@@ -172,7 +172,7 @@
         addr: settings.me.address,
         // The time of the start tells this life from a former one.
         incarnation: clock.wall(),
-        life: Life::Alive,
+        life: MemberState::Alive,
     };
     let mut view = View::new(me, clock.now());
     for peer in &settings.peers {
@@ -181,7 +181,7 @@
             domain: peer.domain.clone(),
             addr: peer.address,
             incarnation: 0,
-            life: Life::Alive,
+            life: MemberState::Alive,
         };
         view.add_member(member, clock.now());
     }
