--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use clock::Clock;
-use fleet::Fence;
+use fleet::FencingToken;
 use fleet::Lease;
 use fleet::lease::Held;
-use fleet::lease::Next;
+use fleet::lease::HolderAction;
 use http::Method;
 use http::StatusCode;
 use net::client::JsonError;
@@ -47,12 +47,12 @@
     engine: &Spec,
     lease: &Lease<Held>,
     clock: Clock,
-    order: impl FnOnce(Fence) -> Order,
+    order: impl FnOnce(FencingToken) -> Order,
 ) -> Given {
     // Asked for each order, right before it: the process may have been stopped since the last.
-    let fence = match lease.next(clock.now()) {
-        Next::Work(fence) | Next::Renew(fence) => fence,
-        Next::Lapsed => return Given::Lapsed,
+    let fence = match lease.check(clock.now()) {
+        HolderAction::Work(fence) | HolderAction::Renew(fence) => fence,
+        HolderAction::Lapsed => return Given::Lapsed,
     };
     let uri = net::client::uri(engine.addr, ORDER);
     match http.json(Method::POST, &uri, &order(fence), LIMIT).await {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! The instances as a whole: who is there, which revision spreads, who holds which lease.
+//! Membership of the instances, gossip among them, leases and leader election.
 //!
-//! [`View`] is one instance's picture of its failure domain, kept up by probes and rumours
-//! (after SWIM), with a summary of each other domain. [`Lease`] is the state of a lease on a piece
-//! of control work; its fencing number comes from the platform's revision. [`election`] does without
-//! leases of the platform.
+//! [`View`] is one instance's view of the members, kept up to date by probes and gossiped rumours (after SWIM). It
+//! probes its own failure domain often and the others rarely. [`Lease`] is the state of a lease on a piece of control
+//! work; its fencing token is a revision of the platform's store. [`election`] elects a leader without the platform's
+//! leases.
 
 pub mod election;
 pub mod lease;
@@ -13,10 +13,10 @@
 
 pub use election::Candidate;
 pub use election::Leader;
-pub use lease::Fence;
+pub use lease::FencingToken;
 pub use lease::Lease;
-pub use member::Life;
 pub use member::Member;
+pub use member::MemberState;
 pub use rumour::Rumour;
 pub use view::Probe;
 pub use view::View;
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -1,17 +1,17 @@
 //! Tests of membership, rumours and leases.
 
-use fleet::Fence;
+use fleet::FencingToken;
 use fleet::Lease;
-use fleet::Life;
 use fleet::Member;
+use fleet::MemberState;
 use fleet::Rumour;
 use fleet::View;
-use fleet::lease::Next;
+use fleet::lease::HolderAction;
 use fleet::rumour::Demand;
-use fleet::view::FORGET;
-use fleet::view::PERIOD;
-use fleet::view::SUSPICION;
-use fleet::view::Silence;
+use fleet::view::FORGET_AFTER;
+use fleet::view::PROBE_INTERVAL;
+use fleet::view::ProbeFailure;
+use fleet::view::SUSPICION_TIMEOUT;
 use kernel::Name;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -26,82 +26,90 @@
         domain: name(domain),
         addr: "127.0.0.1:1".parse().unwrap(),
         incarnation: 1,
-        life: Life::Alive,
+        state: MemberState::Alive,
     }
 }
 
 fn view(me: &str, others: &[&str]) -> View {
     let mut view = View::new(member(me, "nord"), 0);
     for other in others {
-        view.meet(member(other, "nord"), 0);
+        view.add_member(member(other, "nord"), 0);
     }
     view
 }
 
-fn life(view: &View, name: &str) -> Option<Life> {
+fn state_of(view: &View, name: &str) -> Option<MemberState> {
     let found = view.all().find(|member| &*member.name == name);
-    found.map(|member| member.life)
+    found.map(|member| member.state)
 }
 
-fn news(text: &str, incarnation: u64, life: Life) -> Rumour {
+fn rumour(text: &str, incarnation: u64, state: MemberState) -> Rumour {
     Rumour::Member(Member {
         incarnation,
-        life,
+        state,
         ..member(text, "nord")
     })
 }
 
-// Symptom: an instance that is merely slow is taken out, and its work doubled.
-// Sequence: one probe gets no answer in time.
-// Cause: removal on a single instance's word.
+// Guards against the removal of an instance that is merely slow, whose work would then be done twice. One instance
+// that gets no answer to one probe must not suffice to remove it.
 #[test]
-fn silence_leads_to_helpers_then_suspicion_then_removal() {
+fn a_failed_probe_leads_to_helpers_then_suspicion_then_removal() {
     let mut view = view("a", &["b", "c"]);
 
-    let first = view.silent("b", false, 0);
-    let second = view.silent("b", true, 100);
-    view.tick(100 + SUSPICION - 1);
-    let during = life(&view, "b");
-    view.tick(100 + SUSPICION);
-    let after = life(&view, "b");
-    view.tick(100 + SUSPICION + FORGET);
-
-    assert!(matches!(first, Silence::Ask(helpers) if &*helpers[0].name == "c"));
-    assert_eq!(second, Silence::Suspected);
-    assert_eq!((during, after), (Some(Life::Suspect), Some(Life::Gone)));
-    assert_eq!(life(&view, "b"), None);
+    let first = view.probe_failed("b", false, 0);
+    let second = view.probe_failed("b", true, 100);
+    view.tick(100 + SUSPICION_TIMEOUT - 1);
+    let during = state_of(&view, "b");
+    view.tick(100 + SUSPICION_TIMEOUT);
+    let after = state_of(&view, "b");
+    view.tick(100 + SUSPICION_TIMEOUT + FORGET_AFTER);
+
+    assert!(matches!(first, ProbeFailure::AskHelpers(helpers) if &*helpers[0].name == "c"));
+    assert_eq!(second, ProbeFailure::Suspected);
+    assert_eq!(
+        (during, after),
+        (Some(MemberState::Suspect), Some(MemberState::Dead))
+    );
+    assert_eq!(state_of(&view, "b"), None);
 }
 
-// Symptom: a restarted instance stays out for as long as its peers remember its former life.
-// Sequence: it dies, is suspected and removed, and starts again under the same name.
-// Cause: lives of one name that cannot be told apart.
+// Guards against a restarted instance that stays removed for as long as its peers remember its previous start. It
+// died, was suspected and removed, and started again under the same name; without incarnations the two starts cannot
+// be told apart.
 #[parameterized(
-    same_life = { 1, Life::Gone, 1, Life::Alive, Life::Gone },
-    next_life = { 1, Life::Gone, 2, Life::Alive, Life::Alive },
-    contradicted = { 1, Life::Suspect, 2, Life::Alive, Life::Alive },
-    late_news = { 2, Life::Alive, 1, Life::Gone, Life::Alive },
-    suspicion = { 1, Life::Alive, 1, Life::Suspect, Life::Suspect },
+    same_incarnation = { 1, MemberState::Dead, 1, MemberState::Alive, MemberState::Dead },
+    next_incarnation = { 1, MemberState::Dead, 2, MemberState::Alive, MemberState::Alive },
+    refuted = { 1, MemberState::Suspect, 2, MemberState::Alive, MemberState::Alive },
+    late_rumour = { 2, MemberState::Alive, 1, MemberState::Dead, MemberState::Alive },
+    suspicion = { 1, MemberState::Alive, 1, MemberState::Suspect, MemberState::Suspect },
 )]
-fn lives_are_told_apart(first: u64, was: Life, second: u64, then: Life, expected: Life) {
+fn incarnations_are_distinguished(
+    first: u64,
+    was: MemberState,
+    second: u64,
+    then: MemberState,
+    expected: MemberState,
+) {
     let mut view = view("a", &["b"]);
-    view.hear(news("b", first, was), 0);
+    view.receive(rumour("b", first, was), 0);
 
-    view.hear(news("b", second, then), 1);
+    view.receive(rumour("b", second, then), 1);
 
-    assert_eq!(life(&view, "b"), Some(expected));
+    assert_eq!(state_of(&view, "b"), Some(expected));
 }
 
 #[test]
-fn a_suspected_instance_contradicts() {
+fn a_suspected_instance_refutes() {
     let mut view = view("a", &["b"]);
-    view.tell(&name("nord"));
+    view.outgoing(&name("nord"));
 
-    view.hear(news("a", 1, Life::Suspect), 0);
+    view.receive(rumour("a", 1, MemberState::Suspect), 0);
 
-    let told = view.tell(&name("nord"));
+    let rumours = view.outgoing(&name("nord"));
     let mine = |r: &Rumour| matches!(r, Rumour::Member(m) if &*m.name == "a" && m.incarnation == 2);
-    assert!(told.iter().any(mine), "{told:?}");
-    assert_eq!(view.me().life, Life::Alive);
+    assert!(rumours.iter().any(mine), "{rumours:?}");
+    assert_eq!(view.me().state, MemberState::Alive);
 }
 
 #[test]
@@ -109,26 +117,26 @@
     let mut view = view("b", &["a", "c"]);
     let before = view.is_reader();
 
-    view.silent("a", true, 0);
+    view.probe_failed("a", true, 0);
 
     assert!(!before);
     assert!(view.is_reader());
 }
 
 #[test]
-fn a_goodbye_counts_at_once() {
+fn a_graceful_leave_takes_effect_at_once() {
     let (mut one, mut two) = (view("a", &["b"]), view("b", &["a"]));
 
     one.leave();
-    for rumour in one.tell(&name("nord")) {
-        two.hear(rumour, 0);
+    for rumour in one.outgoing(&name("nord")) {
+        two.receive(rumour, 0);
     }
 
-    assert_eq!(life(&two, "a"), Some(Life::Left));
+    assert_eq!(state_of(&two, "a"), Some(MemberState::Left));
 }
 
 #[test]
-fn older_news_of_an_upstream_do_not_count() {
+fn older_rumours_about_an_upstream_are_ignored() {
     let mut view = view("a", &[]);
     let upstream = |leaving, at| Rumour::Upstream {
         name: name("engine-1"),
@@ -136,15 +144,15 @@
         at,
     };
 
-    let first = view.hear(upstream(true, 9), 0);
-    let late = view.hear(upstream(false, 7), 0);
+    let first = view.receive(upstream(true, 9), 0);
+    let late = view.receive(upstream(false, 7), 0);
 
     assert_eq!((first, late), (true, false));
-    assert_eq!(view.leaving("engine-1"), Some(true));
+    assert_eq!(view.is_leaving("engine-1"), Some(true));
 }
 
 #[test]
-fn older_news_of_an_engine_do_not_count() {
+fn older_rumours_about_an_engine_are_ignored() {
     let mut view = view("a", &[]);
     let engine = |version, at| Rumour::Engine {
         name: name("engine-1"),
@@ -154,59 +162,66 @@
     };
 
     let heard = [
-        view.hear(engine(3, 9), 0),
-        view.hear(engine(2, 7), 0),
-        view.hear(engine(3, 9), 0),
+        view.receive(engine(3, 9), 0),
+        view.receive(engine(2, 7), 0),
+        view.receive(engine(3, 9), 0),
     ];
 
     assert_eq!(heard, [true, false, false]);
 }
 
 #[test]
-fn demands_of_peers_are_known_until_they_are_old() {
+fn peer_demands_expire() {
     let mut view = view("a", &["b"]);
     let rates = vec![Demand {
         customer: name("aarhus"),
         rate: 12.0,
     }];
     let from = name("b");
-    let turn = 1;
-
-    view.hear(Rumour::Demand { from, turn, rates }, 0);
-
-    assert_eq!(view.demands("aarhus", 1), [12.0]);
-    assert!(view.demands("aarhus", 60_000).is_empty());
-    assert!(view.demands("other", 1).is_empty());
+    let sequence = 1;
+
+    view.receive(
+        Rumour::Demand {
+            from,
+            sequence,
+            rates,
+        },
+        0,
+    );
+
+    assert_eq!(view.peer_demands("aarhus", 1), [12.0]);
+    assert!(view.peer_demands("aarhus", 60_000).is_empty());
+    assert!(view.peer_demands("other", 1).is_empty());
 }
 
-// Symptom: orders of two holders reach an engine.
-// Sequence: the holder is paused for longer than its lease and resumes between check and order.
-// Cause: a check against the moment the grant arrived, or a check made once for many orders.
+// Guards against orders of two holders that reach an engine. The holder is paused for longer than its lease, and
+// resumes between check and order. Checking against the time at which the grant arrived, or once for several orders,
+// allows this.
 #[parameterized(
-    fresh = { 0, Next::Work(Fence(7)) },
-    third = { 3_400, Next::Renew(Fence(7)) },
-    margin = { 7_499, Next::Renew(Fence(7)) },
-    lapsed = { 7_500, Next::Lapsed },
-    long_after = { 1_000_000, Next::Lapsed },
+    fresh = { 0, HolderAction::Work(FencingToken(7)) },
+    third = { 3_400, HolderAction::Renew(FencingToken(7)) },
+    margin = { 7_499, HolderAction::Renew(FencingToken(7)) },
+    lapsed = { 7_500, HolderAction::Lapsed },
+    long_after = { 1_000_000, HolderAction::Lapsed },
 )]
-fn a_lease_ends_here_before_it_ends_there(now: u64, expected: Next) {
-    let held = Lease::new(10_000).taken(Fence(7), 1, 0);
+fn a_lease_ends_at_the_holder_before_it_ends_at_the_platform(now: u64, expected: HolderAction) {
+    let held = Lease::new(10_000).acquired(FencingToken(7), 1, 0);
 
-    assert_eq!(held.next(now), expected);
+    assert_eq!(held.check(now), expected);
 }
 
 #[test]
-fn a_renewal_counts_from_its_sending() {
-    let mut held = Lease::new(10_000).taken(Fence(7), 1, 0);
+fn a_renewal_counts_from_when_it_was_sent() {
+    let mut held = Lease::new(10_000).acquired(FencingToken(7), 1, 0);
 
     held.renewed(5_000);
     held.renewed(4_000);
 
-    assert_eq!(held.next(12_499), Next::Renew(Fence(7)));
-    assert_eq!(held.next(12_500), Next::Lapsed);
+    assert_eq!(held.check(12_499), HolderAction::Renew(FencingToken(7)));
+    assert_eq!(held.check(12_500), HolderAction::Lapsed);
 }
 
-/// Lets every instance in `up` probe as its view says; a message is lost where `lost` says so.
+/// Lets every instance in `up` probe as its view says; `lost` tells whether a message is lost.
 fn round(views: &mut [View], up: &[bool], now: u64, lost: &mut impl FnMut() -> bool) {
     for from in 0..views.len() {
         if !up[from] {
@@ -216,27 +231,27 @@
             let to = views.iter().position(|v| v.me().name == probe.name);
             let reached = to.filter(|to| up[*to] && !lost());
             let Some(to) = reached else {
-                views[from].silent(&probe.name, true, now);
+                views[from].probe_failed(&probe.name, true, now);
                 continue;
             };
-            let told = views[from].tell(&name("nord"));
-            for rumour in told {
-                views[to].hear(rumour, now);
+            let rumours = views[from].outgoing(&name("nord"));
+            for rumour in rumours {
+                views[to].receive(rumour, now);
             }
             let answer = views[to].me().clone();
-            let told = views[to].tell(&name("nord"));
-            views[from].answered(&answer, now);
-            for rumour in told {
-                views[from].hear(rumour, now);
+            let rumours = views[to].outgoing(&name("nord"));
+            views[from].probe_answered(&answer, now);
+            for rumour in rumours {
+                views[from].receive(rumour, now);
             }
         }
     }
 }
 
 proptest! {
-    // Over any lost messages, all learn of a death, and nobody who lives stays removed.
+    // Whichever messages are lost, all instances learn of a death, and no live instance stays removed.
     #[test]
-    fn views_agree_in_the_end(
+    fn views_converge(
         dead in 0usize..6,
         losses in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
@@ -248,7 +263,7 @@
         let mut sent = 0;
         for turn in 1..60 {
             let mut lose = || { sent += 1; lost.contains(&sent) };
-            round(&mut views, &up, turn * PERIOD, &mut lose);
+            round(&mut views, &up, turn * PROBE_INTERVAL, &mut lose);
         }
         for (at, view) in views.iter().enumerate().filter(|(at, _)| up[*at]) {
             let live = view.live().count();
@@ -256,8 +271,8 @@
         }
     }
 
-    // However holders pause, at any moment at most one believes that it may work, when each
-    // grant comes only after the platform's time to live of the one before has passed.
+    // However holders are paused, at most one of them believes at any time that it may work, if each grant comes only
+    // after the platform's time to live of the previous one has passed.
     #[test]
     fn at_most_one_holder(pauses in prop::collection::vec((0u64..20_000, 0u64..3_000), 1..30)) {
         let ttl = 10_000;
@@ -270,12 +285,12 @@
             if now >= ends {
                 fence += 1;
                 ends = now + answer + ttl;
-                holders.push(Lease::new(ttl).taken(Fence(fence), 1, now));
+                holders.push(Lease::new(ttl).acquired(FencingToken(fence), 1, now));
             }
-            let work = |lease: &&Lease<_>| lease.next(now) != Next::Lapsed;
+            let work = |lease: &&Lease<_>| lease.check(now) != HolderAction::Lapsed;
             let workers: Vec<_> = holders.iter().filter(work).collect();
             prop_assert!(workers.len() <= 1);
-            prop_assert!(workers.iter().all(|lease| lease.fence() == Fence(fence)));
+            prop_assert!(workers.iter().all(|lease| lease.fencing_token() == FencingToken(fence)));
         }
     }
 }
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -10,8 +10,8 @@
 use plat::Answer;
 use plat::Call;
 use plat::PlatError;
-use spread::Have;
-use spread::News;
+use spread::SyncState;
+use spread::Update;
 
 use crate::App;
 use crate::hint;
@@ -107,7 +107,7 @@
 }
 
 /// Waits for something that a follower does not have yet.
-async fn newer(app: &App, mut have: Have, wait: Millis) -> Option<News> {
+async fn newer(app: &App, mut have: SyncState, wait: Millis) -> Option<Update> {
     let asked = app.clock.now();
     let mut changes = app.news.subscribe();
     let age = have.age;
@@ -120,5 +120,5 @@
     let found = tokio::time::timeout(Duration::from_millis(wait), newer).await;
     // Neither over time nor dropped.
     found.ok()?.ok()?;
-    Some(app.board.lock().since(have, app.clock.now()))
+    Some(app.board.lock().update_since(have, app.clock.now()))
 }
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -21,10 +21,10 @@
 use place::EngineTracker;
 use plat::Client;
 use poison::Identity;
-use spread::Board;
-use spread::Have;
 use spread::Member;
-use spread::Place;
+use spread::Replica;
+use spread::SyncState;
+use spread::TreePosition;
 use spread::member::Turnover;
 use spread::tree;
 use table::Config;
@@ -89,13 +89,13 @@
     /// The instances that have entered, this one among them.
     pub members: Mutex<Arc<[Member]>>,
     /// Where this instance stands among them.
-    place: Mutex<Place>,
+    place: Mutex<TreePosition>,
     /// The instances that had entered some time ago, and when they were last seen.
     former: Mutex<Map<Arc<str>, (Member, Millis)>>,
     /// Connections to other instances.
     pub peers: net::Client,
     /// What is known of the configuration and the list of upstreams, for others that follow.
-    pub board: Mutex<Board>,
+    pub board: Mutex<Replica>,
     /// Rings when the board has changed.
     pub news: watch::Sender<()>,
     /// The steps that this instance runs.
@@ -235,15 +235,15 @@
     }
 
     /// Changes what is known for others, and wakes those who wait for it.
-    pub fn post<R>(&self, change: impl FnOnce(&mut Board) -> R) -> R {
+    pub fn post<R>(&self, change: impl FnOnce(&mut Replica) -> R) -> R {
         let done = change(&mut self.board.lock());
         self.news.send_replace(());
         done
     }
 
     /// What this instance has of what others tell.
-    pub fn have(&self) -> Have {
-        self.board.lock().have(self.clock.now())
+    pub fn have(&self) -> SyncState {
+        self.board.lock().sync_state(self.clock.now())
     }
 
     /// Notes the instances that have entered.
@@ -256,7 +256,7 @@
             former.insert(one.owner.instance.clone(), (one.clone(), now));
         }
         drop(former);
-        *self.place.lock() = tree::place(&members, &self.me.instance, &self.settings.domain);
+        *self.place.lock() = tree::position(&members, &self.me.instance, &self.settings.domain);
         let before = std::mem::replace(&mut *self.members.lock(), members.clone());
         let Turnover { came, gone } = Turnover::between(&before, &members);
         if came + gone > 0 {
@@ -267,19 +267,19 @@
 
     /// Notes some of the instances that have entered, as long as nobody has told of all.
     pub fn met_some(&self, some: Vec<Member>, me: &Member) {
-        *self.place.lock() = tree::among(&some, me);
+        *self.place.lock() = tree::partial_position(&some, me);
         *self.members.lock() = some.into();
         self.met.store(self.clock.now(), Ordering::Relaxed);
     }
 
     /// Where this instance stands among those that have entered.
-    pub fn place(&self) -> Place {
+    pub fn place(&self) -> TreePosition {
         self.place.lock().clone()
     }
 
     /// Tells whether the entries of all were read at once, here or by whoever this instance follows.
     pub fn is_told(&self) -> bool {
-        self.board.lock().roll().is_some()
+        self.board.lock().membership().is_some()
     }
 
     /// The instances that have entered, and those whose entries are gone since a while. All entries lapse in a long
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -6,9 +6,9 @@
 use batch::record;
 use fleet::Candidate;
 use fleet::Leader;
-use fleet::election::Next;
+use fleet::election::CandidateAction;
+use fleet::election::ProcessId;
 use fleet::election::Record;
-use fleet::election::Seat;
 use kernel::Millis;
 use parking_lot::Mutex;
 use plat::Done;
@@ -43,7 +43,7 @@
 
     /// The fencing number of orders.
     pub fn fence(&self) -> i64 {
-        self.leader.lock().fence().0
+        self.leader.lock().fencing_token().0
     }
 
     /// Renews the record until it belongs to somebody else.
@@ -55,7 +55,7 @@
             let due = {
                 let leader = self.leader.lock();
                 leader
-                    .is_due(now)
+                    .is_renewal_due(now)
                     .then(|| (leader.rev(), leader.record(now)))
             };
             let Some((rev, record)) = due else { continue };
@@ -92,14 +92,14 @@
 /// Stands for leader until this instance is it.
 pub async fn stand(app: &App) -> Office {
     let addr = SocketAddr::new(app.settings.address, app.settings.peer);
-    let me = Seat {
+    let me = ProcessId {
         machine: addr.to_string().into(),
         start: app.me.start,
     };
     let mut candidate = Candidate::new(me, app.settings.turn);
     let mut reach = Reach::new("leader's record");
     loop {
-        if let Next::Stand(rev, record) = look(app, &mut candidate).await {
+        if let CandidateAction::Claim(rev, record) = look(app, &mut candidate).await {
             let sent = app.clock.now();
             match write(app, rev, &record).await {
                 Ok(Done::At(rev)) => {
@@ -115,7 +115,7 @@
     }
 }
 
-async fn look(app: &App, candidate: &mut Candidate) -> Next {
+async fn look(app: &App, candidate: &mut Candidate) -> CandidateAction {
     let sent = app.clock.now();
     let found = match app.plat.stale(KEY).await {
         Ok(range) => range.items.first().map(decode).transpose(),
@@ -124,12 +124,12 @@
     match found {
         Ok(found) => {
             let found = found.as_ref().map(|(record, rev)| (record, *rev));
-            candidate.read(found, sent)
+            candidate.observe(found, sent)
         }
         Err(error) => {
             log::debug!(target: "control", error = error.to_string().as_str(); "no look at the leader");
-            candidate.missed(app.clock.now());
-            Next::Wait
+            candidate.read_failed(app.clock.now());
+            CandidateAction::Wait
         }
     }
 }
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -11,9 +11,9 @@
 use plat::Txn;
 use spread::Member;
 use spread::lease;
-use spread::lease::Next;
-use spread::ration;
-use spread::times;
+use spread::lease::LeaseAction;
+use spread::read_budget;
+use spread::timing;
 use tokio::time::sleep;
 
 use crate::App;
@@ -65,14 +65,14 @@
     }
     meet(&app).await;
     // All instances may have started in the same moment, and whoever knows no other one reads everything for itself.
-    let mut pause = Duration::from_millis(times::LOOK);
+    let mut pause = Duration::from_millis(timing::FIRST_MEMBER_POLL);
     let mut round = 0;
     loop {
         sleep(pause).await;
         let (now, met) = (app.clock.now(), app.last_met());
         let is_young = pause < FOLLOW && !app.is_told();
         // Control instances have nobody to tell them unless they lead.
-        let waits = app.settings.role == Role::Entry && app.place().partial;
+        let waits = app.settings.role == Role::Entry && app.place().is_partial;
         if is_young || waits {
             meet(&app).await;
         } else if now >= met + OLD && is_turn(&app, round) {
@@ -86,8 +86,8 @@
 /// Tells whether this instance may read all entries in this round. Those that give orders are few.
 fn is_turn(app: &App, round: u32) -> bool {
     let members = app.members.lock().len();
-    let every = ration::every(members, members);
-    app.settings.role == Role::Control || ration::is_turn(&app.me.instance, round, every)
+    let every = read_budget::rounds_per_read(members, members);
+    app.settings.role == Role::Control || read_budget::is_turn(&app.me.instance, round, every)
 }
 
 async fn read_all(app: &App) {
@@ -172,7 +172,7 @@
 /// Returns [`PlatError`].
 pub async fn shorten(app: &App) -> Result<(), PlatError> {
     match app.entered() {
-        Some(entered) if entered.ttl > lease::SHORT => enter(app, lease::SHORT).await,
+        Some(entered) if entered.ttl > lease::ACTIVE_TTL => enter(app, lease::ACTIVE_TTL).await,
         _ => Ok(()),
     }
 }
@@ -183,8 +183,8 @@
         owner: app.me.clone(),
         domain: app.settings.domain.clone(),
         addr: SocketAddr::new(app.settings.address, app.settings.peer),
-        reads: app.settings.role == Role::Entry,
-        power: (app.settings.cores * HUNDREDTHS) as u32,
+        is_reader: app.settings.role == Role::Entry,
+        centicores: (app.settings.cores * HUNDREDTHS) as u32,
     }
 }
 
@@ -192,12 +192,12 @@
 /// or is among those that the others of its failure domain follow.
 fn wanted(app: &App) -> Millis {
     let place = app.place();
-    if app.settings.role == Role::Control || !app.works.is_empty() || place.heads {
-        return lease::SHORT;
+    if app.settings.role == Role::Control || !app.works.is_empty() || place.is_head {
+        return lease::ACTIVE_TTL;
     }
-    match place.leaf {
-        true => lease::idle(app.members.lock().len()),
-        false => lease::IDLE,
+    match place.is_leaf {
+        true => lease::leaf_ttl(app.members.lock().len()),
+        false => lease::IDLE_TTL,
     }
 }
 
@@ -234,10 +234,10 @@
             last = Some((lease, now));
         }
         let renewed = last.map_or(now, |(_, at)| at);
-        match lease::next(ttl, wanted(app), now - renewed) {
-            Next::Keep => continue,
-            Next::Enter => return,
-            Next::Renew => (),
+        match lease::next_action(ttl, wanted(app), now - renewed) {
+            LeaseAction::Keep => continue,
+            LeaseAction::Rewrite => return,
+            LeaseAction::Renew => (),
         }
         match app.plat.renew(lease).await {
             Ok(true) => {
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -9,12 +9,12 @@
 
 use kernel::Millis;
 use plat::PlatError;
+use spread::Action;
 use spread::Follower;
-use spread::Lack;
-use spread::News;
-use spread::Next;
+use spread::PollFailure;
+use spread::Update;
 use spread::View;
-use spread::times;
+use spread::timing;
 use tokio::time::sleep;
 
 use crate::App;
@@ -60,15 +60,15 @@
             Done::Lacked => 0,
             Done::Read(Ok(())) => {
                 reach.back();
-                times::LEAST
+                timing::MIN_READ_PAUSE
             }
             Done::Read(Err(error)) => {
                 reach.lost(&error);
-                times::LEAST
+                timing::MIN_READ_PAUSE
             }
         };
         let used = app.clock.now() - begun;
-        let rest = times::LIST.saturating_sub(used).max(pause);
+        let rest = timing::READ_INTERVAL.saturating_sub(used).max(pause);
         sleep(Duration::from_millis(rest)).await;
     }
 }
@@ -106,10 +106,10 @@
         View {
             me: app.me.instance.clone(),
             domain: app.settings.domain.clone(),
-            place: app.place(),
+            position: app.place(),
             members: app.members.lock().clone(),
             entries: self.intake.len(),
-            dice: rand::random(),
+            random: rand::random(),
         }
     }
 
@@ -125,61 +125,63 @@
         if !app.place().sources.is_empty() || self.ask_some().await {
             return;
         }
-        sleep(Duration::from_millis(times::SETTLE)).await;
+        sleep(Duration::from_millis(timing::STARTUP_SETTLE)).await;
         member::meet(app).await;
     }
 
     /// Asks some others for the list; tells whether one had it.
     async fn ask_some(&mut self) -> bool {
         for _ in 0..ASKED {
-            let Some(other) = self.follower.other(&self.view()) else {
+            let Some(other) = self.follower.pick_other(&self.view()) else {
                 return false;
             };
             while let Heard::News(news) = peer::news(self.app, other, self.app.have(), 0).await {
                 self.hear(&news);
-                if self.app.board.lock().is_whole() {
+                if self.app.board.lock().is_complete() {
                     return true;
                 }
             }
-            self.follower.shun(other, self.app.clock.now());
+            self.follower.avoid(other, self.app.clock.now());
         }
         false
     }
 
     /// Asks the sources in turn, or reads.
     async fn round(&mut self) -> Done {
-        let mut next = self.follower.begin(&self.view(), self.app.clock.now());
+        let mut next = self
+            .follower
+            .begin_round(&self.view(), self.app.clock.now());
         loop {
             match next {
-                Next::Ask(addr, wait) => {
+                Action::Poll(addr, wait) => {
                     match peer::news(self.app, addr, self.app.have(), wait).await {
                         Heard::News(news) => {
                             self.hear(&news);
-                            self.follower.told();
+                            self.follower.update_received();
                             self.app.set_blind(false);
                             return Done::Told;
                         }
                         Heard::Lack(lack) => next = self.lacks(lack),
                     }
                 }
-                Next::Pause => return Done::Lacked,
-                Next::Read => return Done::Read(self.read().await),
+                Action::Pause => return Done::Lacked,
+                Action::Read => return Done::Read(self.read().await),
             }
         }
     }
 
-    fn lacks(&mut self, lack: Lack) -> Next {
+    fn lacks(&mut self, lack: PollFailure) -> Action {
         let next = self
             .follower
-            .lacks(&self.view(), lack, self.app.clock.now());
-        if (next, lack) == (Next::Pause, Lack::Blind) {
+            .poll_failed(&self.view(), lack, self.app.clock.now());
+        if (next, lack) == (Action::Pause, PollFailure::PlatformUnreachable) {
             self.app.set_blind(true);
         }
         next
     }
 
     /// Takes in what a source tells.
-    fn hear(&mut self, news: &News) {
+    fn hear(&mut self, news: &Update) {
         let now = self.app.clock.now();
         let changes = self.app.post(|board| board.merge(news, now));
         self.intake.take(self.app, changes);
@@ -188,7 +190,7 @@
     async fn read(&mut self) -> Result<(), PlatError> {
         let begun = self.app.clock.now();
         let done = self.reader.read(self.app, &mut self.intake).await;
-        self.follower.took(self.app.clock.now() - begun);
+        self.follower.read_took(self.app.clock.now() - begun);
         self.app.set_blind(done.is_err());
         done
     }
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -80,21 +80,21 @@
             }
             self.take_entry(app, item);
         }
-        for key in &changes.gone {
+        for key in &changes.removed {
             self.list.remove(key);
             if self.strange.remove(key) {
                 log::info!(target: "news", key = key.as_str(); "strange entry gone");
             }
         }
         // The names of all are worked out only where one may have gone.
-        if !changes.gone.is_empty() {
+        if !changes.removed.is_empty() {
             let names = self.list.values().map(|one| one.incarnation.name.clone());
             let names: Set<_> = names.collect();
             self.starts.prune(|name| names.contains(name));
         }
         let (whole, rev, at) = {
             let board = app.board.lock();
-            (board.is_whole(), board.rev(), board.at())
+            (board.is_complete(), board.rev(), board.read_at())
         };
         // Of what is known in part, what is missing is not gone.
         if let Some(at) = at.filter(|_| whole) {
@@ -106,8 +106,10 @@
     fn take_roll(&mut self, app: &App) {
         let members = {
             let board = app.board.lock();
-            let new = board.roll().filter(|roll| Some(roll.at) != self.met);
-            self.met = board.roll().map(|roll| roll.at);
+            let new = board
+                .membership()
+                .filter(|roll| Some(roll.read_at) != self.met);
+            self.met = board.membership().map(|roll| roll.read_at);
             new.map(|roll| roll.members.clone())
         };
         if let Some(members) = members {
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -5,7 +5,7 @@
 use plat::Listing;
 use plat::PlatError;
 use plat::Wide;
-use spread::times;
+use spread::timing;
 use tokio::time::sleep;
 
 use super::CRASHES;
@@ -40,7 +40,7 @@
         list.join(seen);
         self.count += 1;
         // Without them this read is as good.
-        let members = match self.count % times::MEMBERS == 1 {
+        let members = match self.count % timing::READS_PER_MEMBER_READ == 1 {
             true => member::list(app).await.ok(),
             false => None,
         };
@@ -49,9 +49,9 @@
         let now = app.clock.now();
         let changes = app.post(|board| {
             if let Some(members) = members {
-                board.members(members, now);
+                board.set_members(members, now);
             }
-            board.read(list, rand::random(), now)
+            board.apply_read(list, rand::random(), now)
         });
         intake.take(app, changes);
         Ok(())
@@ -72,7 +72,7 @@
             tokio::select! {
                 (seen, list) = &mut lists => return Ok((seen?, list?)),
                 // A list of thousands takes seconds at a busy platform, and a configuration must be in force by then.
-                () = sleep(Duration::from_millis(times::LIST)) => read_plan(app, intake).await?,
+                () = sleep(Duration::from_millis(timing::READ_INTERVAL)) => read_plan(app, intake).await?,
             }
         }
     }
@@ -80,7 +80,7 @@
 
 async fn read_plan(app: &App, intake: &mut Intake) -> Result<(), PlatError> {
     let plan = app.plat.get(app.dialect.places().plan).await?;
-    if app.post(|board| board.plan(plan)) {
+    if app.post(|board| board.set_configuration(plan)) {
         intake.take_plan(app);
     }
     Ok(())
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -19,10 +19,10 @@
 use plat::Answer;
 use plat::Call;
 use plat::PlatError;
-use spread::Have;
-use spread::Lack;
-use spread::News;
-use spread::times;
+use spread::PollFailure;
+use spread::SyncState;
+use spread::Update;
+use spread::timing;
 use usage::Share;
 use usage::Tally;
 
@@ -217,19 +217,19 @@
 /// What was heard of the configuration and the list of upstreams.
 pub enum Heard {
     /// Something that this instance does not have.
-    News(News),
+    News(Update),
     /// Nothing.
-    Lack(Lack),
+    Lack(PollFailure),
 }
 
 /// Asks another instance for what this one does not have, or for a newer read.
-pub async fn news(app: &App, addr: SocketAddr, have: Have, wait: Millis) -> Heard {
-    let slack = times::slack(&app.board.lock());
+pub async fn news(app: &App, addr: SocketAddr, have: SyncState, wait: Millis) -> Heard {
+    let slack = timing::reply_slack(&app.board.lock());
     match ask(app, addr, &Ask::News { have, wait }, wait + slack).await {
         Some(Told::News(Some(news))) => Heard::News(news),
-        Some(Told::Blind) => Heard::Lack(Lack::Blind),
-        Some(Told::News(None)) => Heard::Lack(Lack::Late),
-        _ => Heard::Lack(Lack::Silent),
+        Some(Told::Blind) => Heard::Lack(PollFailure::PlatformUnreachable),
+        Some(Told::News(None)) => Heard::Lack(PollFailure::NoUpdate),
+        _ => Heard::Lack(PollFailure::NoReply),
     }
 }
 
--- a/crates/plat/src/holder.rs
+++ b/crates/plat/src/holder.rs
@@ -1,10 +1,10 @@
 //! Holding a lease at the platform.
 
 use clock::Clock;
-use fleet::Fence;
+use fleet::FencingToken;
 use fleet::Lease;
 use fleet::lease::Held;
-use fleet::lease::Next;
+use fleet::lease::HolderAction;
 use kernel::Millis;
 
 use crate::Client;
@@ -60,17 +60,21 @@
         // The platform's revision only rises, so a later holder has a higher number.
         Done::At(rev) => {
             let lease = Lease::new(granted.ttl);
-            Ok(Taken::Ours(lease.taken(Fence(rev), granted.id, sent)))
+            Ok(Taken::Ours(lease.acquired(
+                FencingToken(rev),
+                granted.id,
+                sent,
+            )))
         }
     }
 }
 
 /// Renews a lease when it is time; tells whether it may still be used.
 pub async fn keep(plat: &Client, lease: &mut Lease<Held>, clock: Clock) -> bool {
-    match lease.next(clock.now()) {
-        Next::Work(_) => true,
-        Next::Lapsed => false,
-        Next::Renew(_) => {
+    match lease.check(clock.now()) {
+        HolderAction::Work(_) => true,
+        HolderAction::Lapsed => false,
+        HolderAction::Renew(_) => {
             let sent = clock.now();
             match plat.renew(lease.id()).await {
                 Ok(true) => {
@@ -79,7 +83,7 @@
                 }
                 Ok(false) => false,
                 // The platform is away: the lease holds until its margin, and is tried again.
-                Err(_) => lease.next(clock.now()) != Next::Lapsed,
+                Err(_) => lease.check(clock.now()) != HolderAction::Lapsed,
             }
         }
     }
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -6,12 +6,12 @@
 use kernel::Millis;
 use plat::wide;
 use rand::Rng;
-use spread::Lack;
+use spread::Action;
 use spread::Member;
-use spread::News;
-use spread::Next;
-use spread::ration;
-use spread::times;
+use spread::PollFailure;
+use spread::Update;
+use spread::read_budget;
+use spread::timing;
 
 use crate::Play;
 use crate::event::Question;
@@ -30,7 +30,7 @@
 
 /// Time after a start of a look at who has entered, in milliseconds: the pause doubles from look to look.
 fn look(number: u32) -> u64 {
-    ENTER + times::LOOK * ((1 << number) - 1)
+    ENTER + timing::FIRST_MEMBER_POLL * ((1 << number) - 1)
 }
 
 impl Play {
@@ -48,7 +48,7 @@
             What::Question(question) => self.question(at, question),
             What::Over(number) => self.over(at, number),
             What::Answer(number, answer) => self.answer(at, number, *answer),
-            What::Silence(number) => self.answer(at, number, Err(Lack::Silent)),
+            What::Silence(number) => self.answer(at, number, Err(PollFailure::NoReply)),
             What::Read => self.read(at),
         }
     }
@@ -58,13 +58,13 @@
         for number in 0..LOOKS {
             self.queue.add(self.now + look(number) * MS, at, What::Meet);
         }
-        let first = self.now + (ENTER + times::SETTLE) * MS;
+        let first = self.now + (ENTER + timing::STARTUP_SETTLE) * MS;
         self.queue.add(first, at, What::Round);
     }
 
     /// Reads the entries of some instances.
     fn meet(&mut self, at: usize) {
-        if self.nodes[at].board.roll().is_some() {
+        if self.nodes[at].board.membership().is_some() {
             return;
         }
         let entered = |one: &&Member| {
@@ -100,17 +100,17 @@
         let node = &mut self.nodes[at];
         node.begun = self.now;
         let view = node.view(dice);
-        let next = node.follower.begin(&view, now);
+        let next = node.follower.begin_round(&view, now);
         self.act(at, next);
     }
 
-    fn act(&mut self, at: usize, next: Next) {
+    fn act(&mut self, at: usize, next: Action) {
         match next {
-            Next::Ask(addr, wait) => self.ask(at, addr, wait),
-            Next::Read => self.begin_read(at),
-            Next::Pause => {
+            Action::Poll(addr, wait) => self.ask(at, addr, wait),
+            Action::Read => self.begin_read(at),
+            Action::Pause => {
                 let begun = self.nodes[at].begun;
-                let next = (begun + times::LIST * MS).max(self.now);
+                let next = (begun + timing::READ_INTERVAL * MS).max(self.now);
                 self.queue.add(next, at, What::Round);
             }
         }
@@ -121,11 +121,11 @@
         let node = &mut self.nodes[at];
         node.asked += 1;
         let number = node.asked;
-        let slack = times::slack(&node.board);
+        let slack = timing::reply_slack(&node.board);
         let question = Question {
             from: at,
             number,
-            have: node.board.have(now),
+            have: node.board.sync_state(now),
             asked: now,
             wait,
         };
@@ -156,12 +156,12 @@
         if !node.board.has_more(have, now) {
             return false;
         }
-        let news = node.board.since(have, now);
+        let news = node.board.update_since(have, now);
         self.reply(at, question, Ok(news));
         true
     }
 
-    fn reply(&mut self, at: usize, question: Question, answer: Result<News, Lack>) {
+    fn reply(&mut self, at: usize, question: Question, answer: Result<Update, PollFailure>) {
         let bytes = answer.as_ref().map_or(0, node::bytes);
         let (world, now) = (self.world, self.now);
         let left = self.nodes[at].send(&world, now, bytes) + world.hop;
@@ -178,13 +178,13 @@
         };
         let question = waiting.swap_remove(found);
         let lack = match self.nodes[at].served {
-            true => Lack::Late,
-            false => Lack::Blind,
+            true => PollFailure::NoUpdate,
+            false => PollFailure::PlatformUnreachable,
         };
         self.reply(at, question, Err(lack));
     }
 
-    fn answer(&mut self, at: usize, number: u64, answer: Result<News, Lack>) {
+    fn answer(&mut self, at: usize, number: u64, answer: Result<Update, PollFailure>) {
         if self.nodes[at].asked != number {
             return;
         }
@@ -195,13 +195,13 @@
         match answer {
             Ok(news) => {
                 node.board.merge(&news, now);
-                node.follower.told();
+                node.follower.update_received();
                 self.changed(at);
                 self.round(at);
             }
             Err(lack) => {
                 let view = node.view(dice);
-                let next = node.follower.lacks(&view, lack, now);
+                let next = node.follower.poll_failed(&view, lack, now);
                 self.act(at, next);
             }
         }
@@ -210,7 +210,7 @@
     /// Tells whoever waits, and takes in who has entered.
     fn changed(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        let roll = node.board.roll().map(|roll| roll.members.clone());
+        let roll = node.board.membership().map(|roll| roll.members.clone());
         if let Some(members) = roll.filter(|members| !Arc::ptr_eq(members, &node.members)) {
             node.met(members);
         }
@@ -223,7 +223,8 @@
 
     fn begin_read(&mut self, at: usize) {
         if !self.nodes[at].served {
-            let next = (self.nodes[at].begun + times::LIST * MS).max(self.now + times::LEAST * MS);
+            let next = (self.nodes[at].begun + timing::READ_INTERVAL * MS)
+                .max(self.now + timing::MIN_READ_PAUSE * MS);
             self.queue.add(next, at, What::Round);
             return;
         }
@@ -236,7 +237,7 @@
         };
         let waits = turns as u64 * (self.world.call + 2 * self.world.hop);
         let entries = pages * self.world.page;
-        let carried = self.carry((entries * ration::ENTRY) as u64);
+        let carried = self.carry((entries * read_budget::ENTRY_BYTES) as u64);
         self.counts.reads += 1;
         self.queue
             .add(carried.max(self.now + waits), at, What::Read);
@@ -249,17 +250,18 @@
             let node = self.at.get(&one.addr).and_then(|at| self.nodes.get(*at));
             node.is_none_or(|node| node.alive)
         };
-        if self.reads[at] % times::MEMBERS == 1 {
+        if self.reads[at] % timing::READS_PER_MEMBER_READ == 1 {
             let members: Vec<_> = self.all.iter().filter(alive).cloned().collect();
             self.carry(members.len() as u64 * MEMBER);
-            self.nodes[at].board.members(members, now);
+            self.nodes[at].board.set_members(members, now);
         }
         let begun = self.nodes[at].begun / MS;
         let node = &mut self.nodes[at];
-        node.board.read(self.store.read(), self.rng.random(), now);
-        node.follower.took(now - begun);
+        node.board
+            .apply_read(self.store.read(), self.rng.random(), now);
+        node.follower.read_took(now - begun);
         self.changed(at);
-        let next = (begun + times::LIST).max(now + times::LEAST);
+        let next = (begun + timing::READ_INTERVAL).max(now + timing::MIN_READ_PAUSE);
         self.queue.add(next * MS, at, What::Round);
     }
 }
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -5,9 +5,9 @@
 use std::collections::BinaryHeap;
 
 use kernel::Millis;
-use spread::Have;
-use spread::Lack;
-use spread::News;
+use spread::PollFailure;
+use spread::SyncState;
+use spread::Update;
 
 /// Something that happens to an instance.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     /// The time is over for which a question may wait.
     Over(u64),
     /// An answer reaches it.
-    Answer(u64, Box<Result<News, Lack>>),
+    Answer(u64, Box<Result<Update, PollFailure>>),
     /// No answer has come in time.
     Silence(u64),
     /// A read of the platform has ended.
@@ -38,7 +38,7 @@
     /// The question's number.
     pub number: u64,
     /// What it has.
-    pub have: Have,
+    pub have: SyncState,
     /// When it was asked, in milliseconds.
     pub asked: Millis,
     /// How long it may wait, in milliseconds.
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use spread::Board;
 use spread::Follower;
-use spread::Gone;
 use spread::Member;
-use spread::News;
-use spread::Place;
+use spread::Removed;
+use spread::Replica;
+use spread::TreePosition;
+use spread::Update;
 use spread::View;
 use spread::tree;
 
@@ -30,13 +30,13 @@
     /// Whether the platform serves it.
     pub served: bool,
     /// What it knows.
-    pub board: Board,
+    pub board: Replica,
     /// Whom it asks.
     pub follower: Follower,
     /// The instances that it knows.
     pub members: Arc<[Member]>,
     /// Where it stands among them.
-    pub place: Place,
+    pub place: TreePosition,
     /// Questions that wait here.
     pub waiting: Vec<Question>,
     /// The number of its last question.
@@ -60,10 +60,10 @@
             member,
             alive: false,
             served: true,
-            board: Board::default(),
+            board: Replica::default(),
             follower: Follower::default(),
             members: Arc::new([]),
-            place: Place::default(),
+            place: TreePosition::default(),
             waiting: Vec::new(),
             asked: 0,
             begun: 0,
@@ -76,13 +76,13 @@
 
     /// Notes who has entered.
     pub fn met(&mut self, members: Arc<[Member]>) {
-        self.place = tree::place(&members, &self.member.owner.instance, &self.member.domain);
+        self.place = tree::position(&members, &self.member.owner.instance, &self.member.domain);
         self.members = members;
     }
 
     /// Notes some of those that have entered.
     pub fn met_some(&mut self, some: Arc<[Member]>) {
-        self.place = tree::among(&some, &self.member);
+        self.place = tree::partial_position(&some, &self.member);
         self.members = some;
     }
 
@@ -91,16 +91,16 @@
         View {
             me: self.member.owner.instance.clone(),
             domain: self.member.domain.clone(),
-            place: self.place.clone(),
+            position: self.place.clone(),
             members: self.members.clone(),
             entries: self.board.len(),
-            dice,
+            random: dice,
         }
     }
 
     /// Whether it has much processor and a wide link.
     fn is_strong(&self) -> bool {
-        self.member.power >= 50
+        self.member.centicores >= 50
     }
 
     /// Sends a message; gives when it has left, in microseconds.
@@ -129,14 +129,14 @@
 }
 
 /// Bytes of news in a message.
-pub fn bytes(news: &News) -> u64 {
+pub fn bytes(news: &Update) -> u64 {
     let items = news.items.iter();
     let items: usize = items
         .map(|item| item.key.len() + item.value.len() + 12)
         .sum();
-    let gone = match &news.gone {
-        Some(Gone::Keys(keys)) => keys.iter().map(String::len).sum(),
-        Some(Gone::Others(digests)) => digests.len() * 9,
+    let gone = match &news.removed {
+        Some(Removed::Keys(keys)) => keys.iter().map(String::len).sum(),
+        Some(Removed::AllExcept(digests)) => digests.len() * 9,
         None => 0,
     };
     let members = news.members.as_ref().map_or(0, Vec::len) as u64;
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -77,8 +77,8 @@
             domain: format!("d{domain}").into(),
             // Ports are the names of instances here.
             addr: ([10, 0, (at >> 8) as u8, at as u8], 1).into(),
-            reads: true,
-            power: if place < STRONG { 50 } else { 12 },
+            is_reader: true,
+            centicores: if place < STRONG { 50 } else { 12 },
         }
     };
     (0..size.instances).map(member).collect()
