--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -33,14 +33,15 @@
     Quarantined,
 }
 
-/// Who says that an upstream is leaving. Whoever says so first counts, and each takes back only
-/// its own word.
+/// Which source states that an upstream is leaving.
+///
+/// The upstream is leaving while either source says so; a source can clear only its own statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    /// The platform's list.
-    Listed,
-    /// The upstream itself.
-    Said,
+pub enum LeavingSource {
+    /// The platform's list of instances.
+    Platform,
+    /// A response or load report of the upstream.
+    Upstream,
 }
 
 /// Health of one upstream.
@@ -64,8 +65,8 @@
     row: u32,
     times: u32,
     until: Option<Millis>,
-    listed: bool,
-    said: bool,
+    platform_leaving: bool,
+    upstream_leaving: bool,
     quarantined: bool,
 }
 
@@ -75,7 +76,7 @@
         if self.quarantined {
             return Standing::Quarantined;
         }
-        if self.listed || self.said {
+        if self.platform_leaving || self.upstream_leaving {
             return Standing::Leaving;
         }
         let Some(until) = self.until else {
@@ -115,17 +116,17 @@
         self.row = 0;
     }
 
-    /// Notes whether the upstream is leaving, in the eyes of one who knows.
-    pub fn leave(&mut self, sign: Sign, leaving: bool) {
-        match sign {
-            Sign::Listed => self.listed = leaving,
-            Sign::Said => self.said = leaving,
+    /// Records whether `source` states that the upstream is leaving.
+    pub fn leave(&mut self, source: LeavingSource, leaving: bool) {
+        match source {
+            LeavingSource::Platform => self.platform_leaving = leaving,
+            LeavingSource::Upstream => self.upstream_leaving = leaving,
         }
     }
 
     /// Tells whether the upstream says that it is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.said
+        self.upstream_leaving
     }
 
     /// Tells whether the upstream is quarantined.
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -16,7 +16,7 @@
 pub use attempt::Ran;
 pub use choose::Chooser;
 pub use health::Health;
-pub use health::Sign;
+pub use health::LeavingSource;
 pub use health::Standing;
 pub use pool::Pool;
 pub use retry::Budget;
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -6,10 +6,10 @@
 use route::Budget;
 use route::Chooser;
 use route::Kind;
+use route::LeavingSource;
 use route::Next;
 use route::Pool;
 use route::Ran;
-use route::Sign;
 use route::Spec;
 use route::pool::Ask;
 use route::pool::Outcome;
@@ -147,7 +147,7 @@
 fn a_leaving_upstream_gets_nothing_new() {
     let mut pool = pool("scored", &["a", "b"], Kind::Service);
 
-    pool.judge("a", |health| health.leave(Sign::Said, true));
+    pool.judge("a", |health| health.leave(LeavingSource::Upstream, true));
 
     for _ in 0..2 {
         assert_eq!(take(&mut pool, &Ask::default(), 0), Some(name("b")));
@@ -161,9 +161,9 @@
 #[test]
 fn one_source_does_not_take_back_anothers_word() {
     let mut pool = pool("scored", &["a"], Kind::Service);
-    pool.judge("a", |health| health.leave(Sign::Listed, true));
+    pool.judge("a", |health| health.leave(LeavingSource::Platform, true));
 
-    pool.judge("a", |health| health.leave(Sign::Said, false));
+    pool.judge("a", |health| health.leave(LeavingSource::Upstream, false));
 
     assert_eq!(pool.pick(&Ask::default(), 0), Pick::None);
 }
@@ -264,7 +264,7 @@
                     let got = held.swap_remove(which % held.len());
                     pool.done(&got, Outcome::Failed, now);
                 }
-                _ => pool.judge(names[which], |health| health.leave(Sign::Listed, span % 2 == 0)),
+                _ => pool.judge(names[which], |health| health.leave(LeavingSource::Platform, span % 2 == 0)),
             }
             for upstream in pool.all() {
                 let mine = held.iter().filter(|n| **n == upstream.spec.name).count();
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -24,9 +24,9 @@
 use poison::Print;
 use route::Attempt;
 use route::Kind;
+use route::LeavingSource;
 use route::Next;
 use route::Ran;
-use route::Sign;
 use route::attempt::NoConnection;
 use route::attempt::Unsent;
 use route::pool::Ask;
@@ -355,7 +355,7 @@
     let headers = answer.headers();
     let number = |name: &str| headers.get(name)?.to_str().ok()?.parse::<u32>().ok();
     if headers.contains_key(LEAVING) {
-        dispatcher.judge(name, |health| health.leave(Sign::Said, true));
+        dispatcher.judge(name, |health| health.leave(LeavingSource::Upstream, true));
     }
     if let Some(running) = number(RUNNING) {
         dispatcher.heard(name, running);
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -9,7 +9,7 @@
 use fleet::Rumour;
 use http::Method;
 use route::Kind;
-use route::Sign;
+use route::LeavingSource;
 use route::Spec;
 use wire::engine::LOAD;
 use wire::engine::Load;
@@ -69,7 +69,7 @@
 pub fn believe(dispatcher: &Arc<Dispatcher>, name: &str, version: Option<u64>, leaving: bool) {
     dispatcher.update(name, |upstream| {
         upstream.version = version.or(upstream.version);
-        upstream.health.leave(Sign::Said, leaving);
+        upstream.health.leave(LeavingSource::Upstream, leaving);
         // An engine in the middle of a failed swap may use either version for the next token.
         upstream.health.quarantine(version.is_none());
     });
--- a/crates/serve/src/sync.rs
+++ b/crates/serve/src/sync.rs
@@ -17,7 +17,7 @@
 use plat::Item;
 use plat::PlatError;
 use plat::keys;
-use route::Sign;
+use route::LeavingSource;
 
 use crate::App;
 
@@ -157,6 +157,8 @@
 /// Takes an upstream out of, or back into, the choice.
 pub fn leaving(app: &Arc<App>, name: &Name, is_leaving: bool) {
     for dispatcher in app.dispatchers.values() {
-        dispatcher.judge(name, |health| health.leave(Sign::Listed, is_leaving));
+        dispatcher.judge(name, |health| {
+            health.leave(LeavingSource::Platform, is_leaving)
+        });
     }
 }
