--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -20,16 +20,16 @@
 /// Smallest part of its window that a returning upstream has.
 const RETURN_FLOOR: f64 = 0.1;
 
-/// Whether an upstream may get new work.
+/// Whether an upstream may be sent new requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
-    /// It may, up to this part of its window.
+pub enum Availability {
+    /// It may, up to this fraction of its concurrency window.
     Open(f64),
-    /// It is out because of failures.
+    /// It may not for some time, because of consecutive failures.
     Ejected,
-    /// It is leaving, or has left.
+    /// It may not: it is leaving, or has left.
     Leaving,
-    /// It contradicted itself and waits for an operator's or the control's word.
+    /// It may not until an operator or the control service releases it: it reported contradictory state.
     Quarantined,
 }
 
@@ -50,15 +50,15 @@
 ///
 /// ```
 /// use route::Health;
-/// use route::Standing;
+/// use route::Availability;
 ///
 /// let mut health = Health::default();
 /// for _ in 0..3 {
 ///     health.failed(0);
 /// }
-/// assert_eq!(health.standing(10), Standing::Ejected);
-/// assert!(matches!(health.standing(1_500), Standing::Open(part) if part < 0.2));
-/// assert_eq!(health.standing(7_000), Standing::Open(1.0));
+/// assert_eq!(health.availability(10), Availability::Ejected);
+/// assert!(matches!(health.availability(1_500), Availability::Open(part) if part < 0.2));
+/// assert_eq!(health.availability(7_000), Availability::Open(1.0));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Health {
@@ -71,22 +71,22 @@
 }
 
 impl Health {
-    /// Tells whether the upstream may get new work now.
-    pub fn standing(&self, now: Millis) -> Standing {
+    /// Returns whether the upstream may be sent new requests at `now`.
+    pub fn availability(&self, now: Millis) -> Availability {
         if self.quarantined {
-            return Standing::Quarantined;
+            return Availability::Quarantined;
         }
         if self.platform_leaving || self.upstream_leaving {
-            return Standing::Leaving;
+            return Availability::Leaving;
         }
         let Some(until) = self.until else {
-            return Standing::Open(1.0);
+            return Availability::Open(1.0);
         };
         if now < until {
-            return Standing::Ejected;
+            return Availability::Ejected;
         }
         let back = (now - until) as f64 / RETURN as f64;
-        Standing::Open(back.clamp(RETURN_FLOOR, 1.0))
+        Availability::Open(back.clamp(RETURN_FLOOR, 1.0))
     }
 
     /// Notes a failed attempt; ejects after some in a row, or at once while returning.
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -3,11 +3,11 @@
 use kernel::Millis;
 use kernel::Name;
 
+use crate::Availability;
 use crate::Chooser;
 use crate::Health;
 use crate::Kind;
 use crate::Spec;
-use crate::Standing;
 use crate::Upstream;
 use crate::choose::Candidate;
 use crate::choose::Choose;
@@ -54,10 +54,10 @@
 
 /// The part of its window that an upstream may use, if any.
 fn part(upstream: &Upstream, now: Millis, crowded: bool) -> Option<f64> {
-    match upstream.health.standing(now) {
-        Standing::Open(part) => Some(part),
-        Standing::Ejected if crowded => Some(CROWDED),
-        Standing::Ejected | Standing::Leaving | Standing::Quarantined => None,
+    match upstream.health.availability(now) {
+        Availability::Open(part) => Some(part),
+        Availability::Ejected if crowded => Some(CROWDED),
+        Availability::Ejected | Availability::Leaving | Availability::Quarantined => None,
     }
 }
 
@@ -141,7 +141,7 @@
     /// follow from the load than from faults of theirs, and to leave the rest alone with all of
     /// it would eject them as well; so the ejected ones get a little work.
     fn is_crowded(&self, now: Millis) -> bool {
-        let out = |u: &&Upstream| u.health.standing(now) == Standing::Ejected;
+        let out = |u: &&Upstream| u.health.availability(now) == Availability::Ejected;
         self.upstreams.iter().filter(out).count() * 2 > self.upstreams.len()
     }
 
--- a/crates/serve/src/operator.rs
+++ b/crates/serve/src/operator.rs
@@ -6,7 +6,7 @@
 use net::Call;
 use net::Reply;
 use net::body;
-use route::Standing;
+use route::Availability;
 use route::Upstream;
 use wire::peer::Status;
 use wire::peer::UpstreamState;
@@ -43,12 +43,12 @@
 }
 
 fn upstream(u: &Upstream, now: u64) -> UpstreamState {
-    let standing = match u.health.standing(now) {
-        Standing::Open(1.0) => "open".into(),
-        Standing::Open(part) => format!("returning at {:.0}%", part * 100.0),
-        Standing::Ejected => "ejected".into(),
-        Standing::Leaving => "leaving".into(),
-        Standing::Quarantined => "quarantined".into(),
+    let standing = match u.health.availability(now) {
+        Availability::Open(1.0) => "open".into(),
+        Availability::Open(part) => format!("returning at {:.0}%", part * 100.0),
+        Availability::Ejected => "ejected".into(),
+        Availability::Leaving => "leaving".into(),
+        Availability::Quarantined => "quarantined".into(),
     };
     UpstreamState {
         name: u.spec.name.clone(),
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -232,7 +232,7 @@
     );
     let app = rig.running().next().unwrap().app.clone();
     let now = || app.clock.now();
-    let out = |u: &route::Upstream| u.health.standing(now()) == route::Standing::Leaving;
+    let out = |u: &route::Upstream| u.health.availability(now()) == route::Availability::Leaving;
     wait(|| app.dispatchers["fitting"].all(|all| all.iter().all(out))).await;
 
     let asked = ask(&rig, "x", false);
