--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -3,7 +3,7 @@
 use kernel::Millis;
 
 /// Failures in a row after which an upstream is ejected.
-const FAILURES: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 
 /// First time out; it doubles with each ejection that follows soon.
 const FIRST: Millis = 1_000;
@@ -54,7 +54,7 @@
 ///
 /// let mut health = Health::default();
 /// for _ in 0..3 {
-///     health.failed(0);
+///     health.record_failure(0);
 /// }
 /// assert_eq!(health.availability(10), Availability::Ejected);
 /// assert!(matches!(health.availability(1_500), Availability::Open(part) if part < 0.2));
@@ -89,11 +89,12 @@
         Availability::Open(back.clamp(RETURN_FLOOR, 1.0))
     }
 
-    /// Notes a failed attempt; ejects after some in a row, or at once while returning.
-    pub fn failed(&mut self, now: Millis) {
+    /// Records a failed attempt. Ejects the upstream after `MAX_FAILURES` in a row, or after one while it
+    /// returns from an ejection.
+    pub fn record_failure(&mut self, now: Millis) {
         self.row += 1;
         let returning = self.until.is_some_and(|until| now < until + RETURN);
-        let limit = if returning { 1 } else { FAILURES };
+        let limit = if returning { 1 } else { MAX_FAILURES };
         let out = self.until.is_some_and(|until| now < until);
         if self.row >= limit && !out {
             self.eject(now);
@@ -111,31 +112,31 @@
         self.until = Some(now + span.min(LONGEST));
     }
 
-    /// Notes an attempt that went well.
-    pub fn succeeded(&mut self) {
+    /// Records a successful attempt.
+    pub fn record_success(&mut self) {
         self.row = 0;
     }
 
     /// Records whether `source` states that the upstream is leaving.
-    pub fn leave(&mut self, source: LeavingSource, leaving: bool) {
+    pub fn set_leaving(&mut self, source: LeavingSource, leaving: bool) {
         match source {
             LeavingSource::Platform => self.platform_leaving = leaving,
             LeavingSource::Upstream => self.upstream_leaving = leaving,
         }
     }
 
-    /// Tells whether the upstream says that it is leaving.
-    pub fn is_leaving(&self) -> bool {
+    /// Returns whether the upstream itself states that it is leaving.
+    pub fn reports_leaving(&self) -> bool {
         self.upstream_leaving
     }
 
-    /// Tells whether the upstream is quarantined.
+    /// Returns whether the upstream is quarantined.
     pub fn is_quarantined(&self) -> bool {
         self.quarantined
     }
 
-    /// Notes whether the upstream is quarantined.
-    pub fn quarantine(&mut self, on: bool) {
-        self.quarantined = on;
+    /// Sets whether the upstream is quarantined.
+    pub fn set_quarantined(&mut self, quarantined: bool) {
+        self.quarantined = quarantined;
     }
 }
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -188,10 +188,10 @@
         upstream.outstanding = upstream.outstanding.saturating_sub(1);
         match outcome {
             Outcome::Answered(latency) => {
-                upstream.health.succeeded();
+                upstream.health.record_success();
                 upstream.observe(latency);
             }
-            Outcome::Failed => upstream.health.failed(now),
+            Outcome::Failed => upstream.health.record_failure(now),
             Outcome::Neutral => (),
         }
     }
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -134,7 +134,7 @@
     let mut pool = pool("scored", &["a", "b"], Kind::Service);
     for name in ["a", "b"] {
         for _ in 0..3 {
-            pool.judge(name, |health| health.failed(0));
+            pool.judge(name, |health| health.record_failure(0));
         }
     }
 
@@ -147,7 +147,9 @@
 fn a_leaving_upstream_gets_nothing_new() {
     let mut pool = pool("scored", &["a", "b"], Kind::Service);
 
-    pool.judge("a", |health| health.leave(LeavingSource::Upstream, true));
+    pool.judge("a", |health| {
+        health.set_leaving(LeavingSource::Upstream, true)
+    });
 
     for _ in 0..2 {
         assert_eq!(take(&mut pool, &Ask::default(), 0), Some(name("b")));
@@ -161,9 +163,13 @@
 #[test]
 fn one_source_does_not_take_back_anothers_word() {
     let mut pool = pool("scored", &["a"], Kind::Service);
-    pool.judge("a", |health| health.leave(LeavingSource::Platform, true));
+    pool.judge("a", |health| {
+        health.set_leaving(LeavingSource::Platform, true)
+    });
 
-    pool.judge("a", |health| health.leave(LeavingSource::Upstream, false));
+    pool.judge("a", |health| {
+        health.set_leaving(LeavingSource::Upstream, false)
+    });
 
     assert_eq!(pool.pick(&Ask::default(), 0), Pick::None);
 }
@@ -264,7 +270,7 @@
                     let got = held.swap_remove(which % held.len());
                     pool.done(&got, Outcome::Failed, now);
                 }
-                _ => pool.judge(names[which], |health| health.leave(LeavingSource::Platform, span % 2 == 0)),
+                _ => pool.judge(names[which], |health| health.set_leaving(LeavingSource::Platform, span % 2 == 0)),
             }
             for upstream in pool.all() {
                 let mine = held.iter().filter(|n| **n == upstream.spec.name).count();
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -355,7 +355,9 @@
     let headers = answer.headers();
     let number = |name: &str| headers.get(name)?.to_str().ok()?.parse::<u32>().ok();
     if headers.contains_key(LEAVING) {
-        dispatcher.judge(name, |health| health.leave(LeavingSource::Upstream, true));
+        dispatcher.judge(name, |health| {
+            health.set_leaving(LeavingSource::Upstream, true)
+        });
     }
     if let Some(running) = number(RUNNING) {
         dispatcher.heard(name, running);
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -233,7 +233,7 @@
                     error = fault.to_string().as_str();
                     "quarantined"
                 );
-                dispatcher.judge(&name, |health| health.quarantine(true));
+                dispatcher.judge(&name, |health| health.set_quarantined(true));
             }
         }
     }
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -69,9 +69,11 @@
 pub fn believe(dispatcher: &Arc<Dispatcher>, name: &str, version: Option<u64>, leaving: bool) {
     dispatcher.update(name, |upstream| {
         upstream.version = version.or(upstream.version);
-        upstream.health.leave(LeavingSource::Upstream, leaving);
+        upstream
+            .health
+            .set_leaving(LeavingSource::Upstream, leaving);
         // An engine in the middle of a failed swap may use either version for the next token.
-        upstream.health.quarantine(version.is_none());
+        upstream.health.set_quarantined(version.is_none());
     });
 }
 
@@ -85,7 +87,13 @@
     let single = load.stated.single();
     let before = dispatcher.all(|all| {
         let found = all.iter().find(|u| u.spec.name == spec.name);
-        found.map(|u| (u.version, u.health.is_quarantined(), u.health.is_leaving()))
+        found.map(|u| {
+            (
+                u.version,
+                u.health.is_quarantined(),
+                u.health.reports_leaving(),
+            )
+        })
     });
     dispatcher.heard(&spec.name, load.running);
     believe(dispatcher, &spec.name, single, load.leaving);
--- a/crates/serve/src/sync.rs
+++ b/crates/serve/src/sync.rs
@@ -158,7 +158,7 @@
 pub fn leaving(app: &Arc<App>, name: &Name, is_leaving: bool) {
     for dispatcher in app.dispatchers.values() {
         dispatcher.judge(name, |health| {
-            health.leave(LeavingSource::Platform, is_leaving)
+            health.set_leaving(LeavingSource::Platform, is_leaving)
         });
     }
 }
