--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -16,14 +16,14 @@
 /// Blocks of prompts that a pool remembers.
 const PREFIXES: usize = 65_536;
 
-/// What a request asks of the upstream that takes it.
+/// What a request requires of the upstream that serves it.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct Requirements {
     /// Block hashes of the prompt.
     pub blocks: Vec<u64>,
-    /// Lowest weight version that will do.
-    pub version: u64,
-    /// Upstreams that have failed this request already; taken only when nothing else is left.
+    /// Lowest acceptable weight version.
+    pub min_version: u64,
+    /// Upstreams that already failed this request; picked only when no other can serve it.
     pub avoid: Vec<Name>,
 }
 
@@ -106,12 +106,12 @@
     }
 
     /// Chooses an upstream for a request and counts it as outstanding there.
-    pub fn pick(&mut self, ask: &Ask, now: Millis) -> Pick {
-        let open = self.open(ask, now);
+    pub fn pick(&mut self, requirements: &Requirements, now: Millis) -> Pick {
+        let open = self.open(requirements, now);
         if open.is_empty() {
             return Pick::None;
         }
-        let fresh = |at: &usize| !ask.avoid.contains(&self.upstreams[*at].spec.name);
+        let fresh = |at: &usize| !requirements.avoid.contains(&self.upstreams[*at].spec.name);
         let untried: Vec<_> = open.iter().copied().filter(fresh).collect();
         let from = if untried.is_empty() { open } else { untried };
         let roomy: Vec<_> = from
@@ -121,15 +121,17 @@
         if roomy.is_empty() {
             return Pick::Busy;
         }
-        let at = self.choose(&roomy, ask, now);
-        self.take(at, ask)
+        let at = self.choose(&roomy, requirements, now);
+        self.take(at, requirements)
     }
 
-    fn open(&self, ask: &Ask, now: Millis) -> Vec<usize> {
+    fn open(&self, requirements: &Requirements, now: Millis) -> Vec<usize> {
         let crowded = self.is_crowded(now);
         let able = |u: &Upstream| {
             // An engine of which nothing is known may do; its first chunk tells.
-            let known = u.version.is_none_or(|version| version >= ask.version);
+            let known = u
+                .version
+                .is_none_or(|version| version >= requirements.min_version);
             let versioned = u.spec.kind == Kind::Service || known;
             versioned && part(u, now, crowded).is_some()
         };
@@ -151,8 +153,8 @@
         part.map_or(0, |part| upstream.room(now, part, self.live))
     }
 
-    fn choose(&mut self, roomy: &[usize], ask: &Ask, now: Millis) -> usize {
-        let cached = self.prefixes.longest(&ask.blocks);
+    fn choose(&mut self, roomy: &[usize], requirements: &Requirements, now: Millis) -> usize {
+        let cached = self.prefixes.longest(&requirements.blocks);
         let candidates: Vec<_> = roomy
             .iter()
             .map(|at| {
@@ -172,11 +174,11 @@
         roomy[self.chooser.choose(&candidates)]
     }
 
-    fn take(&mut self, at: usize, ask: &Ask) -> Pick {
+    fn take(&mut self, at: usize, requirements: &Requirements) -> Pick {
         let upstream = &mut self.upstreams[at];
         upstream.outstanding += 1;
         let spec = upstream.spec.clone();
-        self.prefixes.note(&ask.blocks, &spec.name);
+        self.prefixes.note(&requirements.blocks, &spec.name);
         Pick::Take(spec)
     }
 
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -11,9 +11,9 @@
 use route::Pool;
 use route::Ran;
 use route::Spec;
-use route::pool::Ask;
 use route::pool::Outcome;
 use route::pool::Pick;
+use route::pool::Requirements;
 use route::prefix::blocks;
 use route::retry::Failure;
 use route::retry::Stop;
@@ -45,8 +45,8 @@
     pool
 }
 
-fn take(pool: &mut Pool, ask: &Ask, now: u64) -> Option<Name> {
-    match pool.pick(ask, now) {
+fn take(pool: &mut Pool, requirements: &Requirements, now: u64) -> Option<Name> {
+    match pool.pick(requirements, now) {
         Pick::Take(spec) => Some(spec.name),
         Pick::Busy | Pick::None => None,
     }
@@ -108,11 +108,11 @@
 )]
 fn a_failing_upstream_is_ejected(chooser: &str) {
     let mut pool = pool(chooser, &["a", "b"], Kind::Service);
-    let ask = Ask::default();
+    let requirements = Requirements::default();
 
     let mut failures = 0;
     for _ in 0..100 {
-        let got = take(&mut pool, &ask, 0).unwrap();
+        let got = take(&mut pool, &requirements, 0).unwrap();
         let bad = &*got == "a";
         failures += u32::from(bad);
         let outcome = if bad {
@@ -138,7 +138,7 @@
         }
     }
 
-    let got = take(&mut pool, &Ask::default(), 1);
+    let got = take(&mut pool, &Requirements::default(), 1);
 
     assert!(got.is_some());
 }
@@ -152,9 +152,12 @@
     });
 
     for _ in 0..2 {
-        assert_eq!(take(&mut pool, &Ask::default(), 0), Some(name("b")));
+        assert_eq!(
+            take(&mut pool, &Requirements::default(), 0),
+            Some(name("b"))
+        );
     }
-    assert_eq!(pool.pick(&Ask::default(), 0), Pick::Busy);
+    assert_eq!(pool.pick(&Requirements::default(), 0), Pick::Busy);
 }
 
 // Symptom: an upstream that is leaving gets new work again.
@@ -171,7 +174,7 @@
         health.set_leaving(LeavingSource::Upstream, false)
     });
 
-    assert_eq!(pool.pick(&Ask::default(), 0), Pick::None);
+    assert_eq!(pool.pick(&Requirements::default(), 0), Pick::None);
 }
 
 #[test]
@@ -179,14 +182,14 @@
     let mut pool = pool("scored", &["a", "b"], Kind::Engine);
     pool.find("a").unwrap().version = Some(4);
     pool.find("b").unwrap().version = Some(5);
-    let ask = Ask {
-        version: 5,
-        ..Ask::default()
+    let requirements = Requirements {
+        min_version: 5,
+        ..Requirements::default()
     };
 
-    assert_eq!(take(&mut pool, &ask, 0), Some(name("b")));
-    assert_eq!(take(&mut pool, &ask, 0), Some(name("b")));
-    assert_eq!(pool.pick(&ask, 0), Pick::Busy);
+    assert_eq!(take(&mut pool, &requirements, 0), Some(name("b")));
+    assert_eq!(take(&mut pool, &requirements, 0), Some(name("b")));
+    assert_eq!(pool.pick(&requirements, 0), Pick::Busy);
 }
 
 // Symptom: a restarted instance leaves most engines idle until weights change again.
@@ -195,12 +198,12 @@
 #[test]
 fn an_engine_of_unknown_version_may_do() {
     let mut pool = pool("scored", &["a"], Kind::Engine);
-    let ask = Ask {
-        version: 5,
-        ..Ask::default()
+    let requirements = Requirements {
+        min_version: 5,
+        ..Requirements::default()
     };
 
-    assert_eq!(take(&mut pool, &ask, 0), Some(name("a")));
+    assert_eq!(take(&mut pool, &requirements, 0), Some(name("a")));
 }
 
 // Symptom: one upstream is overrun although each instance keeps to the reported load.
@@ -211,28 +214,28 @@
     let mut pool = pool("scored", &["a"], Kind::Service);
     pool.find("a").unwrap().report(0, 0);
 
-    take(&mut pool, &Ask::default(), 1);
-    take(&mut pool, &Ask::default(), 1);
+    take(&mut pool, &Requirements::default(), 1);
+    take(&mut pool, &Requirements::default(), 1);
 
-    assert_eq!(pool.pick(&Ask::default(), 2), Pick::Busy);
+    assert_eq!(pool.pick(&Requirements::default(), 2), Pick::Busy);
 }
 
 #[test]
 fn a_cached_prefix_draws_and_a_lost_one_costs_nothing() {
     let mut pool = pool("scored", &["a", "b"], Kind::Service);
-    let ask = Ask {
+    let requirements = Requirements {
         blocks: blocks(&"p".repeat(2_000)),
-        ..Ask::default()
+        ..Requirements::default()
     };
-    let first = take(&mut pool, &ask, 0).unwrap();
+    let first = take(&mut pool, &requirements, 0).unwrap();
     pool.done(&first, Outcome::Answered(1.0), 0);
 
-    let again = take(&mut pool, &ask, 0).unwrap();
+    let again = take(&mut pool, &requirements, 0).unwrap();
     pool.done(&again, Outcome::Answered(1.0), 0);
     pool.uncached(&first);
 
     assert_eq!(first, again);
-    assert!(take(&mut pool, &ask, 0).is_some());
+    assert!(take(&mut pool, &requirements, 0).is_some());
 }
 
 // Symptom: lookups are slow though three of four upstreams are fast.
@@ -243,7 +246,7 @@
     let mut pool = pool("scored", &["a", "b", "c", "d"], Kind::Service);
     let mut slow = 0;
     for _ in 0..1_000 {
-        let got = take(&mut pool, &Ask::default(), 0).unwrap();
+        let got = take(&mut pool, &Requirements::default(), 0).unwrap();
         let is_slow = &*got == "a";
         slow += u32::from(is_slow);
         let latency = if is_slow { 40.0 } else { 2.0 };
@@ -265,7 +268,7 @@
         for (what, which, span) in steps {
             now += span;
             match what {
-                0 | 1 => held.extend(take(&mut pool, &Ask::default(), now)),
+                0 | 1 => held.extend(take(&mut pool, &Requirements::default(), now)),
                 2 if !held.is_empty() => {
                     let got = held.swap_remove(which % held.len());
                     pool.done(&got, Outcome::Failed, now);
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -20,7 +20,7 @@
 use route::Kind;
 use route::Next;
 use route::Ran;
-use route::pool::Ask;
+use route::pool::Requirements;
 use route::prefix::blocks;
 use route::retry::Failure;
 use step::Assembly;
@@ -143,9 +143,9 @@
     sink: &mut impl Sink,
 ) -> Result<Sample, Problem> {
     let mut assembly = Assembly::new(trace.id.attempt(0));
-    let mut ask = Ask {
+    let mut ask = Requirements {
         blocks: blocks(&job.asked.prompt),
-        ..Ask::default()
+        ..Requirements::default()
     };
     let sent = sent(job, trace);
     // Whether an attempt before may have run; a refusal speaks of all of them.
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -21,9 +21,9 @@
 use route::Pool;
 use route::Spec;
 use route::Upstream;
-use route::pool::Ask;
 use route::pool::Outcome;
 use route::pool::Pick;
+use route::pool::Requirements;
 use route::retry::Failure;
 use route::retry::decide;
 use tokio::sync::oneshot;
@@ -50,7 +50,7 @@
 
 /// What waits in a queue.
 struct Waiter {
-    ask: Ask,
+    ask: Requirements,
     sender: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
@@ -173,7 +173,7 @@
     pub async fn acquire(
         self: &Arc<Self>,
         entry: &Entry,
-        ask: Ask,
+        ask: Requirements,
         deadline: Millis,
     ) -> Result<Permit, Refusal> {
         let (ticket, receiver) = match self.enter(entry, ask, deadline)? {
@@ -199,7 +199,7 @@
     fn enter(
         self: &Arc<Self>,
         entry: &Entry,
-        ask: Ask,
+        ask: Requirements,
         deadline: Millis,
     ) -> Result<Entered, Refusal> {
         let now = self.clock.now();
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -29,7 +29,7 @@
 use route::Ran;
 use route::attempt::NoConnection;
 use route::attempt::Unsent;
-use route::pool::Ask;
+use route::pool::Requirements;
 use route::retry::Failure;
 use route::retry::Stop;
 use wire::Problem;
@@ -211,7 +211,7 @@
         outbound,
         ..
     } = job;
-    let mut ask = Ask::default();
+    let mut ask = Requirements::default();
     let print = print(&job.entry, dispatcher, outbound);
     let id = trace.id.to_string();
     let sent = Sent { print, id };
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -7,7 +7,7 @@
 use kernel::Millis;
 use limit::order::Entry;
 use poison::Print;
-use route::pool::Ask;
+use route::pool::Requirements;
 use route::prefix::blocks;
 use step::Assembly;
 use step::assembly::Partial;
@@ -119,9 +119,9 @@
     let avoid = work.avoid.lock().get(&begin.index).cloned();
     let mut avoid: Vec<_> = avoid.into_iter().collect();
     avoid.extend(sent(work, begin).apart(app));
-    let ask = Ask {
+    let ask = Requirements {
         blocks: blocks(&begin.prompt),
-        version: begin.version,
+        min_version: begin.version,
         avoid,
     };
     let deadline = app.clock.now() + LIMIT;
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -12,7 +12,7 @@
 use net::client::uri;
 use poison::Print;
 use route::Kind;
-use route::pool::Ask;
+use route::pool::Requirements;
 use step::Sample;
 use wire::scorer::SCORE;
 use wire::scorer::Score;
@@ -114,9 +114,9 @@
         return Err(ScoreError::Quarantined);
     }
     let deadline = app.clock.now() + LIMIT;
-    let apart = Ask {
+    let apart = Requirements {
         avoid: sent.apart(app),
-        ..Ask::default()
+        ..Requirements::default()
     };
     let permit = dispatcher.acquire(&entry, apart, deadline).await;
     let permit = permit.map_err(|_| ScoreError::Busy)?;
