--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -27,15 +27,15 @@
     pub avoid: Vec<Name>,
 }
 
-/// What a pool says to a request.
+/// Result of picking an upstream for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// This upstream takes it; [`Pool::done`] must follow.
-    Take(Spec),
-    /// All that could take it are full.
+    /// The upstream to send the request to; [`Pool::done`] must follow.
+    Upstream(Spec),
+    /// Every upstream that could serve it is at its concurrency limit.
     Busy,
-    /// No upstream can take it now: each is out, leaving, or has too old weights.
-    None,
+    /// No upstream can serve it now: each is ejected, quarantined, leaving or has weights that are too old.
+    Unavailable,
 }
 
 /// How an attempt at an upstream ended.
@@ -109,7 +109,7 @@
     pub fn pick(&mut self, requirements: &Requirements, now: Millis) -> Pick {
         let open = self.open(requirements, now);
         if open.is_empty() {
-            return Pick::None;
+            return Pick::Unavailable;
         }
         let fresh = |at: &usize| !requirements.avoid.contains(&self.upstreams[*at].spec.name);
         let untried: Vec<_> = open.iter().copied().filter(fresh).collect();
@@ -179,7 +179,7 @@
         upstream.outstanding += 1;
         let spec = upstream.spec.clone();
         self.prefixes.note(&requirements.blocks, &spec.name);
-        Pick::Take(spec)
+        Pick::Upstream(spec)
     }
 
     /// Ends an attempt that [`Pool::pick`] began.
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -47,8 +47,8 @@
 
 fn take(pool: &mut Pool, requirements: &Requirements, now: u64) -> Option<Name> {
     match pool.pick(requirements, now) {
-        Pick::Take(spec) => Some(spec.name),
-        Pick::Busy | Pick::None => None,
+        Pick::Upstream(spec) => Some(spec.name),
+        Pick::Busy | Pick::Unavailable => None,
     }
 }
 
@@ -174,7 +174,7 @@
         health.set_leaving(LeavingSource::Upstream, false)
     });
 
-    assert_eq!(pool.pick(&Requirements::default(), 0), Pick::None);
+    assert_eq!(pool.pick(&Requirements::default(), 0), Pick::Unavailable);
 }
 
 #[test]
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -206,8 +206,8 @@
         let mut state = self.state.lock();
         if state.queue.is_empty() {
             match state.pool.pick(&ask, now) {
-                Pick::Take(spec) => return Ok(Entered::Now(self.permit(spec, now))),
-                Pick::None => return Err(refusal(Type::NoUpstream, OUT)),
+                Pick::Upstream(spec) => return Ok(Entered::Now(self.permit(spec, now))),
+                Pick::Unavailable => return Err(refusal(Type::NoUpstream, OUT)),
                 Pick::Busy => (),
             }
         }
@@ -251,8 +251,8 @@
                 true => Err(refusal(Type::Late, OUT)),
                 false => match state.pool.pick(&ask, now) {
                     Pick::Busy => break,
-                    Pick::None => Err(refusal(Type::NoUpstream, OUT)),
-                    Pick::Take(spec) => Ok(self.permit(spec, now)),
+                    Pick::Unavailable => Err(refusal(Type::NoUpstream, OUT)),
+                    Pick::Upstream(spec) => Ok(self.permit(spec, now)),
                 },
             };
             let popped = state.queue.pop(now, work).map(Popped::into_inner);
