--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -30,7 +30,7 @@
 /// Result of picking an upstream for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// The upstream to send the request to; [`Pool::done`] must follow.
+    /// The upstream to send the request to; [`Pool::finish`] must follow.
     Upstream(Spec),
     /// Every upstream that could serve it is at its concurrency limit.
     Busy,
@@ -65,7 +65,7 @@
 pub struct Pool {
     chooser: Box<dyn Choose>,
     domain: Name,
-    live: u32,
+    instances: u32,
     upstreams: Vec<Upstream>,
     prefixes: Prefixes,
 }
@@ -76,32 +76,32 @@
         Self {
             chooser: (chooser.make)(),
             domain,
-            live: 1,
+            instances: 1,
             upstreams: Vec::new(),
             prefixes: Prefixes::new(PREFIXES),
         }
     }
 
-    /// Adds an upstream, or replaces what the settings say of one.
+    /// Adds an upstream, or replaces the specification of a known one.
     pub fn add(&mut self, spec: Spec) {
-        match self.find(&spec.name) {
+        match self.find_mut(&spec.name) {
             Some(upstream) => upstream.spec = spec,
             None => self.upstreams.push(Upstream::new(spec)),
         }
     }
 
-    /// Notes how many instances share these upstreams.
-    pub fn share(&mut self, live: u32) {
-        self.live = live.max(1);
+    /// Sets how many live instances share these upstreams.
+    pub fn set_instances(&mut self, count: u32) {
+        self.instances = count.max(1);
     }
 
-    /// Finds an upstream to change what is known of it.
-    pub fn find(&mut self, name: &str) -> Option<&mut Upstream> {
+    /// Finds an upstream by name, for a change of its state.
+    pub fn find_mut(&mut self, name: &str) -> Option<&mut Upstream> {
         self.upstreams.iter_mut().find(|u| &*u.spec.name == name)
     }
 
-    /// All upstreams.
-    pub fn all(&self) -> &[Upstream] {
+    /// Returns all upstreams, in the order in which they were added.
+    pub fn upstreams(&self) -> &[Upstream] {
         &self.upstreams
     }
 
@@ -150,7 +150,7 @@
     fn room(&self, at: usize, now: Millis) -> u32 {
         let upstream = &self.upstreams[at];
         let part = part(upstream, now, self.is_crowded(now));
-        part.map_or(0, |part| upstream.room(now, part, self.live))
+        part.map_or(0, |part| upstream.room(now, part, self.instances))
     }
 
     fn choose(&mut self, roomy: &[usize], requirements: &Requirements, now: Millis) -> usize {
@@ -182,9 +182,9 @@
         Pick::Upstream(spec)
     }
 
-    /// Ends an attempt that [`Pool::pick`] began.
-    pub fn done(&mut self, name: &str, outcome: Outcome, now: Millis) {
-        let Some(upstream) = self.find(name) else {
+    /// Ends an attempt that [`Pool::pick`] began, and records its outcome.
+    pub fn finish(&mut self, name: &str, outcome: Outcome, now: Millis) {
+        let Some(upstream) = self.find_mut(name) else {
             return;
         };
         upstream.outstanding = upstream.outstanding.saturating_sub(1);
@@ -198,14 +198,14 @@
         }
     }
 
-    /// Notes that an upstream lost its cache.
-    pub fn uncached(&mut self, name: &str) {
+    /// Drops the prompt prefixes recorded for an upstream, whose cache was lost.
+    pub fn forget_cache(&mut self, name: &str) {
         self.prefixes.forget(name);
     }
 
-    /// Changes the health of an upstream, if it is in this pool.
-    pub fn judge(&mut self, name: &str, f: impl FnOnce(&mut Health)) {
-        if let Some(upstream) = self.find(name) {
+    /// Applies `f` to the health of an upstream; does nothing if the pool lacks it.
+    pub fn update_health(&mut self, name: &str, f: impl FnOnce(&mut Health)) {
+        if let Some(upstream) = self.find_mut(name) {
             f(&mut upstream.health);
         }
     }
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -120,7 +120,7 @@
         } else {
             Outcome::Answered(1.0)
         };
-        pool.done(&got, outcome, 0);
+        pool.finish(&got, outcome, 0);
     }
 
     assert_eq!(failures, 3);
@@ -134,7 +134,7 @@
     let mut pool = pool("scored", &["a", "b"], Kind::Service);
     for name in ["a", "b"] {
         for _ in 0..3 {
-            pool.judge(name, |health| health.record_failure(0));
+            pool.update_health(name, |health| health.record_failure(0));
         }
     }
 
@@ -147,7 +147,7 @@
 fn a_leaving_upstream_gets_nothing_new() {
     let mut pool = pool("scored", &["a", "b"], Kind::Service);
 
-    pool.judge("a", |health| {
+    pool.update_health("a", |health| {
         health.set_leaving(LeavingSource::Upstream, true)
     });
 
@@ -166,11 +166,11 @@
 #[test]
 fn one_source_does_not_take_back_anothers_word() {
     let mut pool = pool("scored", &["a"], Kind::Service);
-    pool.judge("a", |health| {
+    pool.update_health("a", |health| {
         health.set_leaving(LeavingSource::Platform, true)
     });
 
-    pool.judge("a", |health| {
+    pool.update_health("a", |health| {
         health.set_leaving(LeavingSource::Upstream, false)
     });
 
@@ -180,8 +180,8 @@
 #[test]
 fn old_weights_are_passed_over() {
     let mut pool = pool("scored", &["a", "b"], Kind::Engine);
-    pool.find("a").unwrap().version = Some(4);
-    pool.find("b").unwrap().version = Some(5);
+    pool.find_mut("a").unwrap().version = Some(4);
+    pool.find_mut("b").unwrap().version = Some(5);
     let requirements = Requirements {
         min_version: 5,
         ..Requirements::default()
@@ -212,7 +212,7 @@
 #[test]
 fn a_late_report_does_not_hide_own_work() {
     let mut pool = pool("scored", &["a"], Kind::Service);
-    pool.find("a").unwrap().report(0, 0);
+    pool.find_mut("a").unwrap().report(0, 0);
 
     take(&mut pool, &Requirements::default(), 1);
     take(&mut pool, &Requirements::default(), 1);
@@ -228,11 +228,11 @@
         ..Requirements::default()
     };
     let first = take(&mut pool, &requirements, 0).unwrap();
-    pool.done(&first, Outcome::Answered(1.0), 0);
+    pool.finish(&first, Outcome::Answered(1.0), 0);
 
     let again = take(&mut pool, &requirements, 0).unwrap();
-    pool.done(&again, Outcome::Answered(1.0), 0);
-    pool.uncached(&first);
+    pool.finish(&again, Outcome::Answered(1.0), 0);
+    pool.forget_cache(&first);
 
     assert_eq!(first, again);
     assert!(take(&mut pool, &requirements, 0).is_some());
@@ -250,7 +250,7 @@
         let is_slow = &*got == "a";
         slow += u32::from(is_slow);
         let latency = if is_slow { 40.0 } else { 2.0 };
-        pool.done(&got, Outcome::Answered(latency), 0);
+        pool.finish(&got, Outcome::Answered(latency), 0);
     }
 
     assert!(slow <= 20, "{slow}");
@@ -271,11 +271,11 @@
                 0 | 1 => held.extend(take(&mut pool, &Requirements::default(), now)),
                 2 if !held.is_empty() => {
                     let got = held.swap_remove(which % held.len());
-                    pool.done(&got, Outcome::Failed, now);
+                    pool.finish(&got, Outcome::Failed, now);
                 }
-                _ => pool.judge(names[which], |health| health.set_leaving(LeavingSource::Platform, span % 2 == 0)),
+                _ => pool.update_health(names[which], |health| health.set_leaving(LeavingSource::Platform, span % 2 == 0)),
             }
-            for upstream in pool.all() {
+            for upstream in pool.upstreams() {
                 let mine = held.iter().filter(|n| **n == upstream.spec.name).count();
                 prop_assert_eq!(upstream.outstanding as usize, mine);
                 prop_assert!(upstream.outstanding <= upstream.spec.slots);
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -278,7 +278,7 @@
         )
         .increment(1);
         let now = self.clock.now();
-        self.state.lock().pool.done(name, outcome, now);
+        self.state.lock().pool.finish(name, outcome, now);
         self.pump();
     }
 
@@ -296,13 +296,13 @@
 
     /// Changes the health of an upstream, if this dispatcher has it.
     pub fn judge(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Health)) {
-        self.state.lock().pool.judge(name, f);
+        self.state.lock().pool.update_health(name, f);
         self.pump();
     }
 
     /// Changes what is known of an upstream, if this dispatcher has it.
     pub fn update(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Upstream)) {
-        if let Some(upstream) = self.state.lock().pool.find(name) {
+        if let Some(upstream) = self.state.lock().pool.find_mut(name) {
             f(upstream);
         }
         self.pump();
@@ -316,12 +316,12 @@
 
     /// Notes how many instances share the upstreams.
     pub fn share(&self, live: u32) {
-        self.state.lock().pool.share(live);
+        self.state.lock().pool.set_instances(live);
     }
 
     /// Runs `f` on all upstreams.
     pub fn all<R>(&self, f: impl FnOnce(&[Upstream]) -> R) -> R {
-        f(self.state.lock().pool.all())
+        f(self.state.lock().pool.upstreams())
     }
 }
 
@@ -337,7 +337,7 @@
 /// The latency that a request is to reckon with: the mean over the upstreams that may get work,
 /// weighted by what runs there, since that is where the next one goes.
 fn typical(pool: &Pool) -> Millis {
-    let known = pool.all().iter().filter(|u| u.latency > 0.0);
+    let known = pool.upstreams().iter().filter(|u| u.latency > 0.0);
     let (mut sum, mut count) = (0.0, 0.0);
     for upstream in known {
         let weight = f64::from(upstream.outstanding + 1);
