--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -20,7 +20,7 @@
 pub use health::LeavingSource;
 pub use pool::Pool;
 pub use retry::Budget;
-pub use retry::Next;
+pub use retry::Decision;
 pub use upstream::Kind;
 pub use upstream::Spec;
 pub use upstream::Upstream;
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -73,9 +73,9 @@
     pub deadline: Millis,
 }
 
-/// Why a request is not tried again.
+/// Why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopReason {
     /// It may have run and must not run twice.
     MayHaveRun,
     /// It was tried [`ATTEMPTS`] times.
@@ -88,29 +88,29 @@
 
 /// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Try again after a pause of so many milliseconds.
-    Again(Millis),
+pub enum Decision {
+    /// Retry after this many milliseconds.
+    Retry(Millis),
     /// Give up.
-    Stop(Stop),
+    Stop(StopReason),
 }
 
 /// Decides what follows a failed attempt. `jitter` is a random number from 0 to 1.
-pub fn decide(failure: Failure, budget: &mut Budget, now: Millis, jitter: f64) -> Next {
+pub fn decide(failure: Failure, budget: &mut Budget, now: Millis, jitter: f64) -> Decision {
     if failure.ran == Ran::Unknown && !failure.idempotent {
-        return Next::Stop(Stop::MayHaveRun);
+        return Decision::Stop(StopReason::MayHaveRun);
     }
     if failure.attempts >= ATTEMPTS {
-        return Next::Stop(Stop::Attempts);
+        return Decision::Stop(StopReason::Attempts);
     }
     let pause = pause(failure.attempts, jitter);
     if now + pause >= failure.deadline {
-        return Next::Stop(Stop::Deadline);
+        return Decision::Stop(StopReason::Deadline);
     }
     if !budget.spend() {
-        return Next::Stop(Stop::Budget);
+        return Decision::Stop(StopReason::Budget);
     }
-    Next::Again(pause)
+    Decision::Retry(pause)
 }
 
 /// A pause between half and all of a span that doubles with each attempt.
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -5,9 +5,9 @@
 use proptest::prelude::*;
 use route::Budget;
 use route::Chooser;
+use route::Decision;
 use route::Kind;
 use route::LeavingSource;
-use route::Next;
 use route::Pool;
 use route::Ran;
 use route::Spec;
@@ -16,7 +16,7 @@
 use route::pool::Requirements;
 use route::prefix::blocks;
 use route::retry::Failure;
-use route::retry::Stop;
+use route::retry::StopReason;
 use route::retry::decide;
 use yare::parameterized;
 
@@ -65,14 +65,14 @@
 // Sequence: the connection breaks after the request was sent, and it is sent again elsewhere.
 // Cause: a retry decided by the error's kind without asking whether the call may be repeated.
 #[parameterized(
-    sent_order = { failure(Ran::Unknown, false, 1, 9_000), Next::Stop(Stop::MayHaveRun) },
-    unsent_order = { failure(Ran::No, false, 1, 9_000), Next::Again(10) },
-    sent_lookup = { failure(Ran::Unknown, true, 1, 9_000), Next::Again(10) },
-    third = { failure(Ran::No, true, 3, 9_000), Next::Again(40) },
-    too_often = { failure(Ran::No, true, 4, 9_000), Next::Stop(Stop::Attempts) },
-    too_late = { failure(Ran::No, true, 1, 1_005), Next::Stop(Stop::Deadline) },
+    sent_order = { failure(Ran::Unknown, false, 1, 9_000), Decision::Stop(StopReason::MayHaveRun) },
+    unsent_order = { failure(Ran::No, false, 1, 9_000), Decision::Retry(10) },
+    sent_lookup = { failure(Ran::Unknown, true, 1, 9_000), Decision::Retry(10) },
+    third = { failure(Ran::No, true, 3, 9_000), Decision::Retry(40) },
+    too_often = { failure(Ran::No, true, 4, 9_000), Decision::Stop(StopReason::Attempts) },
+    too_late = { failure(Ran::No, true, 1, 1_005), Decision::Stop(StopReason::Deadline) },
 )]
-fn retries_are_decided(failure: Failure, expected: Next) {
+fn retries_are_decided(failure: Failure, expected: Decision) {
     let mut budget = Budget::default();
 
     assert_eq!(decide(failure, &mut budget, 1_000, 1.0), expected);
@@ -89,7 +89,7 @@
     for _ in 0..1_000 {
         budget.earn();
         let failed = failure(Ran::No, true, 1, 9_000);
-        if matches!(decide(failed, &mut budget, 0, 0.5), Next::Again(_)) {
+        if matches!(decide(failed, &mut budget, 0, 0.5), Decision::Retry(_)) {
             retries += 1;
         }
     }
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -17,8 +17,8 @@
 use net::events;
 use poison::Print;
 use route::Attempt;
+use route::Decision;
 use route::Kind;
-use route::Next;
 use route::Ran;
 use route::pool::Requirements;
 use route::prefix::blocks;
@@ -185,8 +185,8 @@
             deadline: job.deadline,
         };
         match job.dispatcher.retry(failure) {
-            Next::Again(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
-            Next::Stop(stop) => return Err(forward::given_up(stop, before, why.to_string())),
+            Decision::Retry(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
+            Decision::Stop(stop) => return Err(forward::given_up(stop, before, why.to_string())),
         }
         ask.avoid.push(upstream);
     }
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -15,9 +15,9 @@
 use parking_lot::Mutex;
 use route::Budget;
 use route::Chooser;
+use route::Decision;
 use route::Health;
 use route::Kind;
-use route::Next;
 use route::Pool;
 use route::Spec;
 use route::Upstream;
@@ -288,7 +288,7 @@
     }
 
     /// Decides what follows a failed attempt.
-    pub fn retry(&self, failure: Failure) -> Next {
+    pub fn retry(&self, failure: Failure) -> Decision {
         let now = self.clock.now();
         let jitter = rand::random();
         decide(failure, &mut self.state.lock().budget, now, jitter)
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -23,15 +23,15 @@
 use net::body;
 use poison::Print;
 use route::Attempt;
+use route::Decision;
 use route::Kind;
 use route::LeavingSource;
-use route::Next;
 use route::Ran;
 use route::attempt::NoConnection;
 use route::attempt::Unsent;
 use route::pool::Requirements;
 use route::retry::Failure;
-use route::retry::Stop;
+use route::retry::StopReason;
 use wire::Problem;
 use wire::caller::TIMEOUT;
 use wire::engine::RUNNING;
@@ -250,20 +250,20 @@
             deadline: outbound.deadline,
         };
         match dispatcher.retry(failure) {
-            Next::Again(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
-            Next::Stop(stop) => return Err(given_up(stop, before, why)),
+            Decision::Retry(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
+            Decision::Stop(stop) => return Err(given_up(stop, before, why)),
         }
         ask.avoid.push(upstream);
     }
 }
 
 /// The refusal of a call that is not tried again.
-pub fn given_up(stop: Stop, ran: Ran, why: String) -> Problem {
+pub fn given_up(stop: StopReason, ran: Ran, why: String) -> Problem {
     let reason = match stop {
-        Stop::MayHaveRun => "it may have run and must not run twice",
-        Stop::Attempts => "it was tried often enough",
-        Stop::Deadline => "its deadline is too near to try again",
-        Stop::Budget => "too many requests are being tried again",
+        StopReason::MayHaveRun => "it may have run and must not run twice",
+        StopReason::Attempts => "it was tried often enough",
+        StopReason::Deadline => "its deadline is too near to try again",
+        StopReason::Budget => "too many requests are being tried again",
     };
     let problem = Problem::new(Type::Upstream, ran);
     let problem = problem.because(format!("{why}; {reason}"));
