--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -24,26 +24,26 @@
 /// # Examples
 ///
 /// ```
-/// use route::Budget;
+/// use route::RetryBudget;
 ///
-/// let mut budget = Budget::default();
+/// let mut budget = RetryBudget::default();
 /// let free = (0..100).filter(|_| budget.spend()).count();
 /// assert_eq!(free, 10);
 /// (0..100).for_each(|_| budget.earn());
 /// assert!(budget.spend());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     saved: f64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self { saved: SAVED }
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Notes a first attempt.
     pub fn earn(&mut self) {
         self.saved = (self.saved + EARN).min(SAVED);
@@ -96,7 +96,7 @@
 }
 
 /// Decides what follows a failed attempt. `jitter` is a random number from 0 to 1.
-pub fn decide(failure: Failure, budget: &mut Budget, now: Millis, jitter: f64) -> Decision {
+pub fn decide(failure: Failure, budget: &mut RetryBudget, now: Millis, jitter: f64) -> Decision {
     if failure.ran == Ran::Unknown && !failure.idempotent {
         return Decision::Stop(StopReason::MayHaveRun);
     }
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -3,13 +3,13 @@
 use kernel::Name;
 use kernel::plugin;
 use proptest::prelude::*;
-use route::Budget;
 use route::Chooser;
 use route::Decision;
 use route::Kind;
 use route::LeavingSource;
 use route::Pool;
 use route::Ran;
+use route::RetryBudget;
 use route::Spec;
 use route::pool::Outcome;
 use route::pool::Pick;
@@ -73,7 +73,7 @@
     too_late = { failure(Ran::No, true, 1, 1_005), Decision::Stop(StopReason::Deadline) },
 )]
 fn retries_are_decided(failure: Failure, expected: Decision) {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
 
     assert_eq!(decide(failure, &mut budget, 1_000, 1.0), expected);
 }
@@ -83,7 +83,7 @@
 // Cause: retries bounded a request only, not over the traffic.
 #[test]
 fn retries_stay_a_share_of_the_traffic_when_all_fails() {
-    let mut budget = Budget::default();
+    let mut budget = RetryBudget::default();
     let mut retries = 0;
 
     for _ in 0..1_000 {
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -13,12 +13,12 @@
 use limit::order::Entry;
 use limit::queue::Popped;
 use parking_lot::Mutex;
-use route::Budget;
 use route::Chooser;
 use route::Decision;
 use route::Health;
 use route::Kind;
 use route::Pool;
+use route::RetryBudget;
 use route::Spec;
 use route::Upstream;
 use route::pool::Outcome;
@@ -57,7 +57,7 @@
 struct State {
     queue: Queue<Waiter>,
     pool: Pool,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 /// The queue and the upstreams of one model or service.
@@ -153,7 +153,7 @@
         let state = State {
             queue: Queue::new((order.make)(), pool.queue),
             pool: known,
-            budget: Budget::default(),
+            budget: RetryBudget::default(),
         };
         Ok(Self {
             name: pool.name.clone(),
