--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -114,15 +114,15 @@
     pub fn answer(self) {}
 }
 
-/// States that the connection for an attempt was never made.
+/// Evidence that no connection was made for an attempt.
 ///
-/// The transport makes one where the library reports a failed connect; nothing else does.
+/// Only the transport creates one, where the HTTP library reports that the connect failed.
 #[derive(Debug)]
 pub struct NoConnection(());
 
 impl NoConnection {
-    /// Vouches that the connect itself failed.
-    pub fn vouched() -> Self {
+    /// Creates the evidence; call it only where the connect itself failed.
+    pub fn connect_failed() -> Self {
         Self(())
     }
 }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -325,7 +325,7 @@
         }
         Err(SendError::Unconnected) => {
             permit.end(false);
-            let attempt = attempt.unconnected(NoConnection::vouched());
+            let attempt = attempt.unconnected(NoConnection::connect_failed());
             Err((attempt.refuse(), SendError::Unconnected.to_string()))
         }
         Err(SendError::Late) => {
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -136,7 +136,7 @@
     let answer = match app.http.send(request, SILENCE).await {
         Ok(answer) => answer,
         Err(error) if error.is_unsent() => {
-            let attempt = attempt.unconnected(NoConnection::vouched());
+            let attempt = attempt.unconnected(NoConnection::connect_failed());
             return End::Early(attempt.refuse(), Why::Unconnected);
         }
         Err(_) => return End::Early(attempt.fail(), Why::Cut),
