--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -37,17 +37,17 @@
 }
 
 impl Ran {
-    /// What two attempts at a request say of it together: it has not run where neither may have.
+    /// Combines two attempts at one request: it is known not to have run only when neither may have run.
     ///
     /// # Examples
     ///
     /// ```
     /// use route::Ran;
     ///
-    /// assert_eq!(Ran::No.or(Ran::No), Ran::No);
-    /// assert_eq!(Ran::Unknown.or(Ran::No), Ran::Unknown);
+    /// assert_eq!(Ran::No.combine(Ran::No), Ran::No);
+    /// assert_eq!(Ran::Unknown.combine(Ran::No), Ran::Unknown);
     /// ```
-    pub fn or(self, other: Self) -> Self {
+    pub fn combine(self, other: Self) -> Self {
         match (self, other) {
             (Self::No, Self::No) => Self::No,
             _ => Self::Unknown,
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -176,7 +176,7 @@
             End::Unwanted => return Err(Problem::new(Type::Late, Ran::Unknown)),
             End::Early(ran, why) => (ran, why),
         };
-        before = before.or(ran);
+        before = before.combine(ran);
         trace.note(format!("attempt {} at {upstream}: {why}", trace.attempts));
         let failure = Failure {
             ran,
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -228,7 +228,7 @@
         {
             Ok(permit) => permit,
             Err(refusal) => {
-                let ran = before.or(attempt.refuse());
+                let ran = before.combine(attempt.refuse());
                 return Err(Problem::new(refusal.kind, ran).after(refusal.after));
             }
         };
@@ -241,7 +241,7 @@
             Err(failed) => failed,
         };
         drop(stay);
-        before = before.or(ran);
+        before = before.combine(ran);
         trace.note(format!("attempt {} at {upstream}: {why}", trace.attempts));
         let failure = Failure {
             ran,
