--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -150,7 +150,9 @@
     fn room(&self, at: usize, now: Millis) -> u32 {
         let upstream = &self.upstreams[at];
         let part = part(upstream, now, self.is_crowded(now));
-        part.map_or(0, |part| upstream.room(now, part, self.instances))
+        part.map_or(0, |part| {
+            upstream.available_slots(now, part, self.instances)
+        })
     }
 
     fn choose(&mut self, roomy: &[usize], requirements: &Requirements, now: Millis) -> usize {
@@ -164,7 +166,7 @@
                     name: &u.spec.name,
                     near: u.spec.domain == self.domain,
                     outstanding: u.outstanding,
-                    others: u.others(now),
+                    others: u.other_requests(now),
                     slots: u.spec.slots,
                     latency: u.latency,
                     cached: hit.map_or(0, |(_, blocks)| blocks),
@@ -191,7 +193,7 @@
         match outcome {
             Outcome::Answered(latency) => {
                 upstream.health.record_success();
-                upstream.observe(latency);
+                upstream.record_latency(latency);
             }
             Outcome::Failed => upstream.health.record_failure(now),
             Outcome::Neutral => (),
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Notes a load report.
-    pub fn report(&mut self, running: u32, now: Millis) {
+    /// Records a load report that was received at `now`.
+    pub fn record_report(&mut self, running: u32, now: Millis) {
         self.report = Some(Report {
             running,
             at: now,
@@ -112,8 +112,8 @@
         });
     }
 
-    /// Notes the latency of an answer in milliseconds.
-    pub fn observe(&mut self, latency: f64) {
+    /// Adds the latency of a response, in milliseconds, to the mean.
+    pub fn record_latency(&mut self, latency: f64) {
         let weight = if latency > self.latency { PEAK } else { SMOOTH };
         if self.latency == 0.0 {
             self.latency = latency;
@@ -122,8 +122,9 @@
         self.latency += weight * (latency - self.latency);
     }
 
-    /// Requests of others, by the last report: what ran less what was this instance's own.
-    pub fn others(&self, now: Millis) -> u32 {
+    /// Returns the requests of other instances by the last report: those running there minus this
+    /// instance's own at that time. 0 when the report is too old.
+    pub fn other_requests(&self, now: Millis) -> u32 {
         match self.report {
             Some(report) if now < report.at + REPORT_AGE => {
                 report.running.saturating_sub(report.mine)
@@ -132,15 +133,15 @@
         }
     }
 
-    /// Requests that this instance may still send, when `part` of the window is open to it and
-    /// `live` instances share the upstream.
+    /// Returns how many more requests this instance may send, when it may use `fraction` of its window and
+    /// `instances` instances share the upstream.
     ///
-    /// The report lags, so it is never trusted alone: what this instance sent itself counts as it
-    /// is now, and an even share of the slots is always open, whatever a late report says.
-    pub fn room(&self, now: Millis, part: f64, live: u32) -> u32 {
-        let fair = self.spec.slots.div_ceil(live.max(1));
-        let free = self.spec.slots.saturating_sub(self.others(now));
-        let window = (f64::from(fair.max(free)) * part).ceil() as u32;
+    /// Load reports lag, so they do not decide alone: this instance's own requests count as of now, and an
+    /// even share of the slots is always available, whatever a late report says.
+    pub fn available_slots(&self, now: Millis, fraction: f64, instances: u32) -> u32 {
+        let even = self.spec.slots.div_ceil(instances.max(1));
+        let free = self.spec.slots.saturating_sub(self.other_requests(now));
+        let window = (f64::from(even.max(free)) * fraction).ceil() as u32;
         window.saturating_sub(self.outstanding)
     }
 }
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -212,7 +212,7 @@
 #[test]
 fn a_late_report_does_not_hide_own_work() {
     let mut pool = pool("scored", &["a"], Kind::Service);
-    pool.find_mut("a").unwrap().report(0, 0);
+    pool.find_mut("a").unwrap().record_report(0, 0);
 
     take(&mut pool, &Requirements::default(), 1);
     take(&mut pool, &Requirements::default(), 1);
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -311,7 +311,7 @@
     /// Notes what an upstream says it is working on.
     pub fn heard(self: &Arc<Self>, name: &str, running: u32) {
         let now = self.clock.now();
-        self.update(name, |upstream| upstream.report(running, now));
+        self.update(name, |upstream| upstream.record_report(running, now));
     }
 
     /// Notes how many instances share the upstreams.
