--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -10,7 +10,7 @@
 use http::Method;
 use http::StatusCode;
 use net::client::JsonError;
-use route::Spec;
+use route::UpstreamSpec;
 use weight::Stated;
 use wire::engine::LOAD;
 use wire::engine::Load;
@@ -35,7 +35,7 @@
 }
 
 /// Asks an engine what it states.
-pub(crate) async fn stated(http: &net::Client, engine: &Spec) -> Option<Stated> {
+pub(crate) async fn stated(http: &net::Client, engine: &UpstreamSpec) -> Option<Stated> {
     let uri = net::client::uri(engine.addr, LOAD);
     let load: Result<Load, _> = http.json(Method::GET, &uri, &(), LIMIT).await;
     load.ok().map(|load| load.stated)
@@ -44,7 +44,7 @@
 /// Gives an order, if the lease allows it at this moment.
 pub(crate) async fn give(
     http: &net::Client,
-    engine: &Spec,
+    engine: &UpstreamSpec,
     lease: &Lease<Held>,
     clock: Clock,
     order: impl FnOnce(Fence) -> Order,
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -10,7 +10,7 @@
 use kernel::Name;
 use plat::Client;
 use route::Kind;
-use route::Spec;
+use route::UpstreamSpec;
 use serve::Settings;
 use tokio::task::JoinHandle;
 use wire::peer;
@@ -59,7 +59,7 @@
         let plat = Client::new(settings.platform.clone());
         let http = net::Client::new();
         let clock = Clock::default();
-        let mut engines: Map<Name, Vec<Spec>> = Map::default();
+        let mut engines: Map<Name, Vec<UpstreamSpec>> = Map::default();
         for spec in &settings.upstreams {
             if spec.kind == Kind::Engine && spec.domain == settings.me.domain {
                 engines
--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -11,7 +11,7 @@
 use plat::holder;
 use plat::holder::Taken;
 use plat::keys;
-use route::Spec;
+use route::UpstreamSpec;
 use serve::audit;
 use serve::weights::Version;
 use tokio::task::JoinSet;
@@ -48,7 +48,7 @@
     pub(crate) model: Name,
     pub(crate) domain: Name,
     pub(crate) instance: Name,
-    pub(crate) engines: Vec<Spec>,
+    pub(crate) engines: Vec<UpstreamSpec>,
     pub(crate) sources: Sources,
     pub(crate) plat: Client,
     pub(crate) http: net::Client,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -22,5 +22,5 @@
 pub use retry::Decision;
 pub use retry::RetryBudget;
 pub use upstream::Kind;
-pub use upstream::Spec;
 pub use upstream::Upstream;
+pub use upstream::UpstreamSpec;
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -7,8 +7,8 @@
 use crate::Chooser;
 use crate::Health;
 use crate::Kind;
-use crate::Spec;
 use crate::Upstream;
+use crate::UpstreamSpec;
 use crate::choose::Candidate;
 use crate::choose::Choose;
 use crate::prefix::Prefixes;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pick {
     /// The upstream to send the request to; [`Pool::finish`] must follow.
-    Upstream(Spec),
+    Upstream(UpstreamSpec),
     /// Every upstream that could serve it is at its concurrency limit.
     Busy,
     /// No upstream can serve it now: each is ejected, quarantined, leaving or has weights that are too old.
@@ -83,7 +83,7 @@
     }
 
     /// Adds an upstream, or replaces the specification of a known one.
-    pub fn add(&mut self, spec: Spec) {
+    pub fn add(&mut self, spec: UpstreamSpec) {
         match self.find_mut(&spec.name) {
             Some(upstream) => upstream.spec = spec,
             None => self.upstreams.push(Upstream::new(spec)),
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -37,7 +37,7 @@
 
 /// What the settings say of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spec {
+pub struct UpstreamSpec {
     /// Its name.
     pub name: Name,
     /// Its address.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// What the settings say.
-    pub spec: Spec,
+    pub spec: UpstreamSpec,
     /// Its health.
     pub health: Health,
     /// The weight version that it stated last, when it is an engine.
@@ -92,7 +92,7 @@
 
 impl Upstream {
     /// Makes an upstream of which nothing is known yet.
-    pub fn new(spec: Spec) -> Self {
+    pub fn new(spec: UpstreamSpec) -> Self {
         Self {
             spec,
             health: Health::default(),
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -10,7 +10,7 @@
 use route::Pool;
 use route::Ran;
 use route::RetryBudget;
-use route::Spec;
+use route::UpstreamSpec;
 use route::pool::Outcome;
 use route::pool::Pick;
 use route::pool::Requirements;
@@ -24,8 +24,8 @@
     text.parse().unwrap()
 }
 
-fn spec(text: &str, kind: Kind) -> Spec {
-    Spec {
+fn spec(text: &str, kind: Kind) -> UpstreamSpec {
+    UpstreamSpec {
         name: name(text),
         addr: "127.0.0.1:1".parse().unwrap(),
         kind,
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -19,8 +19,8 @@
 use route::Kind;
 use route::Pool;
 use route::RetryBudget;
-use route::Spec;
 use route::Upstream;
+use route::UpstreamSpec;
 use route::pool::Outcome;
 use route::pool::Pick;
 use route::pool::Requirements;
@@ -74,7 +74,7 @@
 /// The right to send one request to an upstream.
 pub struct Permit {
     /// The upstream.
-    pub spec: Spec,
+    pub spec: UpstreamSpec,
     dispatcher: Arc<Dispatcher>,
     began: Millis,
     ended: bool,
@@ -142,7 +142,7 @@
     pub fn new(
         pool: &settings::Pool,
         me: &settings::Me,
-        upstreams: &[Spec],
+        upstreams: &[UpstreamSpec],
         clock: Clock,
     ) -> Result<Self, UnknownPlugin> {
         let order = plugin::find::<Order>(pool.order)?;
@@ -224,7 +224,7 @@
         }
     }
 
-    fn permit(self: &Arc<Self>, spec: Spec, now: Millis) -> Permit {
+    fn permit(self: &Arc<Self>, spec: UpstreamSpec, now: Millis) -> Permit {
         Permit {
             spec,
             dispatcher: self.clone(),
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -10,7 +10,7 @@
 use http::Method;
 use route::Kind;
 use route::LeavingSource;
-use route::Spec;
+use route::UpstreamSpec;
 use wire::engine::LOAD;
 use wire::engine::Load;
 
@@ -31,7 +31,7 @@
             .values()
             .filter(|dispatcher| dispatcher.kind == Kind::Engine)
         {
-            let specs: Vec<Spec> =
+            let specs: Vec<UpstreamSpec> =
                 dispatcher.all(|all| all.iter().map(|u| u.spec.clone()).collect());
             for spec in specs {
                 if !is_mine(&app, &spec) {
@@ -51,7 +51,7 @@
 
 /// Tells whether this instance asks the engine: those with the highest rank do, among the live
 /// ones of the engine's failure domain, or of all when none there is live.
-fn is_mine(app: &App, spec: &Spec) -> bool {
+fn is_mine(app: &App, spec: &UpstreamSpec) -> bool {
     let view = app.view.lock();
     let mut live: Vec<_> = view
         .live()
@@ -77,7 +77,7 @@
     });
 }
 
-async fn ask(app: &Arc<App>, dispatcher: &Arc<Dispatcher>, spec: &Spec) {
+async fn ask(app: &Arc<App>, dispatcher: &Arc<Dispatcher>, spec: &UpstreamSpec) {
     let uri = net::client::uri(spec.addr, LOAD);
     let answer: Result<Load, _> = app.http.json(Method::GET, &uri, &(), LIMIT).await;
     let Ok(load) = answer else {
@@ -114,7 +114,7 @@
 }
 
 /// Notes what changed, for `explain`.
-fn tell(app: &App, spec: &Spec, before: Option<u64>, now: Option<u64>, quarantined: bool) {
+fn tell(app: &App, spec: &UpstreamSpec, before: Option<u64>, now: Option<u64>, quarantined: bool) {
     let what = match (before, now) {
         (Some(before), Some(now)) if before == now && quarantined => "out of quarantine".into(),
         (before, Some(now)) if before != Some(now) => format!("states version {now}"),
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -16,7 +16,7 @@
 use net::Limits;
 use route::Chooser;
 use route::Kind;
-use route::Spec;
+use route::UpstreamSpec;
 use step::Policy;
 use wire::peer::Secret;
 
@@ -108,7 +108,7 @@
     /// Models and services.
     pub pools: Vec<Pool>,
     /// Upstreams.
-    pub upstreams: Vec<Spec>,
+    pub upstreams: Vec<UpstreamSpec>,
     /// Bounds on what callers send and receive.
     pub bounds: Bounds,
     /// The journal.
@@ -260,7 +260,7 @@
     })
 }
 
-fn upstreams(doc: &mut Doc, pools: &[Pool]) -> Vec<Spec> {
+fn upstreams(doc: &mut Doc, pools: &[Pool]) -> Vec<UpstreamSpec> {
     many(doc, "upstream", |s| {
         let name = label(s);
         let addr = s.need("address", ADDRESS);
@@ -275,7 +275,7 @@
         if slots == 0 {
             s.refuse("slots", "at least 1");
         }
-        Some(Spec {
+        Some(UpstreamSpec {
             name: name?,
             addr: addr?,
             kind: found.kind,
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -11,7 +11,7 @@
 use plat::keys;
 use poison::Print;
 use route::Ran;
-use route::Spec;
+use route::UpstreamSpec;
 use wire::Problem;
 use wire::problem::Type;
 
@@ -52,12 +52,12 @@
     }
 
     /// Notes that the request goes to an upstream, if it is a suspect.
-    pub(crate) fn stay(&self, app: &App, spec: &Spec) -> Option<Stay> {
+    pub(crate) fn stay(&self, app: &App, spec: &UpstreamSpec) -> Option<Stay> {
         app.crashes.stay(|| self.print.into(), &start(app, spec))
     }
 
     /// Looks whether an upstream has crashed after the connection broke there.
-    pub(crate) async fn broke(&self, app: &App, spec: &Spec) {
+    pub(crate) async fn broke(&self, app: &App, spec: &UpstreamSpec) {
         let leaving = app.view.lock().leaving(&spec.name).unwrap_or(false);
         let left = move || leaving;
         let start = start(app, spec);
@@ -81,7 +81,7 @@
     }
 }
 
-fn start(app: &App, spec: &Spec) -> Arc<str> {
+fn start(app: &App, spec: &UpstreamSpec) -> Arc<str> {
     format!("{}@{}", spec.name, app.clock.wall() / START).into()
 }
 
