--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -9,7 +9,7 @@
 use kernel::Map;
 use kernel::Name;
 use plat::Client;
-use route::Kind;
+use route::UpstreamKind;
 use route::UpstreamSpec;
 use serve::Settings;
 use tokio::task::JoinHandle;
@@ -61,7 +61,7 @@
         let clock = Clock::default();
         let mut engines: Map<Name, Vec<UpstreamSpec>> = Map::default();
         for spec in &settings.upstreams {
-            if spec.kind == Kind::Engine && spec.domain == settings.me.domain {
+            if spec.kind == UpstreamKind::Engine && spec.domain == settings.me.domain {
                 engines
                     .entry(spec.pool.clone())
                     .or_default()
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -21,6 +21,6 @@
 pub use pool::Pool;
 pub use retry::Decision;
 pub use retry::RetryBudget;
-pub use upstream::Kind;
 pub use upstream::Upstream;
+pub use upstream::UpstreamKind;
 pub use upstream::UpstreamSpec;
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -6,8 +6,8 @@
 use crate::Availability;
 use crate::Chooser;
 use crate::Health;
-use crate::Kind;
 use crate::Upstream;
+use crate::UpstreamKind;
 use crate::UpstreamSpec;
 use crate::choose::Candidate;
 use crate::choose::Choose;
@@ -132,7 +132,7 @@
             let known = u
                 .version
                 .is_none_or(|version| version >= requirements.min_version);
-            let versioned = u.spec.kind == Kind::Service || known;
+            let versioned = u.spec.kind == UpstreamKind::Service || known;
             versioned && part(u, now, crowded).is_some()
         };
         let all = 0..self.upstreams.len();
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -10,7 +10,7 @@
 
 /// What an upstream is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum UpstreamKind {
     /// A model engine.
     Engine,
     /// A plain service.
@@ -23,7 +23,7 @@
 #[error("expected engine or service")]
 pub struct KindError;
 
-impl FromStr for Kind {
+impl FromStr for UpstreamKind {
     type Err = KindError;
 
     fn from_str(text: &str) -> Result<Self, KindError> {
@@ -43,7 +43,7 @@
     /// Its address.
     pub addr: SocketAddr,
     /// What it is.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     /// The model or service that it serves.
     pub pool: Name,
     /// Its failure domain.
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -5,11 +5,11 @@
 use proptest::prelude::*;
 use route::Chooser;
 use route::Decision;
-use route::Kind;
 use route::LeavingSource;
 use route::Pool;
 use route::Ran;
 use route::RetryBudget;
+use route::UpstreamKind;
 use route::UpstreamSpec;
 use route::pool::Outcome;
 use route::pool::Pick;
@@ -24,7 +24,7 @@
     text.parse().unwrap()
 }
 
-fn spec(text: &str, kind: Kind) -> UpstreamSpec {
+fn spec(text: &str, kind: UpstreamKind) -> UpstreamSpec {
     UpstreamSpec {
         name: name(text),
         addr: "127.0.0.1:1".parse().unwrap(),
@@ -36,7 +36,7 @@
     }
 }
 
-fn pool(chooser: &str, upstreams: &[&str], kind: Kind) -> Pool {
+fn pool(chooser: &str, upstreams: &[&str], kind: UpstreamKind) -> Pool {
     let chooser = plugin::find::<Chooser>(chooser).unwrap();
     let mut pool = Pool::new(chooser, name("nord"));
     for upstream in upstreams {
@@ -107,7 +107,7 @@
     scored = { "scored" },
 )]
 fn a_failing_upstream_is_ejected(chooser: &str) {
-    let mut pool = pool(chooser, &["a", "b"], Kind::Service);
+    let mut pool = pool(chooser, &["a", "b"], UpstreamKind::Service);
     let requirements = Requirements::default();
 
     let mut failures = 0;
@@ -131,7 +131,7 @@
 // Cause: ejection without a bound on how many are out.
 #[test]
 fn when_most_are_ejected_they_get_a_little_work() {
-    let mut pool = pool("scored", &["a", "b"], Kind::Service);
+    let mut pool = pool("scored", &["a", "b"], UpstreamKind::Service);
     for name in ["a", "b"] {
         for _ in 0..3 {
             pool.update_health(name, |health| health.record_failure(0));
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_leaving_upstream_gets_nothing_new() {
-    let mut pool = pool("scored", &["a", "b"], Kind::Service);
+    let mut pool = pool("scored", &["a", "b"], UpstreamKind::Service);
 
     pool.update_health("a", |health| {
         health.set_leaving(LeavingSource::Upstream, true)
@@ -165,7 +165,7 @@
 // Cause: one flag for two sources, where the later word wins.
 #[test]
 fn one_source_does_not_take_back_anothers_word() {
-    let mut pool = pool("scored", &["a"], Kind::Service);
+    let mut pool = pool("scored", &["a"], UpstreamKind::Service);
     pool.update_health("a", |health| {
         health.set_leaving(LeavingSource::Platform, true)
     });
@@ -179,7 +179,7 @@
 
 #[test]
 fn old_weights_are_passed_over() {
-    let mut pool = pool("scored", &["a", "b"], Kind::Engine);
+    let mut pool = pool("scored", &["a", "b"], UpstreamKind::Engine);
     pool.find_mut("a").unwrap().version = Some(4);
     pool.find_mut("b").unwrap().version = Some(5);
     let requirements = Requirements {
@@ -197,7 +197,7 @@
 // Cause: taking an unknown version for an old one.
 #[test]
 fn an_engine_of_unknown_version_may_do() {
-    let mut pool = pool("scored", &["a"], Kind::Engine);
+    let mut pool = pool("scored", &["a"], UpstreamKind::Engine);
     let requirements = Requirements {
         min_version: 5,
         ..Requirements::default()
@@ -211,7 +211,7 @@
 // Cause: trusting the lagging report alone.
 #[test]
 fn a_late_report_does_not_hide_own_work() {
-    let mut pool = pool("scored", &["a"], Kind::Service);
+    let mut pool = pool("scored", &["a"], UpstreamKind::Service);
     pool.find_mut("a").unwrap().record_report(0, 0);
 
     take(&mut pool, &Requirements::default(), 1);
@@ -222,7 +222,7 @@
 
 #[test]
 fn a_cached_prefix_draws_and_a_lost_one_costs_nothing() {
-    let mut pool = pool("scored", &["a", "b"], Kind::Service);
+    let mut pool = pool("scored", &["a", "b"], UpstreamKind::Service);
     let requirements = Requirements {
         blocks: blocks(&"p".repeat(2_000)),
         ..Requirements::default()
@@ -243,7 +243,7 @@
 // Cause: a choice that does not weigh latency.
 #[test]
 fn a_slow_upstream_gets_little_work() {
-    let mut pool = pool("scored", &["a", "b", "c", "d"], Kind::Service);
+    let mut pool = pool("scored", &["a", "b", "c", "d"], UpstreamKind::Service);
     let mut slow = 0;
     for _ in 0..1_000 {
         let got = take(&mut pool, &Requirements::default(), 0).unwrap();
@@ -262,7 +262,7 @@
     #[test]
     fn windows_hold(steps in prop::collection::vec((0u8..4, 0usize..3, 0u64..2_000), 1..200)) {
         let names = ["a", "b", "c"];
-        let mut pool = pool("scored", &names, Kind::Service);
+        let mut pool = pool("scored", &names, UpstreamKind::Service);
         let mut held: Vec<Name> = Vec::new();
         let mut now = 0;
         for (what, which, span) in steps {
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -18,8 +18,8 @@
 use poison::Print;
 use route::Attempt;
 use route::Decision;
-use route::Kind;
 use route::Ran;
+use route::UpstreamKind;
 use route::pool::Requirements;
 use route::prefix::blocks;
 use route::retry::Failure;
@@ -102,7 +102,7 @@
     }
     let dispatcher = app.dispatchers.get(model);
     let dispatcher = dispatcher
-        .filter(|dispatcher| dispatcher.kind == Kind::Engine)
+        .filter(|dispatcher| dispatcher.kind == UpstreamKind::Engine)
         .cloned();
     dispatcher.ok_or_else(|| no(Type::NotFound).because(format!("model {model:?}")))
 }
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -16,10 +16,10 @@
 use route::Chooser;
 use route::Decision;
 use route::Health;
-use route::Kind;
 use route::Pool;
 use route::RetryBudget;
 use route::Upstream;
+use route::UpstreamKind;
 use route::UpstreamSpec;
 use route::pool::Outcome;
 use route::pool::Pick;
@@ -65,7 +65,7 @@
     /// The model or service.
     pub name: Name,
     /// What serves it.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     instance: Name,
     clock: Clock,
     state: Mutex<State>,
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -24,9 +24,9 @@
 use poison::Print;
 use route::Attempt;
 use route::Decision;
-use route::Kind;
 use route::LeavingSource;
 use route::Ran;
+use route::UpstreamKind;
 use route::attempt::NoConnection;
 use route::attempt::Unsent;
 use route::pool::Requirements;
@@ -99,7 +99,7 @@
     }
     let dispatcher = app.dispatchers.get(service.as_str());
     let dispatcher = dispatcher
-        .filter(|dispatcher| dispatcher.kind == Kind::Service)
+        .filter(|dispatcher| dispatcher.kind == UpstreamKind::Service)
         .cloned();
     let dispatcher =
         dispatcher.ok_or_else(|| no(Type::NotFound).because(format!("service {service:?}")))?;
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -8,8 +8,8 @@
 
 use fleet::Rumour;
 use http::Method;
-use route::Kind;
 use route::LeavingSource;
+use route::UpstreamKind;
 use route::UpstreamSpec;
 use wire::engine::LOAD;
 use wire::engine::Load;
@@ -29,7 +29,7 @@
         for dispatcher in app
             .dispatchers
             .values()
-            .filter(|dispatcher| dispatcher.kind == Kind::Engine)
+            .filter(|dispatcher| dispatcher.kind == UpstreamKind::Engine)
         {
             let specs: Vec<UpstreamSpec> =
                 dispatcher.all(|all| all.iter().map(|u| u.spec.clone()).collect());
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -15,7 +15,7 @@
 use limit::Order;
 use net::Limits;
 use route::Chooser;
-use route::Kind;
+use route::UpstreamKind;
 use route::UpstreamSpec;
 use step::Policy;
 use wire::peer::Secret;
@@ -50,7 +50,7 @@
     /// The model or service.
     pub name: Name,
     /// What serves it.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     /// In which order its queue lets requests go.
     pub order: &'static str,
     /// How an upstream is chosen.
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -11,7 +11,7 @@
 use net::client::JsonError;
 use net::client::uri;
 use poison::Print;
-use route::Kind;
+use route::UpstreamKind;
 use route::pool::Requirements;
 use step::Sample;
 use wire::scorer::SCORE;
@@ -96,7 +96,7 @@
     text: &str,
 ) -> Result<f64, ScoreError> {
     let dispatcher = app.dispatchers.get(scorer);
-    let dispatcher = dispatcher.filter(|dispatcher| dispatcher.kind == Kind::Service);
+    let dispatcher = dispatcher.filter(|dispatcher| dispatcher.kind == UpstreamKind::Service);
     let dispatcher = dispatcher.ok_or_else(|| ScoreError::Unknown(scorer.into()))?;
     let entry = Entry {
         customer: contract.customer.clone(),
