--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -1,14 +1,14 @@
-//! What is known of whether a request ran, carried in the type.
+//! Typestate of an attempt at a request: whether an upstream may have executed it.
 //!
-//! A refusal that says "not run" must be true. Only an [`Attempt`] in the state [`Unsent`] can be
-//! turned into such a refusal; sending consumes it, and what comes back states "not run" again
-//! only when the connection was never made.
+//! An error that reports a request as not executed must be correct, because the caller may then
+//! repeat it. Only an [`Attempt`] in the state [`Unsent`] can end in such an error. Sending consumes
+//! it, and the sent attempt becomes unsent again only when no connection was made.
 //!
 //! ```compile_fail
 //! use route::Attempt;
 //!
 //! let sent = Attempt::new().send();
-//! // A request that was sent may have run: there is no `refuse` in this state.
+//! // A sent request may have been executed, so this state has no `refuse`.
 //! let ran = sent.refuse();
 //! ```
 //!
@@ -25,19 +25,19 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whether a request ran, as a refusal states it.
+/// Whether a request was executed, as stated in an error response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// It did not run.
+    /// It was not executed.
     No,
-    /// It may have run.
+    /// It may have been executed.
     Unknown,
 }
 
 impl Ran {
-    /// Combines two attempts at one request: it is known not to have run only when neither may have run.
+    /// Combines two attempts at one request: `No` only when neither may have been executed.
     ///
     /// # Examples
     ///
@@ -55,17 +55,17 @@
     }
 }
 
-/// Nothing of the request has left this instance.
+/// State of an attempt of which no byte has been sent.
 #[derive(Debug)]
 pub enum Unsent {}
 
-/// Some of the request may have reached an upstream.
+/// State of an attempt that may have reached an upstream, wholly or in part.
 #[derive(Debug)]
 pub enum Sent {}
 
-/// One attempt at a request.
+/// One attempt at a request, in the state `S`.
 #[derive(Debug)]
-#[must_use = "an attempt ends in a refusal, a failure or an answer"]
+#[must_use = "an attempt must end in a refusal, a failure or a response"]
 pub struct Attempt<S> {
     state: PhantomData<S>,
 }
@@ -77,17 +77,17 @@
 }
 
 impl Attempt<Unsent> {
-    /// Begins an attempt.
+    /// Starts an attempt.
     pub fn new() -> Self {
         Self::make()
     }
 
-    /// Ends it without sending; the refusal may say "not run".
+    /// Ends the attempt without sending it, so it was not executed.
     pub fn refuse(self) -> Ran {
         Ran::No
     }
 
-    /// Hands it to a connection; from here on it may run.
+    /// Marks the attempt as handed to a connection; from here on it may be executed.
     pub fn send(self) -> Attempt<Sent> {
         Attempt::make()
     }
@@ -100,17 +100,17 @@
 }
 
 impl Attempt<Sent> {
-    /// Ends it without an answer: nobody knows whether it ran.
+    /// Ends the attempt without a response, so whether it was executed is unknown.
     pub fn fail(self) -> Ran {
         Ran::Unknown
     }
 
-    /// Takes it back when no connection was made, so that no byte of it was sent.
+    /// Returns to the unsent state: no connection was made, so no byte was sent.
     pub fn unconnected(self, _: NoConnection) -> Attempt<Unsent> {
         Attempt::make()
     }
 
-    /// Ends it with a whole answer.
+    /// Ends the attempt with a complete response.
     pub fn answer(self) {}
 }
 
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,40 +1,40 @@
-//! Which of the upstreams with room takes a request: a plug-in.
+//! Load-balancing plug-ins: which of the upstreams with a free slot serves a request.
 
 use kernel::Name;
 use kernel::plugin::Plugin;
 use kernel::plugin::inventory;
 
-/// What a chooser knows of an upstream with room.
+/// An upstream with a free slot, as a chooser sees it.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Name of the upstream.
     pub name: &'a Name,
     /// Whether it is in this instance's failure domain.
-    pub near: bool,
-    /// Requests that this instance has there.
+    pub same_domain: bool,
+    /// Requests of this instance that are outstanding there.
     pub outstanding: u32,
-    /// Requests that others have there, by its last report.
-    pub others: u32,
-    /// Requests that it can work on at once.
+    /// Requests of other instances there, by its last load report.
+    pub other_requests: u32,
+    /// Requests that it can process concurrently.
     pub slots: u32,
-    /// Mean latency in milliseconds; 0 when not known.
+    /// Mean latency in milliseconds; 0 when unknown.
     pub latency: f64,
-    /// Blocks of the prompt that it is thought to hold.
-    pub cached: usize,
+    /// Leading blocks of the prompt that its cache is estimated to hold.
+    pub cached_blocks: usize,
 }
 
-/// Chooses an upstream.
-pub trait Choose: Send {
-    /// Returns the index of the choice; `candidates` is never empty.
+/// A load-balancing strategy.
+pub trait Strategy: Send {
+    /// Returns the index of the chosen candidate; `candidates` is never empty.
     fn choose(&mut self, candidates: &[Candidate<'_>]) -> usize;
 }
 
-/// A chooser that the settings choose by name.
+/// A strategy that the settings select by name.
 pub struct Chooser {
-    /// The name.
+    /// Name in the settings.
     pub name: &'static str,
-    /// Makes a chooser for one pool.
-    pub make: fn() -> Box<dyn Choose>,
+    /// Creates the strategy for one pool.
+    pub make: fn() -> Box<dyn Strategy>,
 }
 
 inventory::collect!(Chooser);
@@ -47,83 +47,85 @@
     }
 }
 
-/// One after the other: a baseline.
+/// RoundRobin robin, as a baseline.
 #[derive(Debug, Default)]
-struct Round {
+struct RoundRobin {
     next: usize,
 }
 
-impl Choose for Round {
+impl Strategy for RoundRobin {
     fn choose(&mut self, candidates: &[Candidate<'_>]) -> usize {
         self.next = self.next.wrapping_add(1);
         self.next % candidates.len()
     }
 }
 
-/// Least outstanding requests of this instance: a baseline.
+/// Fewest outstanding requests of this instance, as a baseline.
 #[derive(Debug, Default)]
-struct Least {
+struct LeastOutstanding {
     next: usize,
 }
 
-impl Choose for Least {
+impl Strategy for LeastOutstanding {
     fn choose(&mut self, candidates: &[Candidate<'_>]) -> usize {
         self.next = self.next.wrapping_add(1);
         lowest(candidates, self.next, |c| f64::from(c.outstanding))
     }
 }
 
-/// Least expected time: latency times load, less for a cached prefix, more for another domain.
+/// Lowest expected time: latency times load, reduced for a cached prefix and increased for another
+/// failure domain.
 #[derive(Debug, Default)]
 struct Scored {
     next: usize,
 }
 
-/// Latency in milliseconds that is assumed of an upstream that has not answered yet.
-const UNKNOWN: f64 = 1.0;
+/// Assumed latency in milliseconds of an upstream that has not responded yet; also the lower bound.
+const MIN_LATENCY_MS: f64 = 1.0;
 
-/// Factor on the cost of an upstream in another failure domain.
-const FAR: f64 = 1.5;
+/// Cost factor of an upstream in another failure domain.
+const REMOTE_FACTOR: f64 = 1.5;
 
-/// Part of the cost that a fully cached prompt saves.
-const CACHED: f64 = 0.5;
+/// Fraction of the cost that a fully cached prompt saves.
+const MAX_CACHE_SAVING: f64 = 0.5;
 
-/// Blocks beyond which more cached blocks save nothing more.
-const CACHED_BLOCKS: f64 = 16.0;
+/// Cached blocks beyond which a further one saves nothing.
+const MAX_CACHED_BLOCKS: f64 = 16.0;
 
 fn score(c: &Candidate<'_>) -> f64 {
-    let load = f64::from(c.outstanding + c.others + 1) / f64::from(c.slots.max(1));
-    let far = if c.near { 1.0 } else { FAR };
-    let cached = 1.0 - CACHED * (c.cached as f64 / CACHED_BLOCKS).min(1.0);
-    c.latency.max(UNKNOWN) * load * far * cached
+    let load = f64::from(c.outstanding + c.other_requests + 1) / f64::from(c.slots.max(1));
+    let distance = if c.same_domain { 1.0 } else { REMOTE_FACTOR };
+    let cache = 1.0 - MAX_CACHE_SAVING * (c.cached_blocks as f64 / MAX_CACHED_BLOCKS).min(1.0);
+    c.latency.max(MIN_LATENCY_MS) * load * distance * cache
 }
 
-impl Choose for Scored {
+impl Strategy for Scored {
     fn choose(&mut self, candidates: &[Candidate<'_>]) -> usize {
         self.next = self.next.wrapping_add(1);
         lowest(candidates, self.next, score)
     }
 }
 
-/// Finds the candidate with the lowest cost; among equals the turn decides.
+/// Returns the index of the candidate with the lowest cost. `offset` is the index at which the search
+/// starts, so that candidates of equal cost take turns.
 fn lowest(
     candidates: &[Candidate<'_>],
-    turn: usize,
+    offset: usize,
     cost: impl Fn(&Candidate<'_>) -> f64,
 ) -> usize {
     let count = candidates.len();
     (0..count)
-        .map(|step| (turn + step) % count)
+        .map(|step| (offset + step) % count)
         .min_by(|a, b| cost(&candidates[*a]).total_cmp(&cost(&candidates[*b])))
         .unwrap_or(0)
 }
 
 inventory::submit! {
-    Chooser { name: "round", make: || Box::<Round>::default() }
+    Chooser { name: "round", make: || Box::<RoundRobin>::default() }
 }
 
 inventory::submit! {
-    Chooser { name: "least", make: || Box::<Least>::default() }
+    Chooser { name: "least", make: || Box::<LeastOutstanding>::default() }
 }
 
 inventory::submit! {
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,24 +1,25 @@
-//! Health of an upstream as one instance sees it.
+//! Health of an upstream as observed by one instance.
 
 use kernel::Millis;
 
-/// Failures in a row after which an upstream is ejected.
+/// Consecutive failures after which an upstream is ejected.
 const MAX_FAILURES: u32 = 3;
 
-/// First time out; it doubles with each ejection that follows soon.
-const FIRST: Millis = 1_000;
+/// Duration of the first ejection in milliseconds. It doubles with each further ejection that comes
+/// within [`MAX_EJECTION_MS`] after the end of the last.
+const FIRST_EJECTION_MS: Millis = 1_000;
 
-/// Longest time out.
-const LONGEST: Millis = 30_000;
+/// Longest duration of an ejection in milliseconds.
+const MAX_EJECTION_MS: Millis = 30_000;
 
-/// Doublings after which the time out stays at [`LONGEST`].
-const DOUBLINGS: u32 = 5;
+/// Doublings after which an ejection lasts [`MAX_EJECTION_MS`].
+const MAX_DOUBLINGS: u32 = 5;
 
-/// Time over which an upstream that returns gets its whole share back.
-const RETURN: Millis = 5_000;
+/// Time in milliseconds over which an upstream regains its whole window after an ejection.
+const RECOVERY_MS: Millis = 5_000;
 
-/// Smallest part of its window that a returning upstream has.
-const RETURN_FLOOR: f64 = 0.1;
+/// Smallest fraction of its window that a recovering upstream has.
+const MIN_RECOVERY_FRACTION: f64 = 0.1;
 
 /// Whether an upstream may be sent new requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,7 +30,8 @@
     Ejected,
     /// It may not: it is leaving, or has left.
     Leaving,
-    /// It may not until an operator or the control service releases it: it reported contradictory state.
+    /// It may not until an operator or the control service releases it, because it reported
+    /// contradictory state.
     Quarantined,
 }
 
@@ -44,7 +46,7 @@
     Upstream,
 }
 
-/// Health of one upstream.
+/// Health of one upstream: ejection after failures, leaving and quarantine.
 ///
 /// # Examples
 ///
@@ -57,14 +59,14 @@
 ///     health.record_failure(0);
 /// }
 /// assert_eq!(health.availability(10), Availability::Ejected);
-/// assert!(matches!(health.availability(1_500), Availability::Open(part) if part < 0.2));
+/// assert!(matches!(health.availability(1_500), Availability::Open(fraction) if fraction < 0.2));
 /// assert_eq!(health.availability(7_000), Availability::Open(1.0));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    row: u32,
-    times: u32,
-    until: Option<Millis>,
+    failures: u32,
+    ejections: u32,
+    ejected_until: Option<Millis>,
     platform_leaving: bool,
     upstream_leaving: bool,
     quarantined: bool,
@@ -79,42 +81,46 @@
         if self.platform_leaving || self.upstream_leaving {
             return Availability::Leaving;
         }
-        let Some(until) = self.until else {
+        let Some(until) = self.ejected_until else {
             return Availability::Open(1.0);
         };
         if now < until {
             return Availability::Ejected;
         }
-        let back = (now - until) as f64 / RETURN as f64;
-        Availability::Open(back.clamp(RETURN_FLOOR, 1.0))
+        let recovered = (now - until) as f64 / RECOVERY_MS as f64;
+        Availability::Open(recovered.clamp(MIN_RECOVERY_FRACTION, 1.0))
     }
 
-    /// Records a failed attempt. Ejects the upstream after `MAX_FAILURES` in a row, or after one while it
-    /// returns from an ejection.
+    /// Records a failed attempt. Ejects the upstream after `MAX_FAILURES` in a row, or after a single
+    /// one while it recovers from an ejection.
     pub fn record_failure(&mut self, now: Millis) {
-        self.row += 1;
-        let returning = self.until.is_some_and(|until| now < until + RETURN);
-        let limit = if returning { 1 } else { MAX_FAILURES };
-        let out = self.until.is_some_and(|until| now < until);
-        if self.row >= limit && !out {
+        self.failures += 1;
+        let recovering = self
+            .ejected_until
+            .is_some_and(|until| now < until + RECOVERY_MS);
+        let limit = if recovering { 1 } else { MAX_FAILURES };
+        let ejected = self.ejected_until.is_some_and(|until| now < until);
+        if self.failures >= limit && !ejected {
             self.eject(now);
         }
     }
 
     fn eject(&mut self, now: Millis) {
-        let calm = self.until.is_some_and(|until| now > until + LONGEST);
-        if calm {
-            self.times = 0;
+        let stable = self
+            .ejected_until
+            .is_some_and(|until| now > until + MAX_EJECTION_MS);
+        if stable {
+            self.ejections = 0;
         }
-        let span = FIRST << self.times.min(DOUBLINGS);
-        self.times += 1;
-        self.row = 0;
-        self.until = Some(now + span.min(LONGEST));
+        let duration = FIRST_EJECTION_MS << self.ejections.min(MAX_DOUBLINGS);
+        self.ejections += 1;
+        self.failures = 0;
+        self.ejected_until = Some(now + duration.min(MAX_EJECTION_MS));
     }
 
     /// Records a successful attempt.
     pub fn record_success(&mut self) {
-        self.row = 0;
+        self.failures = 0;
     }
 
     /// Records whether `source` states that the upstream is leaving.
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,8 +1,8 @@
-//! Routing: which upstream takes a request, and what to do when it fails.
+//! Request routing: picking an upstream, and retries after a failed attempt.
 //!
-//! A [`Pool`] holds what one instance knows of the upstreams that serve one model or service. The
-//! choice among those with room is a plug-in ([`choose`]). [`attempt`] carries, in the type, what
-//! is known of whether a request ran; [`retry`] decides what follows a failed attempt.
+//! A [`Pool`] holds the state that one instance keeps of the upstreams serving one model or service.
+//! Load balancing among those with a free slot is a plug-in ([`choose`]). [`attempt`] tracks in the
+//! type whether a request may have been executed; [`retry`] decides whether to retry it.
 
 pub mod attempt;
 pub mod choose;
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -10,11 +10,11 @@
 use crate::UpstreamKind;
 use crate::UpstreamSpec;
 use crate::choose::Candidate;
-use crate::choose::Choose;
-use crate::prefix::Prefixes;
+use crate::choose::Strategy;
+use crate::prefix::PrefixIndex;
 
-/// Blocks of prompts that a pool remembers.
-const PREFIXES: usize = 65_536;
+/// Most prompt blocks in the prefix index of a pool.
+const MAX_PREFIX_BLOCKS: usize = 65_536;
 
 /// What a request requires of the upstream that serves it.
 #[derive(Clone, Debug, Default)]
@@ -38,47 +38,47 @@
     Unavailable,
 }
 
-/// How an attempt at an upstream ended.
+/// Outcome of an attempt at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// With an answer, after so many milliseconds.
+    /// The upstream responded, after this many milliseconds.
     Answered(f64),
-    /// With a failure of the upstream.
+    /// The upstream failed.
     Failed,
-    /// Without a word about the upstream: the caller left, or the attempt was cancelled.
+    /// Says nothing about the upstream: the caller disconnected, or the attempt was cancelled.
     Neutral,
 }
 
-/// Part of its window that an ejected upstream has when more than half are ejected.
-const CROWDED: f64 = 0.25;
+/// Fraction of its window that an ejected upstream keeps while more than half are ejected.
+const MOST_EJECTED_FRACTION: f64 = 0.25;
 
-/// The part of its window that an upstream may use, if any.
-fn part(upstream: &Upstream, now: Millis, crowded: bool) -> Option<f64> {
+/// Returns the fraction of its window that an upstream may use, if any.
+fn window_fraction(upstream: &Upstream, now: Millis, most_ejected: bool) -> Option<f64> {
     match upstream.health.availability(now) {
-        Availability::Open(part) => Some(part),
-        Availability::Ejected if crowded => Some(CROWDED),
+        Availability::Open(fraction) => Some(fraction),
+        Availability::Ejected if most_ejected => Some(MOST_EJECTED_FRACTION),
         Availability::Ejected | Availability::Leaving | Availability::Quarantined => None,
     }
 }
 
-/// The upstreams of one model or service, as one instance sees them.
+/// The upstreams of one model or service, as observed by one instance.
 pub struct Pool {
-    chooser: Box<dyn Choose>,
+    chooser: Box<dyn Strategy>,
     domain: Name,
     instances: u32,
     upstreams: Vec<Upstream>,
-    prefixes: Prefixes,
+    prefixes: PrefixIndex,
 }
 
 impl Pool {
-    /// Makes an empty pool for an instance in `domain`.
+    /// Creates an empty pool for an instance in the failure domain `domain`.
     pub fn new(chooser: &Chooser, domain: Name) -> Self {
         Self {
             chooser: (chooser.make)(),
             domain,
             instances: 1,
             upstreams: Vec::new(),
-            prefixes: Prefixes::new(PREFIXES),
+            prefixes: PrefixIndex::new(MAX_PREFIX_BLOCKS),
         }
     }
 
@@ -105,82 +105,87 @@
         &self.upstreams
     }
 
-    /// Chooses an upstream for a request and counts it as outstanding there.
+    /// Picks an upstream for a request and counts the request as outstanding there.
     pub fn pick(&mut self, requirements: &Requirements, now: Millis) -> Pick {
-        let open = self.open(requirements, now);
-        if open.is_empty() {
+        let eligible = self.eligible(requirements, now);
+        if eligible.is_empty() {
             return Pick::Unavailable;
         }
-        let fresh = |at: &usize| !requirements.avoid.contains(&self.upstreams[*at].spec.name);
-        let untried: Vec<_> = open.iter().copied().filter(fresh).collect();
-        let from = if untried.is_empty() { open } else { untried };
-        let roomy: Vec<_> = from
+        let is_untried = |i: &usize| !requirements.avoid.contains(&self.upstreams[*i].spec.name);
+        let untried: Vec<_> = eligible.iter().copied().filter(is_untried).collect();
+        let preferred = if untried.is_empty() {
+            eligible
+        } else {
+            untried
+        };
+        let free: Vec<_> = preferred
             .into_iter()
-            .filter(|at| self.room(*at, now) > 0)
+            .filter(|index| self.available_slots(*index, now) > 0)
             .collect();
-        if roomy.is_empty() {
+        if free.is_empty() {
             return Pick::Busy;
         }
-        let at = self.choose(&roomy, requirements, now);
-        self.take(at, requirements)
+        let index = self.choose(&free, requirements, now);
+        self.assign(index, requirements)
     }
 
-    fn open(&self, requirements: &Requirements, now: Millis) -> Vec<usize> {
-        let crowded = self.is_crowded(now);
-        let able = |u: &Upstream| {
-            // An engine of which nothing is known may do; its first chunk tells.
-            let known = u
+    fn eligible(&self, requirements: &Requirements, now: Millis) -> Vec<usize> {
+        let most_ejected = self.are_most_ejected(now);
+        let is_eligible = |u: &Upstream| {
+            // An engine of unknown version is eligible: the first chunk of its response states it.
+            let is_new_enough = u
                 .version
                 .is_none_or(|version| version >= requirements.min_version);
-            let versioned = u.spec.kind == UpstreamKind::Service || known;
-            versioned && part(u, now, crowded).is_some()
+            let is_suitable = u.spec.kind == UpstreamKind::Service || is_new_enough;
+            is_suitable && window_fraction(u, now, most_ejected).is_some()
         };
         let all = 0..self.upstreams.len();
-        all.filter(|at| able(&self.upstreams[*at])).collect()
+        all.filter(|index| is_eligible(&self.upstreams[*index]))
+            .collect()
     }
 
-    /// Tells whether more than half of the upstreams are ejected. Then ejection is more likely to
-    /// follow from the load than from faults of theirs, and to leave the rest alone with all of
-    /// it would eject them as well; so the ejected ones get a little work.
-    fn is_crowded(&self, now: Millis) -> bool {
-        let out = |u: &&Upstream| u.health.availability(now) == Availability::Ejected;
-        self.upstreams.iter().filter(out).count() * 2 > self.upstreams.len()
+    /// Returns whether more than half of the upstreams are ejected. The cause is then more likely
+    /// overload than faults of theirs, and the rest would be ejected as well if they got all the load,
+    /// so the ejected ones get a little of it.
+    fn are_most_ejected(&self, now: Millis) -> bool {
+        let is_ejected = |u: &&Upstream| u.health.availability(now) == Availability::Ejected;
+        self.upstreams.iter().filter(is_ejected).count() * 2 > self.upstreams.len()
     }
 
-    fn room(&self, at: usize, now: Millis) -> u32 {
-        let upstream = &self.upstreams[at];
-        let part = part(upstream, now, self.is_crowded(now));
-        part.map_or(0, |part| {
-            upstream.available_slots(now, part, self.instances)
+    fn available_slots(&self, index: usize, now: Millis) -> u32 {
+        let upstream = &self.upstreams[index];
+        let fraction = window_fraction(upstream, now, self.are_most_ejected(now));
+        fraction.map_or(0, |fraction| {
+            upstream.available_slots(now, fraction, self.instances)
         })
     }
 
-    fn choose(&mut self, roomy: &[usize], requirements: &Requirements, now: Millis) -> usize {
-        let cached = self.prefixes.longest(&requirements.blocks);
-        let candidates: Vec<_> = roomy
+    fn choose(&mut self, free: &[usize], requirements: &Requirements, now: Millis) -> usize {
+        let cached = self.prefixes.longest_match(&requirements.blocks);
+        let candidates: Vec<_> = free
             .iter()
-            .map(|at| {
-                let u = &self.upstreams[*at];
-                let hit = cached.filter(|(holder, _)| **holder == u.spec.name);
+            .map(|index| {
+                let u = &self.upstreams[*index];
+                let hit = cached.filter(|(upstream, _)| **upstream == u.spec.name);
                 Candidate {
                     name: &u.spec.name,
-                    near: u.spec.domain == self.domain,
+                    same_domain: u.spec.domain == self.domain,
                     outstanding: u.outstanding,
-                    others: u.other_requests(now),
+                    other_requests: u.other_requests(now),
                     slots: u.spec.slots,
                     latency: u.latency,
-                    cached: hit.map_or(0, |(_, blocks)| blocks),
+                    cached_blocks: hit.map_or(0, |(_, blocks)| blocks),
                 }
             })
             .collect();
-        roomy[self.chooser.choose(&candidates)]
+        free[self.chooser.choose(&candidates)]
     }
 
-    fn take(&mut self, at: usize, requirements: &Requirements) -> Pick {
-        let upstream = &mut self.upstreams[at];
+    fn assign(&mut self, index: usize, requirements: &Requirements) -> Pick {
+        let upstream = &mut self.upstreams[index];
         upstream.outstanding += 1;
         let spec = upstream.spec.clone();
-        self.prefixes.note(&requirements.blocks, &spec.name);
+        self.prefixes.record(&requirements.blocks, &spec.name);
         Pick::Upstream(spec)
     }
 
@@ -202,7 +207,7 @@
 
     /// Drops the prompt prefixes recorded for an upstream, whose cache was lost.
     pub fn forget_cache(&mut self, name: &str) {
-        self.prefixes.forget(name);
+        self.prefixes.remove(name);
     }
 
     /// Applies `f` to the health of an upstream; does nothing if the pool lacks it.
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -1,7 +1,7 @@
-//! Which upstream is likely to hold the cached prefix of a prompt.
+//! Index of the upstreams whose caches probably hold the prefix of a prompt.
 //!
-//! Cache events come late and with gaps, so an entry is a hint only: a wrong one costs a cache
-//! miss at the engine and nothing else.
+//! Cache events arrive late and some are missing, so an entry is only a hint: a wrong one costs a
+//! cache miss at the engine and nothing else.
 
 use std::collections::VecDeque;
 use std::hash::BuildHasher;
@@ -10,19 +10,19 @@
 use kernel::Map;
 use kernel::Name;
 
-/// Bytes of a prompt that one block covers.
-const BLOCK: usize = 64;
+/// Length of a prompt block in bytes.
+const BLOCK_BYTES: usize = 64;
 
-/// Blocks of a prompt that are looked at.
-const DEPTH: usize = 16;
+/// Most leading blocks of a prompt that are hashed.
+const MAX_BLOCKS: usize = 16;
 
-/// The hashes of a prompt's leading blocks, each covering all before it.
+/// Hashes of the leading blocks of a prompt. Each also covers all blocks before its own.
 pub type Blocks = Vec<u64>;
 
-/// Seeds of the block hash; the same on every instance, so that hints can be exchanged.
+/// Seeds of the block hash, equal on all instances so that they can exchange hints.
 const SEEDS: [u64; 4] = [0x5eed, 0xb10c, 0xca11, 0x0f0f];
 
-/// Splits a prompt into block hashes.
+/// Computes the block hashes of a prompt.
 ///
 /// # Examples
 ///
@@ -39,8 +39,8 @@
     let mut hasher = state.build_hasher();
     prompt
         .as_bytes()
-        .chunks_exact(BLOCK)
-        .take(DEPTH)
+        .chunks_exact(BLOCK_BYTES)
+        .take(MAX_BLOCKS)
         .map(|chunk| {
             hasher.write(chunk);
             hasher.finish()
@@ -48,51 +48,52 @@
         .collect()
 }
 
-/// Bounded memory of which upstream was sent which prefix last.
+/// Bounded index from a prefix to the upstream that it was last sent to.
 #[derive(Debug)]
-pub struct Prefixes {
-    holders: Map<u64, Name>,
-    order: VecDeque<u64>,
-    room: usize,
+pub struct PrefixIndex {
+    upstreams: Map<u64, Name>,
+    insertion_order: VecDeque<u64>,
+    capacity: usize,
 }
 
-impl Prefixes {
-    /// Makes a memory of at most `room` blocks.
-    pub fn new(room: usize) -> Self {
+impl PrefixIndex {
+    /// Creates an index of at most `capacity` blocks.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            holders: Map::default(),
-            order: VecDeque::new(),
-            room,
+            upstreams: Map::default(),
+            insertion_order: VecDeque::new(),
+            capacity,
         }
     }
 
-    /// Notes that an upstream holds a prompt's blocks.
-    pub fn note(&mut self, blocks: &[u64], holder: &Name) {
+    /// Records that `upstream` holds the blocks of a prompt.
+    pub fn record(&mut self, blocks: &[u64], upstream: &Name) {
         for block in blocks {
-            if self.holders.insert(*block, holder.clone()).is_none() {
-                self.order.push_back(*block);
+            if self.upstreams.insert(*block, upstream.clone()).is_none() {
+                self.insertion_order.push_back(*block);
             }
         }
-        while self.order.len() > self.room {
-            let Some(old) = self.order.pop_front() else {
+        while self.insertion_order.len() > self.capacity {
+            let Some(oldest) = self.insertion_order.pop_front() else {
                 return;
             };
-            self.holders.remove(&old);
+            self.upstreams.remove(&oldest);
         }
     }
 
-    /// Forgets all of an upstream: it restarted, or said that it dropped its cache.
-    pub fn forget(&mut self, holder: &str) {
-        self.holders.retain(|_, name| &**name != holder);
-        let holders = &self.holders;
-        self.order.retain(|block| holders.contains_key(block));
+    /// Removes all entries of an upstream that restarted or reported that it dropped its cache.
+    pub fn remove(&mut self, upstream: &str) {
+        self.upstreams.retain(|_, name| &**name != upstream);
+        let upstreams = &self.upstreams;
+        self.insertion_order
+            .retain(|block| upstreams.contains_key(block));
     }
 
-    /// Finds who holds the longest prefix, and how many blocks of it.
-    pub fn longest(&self, blocks: &[u64]) -> Option<(&Name, usize)> {
-        let at = blocks
+    /// Returns the upstream that holds the longest prefix of `blocks`, and its length in blocks.
+    pub fn longest_match(&self, blocks: &[u64]) -> Option<(&Name, usize)> {
+        let last = blocks
             .iter()
-            .rposition(|block| self.holders.contains_key(block))?;
-        Some((self.holders.get(&blocks[at])?, at + 1))
+            .rposition(|block| self.upstreams.contains_key(block))?;
+        Some((self.upstreams.get(&blocks[last])?, last + 1))
     }
 }
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,25 +1,25 @@
-//! What follows a failed attempt.
+//! Retry decisions after a failed attempt.
 
 use kernel::Millis;
 
 use crate::attempt::Ran;
 
-/// Retries that each first attempt earns.
-const EARN: f64 = 0.1;
+/// Retries that each first attempt adds to the budget.
+const RETRIES_PER_ATTEMPT: f64 = 0.1;
 
-/// Retries that may be saved up.
-const SAVED: f64 = 10.0;
+/// Most retries that the budget holds.
+const MAX_SAVED_RETRIES: f64 = 10.0;
 
-/// First pause before a retry; it doubles with each.
-const FIRST: Millis = 10;
+/// Backoff before the first retry in milliseconds; it doubles with each further one.
+const FIRST_BACKOFF_MS: Millis = 10;
 
-/// Longest pause before a retry.
-const LONGEST: Millis = 1_000;
+/// Longest backoff before a retry in milliseconds.
+const MAX_BACKOFF_MS: Millis = 1_000;
 
-/// Attempts at one request, the first among them.
-pub const ATTEMPTS: u32 = 4;
+/// Most attempts at one request, including the first.
+pub const MAX_ATTEMPTS: u32 = 4;
 
-/// Bounds retries to a share of the traffic, so that they cannot multiply an outage.
+/// Limits retries to a share of the traffic, so that they cannot amplify an outage.
 ///
 /// # Examples
 ///
@@ -27,8 +27,8 @@
 /// use route::RetryBudget;
 ///
 /// let mut budget = RetryBudget::default();
-/// let free = (0..100).filter(|_| budget.spend()).count();
-/// assert_eq!(free, 10);
+/// let initial = (0..100).filter(|_| budget.spend()).count();
+/// assert_eq!(initial, 10);
 /// (0..100).for_each(|_| budget.earn());
 /// assert!(budget.spend());
 /// ```
@@ -39,19 +39,21 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: SAVED }
+        Self {
+            saved: MAX_SAVED_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Adds the share of a retry that a first attempt earns.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARN).min(SAVED);
+        self.saved = (self.saved + RETRIES_PER_ATTEMPT).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry out of the budget, if it holds one.
+    /// Takes one retry out of the budget. Returns false when it holds none.
     pub fn spend(&mut self) -> bool {
-        // A little below one, so that ten sums of a tenth count as one.
+        // Slightly below 1, since adding 0.1 ten times may give less than 1 in floating point.
         if self.saved < 0.999 {
             return false;
         }
@@ -60,29 +62,29 @@
     }
 }
 
-/// What is known of a failed attempt.
+/// A failed attempt at a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Whether it may have run.
+    /// Whether it may have been executed.
     pub ran: Ran,
-    /// Whether running it twice does the same as running it once.
+    /// Whether executing the request twice has the same effect as executing it once.
     pub idempotent: bool,
     /// Attempts made so far.
     pub attempts: u32,
-    /// When the caller's deadline is.
+    /// Deadline of the caller.
     pub deadline: Millis,
 }
 
 /// Why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// It may have run and must not run twice.
+    /// It may have been executed and is not idempotent.
     MayHaveRun,
-    /// It was tried [`ATTEMPTS`] times.
+    /// It was attempted [`MAX_ATTEMPTS`] times.
     Attempts,
     /// Its deadline would pass first.
     Deadline,
-    /// The budget for retries is used up.
+    /// The retry budget is exhausted.
     Budget,
 }
 
@@ -95,27 +97,28 @@
     Stop(StopReason),
 }
 
-/// Decides what follows a failed attempt. `jitter` is a random number from 0 to 1.
+/// Decides whether to retry after a failed attempt. `jitter` is a random number from 0 to 1.
 pub fn decide(failure: Failure, budget: &mut RetryBudget, now: Millis, jitter: f64) -> Decision {
     if failure.ran == Ran::Unknown && !failure.idempotent {
         return Decision::Stop(StopReason::MayHaveRun);
     }
-    if failure.attempts >= ATTEMPTS {
+    if failure.attempts >= MAX_ATTEMPTS {
         return Decision::Stop(StopReason::Attempts);
     }
-    let pause = pause(failure.attempts, jitter);
-    if now + pause >= failure.deadline {
+    let backoff = backoff(failure.attempts, jitter);
+    if now + backoff >= failure.deadline {
         return Decision::Stop(StopReason::Deadline);
     }
     if !budget.spend() {
         return Decision::Stop(StopReason::Budget);
     }
-    Decision::Retry(pause)
+    Decision::Retry(backoff)
 }
 
-/// A pause between half and all of a span that doubles with each attempt.
-pub fn pause(attempts: u32, jitter: f64) -> Millis {
-    let doubled = FIRST << attempts.saturating_sub(1).min(10);
-    let span = doubled.min(LONGEST) as f64;
+/// Returns a backoff with jitter: between half of and the whole of a span that doubles with each attempt,
+/// up to `MAX_BACKOFF_MS`.
+pub fn backoff(attempts: u32, jitter: f64) -> Millis {
+    let doubled = FIRST_BACKOFF_MS << attempts.saturating_sub(1).min(10);
+    let span = doubled.min(MAX_BACKOFF_MS) as f64;
     (span * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as Millis
 }
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as one instance sees it.
+//! State of one upstream as observed by one instance.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -8,90 +8,90 @@
 
 use crate::Health;
 
-/// What an upstream is.
+/// Kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamKind {
     /// A model engine.
     Engine,
-    /// A plain service.
+    /// A service that is no model engine.
     Service,
 }
 
-/// The text names no kind of upstream.
+/// Error for a text that names no kind of upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("expected engine or service")]
-pub struct KindError;
+pub struct UpstreamKindError;
 
 impl FromStr for UpstreamKind {
-    type Err = KindError;
+    type Err = UpstreamKindError;
 
-    fn from_str(text: &str) -> Result<Self, KindError> {
+    fn from_str(text: &str) -> Result<Self, UpstreamKindError> {
         match text {
             "engine" => Ok(Self::Engine),
             "service" => Ok(Self::Service),
-            _ => Err(KindError),
+            _ => Err(UpstreamKindError),
         }
     }
 }
 
-/// What the settings say of an upstream.
+/// Specification of an upstream in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamSpec {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// Its address.
+    /// Network address.
     pub addr: SocketAddr,
-    /// What it is.
+    /// Kind of upstream.
     pub kind: UpstreamKind,
-    /// The model or service that it serves.
+    /// Pool of the model or service that it serves.
     pub pool: Name,
-    /// Its failure domain.
+    /// Failure domain that it runs in.
     pub domain: Name,
-    /// Requests that it can work on at the same time.
+    /// Requests that it can process concurrently.
     pub slots: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub fencing: bool,
 }
 
 /// A load report of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Requests that it was working on.
+    /// Requests that it was processing.
     pub running: u32,
     /// When it was received.
-    pub at: Millis,
-    /// What this instance had outstanding there at that time.
-    pub mine: u32,
+    pub received_at: Millis,
+    /// Outstanding requests of this instance there at that time.
+    pub own_requests: u32,
 }
 
-/// Time after which a load report says nothing any more.
-const REPORT_AGE: Millis = 5_000;
+/// Age in milliseconds from which a load report is ignored.
+const MAX_REPORT_AGE_MS: Millis = 5_000;
 
-/// Weight of the newest latency in the mean, when it is lower than the mean.
-const SMOOTH: f64 = 0.1;
+/// Weight of a new latency in the moving mean when it is at most the mean.
+const FALLING_WEIGHT: f64 = 0.1;
 
-/// Part of a latency above the mean that counts at once, so that a slow upstream shows soon.
-const PEAK: f64 = 0.5;
+/// Weight of a new latency above the moving mean; higher, so that a slow upstream is noticed soon.
+const RISING_WEIGHT: f64 = 0.5;
 
-/// One upstream as one instance sees it.
+/// One upstream as observed by one instance.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What the settings say.
+    /// Its specification in the settings.
     pub spec: UpstreamSpec,
-    /// Its health.
+    /// Whether it may be sent requests.
     pub health: Health,
-    /// The weight version that it stated last, when it is an engine.
+    /// Weight version that an engine stated last.
     pub version: Option<u64>,
-    /// Requests of this instance that run there.
+    /// Outstanding requests of this instance there.
     pub outstanding: u32,
-    /// Mean latency in milliseconds; 0 before the first answer.
+    /// Moving mean of the latency in milliseconds; 0 before the first response.
     pub latency: f64,
     report: Option<Report>,
 }
 
 impl Upstream {
-    /// Makes an upstream of which nothing is known yet.
+    /// Creates an upstream without any observation.
     pub fn new(spec: UpstreamSpec) -> Self {
         Self {
             spec,
@@ -107,14 +107,18 @@
     pub fn record_report(&mut self, running: u32, now: Millis) {
         self.report = Some(Report {
             running,
-            at: now,
-            mine: self.outstanding,
+            received_at: now,
+            own_requests: self.outstanding,
         });
     }
 
     /// Adds the latency of a response, in milliseconds, to the mean.
     pub fn record_latency(&mut self, latency: f64) {
-        let weight = if latency > self.latency { PEAK } else { SMOOTH };
+        let weight = if latency > self.latency {
+            RISING_WEIGHT
+        } else {
+            FALLING_WEIGHT
+        };
         if self.latency == 0.0 {
             self.latency = latency;
             return;
@@ -126,8 +130,8 @@
     /// instance's own at that time. 0 when the report is too old.
     pub fn other_requests(&self, now: Millis) -> u32 {
         match self.report {
-            Some(report) if now < report.at + REPORT_AGE => {
-                report.running.saturating_sub(report.mine)
+            Some(report) if now < report.received_at + MAX_REPORT_AGE_MS => {
+                report.running.saturating_sub(report.own_requests)
             }
             _ => 0,
         }
--- a/crates/route/tests/route.rs
+++ b/crates/route/tests/route.rs
@@ -1,4 +1,4 @@
-//! Tests of routing.
+//! Tests of upstream picking, ejection and retries.
 
 use kernel::Name;
 use kernel::plugin;
@@ -45,7 +45,7 @@
     pool
 }
 
-fn take(pool: &mut Pool, requirements: &Requirements, now: u64) -> Option<Name> {
+fn pick(pool: &mut Pool, requirements: &Requirements, now: u64) -> Option<Name> {
     match pool.pick(requirements, now) {
         Pick::Upstream(spec) => Some(spec.name),
         Pick::Busy | Pick::Unavailable => None,
@@ -61,28 +61,31 @@
     }
 }
 
-// Symptom: an order runs twice.
-// Sequence: the connection breaks after the request was sent, and it is sent again elsewhere.
-// Cause: a retry decided by the error's kind without asking whether the call may be repeated.
+// Guards against executing an order twice: the connection breaks after the request was sent, and the
+// request is retried at another upstream because of the kind of error alone, although it is not
+// idempotent.
 #[parameterized(
     sent_order = { failure(Ran::Unknown, false, 1, 9_000), Decision::Stop(StopReason::MayHaveRun) },
     unsent_order = { failure(Ran::No, false, 1, 9_000), Decision::Retry(10) },
     sent_lookup = { failure(Ran::Unknown, true, 1, 9_000), Decision::Retry(10) },
-    third = { failure(Ran::No, true, 3, 9_000), Decision::Retry(40) },
-    too_often = { failure(Ran::No, true, 4, 9_000), Decision::Stop(StopReason::Attempts) },
-    too_late = { failure(Ran::No, true, 1, 1_005), Decision::Stop(StopReason::Deadline) },
+    third_attempt = { failure(Ran::No, true, 3, 9_000), Decision::Retry(40) },
+    too_many_attempts = { failure(Ran::No, true, 4, 9_000), Decision::Stop(StopReason::Attempts) },
+    deadline_too_near = { failure(Ran::No, true, 1, 1_005), Decision::Stop(StopReason::Deadline) },
 )]
-fn retries_are_decided(failure: Failure, expected: Decision) {
+fn retry_depends_on_execution_idempotence_attempts_and_deadline(
+    failure: Failure,
+    expected: Decision,
+) {
     let mut budget = RetryBudget::default();
 
     assert_eq!(decide(failure, &mut budget, 1_000, 1.0), expected);
 }
 
-// Symptom: during an outage the upstreams see four times the traffic and do not come back.
-// Sequence: every attempt fails, every request is tried again.
-// Cause: retries bounded a request only, not over the traffic.
+// Guards against retries that keep an outage going: every attempt fails and every request is retried,
+// so upstreams get four times the traffic. This happens when retries are limited per request only and
+// not as a share of the traffic.
 #[test]
-fn retries_stay_a_share_of_the_traffic_when_all_fails() {
+fn retries_are_limited_to_a_share_of_the_traffic() {
     let mut budget = RetryBudget::default();
     let mut retries = 0;
 
@@ -97,10 +100,9 @@
     assert!((100..=115).contains(&retries), "{retries}");
 }
 
-// Symptom: requests go on failing though other upstreams are well.
-// Sequence: one upstream refuses connections; it has the fewest outstanding requests because it
-// fails at once, so it is chosen again and again.
-// Cause: no memory of failures in the choice.
+// Guards against requests that keep failing although other upstreams are healthy. An upstream that
+// refuses connections fails at once, so it has the fewest outstanding requests and is picked again
+// and again unless its failures count.
 #[parameterized(
     round = { "round" },
     least = { "least" },
@@ -112,25 +114,25 @@
 
     let mut failures = 0;
     for _ in 0..100 {
-        let got = take(&mut pool, &requirements, 0).unwrap();
-        let bad = &*got == "a";
-        failures += u32::from(bad);
-        let outcome = if bad {
+        let picked = pick(&mut pool, &requirements, 0).unwrap();
+        let failed = &*picked == "a";
+        failures += u32::from(failed);
+        let outcome = if failed {
             Outcome::Failed
         } else {
             Outcome::Answered(1.0)
         };
-        pool.finish(&got, outcome, 0);
+        pool.finish(&picked, outcome, 0);
     }
 
     assert_eq!(failures, 3);
 }
 
-// Symptom: an overload that takes a second ends all service for many.
-// Sequence: time-outs under load eject one upstream after the other; the last ones get all of it.
-// Cause: ejection without a bound on how many are out.
+// Guards against a total outage caused by a second of overload: time-outs eject one upstream after
+// the other, and the last ones get all the load. This happens when the number of ejected upstreams
+// has no effect.
 #[test]
-fn when_most_are_ejected_they_get_a_little_work() {
+fn ejected_upstreams_get_some_requests_when_most_are_ejected() {
     let mut pool = pool("scored", &["a", "b"], UpstreamKind::Service);
     for name in ["a", "b"] {
         for _ in 0..3 {
@@ -138,13 +140,13 @@
         }
     }
 
-    let got = take(&mut pool, &Requirements::default(), 1);
+    let picked = pick(&mut pool, &Requirements::default(), 1);
 
-    assert!(got.is_some());
+    assert!(picked.is_some());
 }
 
 #[test]
-fn a_leaving_upstream_gets_nothing_new() {
+fn a_leaving_upstream_gets_no_new_requests() {
     let mut pool = pool("scored", &["a", "b"], UpstreamKind::Service);
 
     pool.update_health("a", |health| {
@@ -153,18 +155,17 @@
 
     for _ in 0..2 {
         assert_eq!(
-            take(&mut pool, &Requirements::default(), 0),
+            pick(&mut pool, &Requirements::default(), 0),
             Some(name("b"))
         );
     }
     assert_eq!(pool.pick(&Requirements::default(), 0), Pick::Busy);
 }
 
-// Symptom: an upstream that is leaving gets new work again.
-// Sequence: the platform lists it as leaving; its own load report does not say so yet.
-// Cause: one flag for two sources, where the later word wins.
+// Guards against new requests for an upstream that is leaving: the platform lists it as leaving, but
+// its own load report does not say so yet. With one flag for both sources the later one would win.
 #[test]
-fn one_source_does_not_take_back_anothers_word() {
+fn a_source_cannot_clear_the_leaving_state_set_by_another() {
     let mut pool = pool("scored", &["a"], UpstreamKind::Service);
     pool.update_health("a", |health| {
         health.set_leaving(LeavingSource::Platform, true)
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn old_weights_are_passed_over() {
+fn an_engine_with_too_old_weights_is_not_picked() {
     let mut pool = pool("scored", &["a", "b"], UpstreamKind::Engine);
     pool.find_mut("a").unwrap().version = Some(4);
     pool.find_mut("b").unwrap().version = Some(5);
@@ -187,96 +188,94 @@
         ..Requirements::default()
     };
 
-    assert_eq!(take(&mut pool, &requirements, 0), Some(name("b")));
-    assert_eq!(take(&mut pool, &requirements, 0), Some(name("b")));
+    assert_eq!(pick(&mut pool, &requirements, 0), Some(name("b")));
+    assert_eq!(pick(&mut pool, &requirements, 0), Some(name("b")));
     assert_eq!(pool.pick(&requirements, 0), Pick::Busy);
 }
 
-// Symptom: a restarted instance leaves most engines idle until weights change again.
-// Sequence: it has heard no news of their versions; a sample asks for a version.
-// Cause: taking an unknown version for an old one.
+// Guards against engines that stay idle until the next change of weights: a restarted instance has not
+// received their versions yet, and a sample requires a minimum version. An unknown version must not be
+// treated as an old one.
 #[test]
-fn an_engine_of_unknown_version_may_do() {
+fn an_engine_of_unknown_version_is_eligible() {
     let mut pool = pool("scored", &["a"], UpstreamKind::Engine);
     let requirements = Requirements {
         min_version: 5,
         ..Requirements::default()
     };
 
-    assert_eq!(take(&mut pool, &requirements, 0), Some(name("a")));
+    assert_eq!(pick(&mut pool, &requirements, 0), Some(name("a")));
 }
 
-// Symptom: one upstream is overrun although each instance keeps to the reported load.
-// Sequence: the report says idle, is two seconds old, and the instance has filled the window.
-// Cause: trusting the lagging report alone.
+// Guards against overloading an upstream because of a late report: the report says that it is idle,
+// but is two seconds old, and this instance has filled the window since.
 #[test]
-fn a_late_report_does_not_hide_own_work() {
+fn own_outstanding_requests_count_despite_a_late_report() {
     let mut pool = pool("scored", &["a"], UpstreamKind::Service);
     pool.find_mut("a").unwrap().record_report(0, 0);
 
-    take(&mut pool, &Requirements::default(), 1);
-    take(&mut pool, &Requirements::default(), 1);
+    pick(&mut pool, &Requirements::default(), 1);
+    pick(&mut pool, &Requirements::default(), 1);
 
     assert_eq!(pool.pick(&Requirements::default(), 2), Pick::Busy);
 }
 
 #[test]
-fn a_cached_prefix_draws_and_a_lost_one_costs_nothing() {
+fn a_cached_prefix_attracts_requests_until_the_cache_is_lost() {
     let mut pool = pool("scored", &["a", "b"], UpstreamKind::Service);
     let requirements = Requirements {
         blocks: blocks(&"p".repeat(2_000)),
         ..Requirements::default()
     };
-    let first = take(&mut pool, &requirements, 0).unwrap();
+    let first = pick(&mut pool, &requirements, 0).unwrap();
     pool.finish(&first, Outcome::Answered(1.0), 0);
 
-    let again = take(&mut pool, &requirements, 0).unwrap();
+    let again = pick(&mut pool, &requirements, 0).unwrap();
     pool.finish(&again, Outcome::Answered(1.0), 0);
     pool.forget_cache(&first);
 
     assert_eq!(first, again);
-    assert!(take(&mut pool, &requirements, 0).is_some());
+    assert!(pick(&mut pool, &requirements, 0).is_some());
 }
 
-// Symptom: lookups are slow though three of four upstreams are fast.
-// Sequence: one upstream answers 20 times slower than the others.
-// Cause: a choice that does not weigh latency.
+// Guards against slow lookups although three of four upstreams are fast: one upstream responds 20 times
+// slower than the others, and the choice ignores latency.
 #[test]
-fn a_slow_upstream_gets_little_work() {
+fn a_slow_upstream_gets_few_requests() {
     let mut pool = pool("scored", &["a", "b", "c", "d"], UpstreamKind::Service);
     let mut slow = 0;
     for _ in 0..1_000 {
-        let got = take(&mut pool, &Requirements::default(), 0).unwrap();
-        let is_slow = &*got == "a";
+        let picked = pick(&mut pool, &Requirements::default(), 0).unwrap();
+        let is_slow = &*picked == "a";
         slow += u32::from(is_slow);
         let latency = if is_slow { 40.0 } else { 2.0 };
-        pool.finish(&got, Outcome::Answered(latency), 0);
+        pool.finish(&picked, Outcome::Answered(latency), 0);
     }
 
     assert!(slow <= 20, "{slow}");
 }
 
 proptest! {
-    // Whatever happens, no upstream holds more than its window, none that is out is chosen, and
-    // what was taken is given back.
+    // For any sequence of operations, no upstream exceeds its window, no unavailable one is picked, and
+    // the outstanding count matches the requests that were picked and not finished.
     #[test]
-    fn windows_hold(steps in prop::collection::vec((0u8..4, 0usize..3, 0u64..2_000), 1..200)) {
+    fn no_upstream_exceeds_its_window(steps in prop::collection::vec((0u8..4, 0usize..3, 0u64..2_000), 1..200)) {
         let names = ["a", "b", "c"];
         let mut pool = pool("scored", &names, UpstreamKind::Service);
-        let mut held: Vec<Name> = Vec::new();
+        let mut outstanding_names: Vec<Name> = Vec::new();
         let mut now = 0;
-        for (what, which, span) in steps {
+        for (operation, index, span) in steps {
             now += span;
-            match what {
-                0 | 1 => held.extend(take(&mut pool, &Requirements::default(), now)),
-                2 if !held.is_empty() => {
-                    let got = held.swap_remove(which % held.len());
-                    pool.finish(&got, Outcome::Failed, now);
+            match operation {
+                0 | 1 => outstanding_names.extend(pick(&mut pool, &Requirements::default(), now)),
+                2 if !outstanding_names.is_empty() => {
+                    let picked = outstanding_names.swap_remove(index % outstanding_names.len());
+                    pool.finish(&picked, Outcome::Failed, now);
                 }
-                _ => pool.update_health(names[which], |health| health.set_leaving(LeavingSource::Platform, span % 2 == 0)),
+                _ => pool.update_health(names[index], |health| health.set_leaving(LeavingSource::Platform, span % 2 == 0)),
             }
             for upstream in pool.upstreams() {
-                let mine = held.iter().filter(|n| **n == upstream.spec.name).count();
+                let mine = outstanding_names.iter().filter(|n| **n == upstream.spec.name).count();
                 prop_assert_eq!(upstream.outstanding as usize, mine);
                 prop_assert!(upstream.outstanding <= upstream.spec.slots);
             }
