--- a/crates/bench/src/swap.rs
+++ b/crates/bench/src/swap.rs
@@ -6,7 +6,7 @@
 
 use kernel::Map;
 use load::Table;
-use weight::Aim;
+use weight::Target;
 use weight::swap::Seen;
 use weight::swap::Swap;
 
@@ -28,13 +28,13 @@
 }
 
 /// Versions of models whose steps differ in what they ask for.
-fn aims() -> Map<Arc<str>, Aim> {
-    let aim = |model: usize| Aim {
+fn aims() -> Map<Arc<str>, Target> {
+    let aim = |model: usize| Target {
         newest: 2,
         oldest: 2,
         work: 1_000 + 300 * model as u64,
-        samples: 200,
-        ..Aim::default()
+        concurrent_samples: 200,
+        ..Target::default()
     };
     let aims = (0..MODELS).map(|model| (format!("m{model}").into(), aim(model)));
     aims.collect()
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -9,7 +9,7 @@
 use kernel::Set;
 use table::Listed;
 use tokio::task::JoinSet;
-use weight::Aim;
+use weight::Target;
 use weight::Version;
 use weight::swap::Load;
 use weight::swap::Seen;
@@ -97,7 +97,7 @@
         engines.cloned().collect()
     }
 
-    async fn serve(&mut self, service: &Arc<str>, aims: &Map<Arc<str>, Aim>) {
+    async fn serve(&mut self, service: &Arc<str>, aims: &Map<Arc<str>, Target>) {
         let engines = self.engines(service);
         let part = self.app.settings.part * engines.len() as f64;
         let width = (part.round() as usize).max(1);
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -115,7 +115,7 @@
             };
             let models = engine.models.iter().filter_map(|model| aims.get(model));
             let wish = Wish {
-                requests: models.map(|aim| aim.samples / STEPS).sum(),
+                requests: models.map(|aim| aim.concurrent_samples / STEPS).sum(),
                 slots: engine.slots,
                 fill: self.app.settings.fill,
             };
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -11,8 +11,8 @@
 use plat::Item;
 use plat::PlatError;
 use tokio::time::sleep;
-use weight::Aim;
 use weight::Demand;
+use weight::Target;
 use weight::Version;
 
 use crate::App;
@@ -38,9 +38,11 @@
 
 impl Targets {
     /// The versions that are worth having, of each model of which one was announced.
-    pub fn aims(&self, now: Millis) -> Map<Arc<str>, Aim> {
+    pub fn aims(&self, now: Millis) -> Map<Arc<str>, Target> {
         let all = self.all.lock();
-        let aims = all.iter().map(|(model, demand)| (model, demand.aim(now)));
+        let aims = all
+            .iter()
+            .map(|(model, demand)| (model, demand.target(now)));
         aims.filter(|(_, aim)| aim.newest > 0)
             .map(|(model, aim)| (model.clone(), aim))
             .collect()
--- a/crates/weight/src/aim.rs
+++ b/crates/weight/src/demand.rs
@@ -28,21 +28,21 @@
 /// Steps that are remembered: more than a model's trainers have open together.
 const STEPS: usize = 32;
 
-/// The versions of one model that are worth having.
+/// The versions of one model that its engines should hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Aim {
-    /// The newest version that was announced.
+pub struct Target {
+    /// Newest announced version.
     pub newest: Version,
-    /// The oldest version that steps under the newest one accept.
+    /// Oldest version that the steps of the newest version accept.
     pub oldest: Version,
     /// When the newest version was announced.
-    pub since: Millis,
-    /// Whether engines whose version still does had better load the newest one now.
-    pub calm: bool,
-    /// What the model's steps ask for, against other models'; 0 as long as none is known.
+    pub announced_at: Millis,
+    /// Whether engines whose version is still accepted should load the newest one now.
+    pub refresh_accepted: bool,
+    /// Mean work of the model's steps, in a unit shared by all models; 0 while no step is known.
     pub work: u64,
-    /// Samples that may have to run at the same time; 0 as long as no step is known.
-    pub samples: u64,
+    /// Samples that may have to run concurrently; 0 while no step is known.
+    pub concurrent_samples: u64,
 }
 
 /// What is known of the wishes of one model's trainers.
@@ -55,13 +55,13 @@
 /// let mut demand = Demand::default();
 /// demand.announced(7, 0);
 /// // As long as no step is known, only the newest version will do.
-/// assert_eq!(demand.aim(0).oldest, 7);
+/// assert_eq!(demand.target(0).oldest, 7);
 /// demand.opened(6, 2_000, 300, 50);
-/// assert_eq!(demand.aim(100).oldest, 6);
+/// assert_eq!(demand.target(100).oldest, 6);
 /// demand.announced(8, 4_000);
-/// assert_eq!(demand.aim(4_000).oldest, 7);
+/// assert_eq!(demand.target(4_000).oldest, 7);
 /// // The step's samples have begun a little later.
-/// assert!(!demand.aim(4_000).calm && demand.aim(6_000).calm);
+/// assert!(!demand.target(4_000).refresh_accepted && demand.target(6_000).refresh_accepted);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
@@ -124,16 +124,16 @@
         together.max(2 * last)
     }
 
-    /// The versions that are worth having.
-    pub fn aim(&self, now: Millis) -> Aim {
+    /// Returns the versions that the model's engines should hold at `now`.
+    pub fn target(&self, now: Millis) -> Target {
         let expected = self.newest.saturating_sub(self.lag);
-        Aim {
+        Target {
             newest: self.newest,
             oldest: max(expected, self.least.unwrap_or(0)),
-            since: self.since,
-            calm: now >= self.since + BURST,
+            announced_at: self.since,
+            refresh_accepted: now >= self.since + BURST,
             work: self.work,
-            samples: self.samples(),
+            concurrent_samples: self.samples(),
         }
     }
 }
--- a/crates/weight/src/lib.rs
+++ b/crates/weight/src/lib.rs
@@ -4,12 +4,12 @@
 //! lease for it. It is rebuilt from what the engines state, so a new holder needs nothing from
 //! the former one.
 
-pub mod aim;
+pub mod demand;
 pub mod plan;
 pub mod swap;
 
-pub use aim::Aim;
-pub use aim::Demand;
+pub use demand::Demand;
+pub use demand::Target;
 pub use plan::Act;
 pub use plan::Plan;
 pub use plan::Stated;
--- a/crates/weight/src/swap.rs
+++ b/crates/weight/src/swap.rs
@@ -15,7 +15,7 @@
 use kernel::Millis;
 use kernel::Set;
 
-use crate::Aim;
+use crate::Target;
 use crate::Version;
 
 /// One engine as the leader sees it.
@@ -64,16 +64,16 @@
 /// # Examples
 ///
 /// ```
-/// use weight::Aim;
+/// use weight::Target;
 /// use weight::swap::{Seen, Swap};
 ///
 /// let seen = |id: &str, running| Seen {
 ///     id: id.into(), models: vec![("fit".into(), 1)], running, slots: 8, busy: false,
 /// };
-/// let aims = [("fit".into(), Aim { newest: 2, oldest: 2, ..Aim::default() })].into_iter().collect();
+/// let targets = [("fit".into(), Target { newest: 2, oldest: 2, ..Target::default() })].into_iter().collect();
 /// let engines = [seen("a", 0), seen("b", 4)];
 /// let mut swap = Swap::default();
-/// let loads = swap.next(&engines, 1, &aims);
+/// let loads = swap.next(&engines, 1, &targets);
 /// // The idle engine loads first.
 /// assert_eq!(loads.iter().map(|load| &*load.id).collect::<Vec<_>>(), ["a"]);
 /// ```
@@ -94,7 +94,7 @@
     }
 
     /// Gives each engine to one of its models and takes back what is gone.
-    fn share(&mut self, engines: &[Seen], aims: &Map<Arc<str>, Aim>) {
+    fn share(&mut self, engines: &[Seen], targets: &Map<Arc<str>, Target>) {
         self.prune(engines);
         let new = engines.iter();
         let mut new: Vec<_> = new
@@ -107,7 +107,7 @@
                 self.give(&engine.id, model);
             }
         }
-        let parts = parts(engines, aims);
+        let parts = parts(engines, targets);
         let mut pools = Pools::default();
         let mut apart = APART;
         while let Some((rich, poor)) = self.uneven(&parts, apart) {
@@ -186,8 +186,13 @@
     }
 
     /// Says which loads to order now, at most `room` of them.
-    pub fn next(&mut self, engines: &[Seen], room: usize, aims: &Map<Arc<str>, Aim>) -> Vec<Load> {
-        self.share(engines, aims);
+    pub fn next(
+        &mut self,
+        engines: &[Seen],
+        room: usize,
+        targets: &Map<Arc<str>, Target>,
+    ) -> Vec<Load> {
+        self.share(engines, targets);
         let mut all: Map<&Arc<str>, Vec<(&Seen, Version)>> = Map::default();
         for engine in engines {
             if let Some(model) = self.given.get(&engine.id)
@@ -197,8 +202,8 @@
             }
         }
         let due = all.into_iter().filter_map(|(model, engines)| {
-            let aim = aims.get(model)?;
-            Some(due(engines, model, *aim))
+            let target = targets.get(model)?;
+            Some(due(engines, model, *target))
         });
         let mut due: Vec<_> = due.flatten().collect();
         due.sort_by_key(|due| {
@@ -215,32 +220,32 @@
 }
 
 /// Those of a model's engines that have to load its newest version.
-fn due(mut all: Vec<(&Seen, Version)>, model: &Arc<str>, aim: Aim) -> Vec<Due> {
-    needed(&mut all, aim.samples);
+fn due(mut all: Vec<(&Seen, Version)>, model: &Arc<str>, target: Target) -> Vec<Due> {
+    needed(&mut all, target.concurrent_samples);
     all.sort_by_key(|(engine, version)| (*version, engine.running, engine.id.clone()));
     let half = all.len().div_ceil(2);
     let loading = all.iter().filter(|(engine, _)| engine.busy).count();
-    let mut spare = match aim.calm {
+    let mut spare = match target.refresh_accepted {
         true => half.saturating_sub(loading),
         false => 0,
     };
     let mut due = Vec::new();
     for (engine, version) in all {
-        if engine.busy || version >= aim.newest {
+        if engine.busy || version >= target.newest {
             continue;
         }
-        if version >= aim.oldest && spare == 0 {
+        if version >= target.oldest && spare == 0 {
             continue;
         }
         spare = spare.saturating_sub(1);
         due.push(Due {
-            behind: aim.newest - version,
-            since: aim.since,
+            behind: target.newest - version,
+            since: target.announced_at,
             running: engine.running,
             load: Load {
                 id: engine.id.clone(),
                 model: model.clone(),
-                version: aim.newest,
+                version: target.newest,
             },
         });
     }
@@ -269,11 +274,11 @@
 
 /// The engines that each model had better have: as many as its part of the work says, or the same
 /// for all as long as nobody's work is known.
-fn parts(engines: &[Seen], aims: &Map<Arc<str>, Aim>) -> Vec<(Arc<str>, f64)> {
+fn parts(engines: &[Seen], targets: &Map<Arc<str>, Target>) -> Vec<(Arc<str>, f64)> {
     let mut works: BTreeMap<Arc<str>, f64> = BTreeMap::new();
     for (model, _) in engines.iter().flat_map(|engine| &engine.models) {
         if !works.contains_key(model) {
-            let work = aims.get(model).map_or(0, |aim| aim.work);
+            let work = targets.get(model).map_or(0, |target| target.work);
             works.insert(model.clone(), work as f64);
         }
     }
--- a/crates/weight/tests/swap.rs
+++ b/crates/weight/tests/swap.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use kernel::Map;
-use weight::Aim;
 use weight::Demand;
+use weight::Target;
 use weight::Version;
 use weight::swap::Seen;
 use weight::swap::Swap;
@@ -23,31 +23,31 @@
 }
 
 /// Aims for which only the newest version will do.
-fn aims(all: &[(&str, Version)]) -> Map<Arc<str>, Aim> {
+fn targets(all: &[(&str, Version)]) -> Map<Arc<str>, Target> {
     all.iter()
         .map(|(name, version)| ((*name).into(), old(*version, *version)))
         .collect()
 }
 
-/// An aim while the samples of a step begin.
-fn old(newest: Version, oldest: Version) -> Aim {
-    Aim {
+/// An target while the samples of a step begin.
+fn old(newest: Version, oldest: Version) -> Target {
+    Target {
         newest,
         oldest,
-        ..Aim::default()
+        ..Target::default()
     }
 }
 
-/// An aim after they have begun.
-fn calm(newest: Version, oldest: Version) -> Aim {
-    Aim {
-        calm: true,
+/// An target after they have begun.
+fn calm(newest: Version, oldest: Version) -> Target {
+    Target {
+        refresh_accepted: true,
         ..old(newest, oldest)
     }
 }
 
 fn ids(swap: &mut Swap, engines: &[Seen], room: usize, all: &[(&str, Version)]) -> Vec<String> {
-    let loads = swap.next(engines, room, &aims(all));
+    let loads = swap.next(engines, room, &targets(all));
     loads.iter().map(|load| load.id.to_string()).collect()
 }
 
@@ -58,7 +58,7 @@
         .collect();
     let mut swap = Swap::default();
 
-    let loads = swap.next(&engines, 11, &aims(&[("a", 2), ("b", 2)]));
+    let loads = swap.next(&engines, 11, &targets(&[("a", 2), ("b", 2)]));
 
     let first = loads.iter().filter(|load| &*load.model == "a").count();
     assert_eq!(loads.len(), 11);
@@ -99,7 +99,7 @@
     ];
     let mut swap = Swap::default();
 
-    swap.next(&engines, 2, &aims(&[("x", 8), ("y", 7)]));
+    swap.next(&engines, 2, &targets(&[("x", 8), ("y", 7)]));
 
     assert_eq!(swap.model("a").map(|model| &**model), Some("x"));
     assert_eq!(swap.model("b").map(|model| &**model), Some("y"));
@@ -113,7 +113,7 @@
             .collect()
     };
     let mut swap = Swap::default();
-    let news = aims(&[("a", 2), ("b", 2)]);
+    let news = targets(&[("a", 2), ("b", 2)]);
     swap.next(&all(8), 8, &news);
     let before: Vec<_> = (0..7)
         .map(|at| swap.model(&format!("e{at}")).cloned())
@@ -135,9 +135,9 @@
         .collect()
 }
 
-fn loads(engines: &[Seen], aim: Aim) -> usize {
-    let aims = [("m".into(), aim)].into_iter().collect();
-    Swap::default().next(engines, 8, &aims).len()
+fn loads(engines: &[Seen], target: Target) -> usize {
+    let targets = [("m".into(), target)].into_iter().collect();
+    Swap::default().next(engines, 8, &targets).len()
 }
 
 // Symptom: a step's samples begin one to three seconds late, and few engines are idle meanwhile.
@@ -154,11 +154,11 @@
         demand.announced(newest, now);
         demand.opened(newest - 1, 1, 0, 0);
 
-        let at_once = loads(&engines(&versions), demand.aim(now + 150));
+        let at_once = loads(&engines(&versions), demand.target(now + 150));
 
         assert_eq!(at_once, 0, "version {newest}");
         for wave in 0..2 {
-            let later = demand.aim(now + 2_000 + wave * 1_000);
+            let later = demand.target(now + 2_000 + wave * 1_000);
             let half = loads(&engines(&versions), later);
             assert_eq!(half, 4);
             let start = wave as usize * half;
@@ -195,7 +195,7 @@
     }
     demand.announced(10, 0);
 
-    assert_eq!((demand.aim(0).newest, demand.aim(0).oldest), (10, 9));
+    assert_eq!((demand.target(0).newest, demand.target(0).oldest), (10, 9));
 }
 
 #[test]
@@ -206,7 +206,7 @@
 
     demand.opened(3, 1, 0, 0);
 
-    assert_eq!((demand.aim(0).newest, demand.aim(0).oldest), (3, 3));
+    assert_eq!((demand.target(0).newest, demand.target(0).oldest), (3, 3));
 }
 
 // Symptom: all engines load the first version that is announced, though half would do.
@@ -222,7 +222,7 @@
 
     demand.opened(1, 1, 0, 0);
 
-    assert_eq!((demand.aim(0).newest, demand.aim(0).oldest), (2, 1));
+    assert_eq!((demand.target(0).newest, demand.target(0).oldest), (2, 1));
 }
 
 // Symptom: the engines of the model with the most work never load before its next step.
@@ -234,13 +234,13 @@
         seen("a", &[("busy", 1), ("idle", 1)], 9),
         seen("b", &[("busy", 1), ("idle", 1)], 0),
     ];
-    let at = |since| Aim {
-        since,
+    let at = |announced_at| Target {
+        announced_at,
         ..calm(2, 1)
     };
-    let aims = [("busy".into(), at(0)), ("idle".into(), at(500))];
+    let targets = [("busy".into(), at(0)), ("idle".into(), at(500))];
 
-    let loads = Swap::default().next(&engines, 1, &aims.into_iter().collect());
+    let loads = Swap::default().next(&engines, 1, &targets.into_iter().collect());
 
     assert_eq!(
         loads.iter().map(|load| &*load.model).collect::<Vec<_>>(),
@@ -256,13 +256,13 @@
     let engines: Vec<_> = (0..8)
         .map(|at| seen(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
         .collect();
-    let aims = [("a", 3_000), ("b", 1_000)].map(|(model, work)| {
-        let aim = Aim { work, ..old(2, 2) };
-        (model.into(), aim)
+    let targets = [("a", 3_000), ("b", 1_000)].map(|(model, work)| {
+        let target = Target { work, ..old(2, 2) };
+        (model.into(), target)
     });
     let mut swap = Swap::default();
 
-    swap.next(&engines, 8, &aims.into_iter().collect());
+    swap.next(&engines, 8, &targets.into_iter().collect());
 
     let given = (0..8).filter_map(|at| swap.model(&format!("e{at}")));
     assert_eq!(given.filter(|model| &***model == "a").count(), 6);
@@ -279,10 +279,10 @@
     let mut swap = Swap::default();
     let mut given = Vec::new();
     for work in [1_000, 1_250, 800] {
-        let aim = |work| Aim { work, ..old(2, 2) };
-        let aims = [("a".into(), aim(work)), ("b".into(), aim(1_000))];
+        let target = |work| Target { work, ..old(2, 2) };
+        let targets = [("a".into(), target(work)), ("b".into(), target(1_000))];
 
-        swap.next(&engines, 8, &aims.into_iter().collect());
+        swap.next(&engines, 8, &targets.into_iter().collect());
 
         let now = (0..8).map(|at| swap.model(&format!("e{at}")).cloned());
         given.push(now.collect::<Vec<_>>());
@@ -308,8 +308,8 @@
         demand.announced(step + 1, at);
         demand.opened(step, 1, 344, at);
         for now in (at..at + 4_000).step_by(1_000) {
-            let aims = [("m".into(), demand.aim(now))].into_iter().collect();
-            let loads = swap.next(&all, 600, &aims);
+            let targets = [("m".into(), demand.target(now))].into_iter().collect();
+            let loads = swap.next(&all, 600, &targets);
             orders += loads.len();
             for load in loads {
                 used.insert(load.id.to_string());
@@ -333,14 +333,14 @@
     let all: Vec<_> = (0..9)
         .map(|at| seen(&format!("e{at}"), &[("m", 1)], 0))
         .collect();
-    let aims = [("m".into(), demand.aim(9_000))].into_iter().collect();
-    let first = swap.next(&all, 9, &aims);
+    let targets = [("m".into(), demand.target(9_000))].into_iter().collect();
+    let first = swap.next(&all, 9, &targets);
 
     let rest: Vec<_> = all
         .into_iter()
         .filter(|one| one.id != first[0].id)
         .collect();
-    let second = swap.next(&rest, 9, &aims);
+    let second = swap.next(&rest, 9, &targets);
 
     assert_eq!((first.len(), second.len()), (4, 4));
     assert!(second.iter().all(|load| load.id != first[0].id));
@@ -353,16 +353,16 @@
     let mut engines: Vec<_> = (0..20)
         .map(|at| seen(&format!("e{at:02}"), &models, 0))
         .collect();
-    let aims = [("a", 3_000), ("b", 1_000), ("c", 1_000)].map(|(model, work)| {
-        let aim = Aim { work, ..old(2, 2) };
-        (model.into(), aim)
+    let targets = [("a", 3_000), ("b", 1_000), ("c", 1_000)].map(|(model, work)| {
+        let target = Target { work, ..old(2, 2) };
+        (model.into(), target)
     });
-    let aims = aims.into_iter().collect();
+    let targets = targets.into_iter().collect();
     let (mut first, mut second) = (Swap::default(), Swap::default());
 
-    first.next(&engines, 20, &aims);
+    first.next(&engines, 20, &targets);
     engines.reverse();
-    second.next(&engines, 20, &aims);
+    second.next(&engines, 20, &targets);
 
     for one in &engines {
         assert_eq!(first.model(&one.id), second.model(&one.id), "{}", one.id);
