--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -51,7 +51,9 @@
     /// Notes an announced version; tells whether it is new.
     pub fn announce(&self, model: Arc<str>, version: Version, now: Millis) -> bool {
         let mut all = self.all.lock();
-        all.entry(model).or_default().announced(version, now)
+        all.entry(model)
+            .or_default()
+            .record_announcement(version, now)
     }
 
     /// Notes a step.
@@ -59,7 +61,7 @@
         let mut all = self.all.lock();
         let demand = all.entry(head.model.clone()).or_default();
         let samples = u64::from(head.total);
-        demand.opened(head.least, head.work, samples, head.opened);
+        demand.record_step(head.least, head.work, samples, head.opened);
     }
 }
 
--- a/crates/weight/src/demand.rs
+++ b/crates/weight/src/demand.rs
@@ -53,12 +53,12 @@
 /// use weight::Demand;
 ///
 /// let mut demand = Demand::default();
-/// demand.announced(7, 0);
+/// demand.record_announcement(7, 0);
 /// // As long as no step is known, only the newest version will do.
 /// assert_eq!(demand.target(0).oldest, 7);
-/// demand.opened(6, 2_000, 300, 50);
+/// demand.record_step(6, 2_000, 300, 50);
 /// assert_eq!(demand.target(100).oldest, 6);
-/// demand.announced(8, 4_000);
+/// demand.record_announcement(8, 4_000);
 /// assert_eq!(demand.target(4_000).oldest, 7);
 /// // The step's samples have begun a little later.
 /// assert!(!demand.target(4_000).refresh_accepted && demand.target(6_000).refresh_accepted);
@@ -69,7 +69,7 @@
     /// When it was announced.
     since: Millis,
     /// The highest of the oldest versions that steps accept.
-    least: Option<Version>,
+    oldest: Option<Version>,
     /// By how many versions the newest step's oldest version was behind the newest version.
     lag: Version,
     /// The mean of what steps ask for.
@@ -79,8 +79,8 @@
 }
 
 impl Demand {
-    /// Notes an announced version; tells whether it is new.
-    pub fn announced(&mut self, version: Version, now: Millis) -> bool {
+    /// Records an announced version. Returns whether it is newer than all before.
+    pub fn record_announcement(&mut self, version: Version, now: Millis) -> bool {
         if version <= self.newest {
             return false;
         }
@@ -89,13 +89,13 @@
         true
     }
 
-    /// Notes that a step was opened that accepts versions from `least` on; steps are noted once
-    /// each, in the order in which they were opened.
+    /// Records an opened step that accepts versions from `oldest` on. Each step must be recorded once, in
+    /// the order in which the steps were opened.
     ///
-    /// `work` is what the step's `samples` are expected to have together; `at` is when it was opened, on
-    /// one clock for all steps.
-    pub fn opened(&mut self, least: Version, work: u64, samples: u64, at: Millis) {
-        self.steps.push_back((at, samples));
+    /// `work` is the total work that is expected of the step's `samples`; `opened_at` is when it was
+    /// opened, on one clock for all steps.
+    pub fn record_step(&mut self, oldest: Version, work: u64, samples: u64, opened_at: Millis) {
+        self.steps.push_back((opened_at, samples));
         if self.steps.len() > STEPS {
             self.steps.pop_front();
         }
@@ -103,11 +103,11 @@
             0 => work,
             mean => (mean * (SMOOTH - 1) + work) / SMOOTH,
         };
-        if self.least.is_some_and(|known| known > least) {
+        if self.oldest.is_some_and(|known| known > oldest) {
             return;
         }
-        self.least = Some(least);
-        self.lag = self.newest.saturating_sub(least);
+        self.oldest = Some(oldest);
+        self.lag = self.newest.saturating_sub(oldest);
     }
 
     /// Samples that may have to run at the same time: those of the steps that may be open together, and
@@ -129,7 +129,7 @@
         let expected = self.newest.saturating_sub(self.lag);
         Target {
             newest: self.newest,
-            oldest: max(expected, self.least.unwrap_or(0)),
+            oldest: max(expected, self.oldest.unwrap_or(0)),
             announced_at: self.since,
             refresh_accepted: now >= self.since + BURST,
             work: self.work,
--- a/crates/weight/tests/swap.rs
+++ b/crates/weight/tests/swap.rs
@@ -148,11 +148,11 @@
 fn engines_that_the_new_step_accepts_go_on_serving_while_its_samples_begin() {
     let mut versions = [1; 8];
     let mut demand = Demand::default();
-    demand.opened(1, 1, 0, 0);
+    demand.record_step(1, 1, 0, 0);
     for newest in 2..=9 {
         let now = newest * 4_000;
-        demand.announced(newest, now);
-        demand.opened(newest - 1, 1, 0, 0);
+        demand.record_announcement(newest, now);
+        demand.record_step(newest - 1, 1, 0, 0);
 
         let at_once = loads(&engines(&versions), demand.target(now + 150));
 
@@ -188,12 +188,12 @@
 #[test]
 fn a_new_holder_learns_from_old_steps_how_old_weights_may_be() {
     let mut demand = Demand::default();
-    demand.announced(9, 0);
+    demand.record_announcement(9, 0);
 
     for least in [1, 5, 8] {
-        demand.opened(least, 1, 0, 0);
+        demand.record_step(least, 1, 0, 0);
     }
-    demand.announced(10, 0);
+    demand.record_announcement(10, 0);
 
     assert_eq!((demand.target(0).newest, demand.target(0).oldest), (10, 9));
 }
@@ -201,10 +201,10 @@
 #[test]
 fn a_version_that_an_open_step_does_not_accept_is_not_worth_having() {
     let mut demand = Demand::default();
-    demand.announced(3, 0);
-    demand.opened(1, 1, 0, 0);
+    demand.record_announcement(3, 0);
+    demand.record_step(1, 1, 0, 0);
 
-    demand.opened(3, 1, 0, 0);
+    demand.record_step(3, 1, 0, 0);
 
     assert_eq!((demand.target(0).newest, demand.target(0).oldest), (3, 3));
 }
@@ -216,11 +216,11 @@
 #[test]
 fn the_first_steps_say_nothing_of_how_old_weights_may_be() {
     let mut demand = Demand::default();
-    demand.opened(1, 1, 0, 0);
-    demand.opened(1, 1, 0, 0);
-    demand.announced(2, 0);
+    demand.record_step(1, 1, 0, 0);
+    demand.record_step(1, 1, 0, 0);
+    demand.record_announcement(2, 0);
 
-    demand.opened(1, 1, 0, 0);
+    demand.record_step(1, 1, 0, 0);
 
     assert_eq!((demand.target(0).newest, demand.target(0).oldest), (2, 1));
 }
@@ -305,8 +305,8 @@
     let mut orders = 0;
     for step in 1..=5 {
         let at = step * 4_000;
-        demand.announced(step + 1, at);
-        demand.opened(step, 1, 344, at);
+        demand.record_announcement(step + 1, at);
+        demand.record_step(step, 1, 344, at);
         for now in (at..at + 4_000).step_by(1_000) {
             let targets = [("m".into(), demand.target(now))].into_iter().collect();
             let loads = swap.next(&all, 600, &targets);
@@ -328,8 +328,8 @@
 fn an_engine_that_is_gone_is_replaced_by_another_one() {
     let mut swap = Swap::default();
     let mut demand = Demand::default();
-    demand.announced(2, 0);
-    demand.opened(2, 1, 12, 0);
+    demand.record_announcement(2, 0);
+    demand.record_step(2, 1, 12, 0);
     let all: Vec<_> = (0..9)
         .map(|at| seen(&format!("e{at}"), &[("m", 1)], 0))
         .collect();
