--- a/crates/bench/src/swap.rs
+++ b/crates/bench/src/swap.rs
@@ -7,8 +7,8 @@
 use kernel::Map;
 use load::Table;
 use weight::Target;
-use weight::swap::Seen;
-use weight::swap::Swap;
+use weight::scheduler::Seen;
+use weight::scheduler::Swap;
 
 /// Models.
 const MODELS: usize = 6;
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -11,9 +11,9 @@
 use tokio::task::JoinSet;
 use weight::Target;
 use weight::Version;
-use weight::swap::Load;
-use weight::swap::Seen;
-use weight::swap::Swap;
+use weight::scheduler::Load;
+use weight::scheduler::Seen;
+use weight::scheduler::Swap;
 
 use super::office::Office;
 use super::targets::Targets;
--- a/crates/weight/src/lib.rs
+++ b/crates/weight/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub mod demand;
 pub mod plan;
-pub mod swap;
+pub mod scheduler;
 
 pub use demand::Demand;
 pub use demand::Target;
--- a/crates/weight/src/swap.rs
+++ b/crates/weight/src/scheduler.rs
@@ -65,7 +65,7 @@
 ///
 /// ```
 /// use weight::Target;
-/// use weight::swap::{Seen, Swap};
+/// use weight::scheduler::{Seen, Swap};
 ///
 /// let seen = |id: &str, running| Seen {
 ///     id: id.into(), models: vec![("fit".into(), 1)], running, slots: 8, busy: false,
--- a/crates/weight/tests/swap.rs
+++ b/crates/weight/tests/scheduler.rs
@@ -6,8 +6,8 @@
 use weight::Demand;
 use weight::Target;
 use weight::Version;
-use weight::swap::Seen;
-use weight::swap::Swap;
+use weight::scheduler::Seen;
+use weight::scheduler::Swap;
 
 fn seen(id: &str, models: &[(&str, Version)], running: u32) -> Seen {
     Seen {
