--- a/crates/bench/src/swap.rs
+++ b/crates/bench/src/swap.rs
@@ -7,8 +7,8 @@
 use kernel::Map;
 use load::Table;
 use weight::Target;
+use weight::scheduler::LoadScheduler;
 use weight::scheduler::Seen;
-use weight::scheduler::Swap;
 
 /// Models.
 const MODELS: usize = 6;
@@ -45,9 +45,9 @@
     let mut table = Table::default();
     for engines in [100, 1_000, 10_000, 20_000] {
         let all: Vec<_> = (0..engines).map(seen).collect();
-        let (aims, mut swap) = (aims(), Swap::default());
+        let (aims, mut swap) = (aims(), LoadScheduler::default());
         let begun = Instant::now();
-        black_box(swap.next(&all, 200, &aims));
+        black_box(swap.schedule(&all, 200, &aims));
         let first = begun.elapsed().as_secs_f64() * 1e3;
         table.row(
             format!("{engines} engines: ms of the first choice"),
@@ -55,7 +55,7 @@
         );
         let begun = Instant::now();
         for _ in 0..TIMES {
-            black_box(swap.next(black_box(&all), 200, &aims));
+            black_box(swap.schedule(black_box(&all), 200, &aims));
         }
         let each = begun.elapsed().as_secs_f64() * 1e3 / f64::from(TIMES);
         table.row(
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -12,8 +12,8 @@
 use weight::Target;
 use weight::Version;
 use weight::scheduler::Load;
+use weight::scheduler::LoadScheduler;
 use weight::scheduler::Seen;
-use weight::scheduler::Swap;
 
 use super::office::Office;
 use super::targets::Targets;
@@ -46,7 +46,7 @@
 pub struct Orders<'a> {
     app: &'a Arc<App>,
     office: &'a Office,
-    swaps: Map<Arc<str>, Swap>,
+    swaps: Map<Arc<str>, LoadScheduler>,
     /// Engines that were ordered and of which nothing more is asked for a while.
     ordered: Map<Arc<str>, Loading>,
     /// Engines that did not state how they are, with the time until which they are left alone.
@@ -106,7 +106,7 @@
         // What the list says is a second or two old, so an engine states its versions itself
         // before it is ordered. Only those are asked that could be ordered now: asking all cost
         // 32,580 probes on a day with 48 engines.
-        let due = swap.next(&self.seen(&engines, &Map::default()), SPARE * room, aims);
+        let due = swap.schedule(&self.seen(&engines, &Map::default()), SPARE * room, aims);
         if due.is_empty() {
             self.swaps.insert(service.clone(), swap);
             return;
@@ -116,7 +116,7 @@
         let silent = due.iter().filter(|load| !states.contains_key(&load.id));
         let silent = silent.map(|load| (load.id.clone(), until));
         self.silent.extend(silent);
-        let loads = swap.next(&self.seen(&engines, &states), room, aims);
+        let loads = swap.schedule(&self.seen(&engines, &states), room, aims);
         self.swaps.insert(service.clone(), swap);
         let engines: Map<_, _> = engines.iter().map(|one| (&one.id, one)).collect();
         let orders = loads.iter().filter_map(|load| {
--- a/crates/weight/src/scheduler.rs
+++ b/crates/weight/src/scheduler.rs
@@ -59,26 +59,26 @@
 /// Difference down to which engines change hands once they do: below it none would be gained.
 const EVEN: f64 = 1.6;
 
-/// Which engine belongs to which model, and what to order next.
+/// Assigns engines to models and schedules the loads of new versions.
 ///
 /// # Examples
 ///
 /// ```
 /// use weight::Target;
-/// use weight::scheduler::{Seen, Swap};
+/// use weight::scheduler::{Seen, LoadScheduler};
 ///
 /// let seen = |id: &str, running| Seen {
 ///     id: id.into(), models: vec![("fit".into(), 1)], running, slots: 8, busy: false,
 /// };
 /// let targets = [("fit".into(), Target { newest: 2, oldest: 2, ..Target::default() })].into_iter().collect();
 /// let engines = [seen("a", 0), seen("b", 4)];
-/// let mut swap = Swap::default();
-/// let loads = swap.next(&engines, 1, &targets);
+/// let mut scheduler = LoadScheduler::default();
+/// let loads = scheduler.schedule(&engines, 1, &targets);
 /// // The idle engine loads first.
 /// assert_eq!(loads.iter().map(|load| &*load.id).collect::<Vec<_>>(), ["a"]);
 /// ```
 #[derive(Debug, Default)]
-pub struct Swap {
+pub struct LoadScheduler {
     given: Map<Arc<str>, Arc<str>>,
     /// Engines of each model.
     counts: Map<Arc<str>, usize>,
@@ -87,9 +87,9 @@
 /// Engines that may change hands between two models, the cheapest last.
 type Pools<'a> = Map<(Arc<str>, Arc<str>), Vec<&'a Seen>>;
 
-impl Swap {
-    /// The model to which an engine is given.
-    pub fn model(&self, id: &str) -> Option<&Arc<str>> {
+impl LoadScheduler {
+    /// Returns the model that an engine is assigned to.
+    pub fn assigned_model(&self, id: &str) -> Option<&Arc<str>> {
         self.given.get(id)
     }
 
@@ -185,8 +185,8 @@
         pool
     }
 
-    /// Says which loads to order now, at most `room` of them.
-    pub fn next(
+    /// Returns the loads to order now, at most `room` of them.
+    pub fn schedule(
         &mut self,
         engines: &[Seen],
         room: usize,
--- a/crates/weight/tests/scheduler.rs
+++ b/crates/weight/tests/scheduler.rs
@@ -6,8 +6,8 @@
 use weight::Demand;
 use weight::Target;
 use weight::Version;
+use weight::scheduler::LoadScheduler;
 use weight::scheduler::Seen;
-use weight::scheduler::Swap;
 
 fn seen(id: &str, models: &[(&str, Version)], running: u32) -> Seen {
     Seen {
@@ -46,8 +46,13 @@
     }
 }
 
-fn ids(swap: &mut Swap, engines: &[Seen], room: usize, all: &[(&str, Version)]) -> Vec<String> {
-    let loads = swap.next(engines, room, &targets(all));
+fn ids(
+    scheduler: &mut LoadScheduler,
+    engines: &[Seen],
+    room: usize,
+    all: &[(&str, Version)],
+) -> Vec<String> {
+    let loads = scheduler.schedule(engines, room, &targets(all));
     loads.iter().map(|load| load.id.to_string()).collect()
 }
 
@@ -56,9 +61,9 @@
     let engines: Vec<_> = (0..11)
         .map(|at| seen(&format!("e{at:02}"), &[("a", 1), ("b", 1)], 0))
         .collect();
-    let mut swap = Swap::default();
+    let mut scheduler = LoadScheduler::default();
 
-    let loads = swap.next(&engines, 11, &targets(&[("a", 2), ("b", 2)]));
+    let loads = scheduler.schedule(&engines, 11, &targets(&[("a", 2), ("b", 2)]));
 
     let first = loads.iter().filter(|load| &*load.model == "a").count();
     assert_eq!(loads.len(), 11);
@@ -73,7 +78,7 @@
         seen("c", &[("m", 5)], 0),
     ];
 
-    let first = ids(&mut Swap::default(), &engines, 1, &[("m", 5)]);
+    let first = ids(&mut LoadScheduler::default(), &engines, 1, &[("m", 5)]);
 
     assert_eq!(first, ["b"]);
 }
@@ -83,7 +88,7 @@
     let mut engines = [seen("a", &[("m", 1)], 0), seen("b", &[("m", 1)], 0)];
     engines[0].busy = true;
 
-    let loads = ids(&mut Swap::default(), &engines, 2, &[("m", 2)]);
+    let loads = ids(&mut LoadScheduler::default(), &engines, 2, &[("m", 2)]);
 
     assert_eq!(loads, ["b"]);
 }
@@ -97,12 +102,18 @@
         seen("a", &[("x", 7), ("y", 1)], 0),
         seen("b", &[("x", 1), ("y", 6)], 0),
     ];
-    let mut swap = Swap::default();
+    let mut scheduler = LoadScheduler::default();
 
-    swap.next(&engines, 2, &targets(&[("x", 8), ("y", 7)]));
+    scheduler.schedule(&engines, 2, &targets(&[("x", 8), ("y", 7)]));
 
-    assert_eq!(swap.model("a").map(|model| &**model), Some("x"));
-    assert_eq!(swap.model("b").map(|model| &**model), Some("y"));
+    assert_eq!(
+        scheduler.assigned_model("a").map(|model| &**model),
+        Some("x")
+    );
+    assert_eq!(
+        scheduler.assigned_model("b").map(|model| &**model),
+        Some("y")
+    );
 }
 
 #[test]
@@ -112,17 +123,17 @@
             .map(|at| seen(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
             .collect()
     };
-    let mut swap = Swap::default();
+    let mut scheduler = LoadScheduler::default();
     let news = targets(&[("a", 2), ("b", 2)]);
-    swap.next(&all(8), 8, &news);
+    scheduler.schedule(&all(8), 8, &news);
     let before: Vec<_> = (0..7)
-        .map(|at| swap.model(&format!("e{at}")).cloned())
+        .map(|at| scheduler.assigned_model(&format!("e{at}")).cloned())
         .collect();
 
-    swap.next(&all(7), 8, &news);
+    scheduler.schedule(&all(7), 8, &news);
 
     let after: Vec<_> = (0..7)
-        .map(|at| swap.model(&format!("e{at}")).cloned())
+        .map(|at| scheduler.assigned_model(&format!("e{at}")).cloned())
         .collect();
     let changed = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     assert!(changed <= 1);
@@ -137,7 +148,9 @@
 
 fn loads(engines: &[Seen], target: Target) -> usize {
     let targets = [("m".into(), target)].into_iter().collect();
-    Swap::default().next(engines, 8, &targets).len()
+    LoadScheduler::default()
+        .schedule(engines, 8, &targets)
+        .len()
 }
 
 // Symptom: a step's samples begin one to three seconds late, and few engines are idle meanwhile.
@@ -240,7 +253,7 @@
     };
     let targets = [("busy".into(), at(0)), ("idle".into(), at(500))];
 
-    let loads = Swap::default().next(&engines, 1, &targets.into_iter().collect());
+    let loads = LoadScheduler::default().schedule(&engines, 1, &targets.into_iter().collect());
 
     assert_eq!(
         loads.iter().map(|load| &*load.model).collect::<Vec<_>>(),
@@ -260,11 +273,11 @@
         let target = Target { work, ..old(2, 2) };
         (model.into(), target)
     });
-    let mut swap = Swap::default();
+    let mut scheduler = LoadScheduler::default();
 
-    swap.next(&engines, 8, &targets.into_iter().collect());
+    scheduler.schedule(&engines, 8, &targets.into_iter().collect());
 
-    let given = (0..8).filter_map(|at| swap.model(&format!("e{at}")));
+    let given = (0..8).filter_map(|at| scheduler.assigned_model(&format!("e{at}")));
     assert_eq!(given.filter(|model| &***model == "a").count(), 6);
 }
 
@@ -276,15 +289,15 @@
     let engines: Vec<_> = (0..8)
         .map(|at| seen(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
         .collect();
-    let mut swap = Swap::default();
+    let mut scheduler = LoadScheduler::default();
     let mut given = Vec::new();
     for work in [1_000, 1_250, 800] {
         let target = |work| Target { work, ..old(2, 2) };
         let targets = [("a".into(), target(work)), ("b".into(), target(1_000))];
 
-        swap.next(&engines, 8, &targets.into_iter().collect());
+        scheduler.schedule(&engines, 8, &targets.into_iter().collect());
 
-        let now = (0..8).map(|at| swap.model(&format!("e{at}")).cloned());
+        let now = (0..8).map(|at| scheduler.assigned_model(&format!("e{at}")).cloned());
         given.push(now.collect::<Vec<_>>());
     }
 
@@ -299,7 +312,7 @@
     let mut all: Vec<_> = (0..3_000)
         .map(|at| seen(&format!("e{at:04}"), &[("m", 1)], 0))
         .collect();
-    let mut swap = Swap::default();
+    let mut scheduler = LoadScheduler::default();
     let mut demand = Demand::default();
     let mut used = std::collections::BTreeSet::new();
     let mut orders = 0;
@@ -309,7 +322,7 @@
         demand.record_step(step, 1, 344, at);
         for now in (at..at + 4_000).step_by(1_000) {
             let targets = [("m".into(), demand.target(now))].into_iter().collect();
-            let loads = swap.next(&all, 600, &targets);
+            let loads = scheduler.schedule(&all, 600, &targets);
             orders += loads.len();
             for load in loads {
                 used.insert(load.id.to_string());
@@ -326,7 +339,7 @@
 
 #[test]
 fn an_engine_that_is_gone_is_replaced_by_another_one() {
-    let mut swap = Swap::default();
+    let mut scheduler = LoadScheduler::default();
     let mut demand = Demand::default();
     demand.record_announcement(2, 0);
     demand.record_step(2, 1, 12, 0);
@@ -334,13 +347,13 @@
         .map(|at| seen(&format!("e{at}"), &[("m", 1)], 0))
         .collect();
     let targets = [("m".into(), demand.target(9_000))].into_iter().collect();
-    let first = swap.next(&all, 9, &targets);
+    let first = scheduler.schedule(&all, 9, &targets);
 
     let rest: Vec<_> = all
         .into_iter()
         .filter(|one| one.id != first[0].id)
         .collect();
-    let second = swap.next(&rest, 9, &targets);
+    let second = scheduler.schedule(&rest, 9, &targets);
 
     assert_eq!((first.len(), second.len()), (4, 4));
     assert!(second.iter().all(|load| load.id != first[0].id));
@@ -358,13 +371,18 @@
         (model.into(), target)
     });
     let targets = targets.into_iter().collect();
-    let (mut first, mut second) = (Swap::default(), Swap::default());
+    let (mut first, mut second) = (LoadScheduler::default(), LoadScheduler::default());
 
-    first.next(&engines, 20, &targets);
+    first.schedule(&engines, 20, &targets);
     engines.reverse();
-    second.next(&engines, 20, &targets);
+    second.schedule(&engines, 20, &targets);
 
     for one in &engines {
-        assert_eq!(first.model(&one.id), second.model(&one.id), "{}", one.id);
+        assert_eq!(
+            first.assigned_model(&one.id),
+            second.assigned_model(&one.id),
+            "{}",
+            one.id
+        );
     }
 }
