--- a/crates/bench/src/swap.rs
+++ b/crates/bench/src/swap.rs
@@ -7,8 +7,8 @@
 use kernel::Map;
 use load::Table;
 use weight::Target;
+use weight::scheduler::EngineState;
 use weight::scheduler::LoadScheduler;
-use weight::scheduler::Seen;
 
 /// Models.
 const MODELS: usize = 6;
@@ -16,9 +16,9 @@
 /// Choices that are timed together.
 const TIMES: u32 = 20;
 
-fn seen(at: usize) -> Seen {
+fn seen(at: usize) -> EngineState {
     let models = (0..MODELS).map(|model| (format!("m{model}").into(), 1));
-    Seen {
+    EngineState {
         id: format!("i-{at:010x}").into(),
         models: models.collect(),
         running: (at % 6) as u32,
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -11,9 +11,9 @@
 use tokio::task::JoinSet;
 use weight::Target;
 use weight::Version;
+use weight::scheduler::EngineState;
 use weight::scheduler::Load;
 use weight::scheduler::LoadScheduler;
-use weight::scheduler::Seen;
 
 use super::office::Office;
 use super::targets::Targets;
@@ -147,7 +147,7 @@
         answers.into_iter().flatten().collect()
     }
 
-    fn seen(&self, engines: &[Arc<Listed>], states: &Map<Arc<str>, Stated>) -> Vec<Seen> {
+    fn seen(&self, engines: &[Arc<Listed>], states: &Map<Arc<str>, Stated>) -> Vec<EngineState> {
         let fleet = self.app.fleet.lock();
         let one = |one: &Arc<Listed>| {
             let ordered = self.ordered.get(&one.id);
@@ -158,7 +158,7 @@
                 let loading = loading.map_or(0, |load| load.version);
                 (model.clone(), seen.max(loading))
             };
-            Seen {
+            EngineState {
                 id: one.id.clone(),
                 models: one.weights.iter().map(newest).collect(),
                 slots: one.slots,
--- a/crates/weight/src/scheduler.rs
+++ b/crates/weight/src/scheduler.rs
@@ -18,9 +18,9 @@
 use crate::Target;
 use crate::Version;
 
-/// One engine as the leader sees it.
+/// State of one engine as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct EngineState {
     /// Which start of which engine.
     pub id: Arc<str>,
     /// The models that it has, with their versions; what is being loaded counts as loaded.
@@ -33,7 +33,7 @@
     pub busy: bool,
 }
 
-impl Seen {
+impl EngineState {
     fn version(&self, model: &str) -> Option<Version> {
         let found = self.models.iter().find(|(name, _)| &**name == model);
         found.map(|(_, version)| *version)
@@ -65,13 +65,13 @@
 ///
 /// ```
 /// use weight::Target;
-/// use weight::scheduler::{Seen, LoadScheduler};
+/// use weight::scheduler::{EngineState, LoadScheduler};
 ///
-/// let seen = |id: &str, running| Seen {
+/// let engine = |id: &str, running| EngineState {
 ///     id: id.into(), models: vec![("fit".into(), 1)], running, slots: 8, busy: false,
 /// };
 /// let targets = [("fit".into(), Target { newest: 2, oldest: 2, ..Target::default() })].into_iter().collect();
-/// let engines = [seen("a", 0), seen("b", 4)];
+/// let engines = [engine("a", 0), engine("b", 4)];
 /// let mut scheduler = LoadScheduler::default();
 /// let loads = scheduler.schedule(&engines, 1, &targets);
 /// // The idle engine loads first.
@@ -85,7 +85,7 @@
 }
 
 /// Engines that may change hands between two models, the cheapest last.
-type Pools<'a> = Map<(Arc<str>, Arc<str>), Vec<&'a Seen>>;
+type Pools<'a> = Map<(Arc<str>, Arc<str>), Vec<&'a EngineState>>;
 
 impl LoadScheduler {
     /// Returns the model that an engine is assigned to.
@@ -94,7 +94,7 @@
     }
 
     /// Gives each engine to one of its models and takes back what is gone.
-    fn share(&mut self, engines: &[Seen], targets: &Map<Arc<str>, Target>) {
+    fn share(&mut self, engines: &[EngineState], targets: &Map<Arc<str>, Target>) {
         self.prune(engines);
         let new = engines.iter();
         let mut new: Vec<_> = new
@@ -123,7 +123,7 @@
     }
 
     /// Takes back engines that are gone.
-    fn prune(&mut self, engines: &[Seen]) {
+    fn prune(&mut self, engines: &[EngineState]) {
         let ids: Set<&Arc<str>> = engines.iter().map(|engine| &engine.id).collect();
         let counts = &mut self.counts;
         self.given.retain(|id, model| {
@@ -151,7 +151,7 @@
 
     /// The model of an engine that has advanced most, so that a new leader goes on as the one
     /// before it; among equals, the one that has the fewest engines.
-    fn fewest(&self, engine: &Seen) -> Option<Arc<str>> {
+    fn fewest(&self, engine: &EngineState) -> Option<Arc<str>> {
         let models = engine.models.iter();
         let key = |(model, version): &&(Arc<str>, Version)| (Reverse(*version), self.count(model));
         models.min_by_key(key).map(|(model, _)| model.clone())
@@ -171,8 +171,8 @@
     }
 
     /// The engines of one model that another one may get, the one that has least to load last.
-    fn pool<'a>(&self, engines: &'a [Seen], rich: &str, poor: &str) -> Vec<&'a Seen> {
-        let has = |one: &&Seen| {
+    fn pool<'a>(&self, engines: &'a [EngineState], rich: &str, poor: &str) -> Vec<&'a EngineState> {
+        let has = |one: &&EngineState| {
             let given = self.given.get(&one.id);
             one.version(poor).is_some() && given.is_some_and(|model| **model == *rich)
         };
@@ -188,12 +188,12 @@
     /// Returns the loads to order now, at most `room` of them.
     pub fn schedule(
         &mut self,
-        engines: &[Seen],
+        engines: &[EngineState],
         room: usize,
         targets: &Map<Arc<str>, Target>,
     ) -> Vec<Load> {
         self.share(engines, targets);
-        let mut all: Map<&Arc<str>, Vec<(&Seen, Version)>> = Map::default();
+        let mut all: Map<&Arc<str>, Vec<(&EngineState, Version)>> = Map::default();
         for engine in engines {
             if let Some(model) = self.given.get(&engine.id)
                 && let Some(version) = engine.version(model)
@@ -220,7 +220,7 @@
 }
 
 /// Those of a model's engines that have to load its newest version.
-fn due(mut all: Vec<(&Seen, Version)>, model: &Arc<str>, target: Target) -> Vec<Due> {
+fn due(mut all: Vec<(&EngineState, Version)>, model: &Arc<str>, target: Target) -> Vec<Due> {
     needed(&mut all, target.concurrent_samples);
     all.sort_by_key(|(engine, version)| (*version, engine.running, engine.id.clone()));
     let half = all.len().div_ceil(2);
@@ -257,7 +257,7 @@
 ///
 /// There may be thousands of engines and a few hundred samples; loading them all keeps the leader busy for seconds,
 /// and the samples wait for the few that it has come to.
-fn needed(all: &mut Vec<(&Seen, Version)>, samples: u64) {
+fn needed(all: &mut Vec<(&EngineState, Version)>, samples: u64) {
     if samples == 0 {
         return;
     }
@@ -274,7 +274,7 @@
 
 /// The engines that each model had better have: as many as its part of the work says, or the same
 /// for all as long as nobody's work is known.
-fn parts(engines: &[Seen], targets: &Map<Arc<str>, Target>) -> Vec<(Arc<str>, f64)> {
+fn parts(engines: &[EngineState], targets: &Map<Arc<str>, Target>) -> Vec<(Arc<str>, f64)> {
     let mut works: BTreeMap<Arc<str>, f64> = BTreeMap::new();
     for (model, _) in engines.iter().flat_map(|engine| &engine.models) {
         if !works.contains_key(model) {
--- a/crates/weight/tests/scheduler.rs
+++ b/crates/weight/tests/scheduler.rs
@@ -6,11 +6,11 @@
 use weight::Demand;
 use weight::Target;
 use weight::Version;
+use weight::scheduler::EngineState;
 use weight::scheduler::LoadScheduler;
-use weight::scheduler::Seen;
 
-fn seen(id: &str, models: &[(&str, Version)], running: u32) -> Seen {
-    Seen {
+fn engine(id: &str, models: &[(&str, Version)], running: u32) -> EngineState {
+    EngineState {
         id: id.into(),
         models: models
             .iter()
@@ -48,7 +48,7 @@
 
 fn ids(
     scheduler: &mut LoadScheduler,
-    engines: &[Seen],
+    engines: &[EngineState],
     room: usize,
     all: &[(&str, Version)],
 ) -> Vec<String> {
@@ -59,7 +59,7 @@
 #[test]
 fn engines_are_shared_evenly_between_models() {
     let engines: Vec<_> = (0..11)
-        .map(|at| seen(&format!("e{at:02}"), &[("a", 1), ("b", 1)], 0))
+        .map(|at| engine(&format!("e{at:02}"), &[("a", 1), ("b", 1)], 0))
         .collect();
     let mut scheduler = LoadScheduler::default();
 
@@ -73,9 +73,9 @@
 #[test]
 fn the_engine_that_is_most_behind_loads_first() {
     let engines = [
-        seen("a", &[("m", 4)], 0),
-        seen("b", &[("m", 2)], 9),
-        seen("c", &[("m", 5)], 0),
+        engine("a", &[("m", 4)], 0),
+        engine("b", &[("m", 2)], 9),
+        engine("c", &[("m", 5)], 0),
     ];
 
     let first = ids(&mut LoadScheduler::default(), &engines, 1, &[("m", 5)]);
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_busy_engine_gets_no_order() {
-    let mut engines = [seen("a", &[("m", 1)], 0), seen("b", &[("m", 1)], 0)];
+    let mut engines = [engine("a", &[("m", 1)], 0), engine("b", &[("m", 1)], 0)];
     engines[0].busy = true;
 
     let loads = ids(&mut LoadScheduler::default(), &engines, 2, &[("m", 2)]);
@@ -99,8 +99,8 @@
 #[test]
 fn a_new_holder_goes_on_as_the_one_before() {
     let engines = [
-        seen("a", &[("x", 7), ("y", 1)], 0),
-        seen("b", &[("x", 1), ("y", 6)], 0),
+        engine("a", &[("x", 7), ("y", 1)], 0),
+        engine("b", &[("x", 1), ("y", 6)], 0),
     ];
     let mut scheduler = LoadScheduler::default();
 
@@ -120,7 +120,7 @@
 fn an_engine_that_came_or_went_changes_little() {
     let all = |count: usize| -> Vec<_> {
         (0..count)
-            .map(|at| seen(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
+            .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
             .collect()
     };
     let mut scheduler = LoadScheduler::default();
@@ -140,13 +140,13 @@
 }
 
 /// Engines of one model with these versions.
-fn engines(versions: &[Version]) -> Vec<Seen> {
+fn engines(versions: &[Version]) -> Vec<EngineState> {
     let all = versions.iter().enumerate();
-    all.map(|(at, version)| seen(&format!("e{at}"), &[("m", *version)], 0))
+    all.map(|(at, version)| engine(&format!("e{at}"), &[("m", *version)], 0))
         .collect()
 }
 
-fn loads(engines: &[Seen], target: Target) -> usize {
+fn loads(engines: &[EngineState], target: Target) -> usize {
     let targets = [("m".into(), target)].into_iter().collect();
     LoadScheduler::default()
         .schedule(engines, 8, &targets)
@@ -244,8 +244,8 @@
 #[test]
 fn the_version_that_was_announced_first_is_loaded_first() {
     let engines = [
-        seen("a", &[("busy", 1), ("idle", 1)], 9),
-        seen("b", &[("busy", 1), ("idle", 1)], 0),
+        engine("a", &[("busy", 1), ("idle", 1)], 9),
+        engine("b", &[("busy", 1), ("idle", 1)], 0),
     ];
     let at = |announced_at| Target {
         announced_at,
@@ -267,7 +267,7 @@
 #[test]
 fn a_model_gets_engines_by_its_part_of_the_work() {
     let engines: Vec<_> = (0..8)
-        .map(|at| seen(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
+        .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
         .collect();
     let targets = [("a", 3_000), ("b", 1_000)].map(|(model, work)| {
         let target = Target { work, ..old(2, 2) };
@@ -287,7 +287,7 @@
 #[test]
 fn a_little_more_work_moves_no_engine() {
     let engines: Vec<_> = (0..8)
-        .map(|at| seen(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
+        .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
         .collect();
     let mut scheduler = LoadScheduler::default();
     let mut given = Vec::new();
@@ -310,7 +310,7 @@
 #[test]
 fn no_more_engines_load_than_the_samples_fill() {
     let mut all: Vec<_> = (0..3_000)
-        .map(|at| seen(&format!("e{at:04}"), &[("m", 1)], 0))
+        .map(|at| engine(&format!("e{at:04}"), &[("m", 1)], 0))
         .collect();
     let mut scheduler = LoadScheduler::default();
     let mut demand = Demand::default();
@@ -344,7 +344,7 @@
     demand.record_announcement(2, 0);
     demand.record_step(2, 1, 12, 0);
     let all: Vec<_> = (0..9)
-        .map(|at| seen(&format!("e{at}"), &[("m", 1)], 0))
+        .map(|at| engine(&format!("e{at}"), &[("m", 1)], 0))
         .collect();
     let targets = [("m".into(), demand.target(9_000))].into_iter().collect();
     let first = scheduler.schedule(&all, 9, &targets);
@@ -364,7 +364,7 @@
 fn the_order_in_which_engines_are_listed_changes_nothing() {
     let models = [("a", 1), ("b", 1), ("c", 1)];
     let mut engines: Vec<_> = (0..20)
-        .map(|at| seen(&format!("e{at:02}"), &models, 0))
+        .map(|at| engine(&format!("e{at:02}"), &models, 0))
         .collect();
     let targets = [("a", 3_000), ("b", 1_000), ("c", 1_000)].map(|(model, work)| {
         let target = Target { work, ..old(2, 2) };
