--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -12,7 +12,7 @@
 use weight::Target;
 use weight::Version;
 use weight::scheduler::EngineState;
-use weight::scheduler::Load;
+use weight::scheduler::LoadOrder;
 use weight::scheduler::LoadScheduler;
 
 use super::office::Office;
@@ -130,7 +130,7 @@
     }
 
     /// Asks engines that may have to load for their state.
-    async fn ask(&self, engines: &[Arc<Listed>], due: &[Load]) -> Map<Arc<str>, Stated> {
+    async fn ask(&self, engines: &[Arc<Listed>], due: &[LoadOrder]) -> Map<Arc<str>, Stated> {
         let mut asks = JoinSet::new();
         let due: Set<_> = due.iter().map(|load| &load.id).collect();
         for one in engines {
@@ -175,7 +175,7 @@
     async fn order(
         &self,
         engine: &Arc<Listed>,
-        load: &Load,
+        load: &LoadOrder,
         state: &Stated,
     ) -> Option<(Arc<str>, Loading)> {
         let now = self.app.clock.now();
--- a/crates/weight/src/scheduler.rs
+++ b/crates/weight/src/scheduler.rs
@@ -40,9 +40,9 @@
     }
 }
 
-/// A load to be ordered.
+/// An order to an engine to load a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Load {
+pub struct LoadOrder {
     /// The engine.
     pub id: Arc<str>,
     /// The model.
@@ -191,7 +191,7 @@
         engines: &[EngineState],
         room: usize,
         targets: &Map<Arc<str>, Target>,
-    ) -> Vec<Load> {
+    ) -> Vec<LoadOrder> {
         self.share(engines, targets);
         let mut all: Map<&Arc<str>, Vec<(&EngineState, Version)>> = Map::default();
         for engine in engines {
@@ -242,7 +242,7 @@
             behind: target.newest - version,
             since: target.announced_at,
             running: engine.running,
-            load: Load {
+            load: LoadOrder {
                 id: engine.id.clone(),
                 model: model.clone(),
                 version: target.newest,
@@ -301,5 +301,5 @@
     behind: Version,
     since: Millis,
     running: u32,
-    load: Load,
+    load: LoadOrder,
 }
