--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -15,7 +15,7 @@
 use serve::audit;
 use serve::weights::Version;
 use tokio::task::JoinSet;
-use weight::Act;
+use weight::Action;
 use weight::Plan;
 use wire::engine::Order;
 
@@ -176,16 +176,16 @@
     }
 
     /// Does one thing; tells whether the lease is still ours.
-    async fn act(&self, act: Act, lease: &Lease<Held>) -> bool {
+    async fn act(&self, act: Action, lease: &Lease<Held>) -> bool {
         let fence = lease.fence().0;
         match act {
-            Act::Order { engine, version } => self.order(&engine, version, lease).await,
-            Act::Quarantine { engine, why } => {
+            Action::Order { engine, version } => self.order(&engine, version, lease).await,
+            Action::Quarantine { engine, why } => {
                 let why = format!("{why:?}");
                 audit::line(&self.instance, "quarantined", &engine, "", &why, fence);
                 true
             }
-            Act::Release { engine } => {
+            Action::Release { engine } => {
                 audit::line(&self.instance, "out of quarantine", &engine, "", "", fence);
                 true
             }
--- a/crates/weight/src/lib.rs
+++ b/crates/weight/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use demand::Demand;
 pub use demand::Target;
-pub use plan::Act;
+pub use plan::Action;
 pub use plan::Plan;
 pub use plan::Stated;
 
--- a/crates/weight/src/plan.rs
+++ b/crates/weight/src/plan.rs
@@ -47,9 +47,9 @@
     Unannounced,
 }
 
-/// Something to do.
+/// An action of a plan that its holder has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Order the engine to load this version.
     Order {
         /// The engine.
@@ -84,13 +84,13 @@
 /// # Examples
 ///
 /// ```
-/// use weight::{Act, Plan, Stated};
+/// use weight::{Action, Plan, Stated};
 ///
 /// let mut plan = Plan::new(1);
 /// let engine: kernel::Name = "engine-1".parse()?;
 /// plan.announce(2);
 /// plan.state(&engine, &Stated { versions: vec![1], loading: None }, 0);
-/// assert_eq!(plan.next(0), [Act::Order { engine, version: 2 }]);
+/// assert_eq!(plan.next(0), [Action::Order { engine, version: 2 }]);
 /// # Ok::<(), kernel::NameError>(())
 /// ```
 #[derive(Debug)]
@@ -98,7 +98,7 @@
     width: usize,
     target: Version,
     engines: BTreeMap<Name, Engine>,
-    due: Vec<Act>,
+    due: Vec<Action>,
 }
 
 impl Plan {
@@ -146,7 +146,7 @@
         }
     }
 
-    fn quarantine(due: &mut Vec<Act>, name: &Name, engine: &mut Engine, why: Why, now: Millis) {
+    fn quarantine(due: &mut Vec<Action>, name: &Name, engine: &mut Engine, why: Why, now: Millis) {
         if engine.quarantined {
             return;
         }
@@ -155,10 +155,10 @@
         // loading without end.
         engine.ordered = Some((0, now));
         let engine = name.clone();
-        due.push(Act::Quarantine { engine, why });
+        due.push(Action::Quarantine { engine, why });
     }
 
-    fn release(due: &mut Vec<Act>, name: &Name, engine: &mut Engine, version: Option<Version>) {
+    fn release(due: &mut Vec<Action>, name: &Name, engine: &mut Engine, version: Option<Version>) {
         engine.stated = version;
         if engine.ordered.is_some_and(|(v, _)| Some(v) == version) {
             engine.ordered = None;
@@ -166,7 +166,7 @@
         if engine.quarantined {
             engine.quarantined = false;
             let engine = name.clone();
-            due.push(Act::Release { engine });
+            due.push(Action::Release { engine });
         }
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Says what to do now.
-    pub fn next(&mut self, now: Millis) -> Vec<Act> {
+    pub fn next(&mut self, now: Millis) -> Vec<Action> {
         let mut acts = std::mem::take(&mut self.due);
         let mut busy = self.busy(now);
         for (name, engine) in &mut self.engines {
@@ -190,7 +190,7 @@
             }
             engine.ordered = Some((self.target, now));
             busy += 1;
-            acts.push(Act::Order {
+            acts.push(Action::Order {
                 engine: name.clone(),
                 version: self.target,
             });
--- a/crates/weight/tests/plan.rs
+++ b/crates/weight/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use kernel::Name;
 use proptest::prelude::*;
-use weight::Act;
+use weight::Action;
 use weight::Plan;
 use weight::Stated;
 use weight::plan::Why;
@@ -35,8 +35,8 @@
     plan
 }
 
-fn orders(acts: &[Act]) -> usize {
-    let order = |act: &&Act| matches!(act, Act::Order { .. });
+fn orders(acts: &[Action]) -> usize {
+    let order = |act: &&Action| matches!(act, Action::Order { .. });
     acts.iter().filter(order).count()
 }
 
@@ -96,13 +96,13 @@
     let engine = name(0);
     assert_eq!(
         first,
-        [Act::Quarantine {
+        [Action::Quarantine {
             engine: engine.clone(),
             why
         }]
     );
     assert_eq!(orders(&repair), 1);
-    assert_eq!(end, [Act::Release { engine }]);
+    assert_eq!(end, [Action::Release { engine }]);
     assert!(plan.is_settled());
 }
 
@@ -114,7 +114,7 @@
     plan.state(&name(0), &one(1), 0);
 
     let engine = name(0);
-    assert_eq!(plan.next(0), [Act::Order { engine, version: 2 }]);
+    assert_eq!(plan.next(0), [Action::Order { engine, version: 2 }]);
 }
 
 proptest! {
@@ -138,7 +138,7 @@
             let acts = plan.next(now);
             prop_assert!(orders(&acts) <= width);
             for act in acts {
-                if let Act::Order { engine, version } = act {
+                if let Action::Order { engine, version } = act {
                     let at = (0..4).find(|at| name(*at) == engine).unwrap();
                     prop_assert!(version >= stated[at]);
                     prop_assert_eq!(version, plan.target());
