--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -180,9 +180,9 @@
         let fence = lease.fence().0;
         match act {
             Action::Order { engine, version } => self.order(&engine, version, lease).await,
-            Action::Quarantine { engine, why } => {
-                let why = format!("{why:?}");
-                audit::line(&self.instance, "quarantined", &engine, "", &why, fence);
+            Action::Quarantine { engine, reason } => {
+                let reason = format!("{reason:?}");
+                audit::line(&self.instance, "quarantined", &engine, "", &reason, fence);
                 true
             }
             Action::Release { engine } => {
--- a/crates/weight/src/plan.rs
+++ b/crates/weight/src/plan.rs
@@ -38,7 +38,7 @@
 /// Why an engine is quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Why {
+pub enum QuarantineReason {
     /// It states several versions, or none: a swap failed partway.
     Mixed,
     /// It states a version below one that it stated before, and nobody here ordered that.
@@ -62,7 +62,7 @@
         /// The engine.
         engine: Name,
         /// What it did.
-        why: Why,
+        reason: QuarantineReason,
     },
     /// The engine states one version again; it may work.
     Release {
@@ -135,18 +135,26 @@
         let engine = self.engines.entry(name.clone()).or_default();
         engine.loading = stated.loading;
         let fault = match stated.single() {
-            None => Some(Why::Mixed),
-            Some(v) if v > target => Some(Why::Unannounced),
-            Some(v) if engine.stated.is_some_and(|before| v < before) => Some(Why::WentBack),
+            None => Some(QuarantineReason::Mixed),
+            Some(v) if v > target => Some(QuarantineReason::Unannounced),
+            Some(v) if engine.stated.is_some_and(|before| v < before) => {
+                Some(QuarantineReason::WentBack)
+            }
             Some(_) => None,
         };
         match fault {
-            Some(why) => Self::quarantine(&mut self.due, name, engine, why, now),
+            Some(reason) => Self::quarantine(&mut self.due, name, engine, reason, now),
             None => Self::release(&mut self.due, name, engine, stated.single()),
         }
     }
 
-    fn quarantine(due: &mut Vec<Action>, name: &Name, engine: &mut Engine, why: Why, now: Millis) {
+    fn quarantine(
+        due: &mut Vec<Action>,
+        name: &Name,
+        engine: &mut Engine,
+        reason: QuarantineReason,
+        now: Millis,
+    ) {
         if engine.quarantined {
             return;
         }
@@ -155,7 +163,7 @@
         // loading without end.
         engine.ordered = Some((0, now));
         let engine = name.clone();
-        due.push(Action::Quarantine { engine, why });
+        due.push(Action::Quarantine { engine, reason });
     }
 
     fn release(due: &mut Vec<Action>, name: &Name, engine: &mut Engine, version: Option<Version>) {
--- a/crates/weight/tests/plan.rs
+++ b/crates/weight/tests/plan.rs
@@ -5,7 +5,7 @@
 use weight::Action;
 use weight::Plan;
 use weight::Stated;
-use weight::plan::Why;
+use weight::plan::QuarantineReason;
 use yare::parameterized;
 
 fn name(at: usize) -> Name {
@@ -79,12 +79,12 @@
 // fencing back.
 // Cause: trusting that an order does what it says.
 #[parameterized(
-    two_versions = { Stated { versions: vec![1, 2], loading: None }, Why::Mixed },
-    none = { Stated::default(), Why::Mixed },
-    went_back = { one(1), Why::WentBack },
-    unannounced = { one(9), Why::Unannounced },
+    two_versions = { Stated { versions: vec![1, 2], loading: None }, QuarantineReason::Mixed },
+    none = { Stated::default(), QuarantineReason::Mixed },
+    went_back = { one(1), QuarantineReason::WentBack },
+    unannounced = { one(9), QuarantineReason::Unannounced },
 )]
-fn an_engine_that_contradicts_itself_is_quarantined(stated: Stated, why: Why) {
+fn an_engine_that_contradicts_itself_is_quarantined(stated: Stated, reason: QuarantineReason) {
     let mut plan = plan(1, 1, 2);
 
     plan.state(&name(0), &stated, 0);
@@ -98,7 +98,7 @@
         first,
         [Action::Quarantine {
             engine: engine.clone(),
-            why
+            reason
         }]
     );
     assert_eq!(orders(&repair), 1);
