--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use net::client::JsonError;
 use route::UpstreamSpec;
-use weight::Stated;
+use weight::WeightState;
 use wire::engine::LOAD;
 use wire::engine::Load;
 use wire::engine::ORDER;
@@ -35,7 +35,7 @@
 }
 
 /// Asks an engine what it states.
-pub(crate) async fn stated(http: &net::Client, engine: &UpstreamSpec) -> Option<Stated> {
+pub(crate) async fn stated(http: &net::Client, engine: &UpstreamSpec) -> Option<WeightState> {
     let uri = net::client::uri(engine.addr, LOAD);
     let load: Result<Load, _> = http.json(Method::GET, &uri, &(), LIMIT).await;
     load.ok().map(|load| load.stated)
--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -158,7 +158,7 @@
                 Ok((Some(stated), engine)) => {
                     // Nothing was announced yet: what the engines came with is the version.
                     if plan.target() == 0 {
-                        plan.announce(stated.single().unwrap_or(0));
+                        plan.announce(stated.single_version().unwrap_or(0));
                     }
                     plan.state(&engine.name, &stated, now);
                 }
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -63,7 +63,7 @@
         let mut all = true;
         for engine in &rig.parts.engines {
             let load = load(engine.host.addr).await;
-            all &= load.is_some_and(|load| load.stated.single() == Some(version));
+            all &= load.is_some_and(|load| load.stated.single_version() == Some(version));
         }
         if all {
             return;
@@ -209,7 +209,13 @@
             .await
             .unwrap();
         assert_eq!(answer.status, StatusCode::OK);
-        while load(engine.host.addr).await.unwrap().stated.single() != Some(1) {
+        while load(engine.host.addr)
+            .await
+            .unwrap()
+            .stated
+            .single_version()
+            != Some(1)
+        {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
 
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -84,7 +84,7 @@
         // Its requests will show whether it is dead; a lost report alone says little.
         return;
     };
-    let single = load.stated.single();
+    let single = load.stated.single_version();
     let before = dispatcher.all(|all| {
         let found = all.iter().find(|u| u.spec.name == spec.name);
         found.map(|u| {
--- a/crates/standin/src/engine/weights.rs
+++ b/crates/standin/src/engine/weights.rs
@@ -6,7 +6,7 @@
 use http::Request;
 use http_body_util::Full;
 use parking_lot::Mutex;
-use weight::Stated;
+use weight::WeightState;
 use wire::engine::Order;
 
 use crate::Faults;
@@ -19,7 +19,7 @@
 
 #[derive(Debug)]
 struct State {
-    stated: Stated,
+    stated: WeightState,
     fence: i64,
     epoch: u64,
     orders: Vec<(i64, u64)>,
@@ -36,7 +36,7 @@
 
 impl Weights {
     pub(crate) fn new(version: u64, fencing: bool, time: Duration) -> Self {
-        let stated = Stated {
+        let stated = WeightState {
             versions: vec![version],
             loading: None,
         };
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(crate) fn stated(&self) -> Stated {
+    pub(crate) fn stated(&self) -> WeightState {
         self.state.lock().stated.clone()
     }
 
--- a/crates/weight/src/lib.rs
+++ b/crates/weight/src/lib.rs
@@ -12,7 +12,7 @@
 pub use demand::Target;
 pub use plan::Action;
 pub use plan::Plan;
-pub use plan::Stated;
+pub use plan::WeightState;
 
 /// A weight version of a model; higher is newer.
 pub type Version = u64;
--- a/crates/weight/src/plan.rs
+++ b/crates/weight/src/plan.rs
@@ -15,19 +15,19 @@
 /// Pause between two orders that are meant to bring a quarantined engine back.
 const REPAIR: Millis = 5_000;
 
-/// What an engine states of itself.
+/// Weights of an engine, as it reports them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Stated {
+pub struct WeightState {
     /// The versions that it may use for the next token: one, unless a swap failed partway.
     pub versions: Vec<Version>,
     /// The version that it is loading.
     pub loading: Option<Version>,
 }
 
-impl Stated {
-    /// The version, when it is a single one.
-    pub fn single(&self) -> Option<Version> {
+impl WeightState {
+    /// Returns the version if the engine holds exactly one.
+    pub fn single_version(&self) -> Option<Version> {
         match self.versions.as_slice() {
             [version] => Some(*version),
             _ => None,
@@ -84,12 +84,12 @@
 /// # Examples
 ///
 /// ```
-/// use weight::{Action, Plan, Stated};
+/// use weight::{Action, Plan, WeightState};
 ///
 /// let mut plan = Plan::new(1);
 /// let engine: kernel::Name = "engine-1".parse()?;
 /// plan.announce(2);
-/// plan.state(&engine, &Stated { versions: vec![1], loading: None }, 0);
+/// plan.state(&engine, &WeightState { versions: vec![1], loading: None }, 0);
 /// assert_eq!(plan.next(0), [Action::Order { engine, version: 2 }]);
 /// # Ok::<(), kernel::NameError>(())
 /// ```
@@ -130,11 +130,11 @@
     }
 
     /// Notes what an engine states.
-    pub fn state(&mut self, name: &Name, stated: &Stated, now: Millis) {
+    pub fn state(&mut self, name: &Name, stated: &WeightState, now: Millis) {
         let target = self.target;
         let engine = self.engines.entry(name.clone()).or_default();
         engine.loading = stated.loading;
-        let fault = match stated.single() {
+        let fault = match stated.single_version() {
             None => Some(QuarantineReason::Mixed),
             Some(v) if v > target => Some(QuarantineReason::Unannounced),
             Some(v) if engine.stated.is_some_and(|before| v < before) => {
@@ -144,7 +144,7 @@
         };
         match fault {
             Some(reason) => Self::quarantine(&mut self.due, name, engine, reason, now),
-            None => Self::release(&mut self.due, name, engine, stated.single()),
+            None => Self::release(&mut self.due, name, engine, stated.single_version()),
         }
     }
 
--- a/crates/weight/tests/plan.rs
+++ b/crates/weight/tests/plan.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use weight::Action;
 use weight::Plan;
-use weight::Stated;
+use weight::WeightState;
 use weight::plan::QuarantineReason;
 use yare::parameterized;
 
@@ -12,15 +12,15 @@
     format!("engine-{at}").parse().unwrap()
 }
 
-fn one(version: u64) -> Stated {
-    Stated {
+fn one(version: u64) -> WeightState {
+    WeightState {
         versions: vec![version],
         loading: None,
     }
 }
 
-fn loading(version: u64, next: u64) -> Stated {
-    Stated {
+fn loading(version: u64, next: u64) -> WeightState {
+    WeightState {
         loading: Some(next),
         ..one(version)
     }
@@ -79,12 +79,12 @@
 // fencing back.
 // Cause: trusting that an order does what it says.
 #[parameterized(
-    two_versions = { Stated { versions: vec![1, 2], loading: None }, QuarantineReason::Mixed },
-    none = { Stated::default(), QuarantineReason::Mixed },
+    two_versions = { WeightState { versions: vec![1, 2], loading: None }, QuarantineReason::Mixed },
+    none = { WeightState::default(), QuarantineReason::Mixed },
     went_back = { one(1), QuarantineReason::WentBack },
     unannounced = { one(9), QuarantineReason::Unannounced },
 )]
-fn an_engine_that_contradicts_itself_is_quarantined(stated: Stated, reason: QuarantineReason) {
+fn an_engine_that_contradicts_itself_is_quarantined(stated: WeightState, reason: QuarantineReason) {
     let mut plan = plan(1, 1, 2);
 
     plan.state(&name(0), &stated, 0);
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -5,7 +5,7 @@
 use kernel::AttemptId;
 use serde::Deserialize;
 use serde::Serialize;
-use weight::Stated;
+use weight::WeightState;
 
 pub use step::Chunk;
 
@@ -63,7 +63,7 @@
     /// Requests that it can work on at once.
     pub slots: u32,
     /// The weights.
-    pub stated: Stated,
+    pub stated: WeightState,
     /// Whether it is leaving.
     #[serde(default)]
     pub leaving: bool,
