--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -160,13 +160,13 @@
                     if plan.target() == 0 {
                         plan.announce(stated.single_version().unwrap_or(0));
                     }
-                    plan.state(&engine.name, &stated, now);
+                    plan.record_state(&engine.name, &stated, now);
                 }
-                Ok((None, engine)) => plan.lost(&engine.name),
+                Ok((None, engine)) => plan.remove_engine(&engine.name),
                 Err(_) => (),
             }
         }
-        let acts = plan.next(self.clock.now());
+        let acts = plan.next_actions(self.clock.now());
         for act in acts {
             if !self.act(act, lease).await {
                 return Turn::Lost;
--- a/crates/weight/src/plan.rs
+++ b/crates/weight/src/plan.rs
@@ -89,8 +89,8 @@
 /// let mut plan = Plan::new(1);
 /// let engine: kernel::Name = "engine-1".parse()?;
 /// plan.announce(2);
-/// plan.state(&engine, &WeightState { versions: vec![1], loading: None }, 0);
-/// assert_eq!(plan.next(0), [Action::Order { engine, version: 2 }]);
+/// plan.record_state(&engine, &WeightState { versions: vec![1], loading: None }, 0);
+/// assert_eq!(plan.next_actions(0), [Action::Order { engine, version: 2 }]);
 /// # Ok::<(), kernel::NameError>(())
 /// ```
 #[derive(Debug)]
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Changes the width of the waves.
-    pub fn widen(&mut self, width: usize) {
+    /// Sets how many engines may load at the same time.
+    pub fn set_width(&mut self, width: usize) {
         self.width = width.max(1);
     }
 
@@ -129,12 +129,12 @@
         self.target
     }
 
-    /// Notes what an engine states.
-    pub fn state(&mut self, name: &Name, stated: &WeightState, now: Millis) {
+    /// Records the weights that an engine reports, and quarantines or releases it by them.
+    pub fn record_state(&mut self, name: &Name, state: &WeightState, now: Millis) {
         let target = self.target;
         let engine = self.engines.entry(name.clone()).or_default();
-        engine.loading = stated.loading;
-        let fault = match stated.single_version() {
+        engine.loading = state.loading;
+        let fault = match state.single_version() {
             None => Some(QuarantineReason::Mixed),
             Some(v) if v > target => Some(QuarantineReason::Unannounced),
             Some(v) if engine.stated.is_some_and(|before| v < before) => {
@@ -144,7 +144,7 @@
         };
         match fault {
             Some(reason) => Self::quarantine(&mut self.due, name, engine, reason, now),
-            None => Self::release(&mut self.due, name, engine, stated.single_version()),
+            None => Self::release(&mut self.due, name, engine, state.single_version()),
         }
     }
 
@@ -178,15 +178,15 @@
         }
     }
 
-    /// Notes that an engine cannot be asked: what it loads is not known any more.
-    pub fn lost(&mut self, name: &str) {
-        // Its stated version is forgotten too: a restarted engine may rightly begin at an older
-        // one, which is not the same as going back while it runs.
+    /// Removes an engine that does not respond, since what it loads is no longer known.
+    pub fn remove_engine(&mut self, name: &str) {
+        // Its reported version is dropped as well: a restarted engine may start with an older one,
+        // whereas a running engine must not go back to one.
         self.engines.remove(name);
     }
 
-    /// Says what to do now.
-    pub fn next(&mut self, now: Millis) -> Vec<Action> {
+    /// Returns the actions to carry out now.
+    pub fn next_actions(&mut self, now: Millis) -> Vec<Action> {
         let mut acts = std::mem::take(&mut self.due);
         let mut busy = self.busy(now);
         for (name, engine) in &mut self.engines {
--- a/crates/weight/tests/plan.rs
+++ b/crates/weight/tests/plan.rs
@@ -30,7 +30,7 @@
     let mut plan = Plan::new(width);
     plan.announce(version);
     for at in 0..engines {
-        plan.state(&name(at), &one(version), 0);
+        plan.record_state(&name(at), &one(version), 0);
     }
     plan
 }
@@ -45,10 +45,10 @@
     let mut plan = plan(2, 3, 1);
     plan.announce(2);
 
-    let first = orders(&plan.next(0));
-    let busy = orders(&plan.next(10));
-    plan.state(&name(0), &one(2), 20);
-    let next = orders(&plan.next(20));
+    let first = orders(&plan.next_actions(0));
+    let busy = orders(&plan.next_actions(10));
+    plan.record_state(&name(0), &one(2), 20);
+    let next = orders(&plan.next_actions(20));
 
     assert_eq!((first, busy, next), (2, 0, 1));
 }
@@ -57,21 +57,21 @@
 fn a_loading_engine_is_not_ordered_again() {
     let mut plan = plan(1, 1, 1);
     plan.announce(2);
-    plan.next(0);
+    plan.next_actions(0);
 
-    plan.state(&name(0), &loading(1, 2), 10_000);
+    plan.record_state(&name(0), &loading(1, 2), 10_000);
 
-    assert_eq!(plan.next(10_000), []);
+    assert_eq!(plan.next_actions(10_000), []);
 }
 
 #[test]
 fn an_unheard_order_is_given_again() {
     let mut plan = plan(1, 1, 1);
     plan.announce(2);
-    plan.next(0);
+    plan.next_actions(0);
 
-    assert_eq!(orders(&plan.next(3_999)), 0);
-    assert_eq!(orders(&plan.next(4_000)), 1);
+    assert_eq!(orders(&plan.next_actions(3_999)), 0);
+    assert_eq!(orders(&plan.next_actions(4_000)), 1);
 }
 
 // Symptom: samples name a version that did not produce them.
@@ -87,11 +87,11 @@
 fn an_engine_that_contradicts_itself_is_quarantined(stated: WeightState, reason: QuarantineReason) {
     let mut plan = plan(1, 1, 2);
 
-    plan.state(&name(0), &stated, 0);
-    let first = plan.next(0);
-    let repair = plan.next(5_000);
-    plan.state(&name(0), &one(2), 6_000);
-    let end = plan.next(6_000);
+    plan.record_state(&name(0), &stated, 0);
+    let first = plan.next_actions(0);
+    let repair = plan.next_actions(5_000);
+    plan.record_state(&name(0), &one(2), 6_000);
+    let end = plan.next_actions(6_000);
 
     let engine = name(0);
     assert_eq!(
@@ -109,12 +109,12 @@
 #[test]
 fn a_restarted_engine_may_begin_at_an_older_version() {
     let mut plan = plan(1, 1, 2);
-    plan.lost("engine-0");
+    plan.remove_engine("engine-0");
 
-    plan.state(&name(0), &one(1), 0);
+    plan.record_state(&name(0), &one(1), 0);
 
     let engine = name(0);
-    assert_eq!(plan.next(0), [Action::Order { engine, version: 2 }]);
+    assert_eq!(plan.next_actions(0), [Action::Order { engine, version: 2 }]);
 }
 
 proptest! {
@@ -133,9 +133,9 @@
             plan.announce(version);
             if version <= plan.target() {
                 stated[at] = version;
-                plan.state(&name(at), &one(version), now);
+                plan.record_state(&name(at), &one(version), now);
             }
-            let acts = plan.next(now);
+            let acts = plan.next_actions(now);
             prop_assert!(orders(&acts) <= width);
             for act in acts {
                 if let Action::Order { engine, version } = act {
