--- a/crates/weight/src/lib.rs
+++ b/crates/weight/src/lib.rs
@@ -1,8 +1,8 @@
-//! Weight versions: orders to engines in waves, fencing, verification, quarantine.
+//! Distribution of weight versions: load orders in waves, verification and quarantine of engines.
 //!
 //! A [`Plan`] is the state of one model in one failure domain on the instance that holds the
-//! lease for it. It is rebuilt from what the engines state, so a new holder needs nothing from
-//! the former one.
+//! lease for it. It is rebuilt from what the engines report, so a new lease holder needs nothing from
+//! the previous one.
 
 pub mod demand;
 pub mod plan;
@@ -14,5 +14,5 @@
 pub use plan::Plan;
 pub use plan::WeightState;
 
-/// A weight version of a model; higher is newer.
+/// Version of a model's weights; a higher one is newer.
 pub type Version = u64;
--- a/crates/weight/src/plan.rs
+++ b/crates/weight/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which engine is ordered to load what, and when.
+//! Load orders for the engines of one model in one failure domain.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,19 @@
 
 use crate::Version;
 
-/// Time after which an engine that has not done what it was ordered is ordered again.
-const PATIENCE: Millis = 4_000;
+/// Time in milliseconds after which an order that an engine has not carried out is sent again.
+const ORDER_TIMEOUT_MS: Millis = 4_000;
 
-/// Pause between two orders that are meant to bring a quarantined engine back.
-const REPAIR: Millis = 5_000;
+/// Interval in milliseconds between orders that are meant to repair a quarantined engine.
+const REPAIR_INTERVAL_MS: Millis = 5_000;
 
 /// Weights of an engine, as it reports them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WeightState {
-    /// The versions that it may use for the next token: one, unless a swap failed partway.
+    /// Versions that it may use for the next token: one, unless a load failed partway.
     pub versions: Vec<Version>,
-    /// The version that it is loading.
+    /// Version that it is loading.
     pub loading: Option<Version>,
 }
 
@@ -39,11 +39,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum QuarantineReason {
-    /// It states several versions, or none: a swap failed partway.
+    /// It reports several versions or none: a load failed partway.
     Mixed,
-    /// It states a version below one that it stated before, and nobody here ordered that.
+    /// It reports an older version than before, which no order of this plan asked for.
     WentBack,
-    /// It states a version that was never announced.
+    /// It reports a version that was never announced.
     Unannounced,
 }
 
@@ -52,34 +52,34 @@
 pub enum Action {
     /// Order the engine to load this version.
     Order {
-        /// The engine.
+        /// Engine to send the order to.
         engine: Name,
-        /// The version.
+        /// Version to load.
         version: Version,
     },
-    /// Send the engine no more work until it states one version.
+    /// Send the engine no more requests until it reports exactly one valid version.
     Quarantine {
-        /// The engine.
+        /// Engine to quarantine.
         engine: Name,
-        /// What it did.
+        /// Which fault its report shows.
         reason: QuarantineReason,
     },
-    /// The engine states one version again; it may work.
+    /// Send the engine requests again, since it reports one valid version.
     Release {
-        /// The engine.
+        /// Engine to release.
         engine: Name,
     },
 }
 
 #[derive(Clone, Debug, Default)]
 struct Engine {
-    stated: Option<Version>,
+    version: Option<Version>,
     loading: Option<Version>,
     ordered: Option<(Version, Millis)>,
     quarantined: bool,
 }
 
-/// The state of one model in one failure domain.
+/// Rollout of the versions of one model to its engines in one failure domain.
 ///
 /// # Examples
 ///
@@ -98,19 +98,19 @@
     width: usize,
     target: Version,
     engines: BTreeMap<Name, Engine>,
-    due: Vec<Action>,
+    pending: Vec<Action>,
 }
 
 impl Plan {
-    /// Makes a plan that swaps at most `width` engines at the same time.
+    /// Creates a plan in which at most `width` engines load at the same time.
     ///
-    /// A wide wave makes new weights general soon; a narrow one keeps more engines at work.
+    /// A wide wave brings new weights to all engines sooner; a narrow one keeps more engines serving.
     pub fn new(width: usize) -> Self {
         Self {
             width: width.max(1),
             target: 0,
             engines: BTreeMap::new(),
-            due: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
@@ -119,12 +119,12 @@
         self.width = width.max(1);
     }
 
-    /// Notes an announced version; an older one than the newest changes nothing.
+    /// Records an announced version. One older than the newest is ignored.
     pub fn announce(&mut self, version: Version) {
         self.target = self.target.max(version);
     }
 
-    /// The newest announced version.
+    /// Returns the newest announced version; 0 before the first.
     pub fn target(&self) -> Version {
         self.target
     }
@@ -137,19 +137,19 @@
         let fault = match state.single_version() {
             None => Some(QuarantineReason::Mixed),
             Some(v) if v > target => Some(QuarantineReason::Unannounced),
-            Some(v) if engine.stated.is_some_and(|before| v < before) => {
+            Some(v) if engine.version.is_some_and(|before| v < before) => {
                 Some(QuarantineReason::WentBack)
             }
             Some(_) => None,
         };
         match fault {
-            Some(reason) => Self::quarantine(&mut self.due, name, engine, reason, now),
-            None => Self::release(&mut self.due, name, engine, state.single_version()),
+            Some(reason) => Self::quarantine(&mut self.pending, name, engine, reason, now),
+            None => Self::release(&mut self.pending, name, engine, state.single_version()),
         }
     }
 
     fn quarantine(
-        due: &mut Vec<Action>,
+        pending: &mut Vec<Action>,
         name: &Name,
         engine: &mut Engine,
         reason: QuarantineReason,
@@ -159,22 +159,27 @@
             return;
         }
         engine.quarantined = true;
-        // The repair is ordered after a pause, so that an engine that fails each time is not kept
-        // loading without end.
+        // The first repair is ordered only after an interval, so that an engine whose loads always fail
+        // does not load all the time.
         engine.ordered = Some((0, now));
         let engine = name.clone();
-        due.push(Action::Quarantine { engine, reason });
+        pending.push(Action::Quarantine { engine, reason });
     }
 
-    fn release(due: &mut Vec<Action>, name: &Name, engine: &mut Engine, version: Option<Version>) {
-        engine.stated = version;
+    fn release(
+        pending: &mut Vec<Action>,
+        name: &Name,
+        engine: &mut Engine,
+        version: Option<Version>,
+    ) {
+        engine.version = version;
         if engine.ordered.is_some_and(|(v, _)| Some(v) == version) {
             engine.ordered = None;
         }
         if engine.quarantined {
             engine.quarantined = false;
             let engine = name.clone();
-            due.push(Action::Release { engine });
+            pending.push(Action::Release { engine });
         }
     }
 
@@ -187,57 +192,63 @@
 
     /// Returns the actions to carry out now.
     pub fn next_actions(&mut self, now: Millis) -> Vec<Action> {
-        let mut acts = std::mem::take(&mut self.due);
-        let mut busy = self.busy(now);
+        let mut actions = std::mem::take(&mut self.pending);
+        let mut loading = self.loading_count(now);
         for (name, engine) in &mut self.engines {
-            if busy >= self.width {
+            if loading >= self.width {
                 break;
             }
-            if !wants(engine, self.target, now) {
+            if !needs_order(engine, self.target, now) {
                 continue;
             }
             engine.ordered = Some((self.target, now));
-            busy += 1;
-            acts.push(Action::Order {
+            loading += 1;
+            actions.push(Action::Order {
                 engine: name.clone(),
                 version: self.target,
             });
         }
-        acts
+        actions
     }
 
-    /// Engines that are at an order now.
-    fn busy(&self, now: Millis) -> usize {
-        let at_it = |engine: &&Engine| {
-            let waits = engine.ordered.is_some_and(|(_, at)| now < at + PATIENCE);
-            !engine.quarantined && waits
+    /// Returns how many engines are carrying out an order at `now`.
+    fn loading_count(&self, now: Millis) -> usize {
+        let is_loading = |engine: &&Engine| {
+            let is_pending = engine
+                .ordered
+                .is_some_and(|(_, at)| now < at + ORDER_TIMEOUT_MS);
+            !engine.quarantined && is_pending
         };
-        self.engines.values().filter(at_it).count()
+        self.engines.values().filter(is_loading).count()
     }
 
-    /// Tells whether every engine that is known states the newest version.
+    /// Returns whether every known engine reports the newest version.
     pub fn is_settled(&self) -> bool {
         self.engines
             .values()
-            .all(|e| !e.quarantined && e.stated == Some(self.target))
+            .all(|e| !e.quarantined && e.version == Some(self.target))
     }
 
-    /// Engines that are quarantined.
+    /// Returns the names of the quarantined engines.
     pub fn quarantined(&self) -> impl Iterator<Item = &Name> {
-        let out = self.engines.iter().filter(|(_, engine)| engine.quarantined);
-        out.map(|(name, _)| name)
+        let quarantined = self.engines.iter().filter(|(_, engine)| engine.quarantined);
+        quarantined.map(|(name, _)| name)
     }
 }
 
-/// Tells whether an engine is to be ordered to load `target` now.
-fn wants(engine: &Engine, target: Version, now: Millis) -> bool {
-    let pause = if engine.quarantined { REPAIR } else { PATIENCE };
-    let waits = engine
+/// Returns whether an engine must be ordered to load `target` now.
+fn needs_order(engine: &Engine, target: Version, now: Millis) -> bool {
+    let interval = if engine.quarantined {
+        REPAIR_INTERVAL_MS
+    } else {
+        ORDER_TIMEOUT_MS
+    };
+    let is_pending = engine
         .ordered
-        .is_some_and(|(version, at)| now < at + pause && (version == target || version == 0));
-    if target == 0 || waits || engine.loading == Some(target) {
+        .is_some_and(|(version, at)| now < at + interval && (version == target || version == 0));
+    if target == 0 || is_pending || engine.loading == Some(target) {
         return false;
     }
-    // Never an older version than the engine has: an order can only lead forward.
-    engine.quarantined || engine.stated.is_some_and(|stated| stated < target)
+    // An order never asks for an older version than the engine holds.
+    engine.quarantined || engine.version.is_some_and(|version| version < target)
 }
--- a/crates/weight/src/scheduler.rs
+++ b/crates/weight/src/scheduler.rs
@@ -1,11 +1,11 @@
-//! Which engine of a service is ordered to load which version, when several models share it.
+//! Scheduling of loads on the engines of a service that several models share.
 //!
-//! Each engine is given to one model, so that a new version of one model is loaded by that model's
-//! engines only; a model gets engines by its part of the work. An engine whose version no step accepts any
-//! more loads at once. The others load once the samples of the newest step have begun, half of a model's
-//! engines at a time, so that most have the version before the step that needs it: loaded as soon as it is
-//! announced, they would keep the samples of that step waiting. A few engines load at a time: those that are
-//! most behind first, then those whose version was announced first, since its next step is due first.
+//! Each engine is assigned to one model, so that only that model's engines load its new versions. A model
+//! gets engines in proportion to its work. An engine whose version no step accepts any more loads at once.
+//! The others load once the samples of the newest step have started, half of a model's engines at a time,
+//! so that most hold the version before the step that needs it; loading on announcement would delay the
+//! samples of that step. Only a few engines load at the same time: those most versions behind first, then
+//! those whose version was announced first, since its next step is due first.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -21,13 +21,13 @@
 /// State of one engine as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineState {
-    /// Which start of which engine.
+    /// Identity of the engine process; a restarted engine has a new one.
     pub id: Arc<str>,
-    /// The models that it has, with their versions; what is being loaded counts as loaded.
+    /// Models that it holds, with their versions. A version that it is loading counts as held.
     pub models: Vec<(Arc<str>, Version)>,
-    /// Requests that it works on.
+    /// Requests that it is processing.
     pub running: u32,
-    /// Requests that it can work on at the same time.
+    /// Requests that it can process concurrently.
     pub slots: u32,
     /// Whether it is carrying out an order.
     pub busy: bool,
@@ -43,21 +43,21 @@
 /// An order to an engine to load a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadOrder {
-    /// The engine.
+    /// Engine to send the order to.
     pub id: Arc<str>,
-    /// The model.
+    /// Model to load.
     pub model: Arc<str>,
-    /// The version.
+    /// Version to load.
     pub version: Version,
 }
 
-/// Difference of what two models have beyond their parts from which an engine changes hands. An
-/// engine that does has a version to load that nobody needed before, so small changes of the work
-/// must not move any.
-const APART: f64 = 2.5;
+/// Difference between the surpluses of two models, in engines, from which engines are reassigned. A
+/// reassigned engine has to load a version that it did not need before, so small changes of the work must
+/// not move any.
+const REBALANCE_START_ENGINES: f64 = 2.5;
 
-/// Difference down to which engines change hands once they do: below it none would be gained.
-const EVEN: f64 = 1.6;
+/// Difference down to which engines are reassigned once that has begun; below it nothing is gained.
+const REBALANCE_STOP_ENGINES: f64 = 1.6;
 
 /// Assigns engines to models and schedules the loads of new versions.
 ///
@@ -79,54 +79,54 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct LoadScheduler {
-    given: Map<Arc<str>, Arc<str>>,
-    /// Engines of each model.
+    assigned: Map<Arc<str>, Arc<str>>,
+    /// Number of engines assigned to each model.
     counts: Map<Arc<str>, usize>,
 }
 
-/// Engines that may change hands between two models, the cheapest last.
-type Pools<'a> = Map<(Arc<str>, Arc<str>), Vec<&'a EngineState>>;
+/// Engines that may be reassigned from one model to another, the cheapest last.
+type Candidates<'a> = Map<(Arc<str>, Arc<str>), Vec<&'a EngineState>>;
 
 impl LoadScheduler {
     /// Returns the model that an engine is assigned to.
     pub fn assigned_model(&self, id: &str) -> Option<&Arc<str>> {
-        self.given.get(id)
+        self.assigned.get(id)
     }
 
-    /// Gives each engine to one of its models and takes back what is gone.
-    fn share(&mut self, engines: &[EngineState], targets: &Map<Arc<str>, Target>) {
+    /// Assigns each engine to one of its models and removes engines that are gone.
+    fn rebalance(&mut self, engines: &[EngineState], targets: &Map<Arc<str>, Target>) {
         self.prune(engines);
         let new = engines.iter();
         let mut new: Vec<_> = new
-            .filter(|one| !self.given.contains_key(&one.id))
+            .filter(|one| !self.assigned.contains_key(&one.id))
             .collect();
-        // Every leader has to come to the same, whatever the order in which it knows them.
+        // Every leader must reach the same assignment, whatever the order in which engines are listed.
         new.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         for engine in new {
-            if let Some(model) = self.fewest(engine) {
-                self.give(&engine.id, model);
+            if let Some(model) = self.preferred_model(engine) {
+                self.assign(&engine.id, model);
             }
         }
-        let parts = parts(engines, targets);
-        let mut pools = Pools::default();
-        let mut apart = APART;
-        while let Some((rich, poor)) = self.uneven(&parts, apart) {
-            let pair = (rich.clone(), poor.clone());
-            let pool = pools.entry(pair);
-            let pool = pool.or_insert_with(|| self.pool(engines, &rich, &poor));
-            let Some(engine) = pool.pop() else {
+        let shares = fair_shares(engines, targets);
+        let mut candidates = Candidates::default();
+        let mut threshold = REBALANCE_START_ENGINES;
+        while let Some((donor, recipient)) = self.imbalance(&shares, threshold) {
+            let pair = (donor.clone(), recipient.clone());
+            let movable = candidates.entry(pair);
+            let movable = movable.or_insert_with(|| self.candidates(engines, &donor, &recipient));
+            let Some(engine) = movable.pop() else {
                 return;
             };
-            self.give(&engine.id, poor);
-            apart = EVEN;
+            self.assign(&engine.id, recipient);
+            threshold = REBALANCE_STOP_ENGINES;
         }
     }
 
-    /// Takes back engines that are gone.
+    /// Removes the assignments of engines that are gone.
     fn prune(&mut self, engines: &[EngineState]) {
         let ids: Set<&Arc<str>> = engines.iter().map(|engine| &engine.id).collect();
         let counts = &mut self.counts;
-        self.given.retain(|id, model| {
+        self.assigned.retain(|id, model| {
             let stays = ids.contains(id);
             if !stays && let Some(count) = counts.get_mut(model) {
                 *count -= 1;
@@ -135,10 +135,10 @@
         });
     }
 
-    /// Gives an engine to a model.
-    fn give(&mut self, id: &Arc<str>, model: Arc<str>) {
+    /// Assigns an engine to a model.
+    fn assign(&mut self, id: &Arc<str>, model: Arc<str>) {
         *self.counts.entry(model.clone()).or_default() += 1;
-        if let Some(former) = self.given.insert(id.clone(), model)
+        if let Some(former) = self.assigned.insert(id.clone(), model)
             && let Some(count) = self.counts.get_mut(&former)
         {
             *count -= 1;
@@ -149,115 +149,129 @@
         self.counts.get(model).copied().unwrap_or_default()
     }
 
-    /// The model of an engine that has advanced most, so that a new leader goes on as the one
-    /// before it; among equals, the one that has the fewest engines.
-    fn fewest(&self, engine: &EngineState) -> Option<Arc<str>> {
+    /// Returns the model of which an engine holds the newest version, so that a new leader continues the
+    /// assignment of the previous one; among equals, the model with the fewest engines.
+    fn preferred_model(&self, engine: &EngineState) -> Option<Arc<str>> {
         let models = engine.models.iter();
         let key = |(model, version): &&(Arc<str>, Version)| (Reverse(*version), self.count(model));
         models.min_by_key(key).map(|(model, _)| model.clone())
     }
 
-    /// The model that has most beyond its part and the one that lacks most, when they differ by `apart`.
-    fn uneven(&self, parts: &[(Arc<str>, f64)], apart: f64) -> Option<(Arc<str>, Arc<str>)> {
-        let excess = |(model, part): &(Arc<str>, f64)| self.count(model) as f64 - part;
-        let most = parts
+    /// Returns the models with the largest and the smallest surplus of engines over their fair share, if
+    /// the surpluses differ by at least `threshold`.
+    fn imbalance(
+        &self,
+        shares: &[(Arc<str>, f64)],
+        threshold: f64,
+    ) -> Option<(Arc<str>, Arc<str>)> {
+        let surplus = |(model, share): &(Arc<str>, f64)| self.count(model) as f64 - share;
+        let most = shares
             .iter()
-            .max_by(|a, b| excess(a).total_cmp(&excess(b)))?;
-        let least = parts
+            .max_by(|a, b| surplus(a).total_cmp(&surplus(b)))?;
+        let least = shares
             .iter()
-            .min_by(|a, b| excess(a).total_cmp(&excess(b)))?;
-        let differ = excess(most) - excess(least) >= apart;
-        differ.then(|| (most.0.clone(), least.0.clone()))
+            .min_by(|a, b| surplus(a).total_cmp(&surplus(b)))?;
+        let is_uneven = surplus(most) - surplus(least) >= threshold;
+        is_uneven.then(|| (most.0.clone(), least.0.clone()))
     }
 
-    /// The engines of one model that another one may get, the one that has least to load last.
-    fn pool<'a>(&self, engines: &'a [EngineState], rich: &str, poor: &str) -> Vec<&'a EngineState> {
-        let has = |one: &&EngineState| {
-            let given = self.given.get(&one.id);
-            one.version(poor).is_some() && given.is_some_and(|model| **model == *rich)
+    /// Returns the engines of `donor` that also hold `recipient`, the one with the least to load last.
+    fn candidates<'a>(
+        &self,
+        engines: &'a [EngineState],
+        donor: &str,
+        recipient: &str,
+    ) -> Vec<&'a EngineState> {
+        let is_candidate = |one: &&EngineState| {
+            let assigned = self.assigned.get(&one.id);
+            one.version(recipient).is_some() && assigned.is_some_and(|model| **model == *donor)
         };
-        let mut pool: Vec<_> = engines.iter().filter(has).collect();
-        pool.sort_unstable_by(|a, b| {
-            let versions = a.version(poor).cmp(&b.version(poor));
+        let mut candidates: Vec<_> = engines.iter().filter(is_candidate).collect();
+        candidates.sort_unstable_by(|a, b| {
+            let versions = a.version(recipient).cmp(&b.version(recipient));
             let running = versions.then(b.running.cmp(&a.running));
             running.then_with(|| b.id.cmp(&a.id))
         });
-        pool
+        candidates
     }
 
-    /// Returns the loads to order now, at most `room` of them.
+    /// Returns the loads to order now, at most `max_loads` of them.
     pub fn schedule(
         &mut self,
         engines: &[EngineState],
-        room: usize,
+        max_loads: usize,
         targets: &Map<Arc<str>, Target>,
     ) -> Vec<LoadOrder> {
-        self.share(engines, targets);
+        self.rebalance(engines, targets);
         let mut all: Map<&Arc<str>, Vec<(&EngineState, Version)>> = Map::default();
         for engine in engines {
-            if let Some(model) = self.given.get(&engine.id)
+            if let Some(model) = self.assigned.get(&engine.id)
                 && let Some(version) = engine.version(model)
             {
                 all.entry(model).or_default().push((engine, version));
             }
         }
-        let due = all.into_iter().filter_map(|(model, engines)| {
+        let pending = all.into_iter().filter_map(|(model, engines)| {
             let target = targets.get(model)?;
-            Some(due(engines, model, *target))
+            Some(pending_loads(engines, model, *target))
         });
-        let mut due: Vec<_> = due.flatten().collect();
-        due.sort_by_key(|due| {
+        let mut pending: Vec<_> = pending.flatten().collect();
+        pending.sort_by_key(|load| {
             (
-                Reverse(due.behind),
-                due.since,
-                due.running,
-                due.load.id.clone(),
+                Reverse(load.versions_behind),
+                load.announced_at,
+                load.running,
+                load.order.id.clone(),
             )
         });
-        due.truncate(room);
-        due.into_iter().map(|due| due.load).collect()
+        pending.truncate(max_loads);
+        pending.into_iter().map(|load| load.order).collect()
     }
 }
 
-/// Those of a model's engines that have to load its newest version.
-fn due(mut all: Vec<(&EngineState, Version)>, model: &Arc<str>, target: Target) -> Vec<Due> {
-    needed(&mut all, target.concurrent_samples);
+/// Returns the loads of a model's newest version that its engines have to start.
+fn pending_loads(
+    mut all: Vec<(&EngineState, Version)>,
+    model: &Arc<str>,
+    target: Target,
+) -> Vec<PendingLoad> {
+    retain_needed(&mut all, target.concurrent_samples);
     all.sort_by_key(|(engine, version)| (*version, engine.running, engine.id.clone()));
     let half = all.len().div_ceil(2);
     let loading = all.iter().filter(|(engine, _)| engine.busy).count();
-    let mut spare = match target.refresh_accepted {
+    let mut spare_loads = match target.refresh_accepted {
         true => half.saturating_sub(loading),
         false => 0,
     };
-    let mut due = Vec::new();
+    let mut pending = Vec::new();
     for (engine, version) in all {
         if engine.busy || version >= target.newest {
             continue;
         }
-        if version >= target.oldest && spare == 0 {
+        if version >= target.oldest && spare_loads == 0 {
             continue;
         }
-        spare = spare.saturating_sub(1);
-        due.push(Due {
-            behind: target.newest - version,
-            since: target.announced_at,
+        spare_loads = spare_loads.saturating_sub(1);
+        pending.push(PendingLoad {
+            versions_behind: target.newest - version,
+            announced_at: target.announced_at,
             running: engine.running,
-            load: LoadOrder {
+            order: LoadOrder {
                 id: engine.id.clone(),
                 model: model.clone(),
                 version: target.newest,
             },
         });
     }
-    due
+    pending
 }
 
-/// Leaves as many of a model's engines as its samples fill: those that are least behind, so that they stay
-/// the same ones.
+/// Retains as many of a model's engines as its samples fill. It retains those that are least behind, so
+/// that the selection stays the same.
 ///
-/// There may be thousands of engines and a few hundred samples; loading them all keeps the leader busy for seconds,
-/// and the samples wait for the few that it has come to.
-fn needed(all: &mut Vec<(&EngineState, Version)>, samples: u64) {
+/// There may be thousands of engines and a few hundred samples. Ordering all engines to load takes the
+/// leader seconds, in which the samples wait for the few engines that it has reached.
+fn retain_needed(all: &mut Vec<(&EngineState, Version)>, samples: u64) {
     if samples == 0 {
         return;
     }
@@ -272,9 +286,9 @@
     all.truncate(count);
 }
 
-/// The engines that each model had better have: as many as its part of the work says, or the same
-/// for all as long as nobody's work is known.
-fn parts(engines: &[EngineState], targets: &Map<Arc<str>, Target>) -> Vec<(Arc<str>, f64)> {
+/// Returns each model's fair share of the engines, in proportion to its work. A model of unknown work
+/// counts with the mean of the others; all shares are equal while no work is known.
+fn fair_shares(engines: &[EngineState], targets: &Map<Arc<str>, Target>) -> Vec<(Arc<str>, f64)> {
     let mut works: BTreeMap<Arc<str>, f64> = BTreeMap::new();
     for (model, _) in engines.iter().flat_map(|engine| &engine.models) {
         if !works.contains_key(model) {
@@ -291,15 +305,17 @@
         *work = mean;
     }
     let all: f64 = works.values().sum();
-    let share = engines.len() as f64 / all;
-    let parts = works.into_iter();
-    parts.map(|(model, work)| (model, work * share)).collect()
+    let per_work = engines.len() as f64 / all;
+    let shares = works.into_iter();
+    shares
+        .map(|(model, work)| (model, work * per_work))
+        .collect()
 }
 
-/// An engine that has to load, with what decides its turn.
-struct Due {
-    behind: Version,
-    since: Millis,
+/// A load that is due, with the values that decide its priority.
+struct PendingLoad {
+    versions_behind: Version,
+    announced_at: Millis,
     running: u32,
-    load: LoadOrder,
+    order: LoadOrder,
 }
--- a/crates/weight/tests/plan.rs
+++ b/crates/weight/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Tests of swap plans.
+//! Tests of rollout plans.
 
 use kernel::Name;
 use proptest::prelude::*;
@@ -35,22 +35,22 @@
     plan
 }
 
-fn orders(acts: &[Action]) -> usize {
-    let order = |act: &&Action| matches!(act, Action::Order { .. });
-    acts.iter().filter(order).count()
+fn orders(actions: &[Action]) -> usize {
+    let order = |action: &&Action| matches!(action, Action::Order { .. });
+    actions.iter().filter(order).count()
 }
 
 #[test]
-fn a_wave_is_as_wide_as_asked_and_goes_on_as_engines_finish() {
+fn a_wave_keeps_to_its_width_and_continues_as_engines_finish() {
     let mut plan = plan(2, 3, 1);
     plan.announce(2);
 
-    let first = orders(&plan.next_actions(0));
+    let initial = orders(&plan.next_actions(0));
     let busy = orders(&plan.next_actions(10));
     plan.record_state(&name(0), &one(2), 20);
     let next = orders(&plan.next_actions(20));
 
-    assert_eq!((first, busy, next), (2, 0, 1));
+    assert_eq!((initial, busy, next), (2, 0, 1));
 }
 
 #[test]
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_unheard_order_is_given_again() {
+fn an_order_without_effect_is_sent_again() {
     let mut plan = plan(1, 1, 1);
     plan.announce(2);
     plan.next_actions(0);
@@ -74,17 +74,19 @@
     assert_eq!(orders(&plan.next_actions(4_000)), 1);
 }
 
-// Symptom: samples name a version that did not produce them.
-// Sequence: a swap fails partway, or a paused holder's late order takes an engine that ignores
-// fencing back.
-// Cause: trusting that an order does what it says.
+// Guards against samples labelled with a version that did not produce them: a load fails partway, or
+// the late order of a paused lease holder takes an engine that ignores fencing tokens back to an older
+// version. An order must not be assumed to have had its effect.
 #[parameterized(
     two_versions = { WeightState { versions: vec![1, 2], loading: None }, QuarantineReason::Mixed },
     none = { WeightState::default(), QuarantineReason::Mixed },
     went_back = { one(1), QuarantineReason::WentBack },
     unannounced = { one(9), QuarantineReason::Unannounced },
 )]
-fn an_engine_that_contradicts_itself_is_quarantined(stated: WeightState, reason: QuarantineReason) {
+fn an_engine_with_contradictory_reports_is_quarantined(
+    stated: WeightState,
+    reason: QuarantineReason,
+) {
     let mut plan = plan(1, 1, 2);
 
     plan.record_state(&name(0), &stated, 0);
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn a_restarted_engine_may_begin_at_an_older_version() {
+fn a_restarted_engine_may_start_with_an_older_version() {
     let mut plan = plan(1, 1, 2);
     plan.remove_engine("engine-0");
 
@@ -118,10 +120,10 @@
 }
 
 proptest! {
-    // Over any announcements and statements: no order is for an older version than the engine
-    // states, and never more engines than the width are at an order.
+    // For any announcements and reports, no order asks for an older version than the engine reports, and
+    // no more engines than the width are ordered at once.
     #[test]
-    fn orders_lead_forward(
+    fn orders_never_ask_for_an_older_version(
         width in 1usize..4,
         steps in prop::collection::vec((0usize..4, 0u64..6, 0u64..3_000), 1..80),
     ) {
@@ -135,10 +137,10 @@
                 stated[at] = version;
                 plan.record_state(&name(at), &one(version), now);
             }
-            let acts = plan.next_actions(now);
-            prop_assert!(orders(&acts) <= width);
-            for act in acts {
-                if let Action::Order { engine, version } = act {
+            let actions = plan.next_actions(now);
+            prop_assert!(orders(&actions) <= width);
+            for action in actions {
+                if let Action::Order { engine, version } = action {
                     let at = (0..4).find(|at| name(*at) == engine).unwrap();
                     prop_assert!(version >= stated[at]);
                     prop_assert_eq!(version, plan.target());
--- a/crates/weight/tests/scheduler.rs
+++ b/crates/weight/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Loads of versions, when several models share the engines.
+//! Tests of the scheduling of loads on engines that several models share.
 
 use std::sync::Arc;
 
@@ -22,15 +22,15 @@
     }
 }
 
-/// Aims for which only the newest version will do.
+/// Targets that accept only the newest version.
 fn targets(all: &[(&str, Version)]) -> Map<Arc<str>, Target> {
     all.iter()
-        .map(|(name, version)| ((*name).into(), old(*version, *version)))
+        .map(|(name, version)| ((*name).into(), starting(*version, *version)))
         .collect()
 }
 
-/// An target while the samples of a step begin.
-fn old(newest: Version, oldest: Version) -> Target {
+/// A target while the samples of a step start.
+fn starting(newest: Version, oldest: Version) -> Target {
     Target {
         newest,
         oldest,
@@ -38,21 +38,21 @@
     }
 }
 
-/// An target after they have begun.
-fn calm(newest: Version, oldest: Version) -> Target {
+/// A target after the samples of a step have started.
+fn started(newest: Version, oldest: Version) -> Target {
     Target {
         refresh_accepted: true,
-        ..old(newest, oldest)
+        ..starting(newest, oldest)
     }
 }
 
 fn ids(
     scheduler: &mut LoadScheduler,
     engines: &[EngineState],
-    room: usize,
+    max_loads: usize,
     all: &[(&str, Version)],
 ) -> Vec<String> {
-    let loads = scheduler.schedule(engines, room, &targets(all));
+    let loads = scheduler.schedule(engines, max_loads, &targets(all));
     loads.iter().map(|load| load.id.to_string()).collect()
 }
 
@@ -93,11 +93,11 @@
     assert_eq!(loads, ["b"]);
 }
 
-// Symptom: after a change of holder every engine loads the other model's version.
-// Sequence: the new holder knows nothing of how the engines were shared.
-// Cause: an engine goes on with the model that has advanced most there.
+// Guards against loads of the other model's version on every engine after a change of leader. The new
+// leader does not know the previous assignment, so an engine continues with the model of which it holds
+// the newest version.
 #[test]
-fn a_new_holder_goes_on_as_the_one_before() {
+fn a_new_leader_continues_the_assignment_of_the_previous_one() {
     let engines = [
         engine("a", &[("x", 7), ("y", 1)], 0),
         engine("b", &[("x", 1), ("y", 6)], 0),
@@ -117,20 +117,20 @@
 }
 
 #[test]
-fn an_engine_that_came_or_went_changes_little() {
+fn a_joining_or_leaving_engine_moves_at_most_one_engine() {
     let all = |count: usize| -> Vec<_> {
         (0..count)
             .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
             .collect()
     };
     let mut scheduler = LoadScheduler::default();
-    let news = targets(&[("a", 2), ("b", 2)]);
-    scheduler.schedule(&all(8), 8, &news);
+    let announced = targets(&[("a", 2), ("b", 2)]);
+    scheduler.schedule(&all(8), 8, &announced);
     let before: Vec<_> = (0..7)
         .map(|at| scheduler.assigned_model(&format!("e{at}")).cloned())
         .collect();
 
-    scheduler.schedule(&all(7), 8, &news);
+    scheduler.schedule(&all(7), 8, &announced);
 
     let after: Vec<_> = (0..7)
         .map(|at| scheduler.assigned_model(&format!("e{at}")).cloned())
@@ -153,12 +153,11 @@
         .len()
 }
 
-// Symptom: a step's samples begin one to three seconds late, and few engines are idle meanwhile.
-// Sequence: a version is announced and the next step asked for in the same moment; all engines of
-//   the model are ordered to load, two waves of a second each, though the step accepts what they have.
-// Cause: loading what nobody needs yet in the moment in which samples begin.
+// Guards against samples that start one to three seconds late: a version is announced and the next step
+// is requested at the same moment, and all engines of the model are ordered to load in two waves of a
+// second each, although the step accepts the version that they hold.
 #[test]
-fn engines_that_the_new_step_accepts_go_on_serving_while_its_samples_begin() {
+fn engines_with_an_accepted_version_do_not_load_while_samples_start() {
     let mut versions = [1; 8];
     let mut demand = Demand::default();
     demand.record_step(1, 1, 0, 0);
@@ -182,24 +181,24 @@
 
 #[test]
 fn an_engine_that_the_new_step_does_not_accept_loads_at_once() {
-    let count = loads(&engines(&[3, 4, 5, 3]), old(5, 4));
+    let count = loads(&engines(&[3, 4, 5, 3]), starting(5, 4));
 
     assert_eq!(count, 2);
 }
 
 #[test]
-fn half_of_the_engines_go_on_beginning_samples() {
+fn at_most_half_of_the_engines_load_at_the_same_time() {
     let mut engines = engines(&[1, 1, 1, 1]);
     engines[0].busy = true;
     engines[3].busy = true;
 
-    let count = loads(&engines, calm(2, 1));
+    let count = loads(&engines, started(2, 1));
 
     assert_eq!(count, 0);
 }
 
 #[test]
-fn a_new_holder_learns_from_old_steps_how_old_weights_may_be() {
+fn a_new_leader_derives_the_accepted_lag_from_earlier_steps() {
     let mut demand = Demand::default();
     demand.record_announcement(9, 0);
 
@@ -212,7 +211,7 @@
 }
 
 #[test]
-fn a_version_that_an_open_step_does_not_accept_is_not_worth_having() {
+fn a_version_that_an_open_step_does_not_accept_is_not_a_target() {
     let mut demand = Demand::default();
     demand.record_announcement(3, 0);
     demand.record_step(1, 1, 0, 0);
@@ -222,12 +221,11 @@
     assert_eq!((demand.target(0).newest, demand.target(0).oldest), (3, 3));
 }
 
-// Symptom: all engines load the first version that is announced, though half would do.
-// Sequence: the first steps are opened before anything is announced; the next one accepts the
-//   versions that they accepted.
-// Cause: learning how old weights may be only from steps that accept less than those before.
+// Guards against all engines loading the first announced version although half would suffice: the first
+// steps are opened before any announcement, and the next one accepts the same versions. The accepted lag
+// must not be derived only from steps that accept fewer versions than those before.
 #[test]
-fn the_first_steps_say_nothing_of_how_old_weights_may_be() {
+fn steps_before_the_first_announcement_do_not_determine_the_accepted_lag() {
     let mut demand = Demand::default();
     demand.record_step(1, 1, 0, 0);
     demand.record_step(1, 1, 0, 0);
@@ -238,9 +236,9 @@
     assert_eq!((demand.target(0).newest, demand.target(0).oldest), (2, 1));
 }
 
-// Symptom: the engines of the model with the most work never load before its next step.
-// Sequence: loads of several models are due and few may load at a time; the idlest engines go first.
-// Cause: a load holds nothing up that runs; what matters is whose next step comes first.
+// Guards against engines of the busiest model that never load before its next step: loads of several
+// models are due, few may run at a time, and the idlest engines go first. A load delays no running
+// request, so the model whose next step comes first must go first.
 #[test]
 fn the_version_that_was_announced_first_is_loaded_first() {
     let engines = [
@@ -249,7 +247,7 @@
     ];
     let at = |announced_at| Target {
         announced_at,
-        ..calm(2, 1)
+        ..started(2, 1)
     };
     let targets = [("busy".into(), at(0)), ("idle".into(), at(500))];
 
@@ -261,54 +259,59 @@
     );
 }
 
-// Symptom: one model's steps wait for places while engines of another model are idle.
-// Sequence: one trainer's steps have three times the samples of the other one's.
-// Cause: the same number of engines for each model, whatever its steps ask for.
+// Guards against steps of one model that wait for slots while engines of another are idle: the steps of
+// one trainer have three times the samples of the other's, and each model gets as many engines.
 #[test]
-fn a_model_gets_engines_by_its_part_of_the_work() {
+fn a_model_gets_engines_in_proportion_to_its_work() {
     let engines: Vec<_> = (0..8)
         .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
         .collect();
     let targets = [("a", 3_000), ("b", 1_000)].map(|(model, work)| {
-        let target = Target { work, ..old(2, 2) };
+        let target = Target {
+            work,
+            ..starting(2, 2)
+        };
         (model.into(), target)
     });
     let mut scheduler = LoadScheduler::default();
 
     scheduler.schedule(&engines, 8, &targets.into_iter().collect());
 
-    let given = (0..8).filter_map(|at| scheduler.assigned_model(&format!("e{at}")));
-    assert_eq!(given.filter(|model| &***model == "a").count(), 6);
+    let assigned = (0..8).filter_map(|at| scheduler.assigned_model(&format!("e{at}")));
+    assert_eq!(assigned.filter(|model| &***model == "a").count(), 6);
 }
 
-// Symptom: engines go from model to model with each step, and load what nobody needed before.
-// Sequence: the work of steps differs a little from one to the next.
-// Cause: giving engines anew with each change of the work.
+// Guards against engines that move between models with each step and load versions that they did not
+// need before, because the work of consecutive steps differs slightly.
 #[test]
-fn a_little_more_work_moves_no_engine() {
+fn a_small_change_of_work_moves_no_engine() {
     let engines: Vec<_> = (0..8)
         .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
         .collect();
     let mut scheduler = LoadScheduler::default();
-    let mut given = Vec::new();
+    let mut assigned = Vec::new();
     for work in [1_000, 1_250, 800] {
-        let target = |work| Target { work, ..old(2, 2) };
+        let target = |work| Target {
+            work,
+            ..starting(2, 2)
+        };
         let targets = [("a".into(), target(work)), ("b".into(), target(1_000))];
 
         scheduler.schedule(&engines, 8, &targets.into_iter().collect());
 
         let now = (0..8).map(|at| scheduler.assigned_model(&format!("e{at}")).cloned());
-        given.push(now.collect::<Vec<_>>());
+        assigned.push(now.collect::<Vec<_>>());
     }
 
-    assert_eq!(given[0], given[1]);
-    assert_eq!(given[0], given[2]);
+    assert_eq!(assigned[0], assigned[1]);
+    assert_eq!(assigned[0], assigned[2]);
 }
 
-// Load: 3,000 engines and a trainer whose steps have 344 samples each 4 s. Ordering all engines at each
-// announcement took the leader longer than the time between two, and samples waited.
+// Guards against samples that wait for loads: with 3,000 engines and a trainer that opens a step of 344
+// samples each 4 s, ordering all engines at each announcement took the leader longer than the time
+// between two announcements.
 #[test]
-fn no_more_engines_load_than_the_samples_fill() {
+fn only_as_many_engines_load_as_the_samples_fill() {
     let mut all: Vec<_> = (0..3_000)
         .map(|at| engine(&format!("e{at:04}"), &[("m", 1)], 0))
         .collect();
@@ -359,7 +362,7 @@
     assert!(second.iter().all(|load| load.id != first[0].id));
 }
 
-// Guards against loads of engines that change hands because a new leader lists them in another order.
+// Guards against loads of engines that are reassigned because a new leader lists them in another order.
 #[test]
 fn the_order_in_which_engines_are_listed_changes_nothing() {
     let models = [("a", 1), ("b", 1), ("c", 1)];
@@ -367,7 +370,10 @@
         .map(|at| engine(&format!("e{at:02}"), &models, 0))
         .collect();
     let targets = [("a", 3_000), ("b", 1_000), ("c", 1_000)].map(|(model, work)| {
-        let target = Target { work, ..old(2, 2) };
+        let target = Target {
+            work,
+            ..starting(2, 2)
+        };
         (model.into(), target)
     });
     let targets = targets.into_iter().collect();
