--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -7,10 +7,10 @@
 use kernel::Millis;
 use table::Plan;
 use table::Route;
-use team::Bounds;
 use team::Credential;
 use team::Denial;
 use team::Principal;
+use team::StalenessLimits;
 
 use crate::App;
 use crate::dialect::Caller;
@@ -25,11 +25,11 @@
     app.roster.lock().age(app.clock.now())
 }
 
-fn bounds(app: &App) -> Bounds {
+fn bounds(app: &App) -> StalenessLimits {
     let settings = &app.settings;
-    Bounds {
-        sure: settings.apply / FRESH,
-        closed: settings.closed.then_some(settings.revoke),
+    StalenessLimits {
+        reject_unknown: settings.apply / FRESH,
+        fail_closed: settings.closed.then_some(settings.revoke),
     }
 }
 
@@ -37,7 +37,7 @@
 /// known here.
 pub(crate) fn missing(app: &App, age: Option<Millis>) -> Refusal {
     match age {
-        Some(age) if age <= bounds(app).sure => Refusal::Missing,
+        Some(age) if age <= bounds(app).reject_unknown => Refusal::Missing,
         _ => Refusal::Unrun,
     }
 }
@@ -86,7 +86,7 @@
 pub(crate) fn is_closed(app: &App) -> bool {
     let plan = app.plan.load();
     let keys = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
-    let Some(bound) = bounds(app).closed.filter(|_| keys) else {
+    let Some(bound) = bounds(app).fail_closed.filter(|_| keys) else {
         return false;
     };
     age(app).is_none_or(|age| age > bound)
--- a/crates/team/src/admit.rs
+++ b/crates/team/src/admit.rs
@@ -10,13 +10,13 @@
 use crate::Principal;
 use crate::Teams;
 
-/// Ages of the configuration, in milliseconds since it was known to be the newest.
+/// Limits on the age of the configuration, in milliseconds since it was known to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    /// Up to which a key that it does not have is called unknown.
-    pub sure: Millis,
-    /// From which no request that needs a key is served, where operators want it so.
-    pub closed: Option<Millis>,
+pub struct StalenessLimits {
+    /// Greatest age at which a key that it does not contain is rejected as unknown.
+    pub reject_unknown: Millis,
+    /// Greatest age at which requests that need a key are served, if operators want to fail closed.
+    pub fail_closed: Option<Millis>,
 }
 
 /// Why a request may not run.
@@ -42,13 +42,13 @@
 /// # Examples
 ///
 /// ```
-/// use team::{Bounds, Credential, Denial, Key, Principal, Team, Teams, admit};
+/// use team::{Credential, Denial, Key, Principal, StalenessLimits, Team, Teams, admit};
 ///
-/// let bounds = Bounds { sure: 1_500, closed: None };
+/// let limits = StalenessLimits { reject_unknown: 1_500, fail_closed: None };
 /// let team = Team { name: "a".into(), priority: None };
 /// let teams = Teams::new([(team, vec![Key::of("k-1")])])?;
 /// let key = |text| Credential::Key(Key::of(text));
-/// let ask = |credential, age| admit(Some(&teams), false, credential, Some(age), bounds);
+/// let ask = |credential, age| admit(Some(&teams), false, credential, Some(age), limits);
 /// assert_eq!(ask(key("k-1"), 200), Ok(Principal::Team("a".into())));
 /// assert_eq!(ask(key("k-2"), 200), Err(Denial::Unknown));
 /// assert_eq!(ask(key("k-2"), 9_000), Err(Denial::Unsure));
@@ -59,7 +59,7 @@
     open: bool,
     credential: Credential,
     age: Option<Millis>,
-    bounds: Bounds,
+    limits: StalenessLimits,
 ) -> Result<Principal, Denial> {
     let Some(teams) = teams else {
         return Ok(Principal::Any);
@@ -73,13 +73,13 @@
         return Ok(principal.unwrap_or(Principal::Anonymous));
     }
     let older = |bound| age.is_none_or(|age| age > bound);
-    if bounds.closed.is_some_and(older) {
+    if limits.fail_closed.is_some_and(older) {
         return Err(Denial::Unsure);
     }
     if let Some(principal) = principal {
         return Ok(principal);
     }
-    if older(bounds.sure) {
+    if older(limits.reject_unknown) {
         return Err(Denial::Unsure);
     }
     Err(match credential {
--- a/crates/team/src/lib.rs
+++ b/crates/team/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod principal;
 pub mod teams;
 
-pub use admit::Bounds;
 pub use admit::Denial;
+pub use admit::StalenessLimits;
 pub use admit::admit;
 pub use key::Credential;
 pub use key::Key;
--- a/crates/team/tests/admit.rs
+++ b/crates/team/tests/admit.rs
@@ -1,11 +1,11 @@
 //! Who may run, on whose behalf, by what the configuration knows and how old it is.
 
 use proptest::prelude::*;
-use team::Bounds;
 use team::Credential;
 use team::Denial;
 use team::Key;
 use team::Principal;
+use team::StalenessLimits;
 use team::Team;
 use team::Teams;
 use team::TeamsError;
@@ -27,10 +27,10 @@
     Teams::new([(team("a"), keys(&["k1", "k2"])), (team("b"), keys(&["k3"]))]).unwrap()
 }
 
-fn bounds(closed: bool) -> Bounds {
-    Bounds {
-        sure: SURE,
-        closed: closed.then_some(CLOSED),
+fn bounds(closed: bool) -> StalenessLimits {
+    StalenessLimits {
+        reject_unknown: SURE,
+        fail_closed: closed.then_some(CLOSED),
     }
 }
 
