--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -75,7 +75,7 @@
         Denial::Missing => ("no key", Refusal::Unauthorized),
         Denial::Malformed => ("no proper key", Refusal::Unauthorized),
         Denial::Unknown => ("nobody holds the key", Refusal::Unauthorized),
-        Denial::Unsure => ("the configuration may be too old", Refusal::Unrun),
+        Denial::StaleConfig => ("the configuration may be too old", Refusal::Unrun),
     };
     log::info!(target: "front", id = &*caller.id, why, version = plan.version, age_ms = age,
         outcome = refusal.name(); "key refused");
--- a/crates/team/src/admit.rs
+++ b/crates/team/src/admit.rs
@@ -28,8 +28,8 @@
     Malformed,
     /// Nobody holds its key.
     Unknown,
-    /// The configuration may be too old to tell.
-    Unsure,
+    /// The configuration is too old to decide.
+    StaleConfig,
 }
 
 /// Decides whether a request may run and on whose behalf. `open` tells whether its route needs no key, `age` how
@@ -51,7 +51,7 @@
 /// let ask = |credential, age| admit(Some(&teams), false, credential, Some(age), limits);
 /// assert_eq!(ask(key("k-1"), 200), Ok(Principal::Team("a".into())));
 /// assert_eq!(ask(key("k-2"), 200), Err(Denial::Unknown));
-/// assert_eq!(ask(key("k-2"), 9_000), Err(Denial::Unsure));
+/// assert_eq!(ask(key("k-2"), 9_000), Err(Denial::StaleConfig));
 /// # Ok::<(), team::TeamsError>(())
 /// ```
 pub fn admit(
@@ -74,13 +74,13 @@
     }
     let older = |bound| age.is_none_or(|age| age > bound);
     if limits.fail_closed.is_some_and(older) {
-        return Err(Denial::Unsure);
+        return Err(Denial::StaleConfig);
     }
     if let Some(principal) = principal {
         return Ok(principal);
     }
     if older(limits.reject_unknown) {
-        return Err(Denial::Unsure);
+        return Err(Denial::StaleConfig);
     }
     Err(match credential {
         Credential::None => Denial::Missing,
