--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -57,7 +57,7 @@
     let Some(plan) = app.plan.load_full() else {
         // What was submitted without a key is found without one; with one nothing is known of its team.
         return match caller.credential {
-            Credential::None => Ok(Principal::Any),
+            Credential::None => Ok(Principal::NoTeams),
             Credential::Malformed | Credential::Key(_) => Err(Refusal::Unrun),
         };
     };
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -236,7 +236,7 @@
     pub(crate) fn principal(&self, app: &App) -> Principal {
         let plan = app.plan.load();
         let configured = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
-        Principal::kept(self.head.team.as_ref(), configured)
+        Principal::from_record(self.head.team.as_ref(), configured)
     }
 
     /// A number that differs between samples whose requests differ, or are of different teams: no team gets
--- a/crates/node/src/print.rs
+++ b/crates/node/src/print.rs
@@ -16,7 +16,7 @@
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let said = head.headers.get(AUTHORIZATION);
     let caller = match principal {
-        Principal::Any => said.map_or(&b""[..], |said| said.as_bytes()),
+        Principal::NoTeams => said.map_or(&b""[..], |said| said.as_bytes()),
         Principal::Anonymous => b"",
         Principal::Team(team) => team.as_bytes(),
     };
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -50,8 +50,8 @@
         return Vec::new();
     }
     match principal {
-        Principal::Team(_) => vec![principal.scope(step), step.clone()],
-        Principal::Any | Principal::Anonymous => vec![step.clone()],
+        Principal::Team(_) => vec![principal.scoped_name(step), step.clone()],
+        Principal::NoTeams | Principal::Anonymous => vec![step.clone()],
     }
 }
 
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -113,7 +113,7 @@
         return Refusal::Wrong.reply();
     }
     let submission = Submission {
-        id: principal.scope(&caller.id),
+        id: principal.scoped_name(&caller.id),
         former: principal.team().map(|_| caller.id.clone()),
         team: principal.team().cloned(),
         host: caller.host.clone(),
--- a/crates/team/src/admit.rs
+++ b/crates/team/src/admit.rs
@@ -28,7 +28,7 @@
     Malformed,
     /// Nobody holds its key.
     Unknown,
-    /// The configuration is too old to decide.
+    /// The configuration may be too old to tell.
     StaleConfig,
 }
 
@@ -62,7 +62,7 @@
     limits: StalenessLimits,
 ) -> Result<Principal, Denial> {
     let Some(teams) = teams else {
-        return Ok(Principal::Any);
+        return Ok(Principal::NoTeams);
     };
     let holder = match credential {
         Credential::Key(key) => teams.find(&key),
--- a/crates/team/src/principal.rs
+++ b/crates/team/src/principal.rs
@@ -1,61 +1,62 @@
-//! On whose behalf a request runs.
+//! Principals: on whose behalf a request runs.
 
 use std::sync::Arc;
 
 use kernel::digest;
 
-/// On whose behalf a request runs, as upstreams are told.
+/// On whose behalf a request runs, as stated to upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Principal {
-    /// There are no teams: whatever the caller says of itself is passed on.
-    Any,
-    /// Nobody in particular: the route needs no key. Whatever the caller says of itself is left out.
+    /// No teams are configured: the caller's own statement of who it is is passed on.
+    NoTeams,
+    /// No team, on a route that needs no key: the caller's own statement of who it is is dropped.
     Anonymous,
-    /// A team.
+    /// The team with this name.
     Team(Arc<str>),
 }
 
 impl Principal {
-    /// Who a record belongs to that was kept with the name of a team, or without one.
+    /// Returns the principal that owns a stored record with this team. `configured` tells whether teams are
+    /// configured.
     ///
     /// # Examples
     ///
     /// ```
     /// use team::Principal;
     ///
-    /// assert_eq!(Principal::kept(Some(&"a".into()), false), Principal::Team("a".into()));
-    /// assert_eq!(Principal::kept(None, true), Principal::Anonymous);
+    /// assert_eq!(Principal::from_record(Some(&"a".into()), false), Principal::Team("a".into()));
+    /// assert_eq!(Principal::from_record(None, true), Principal::Anonymous);
     /// ```
-    pub fn kept(team: Option<&Arc<str>>, configured: bool) -> Self {
+    pub fn from_record(team: Option<&Arc<str>>, configured: bool) -> Self {
         match team {
             Some(team) => Self::Team(team.clone()),
             None if configured => Self::Anonymous,
-            None => Self::Any,
+            None => Self::NoTeams,
         }
     }
 
-    /// The team, if there is one.
+    /// Returns the team, if there is one.
     pub fn team(&self) -> Option<&Arc<str>> {
         match self {
             Self::Team(team) => Some(team),
-            Self::Any | Self::Anonymous => None,
+            Self::NoTeams | Self::Anonymous => None,
         }
     }
 
-    /// The name under which a record of this principal is kept. Two teams never share one, so that whoever
-    /// asks for another team's record finds nothing, as if it did not exist.
+    /// Returns the name under which a record of this principal is stored. Names of different teams differ,
+    /// so another team's record is not found, as if it did not exist.
     ///
     /// # Examples
     ///
     /// ```
     /// use team::Principal;
     ///
-    /// let one = Principal::Team("a".into()).scope("job");
-    /// assert_ne!(one, Principal::Team("b".into()).scope("job"));
+    /// let one = Principal::Team("a".into()).scoped_name("job");
+    /// assert_ne!(one, Principal::Team("b".into()).scoped_name("job"));
     /// assert!(one.ends_with("-job"));
-    /// assert_eq!(&*Principal::Any.scope("job"), "job");
+    /// assert_eq!(&*Principal::NoTeams.scoped_name("job"), "job");
     /// ```
-    pub fn scope(&self, name: &str) -> Arc<str> {
+    pub fn scoped_name(&self, name: &str) -> Arc<str> {
         let Some(team) = self.team() else {
             return name.into();
         };
--- a/crates/team/tests/admit.rs
+++ b/crates/team/tests/admit.rs
@@ -83,7 +83,7 @@
 fn nobody_needs_a_key_where_there_are_no_teams(credential: Credential) {
     let got = admit(None, false, credential, None, bounds(true));
 
-    assert_eq!(got, Ok(Principal::Any));
+    assert_eq!(got, Ok(Principal::NoTeams));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     // What is kept for one team is never found under another's name.
     #[test]
     fn names_of_records_differ_between_teams(one in "\\PC{0,20}", other in "\\PC{0,20}", name in "[a-z0-9-]{1,30}") {
-        let of = |team: &str| Principal::Team(team.into()).scope(&name);
+        let of = |team: &str| Principal::Team(team.into()).scoped_name(&name);
 
         prop_assert_eq!(of(&one) == of(&other), one == other);
         prop_assert_ne!(&*of(&one), &*name);
