--- a/crates/team/src/admit.rs
+++ b/crates/team/src/admit.rs
@@ -1,8 +1,8 @@
-//! Whether a request may run, and on whose behalf.
+//! Admission: whether a request may run, and on whose behalf.
 //!
-//! Load pattern: keys come and go with each version of the configuration, and an instance may be cut off from
-//! whoever knows the newest. Turning away a caller whose key was added a moment ago is as wrong as serving
-//! one whose key was taken away, so a key is called unknown only on fresh news.
+//! Each version of the configuration may add and remove keys, and an instance may be cut off from the newest
+//! version. Rejecting a caller whose key has just been added is as wrong as serving one whose key has been
+//! removed, so a key is rejected as unknown only while the configuration is fresh.
 
 use kernel::Millis;
 
@@ -19,25 +19,25 @@
     pub fail_closed: Option<Millis>,
 }
 
-/// Why a request may not run.
+/// Why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// It brings no key.
+    /// It carries no key.
     Missing,
-    /// What it brings is no key.
+    /// Its credential is not a well-formed key.
     Malformed,
-    /// Nobody holds its key.
+    /// No team holds its key.
     Unknown,
     /// The configuration may be too old to tell.
     StaleConfig,
 }
 
-/// Decides whether a request may run and on whose behalf. `open` tells whether its route needs no key, `age` how
-/// long ago the configuration was known to be the newest.
+/// Decides whether a request may run, and on whose behalf. `open` is true when its route needs no key. `age` is
+/// the time since the configuration was known to be the newest, or [`None`] if it never was.
 ///
 /// # Errors
 ///
-/// Returns the [`Denial`].
+/// Returns a [`Denial`] when the request may not run.
 ///
 /// # Examples
 ///
@@ -48,10 +48,10 @@
 /// let team = Team { name: "a".into(), priority: None };
 /// let teams = Teams::new([(team, vec![Key::of("k-1")])])?;
 /// let key = |text| Credential::Key(Key::of(text));
-/// let ask = |credential, age| admit(Some(&teams), false, credential, Some(age), limits);
-/// assert_eq!(ask(key("k-1"), 200), Ok(Principal::Team("a".into())));
-/// assert_eq!(ask(key("k-2"), 200), Err(Denial::Unknown));
-/// assert_eq!(ask(key("k-2"), 9_000), Err(Denial::StaleConfig));
+/// let try_admit = |credential, age| admit(Some(&teams), false, credential, Some(age), limits);
+/// assert_eq!(try_admit(key("k-1"), 200), Ok(Principal::Team("a".into())));
+/// assert_eq!(try_admit(key("k-2"), 200), Err(Denial::Unknown));
+/// assert_eq!(try_admit(key("k-2"), 9_000), Err(Denial::StaleConfig));
 /// # Ok::<(), team::TeamsError>(())
 /// ```
 pub fn admit(
@@ -72,14 +72,14 @@
     if open {
         return Ok(principal.unwrap_or(Principal::Anonymous));
     }
-    let older = |bound| age.is_none_or(|age| age > bound);
-    if limits.fail_closed.is_some_and(older) {
+    let is_older = |limit| age.is_none_or(|age| age > limit);
+    if limits.fail_closed.is_some_and(is_older) {
         return Err(Denial::StaleConfig);
     }
     if let Some(principal) = principal {
         return Ok(principal);
     }
-    if older(limits.reject_unknown) {
+    if is_older(limits.reject_unknown) {
         return Err(Denial::StaleConfig);
     }
     Err(match credential {
--- a/crates/team/src/key.rs
+++ b/crates/team/src/key.rs
@@ -1,15 +1,15 @@
-//! Keys of callers.
+//! API keys and credentials of callers.
 
 use std::fmt;
 
 use kernel::Digest;
 
-/// The digest of a key. The key itself is kept nowhere, and neither is shown in lines or debug output.
+/// Digest of an API key. The key itself is stored nowhere, and neither appears in log lines or debug output.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Key(Digest);
 
 impl Key {
-    /// Computes the digest of a key as a caller or the operator writes it.
+    /// Computes the digest of a key as a caller sends it or an operator configures it.
     ///
     /// # Examples
     ///
@@ -30,12 +30,12 @@
     }
 }
 
-/// What a request brings to say who sends it.
+/// Credential that a request carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// None.
     None,
-    /// Something that is no key, or more than one.
+    /// Something that is not a key, or more than one key.
     Malformed,
     /// A key.
     Key(Key),
--- a/crates/team/src/lib.rs
+++ b/crates/team/src/lib.rs
@@ -1,8 +1,7 @@
-//! Teams, their keys, and on whose behalf a request runs.
+//! Teams, their API keys, and authentication of requests.
 //!
-//! A caller names its team by a key. The key is turned into a [`Key`] where the request is read and goes
-//! no further; everything behind that place knows the [`Principal`] alone. Nothing here reads a socket or
-//! a clock.
+//! A caller identifies its team by a key. The key is replaced by its digest, a [`Key`], where the request is
+//! read; later stages see only the [`Principal`]. Nothing in this crate reads a socket or a clock.
 
 pub mod admit;
 pub mod key;
--- a/crates/team/src/teams.rs
+++ b/crates/team/src/teams.rs
@@ -6,28 +6,28 @@
 
 use crate::Key;
 
-/// A team.
+/// A team, as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Its name.
+    /// Unique name.
     pub name: Arc<str>,
-    /// Its rank, 0 for the first, which goes before that of a route.
+    /// Rank of its requests, 0 for the first; it takes precedence over the rank of the route.
     pub priority: Option<u32>,
 }
 
-/// The teams cannot be told apart.
+/// Error for teams that cannot be told apart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum TeamsError {
-    /// Two teams have one name.
+    /// Two teams have the same name.
     #[error("two teams are called {0}")]
     Name(Arc<str>),
-    /// Two teams hold one key.
+    /// Two teams hold the same key.
     #[error("{0} and {1} hold the same key")]
     Key(Arc<str>, Arc<str>),
 }
 
-/// The teams of a configuration.
+/// The teams of a configuration, indexed by key and by name.
 ///
 /// # Examples
 ///
@@ -47,7 +47,7 @@
 }
 
 impl Teams {
-    /// Makes the teams of a configuration, each with its keys.
+    /// Creates the teams of a configuration, each with its keys.
     ///
     /// # Errors
     ///
@@ -75,18 +75,18 @@
         }
     }
 
-    /// The team that holds a key. Digests are looked up, of which nobody can choose the text, so the time of an
-    /// answer tells nothing of other keys.
+    /// Returns the team that holds a key. The lookup compares digests, which a caller cannot choose, so its
+    /// timing reveals nothing about other keys.
     pub fn find(&self, key: &Key) -> Option<&Arc<Team>> {
         self.keys.get(key)
     }
 
-    /// Teams.
+    /// Returns the number of teams.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Tells whether there is none.
+    /// Returns whether there are no teams.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
