--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -12,7 +12,7 @@
 use spread::Have;
 use spread::News;
 use usage::Share;
-use usage::Tally;
+use usage::Snapshot;
 
 use crate::steps::accept::Accepted;
 use crate::steps::accept::Submission;
@@ -49,7 +49,7 @@
     /// A call that is to be made though the platform did not serve the other one a moment ago.
     Try(Call),
     /// What an entry instance has counted, for its keeper.
-    Tally { owner: Owner, tally: Tally },
+    Tally { owner: Owner, tally: Snapshot },
     /// What is known of the requests of a window.
     Shares(u64),
     /// Whether the address that takes reports can be reached.
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -24,7 +24,7 @@
 use spread::News;
 use spread::times;
 use usage::Share;
-use usage::Tally;
+use usage::Snapshot;
 
 use crate::App;
 use crate::message::Ask;
@@ -191,7 +191,7 @@
 }
 
 /// Tells a keeper what this instance has counted; whether it has heard.
-pub async fn tally(app: &App, keeper: SocketAddr, tally: Tally) -> bool {
+pub async fn tally(app: &App, keeper: SocketAddr, tally: Snapshot) -> bool {
     let owner = app.me.clone();
     ask(app, keeper, &Ask::Tally { owner, tally }, LIMIT)
         .await
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -10,7 +10,7 @@
 use kernel::rank;
 use tokio::time::sleep;
 use usage::Share;
-use usage::Tally;
+use usage::Snapshot;
 
 use crate::App;
 use crate::member;
@@ -32,9 +32,9 @@
 pub(crate) async fn tell(app: Arc<App>) {
     let Some(meter) = &app.meter else { return };
     // The first word has nothing to tell but that this instance is there.
-    let mut told: Option<(Owner, Tally)> = None;
+    let mut told: Option<(Owner, Snapshot)> = None;
     loop {
-        let tally = meter.lock().tally(app.clock.steady());
+        let tally = meter.lock().snapshot(app.clock.steady());
         let known = told.as_ref().filter(|(_, known)| *known == tally);
         if known.is_some_and(|(keeper, _)| is_there(&app, keeper)) {
             sleep(PUSH).await;
@@ -90,7 +90,7 @@
         .as_ref()
         .filter(|_| app.settings.role == Role::Entry)
     {
-        let tally = meter.lock().tally(app.clock.steady());
+        let tally = meter.lock().snapshot(app.clock.steady());
         let me = (app.me.instance.clone(), app.me.start);
         shares.push(tally.share(me, window));
     }
--- a/crates/usage/src/keeper.rs
+++ b/crates/usage/src/keeper.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::Counts;
-use crate::Tally;
+use crate::Snapshot;
 use crate::meter::KEPT;
 
 /// Windows after which nothing is asked of an entry instance any more that has told nothing since.
@@ -44,46 +44,47 @@
 /// # Examples
 ///
 /// ```
-/// use usage::{Keeper, Tally};
+/// use usage::{Keeper, Snapshot};
 ///
 /// let mut keeper = Keeper::default();
-/// let tally = Tally { through: 7, windows: vec![(7, vec![("a".into(), 2)])] };
-/// keeper.take(("e1".into(), 1), tally);
+/// let snapshot = Snapshot { through: 7, windows: vec![(7, vec![("a".into(), 2)])] };
+/// keeper.take(("e1".into(), 1), snapshot);
 /// assert_eq!(keeper.shares(7)[0].counts, [("a".into(), 2)]);
 /// assert!(!keeper.shares(8)[0].closed);
 /// ```
 #[derive(Debug, Default)]
 pub struct Keeper {
-    tallies: Map<Source, Tally>,
+    snapshots: Map<Source, Snapshot>,
 }
 
 impl Keeper {
     /// Takes in what an entry instance tells; an older word, which has less, changes nothing.
-    pub fn take(&mut self, source: Source, tally: Tally) {
-        if !self.tallies.contains_key(&source) && self.tallies.len() >= MOST {
-            self.prune(newest(&tally));
+    pub fn take(&mut self, source: Source, snapshot: Snapshot) {
+        if !self.snapshots.contains_key(&source) && self.snapshots.len() >= MOST {
+            self.prune(newest(&snapshot));
         }
-        let held = self.tallies.entry(source).or_default();
-        if size(&tally) >= size(held) {
-            *held = tally;
+        let held = self.snapshots.entry(source).or_default();
+        if size(&snapshot) >= size(held) {
+            *held = snapshot;
         }
     }
 
     fn prune(&mut self, now: u64) {
-        self.tallies.retain(|_, tally| newest(tally) + OLD >= now);
+        self.snapshots
+            .retain(|_, snapshot| newest(snapshot) + OLD >= now);
     }
 
     /// What is known of a window, by who has counted it.
     pub fn shares(&self, window: u64) -> Vec<Share> {
-        let all = self.tallies.iter();
-        let fresh = all.filter(|(_, tally)| newest(tally) + OLD >= window);
+        let all = self.snapshots.iter();
+        let fresh = all.filter(|(_, snapshot)| newest(snapshot) + OLD >= window);
         fresh
-            .map(|(source, tally)| tally.share(source.clone(), window))
+            .map(|(source, snapshot)| snapshot.share(source.clone(), window))
             .collect()
     }
 }
 
-impl Tally {
+impl Snapshot {
     /// What it says of one window.
     pub fn share(&self, source: Source, window: u64) -> Share {
         let found = self.windows.iter().find(|(number, _)| *number == window);
@@ -96,18 +97,18 @@
     }
 }
 
-/// How much a tally says: windows only close, new ones only begin, and counts only grow. Old windows are
+/// How much a snapshot says: windows only close, new ones only begin, and counts only grow. Old windows are
 /// dropped, some time after one was closed, and do not count.
-fn size(tally: &Tally) -> (u64, u64, u64) {
-    let windows = tally.windows.iter();
-    let kept = windows.filter(|(window, _)| window + KEPT > tally.through);
+fn size(snapshot: &Snapshot) -> (u64, u64, u64) {
+    let windows = snapshot.windows.iter();
+    let kept = windows.filter(|(window, _)| window + KEPT > snapshot.through);
     let counts = kept.flat_map(|(_, counts)| counts);
     let sum = counts.map(|(_, count)| count).sum();
-    (tally.through, newest(tally), sum)
+    (snapshot.through, newest(snapshot), sum)
 }
 
-/// The newest window of which a tally says anything. One slow request holds its window open, and those after it.
-fn newest(tally: &Tally) -> u64 {
-    let counted = tally.windows.last().map_or(0, |(window, _)| *window);
-    counted.max(tally.through)
+/// The newest window of which a snapshot says anything. One slow request holds its window open, and those after it.
+fn newest(snapshot: &Snapshot) -> u64 {
+    let counted = snapshot.windows.last().map_or(0, |(window, _)| *window);
+    counted.max(snapshot.through)
 }
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -16,7 +16,7 @@
 pub use ledger::Report;
 pub use meter::Meter;
 pub use meter::Run;
-pub use meter::Tally;
+pub use meter::Snapshot;
 pub use window::Windows;
 
 use std::sync::Arc;
--- a/crates/usage/src/meter.rs
+++ b/crates/usage/src/meter.rs
@@ -64,13 +64,13 @@
     }
 }
 
-/// What an entry instance has counted.
+/// Counts of an entry instance at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Tally {
-    /// The last window that is closed.
+pub struct Snapshot {
+    /// Number of the last closed window.
     pub through: u64,
-    /// The newest windows with their requests.
+    /// The newest windows, each with its number and counts.
     pub windows: Vec<(u64, Counts)>,
 }
 
@@ -91,10 +91,10 @@
 /// let mut run = Run::default();
 /// meter.begin(&mut run, 12_000);
 /// run.send(12_000);
-/// assert_eq!(meter.tally(15_100).through, 1);
+/// assert_eq!(meter.snapshot(15_100).through, 1);
 /// meter.end(&run, &"a".into());
-/// let tally = meter.tally(15_100);
-/// assert_eq!((tally.through, tally.windows), (2, vec![(2, vec![("a".into(), 1)])]));
+/// let snapshot = meter.snapshot(15_100);
+/// assert_eq!((snapshot.through, snapshot.windows), (2, vec![(2, vec![("a".into(), 1)])]));
 /// ```
 #[derive(Debug)]
 pub struct Meter {
@@ -133,8 +133,8 @@
         *counts.entry(team.clone()).or_default() += 1;
     }
 
-    /// What was counted so far.
-    pub fn tally(&mut self, now: Millis) -> Tally {
+    /// Closes the windows that are over at `now` and returns the counts so far.
+    pub fn snapshot(&mut self, now: Millis) -> Snapshot {
         let busy = self.windows.iter().find(|(_, window)| window.under_way > 0);
         let busy = busy.map_or(u64::MAX, |(window, _)| *window);
         let over = self.of.of(now).saturating_sub(1);
@@ -148,7 +148,7 @@
         self.through = self.through.max(over.min(busy.saturating_sub(1)));
         let windows = self.windows.iter();
         let counted = windows.filter(|(_, window)| !window.counts.is_empty());
-        Tally {
+        Snapshot {
             through: self.through,
             windows: counted
                 .map(|(number, window)| (*number, sorted(&window.counts)))
--- a/crates/usage/tests/dropped_windows.rs
+++ b/crates/usage/tests/dropped_windows.rs
@@ -10,7 +10,7 @@
 use usage::Next;
 use usage::Report;
 use usage::Run;
-use usage::Tally;
+use usage::Snapshot;
 use usage::Windows;
 use yare::parameterized;
 
@@ -61,7 +61,7 @@
     for now in (FIRST * LENGTH..last * LENGTH).step_by(100) {
         count(&mut meter, now);
         if now.is_multiple_of(PUSH) {
-            keeper.take(source(), meter.tally(now));
+            keeper.take(source(), meter.snapshot(now));
         }
     }
 
@@ -70,7 +70,7 @@
         let now = last * LENGTH + at * 100;
         count(&mut meter, now);
         if at % 5 == 4 {
-            keeper.take(source(), meter.tally(now));
+            keeper.take(source(), meter.snapshot(now));
         }
     }
 
@@ -87,12 +87,12 @@
 )]
 fn an_older_word_changes_nothing(through: u64, windows: &[(u64, u64)]) {
     let newer = [(11, 3), (12, 4)].map(|(window, sum)| (window, one(sum)));
-    let newer = Tally {
+    let newer = Snapshot {
         through: 10,
         windows: newer.into(),
     };
     let windows = windows.iter().map(|(window, sum)| (*window, one(*sum)));
-    let older = Tally {
+    let older = Snapshot {
         through,
         windows: windows.collect(),
     };
@@ -117,7 +117,7 @@
 
     for window in FIRST..=last {
         count(&mut meter, window * LENGTH + 100);
-        keeper.take(source(), meter.tally(window * LENGTH + 400));
+        keeper.take(source(), meter.snapshot(window * LENGTH + 400));
     }
 
     assert_eq!(known(&keeper, last), 1);
@@ -141,11 +141,11 @@
             if !told {
                 continue;
             }
-            let tally = meter.tally(now);
-            keeper.take(source(), tally.clone());
+            let snapshot = meter.snapshot(now);
+            keeper.take(source(), snapshot.clone());
 
-            for (window, counts) in &tally.windows {
-                if window + KEPT > tally.through {
+            for (window, counts) in &snapshot.windows {
+                if window + KEPT > snapshot.through {
                     let sum: u64 = counts.iter().map(|(_, count)| count).sum();
                     prop_assert_eq!(known(&keeper, *window), sum, "window {}", window);
                 }
--- a/crates/usage/tests/usage.rs
+++ b/crates/usage/tests/usage.rs
@@ -11,7 +11,7 @@
 use usage::Next;
 use usage::Run;
 use usage::Share;
-use usage::Tally;
+use usage::Snapshot;
 use usage::Windows;
 use yare::parameterized;
 
@@ -70,12 +70,12 @@
     }
     meter.end(&run, &team("a"));
 
-    let tally = meter.tally(20_100);
-    let found = tally
+    let snapshot = meter.snapshot(20_100);
+    let found = snapshot
         .windows
         .first()
         .map(|(window, counts)| (*window, counts[0].1));
-    assert_eq!((tally.through, found), (3, expected));
+    assert_eq!((snapshot.through, found), (3, expected));
 }
 
 // A window was reported while a request of it was still at its upstream.
@@ -89,9 +89,9 @@
     quick.send(15_500);
     meter.end(&quick, &team("a"));
 
-    let before = meter.tally(21_000).through;
+    let before = meter.snapshot(21_000).through;
     meter.end(&slow, &team("a"));
-    let after = meter.tally(21_000);
+    let after = meter.snapshot(21_000);
 
     assert_eq!((before, after.through), (1, 3));
     assert_eq!(
@@ -104,14 +104,14 @@
 #[test]
 fn a_clock_that_is_set_back_opens_no_window_that_is_closed() {
     let mut meter = Meter::new(windows(), 10_000);
-    assert_eq!(meter.tally(15_100).through, 2);
+    assert_eq!(meter.snapshot(15_100).through, 2);
     let mut run = Run::default();
 
     meter.begin(&mut run, 13_000);
     run.send(13_000);
     meter.end(&run, &team("a"));
 
-    assert_eq!(meter.tally(15_200).windows, [(3, counts(&[("a", 1)]))]);
+    assert_eq!(meter.snapshot(15_200).windows, [(3, counts(&[("a", 1)]))]);
 }
 
 #[test]
@@ -123,11 +123,11 @@
         meter.begin(&mut run, at * LENGTH);
         run.send(at * LENGTH);
         meter.end(&run, &team("a"));
-        meter.tally(at * LENGTH);
+        meter.snapshot(at * LENGTH);
     }
 
     // Those that may still be reported, and the one that is not closed.
-    assert!(meter.tally(500 * LENGTH).windows.len() <= 25);
+    assert!(meter.snapshot(500 * LENGTH).windows.len() <= 25);
 }
 
 // The store was away and the holder changed: by the time somebody could report, twelve windows had gone by, and the
@@ -141,10 +141,10 @@
     meter.end(&run, &team("a"));
 
     for at in 11..34 {
-        meter.tally(at * LENGTH);
+        meter.snapshot(at * LENGTH);
     }
 
-    let kept = meter.tally(34 * LENGTH).windows;
+    let kept = meter.snapshot(34 * LENGTH).windows;
     assert_eq!(kept, [(10, counts(&[("a", 1)]))]);
 }
 
@@ -152,14 +152,14 @@
 #[test]
 fn an_older_tally_changes_nothing() {
     let mut keeper = Keeper::default();
-    let tally = |through, count| Tally {
+    let snapshot = |through, count| Snapshot {
         through,
         windows: vec![(7, counts(&[("a", count)]))],
     };
 
-    keeper.take(("e1".into(), 1), tally(7, 5));
-    keeper.take(("e1".into(), 1), tally(6, 9));
-    keeper.take(("e1".into(), 1), tally(7, 4));
+    keeper.take(("e1".into(), 1), snapshot(7, 5));
+    keeper.take(("e1".into(), 1), snapshot(6, 9));
+    keeper.take(("e1".into(), 1), snapshot(7, 4));
 
     assert_eq!(keeper.shares(7), [share("e1", true, &[("a", 5)])]);
 }
@@ -169,11 +169,11 @@
     let mut keeper = Keeper::default();
 
     for start in 0..20_000 {
-        let tally = Tally {
+        let snapshot = Snapshot {
             through: start / 10,
             windows: Vec::new(),
         };
-        keeper.take(("e1".into(), start), tally);
+        keeper.take(("e1".into(), start), snapshot);
     }
 
     assert!(keeper.shares(2_000).len() <= 300);
@@ -293,7 +293,7 @@
 }
 
 proptest! {
-    // However requests, tallies and the ends of windows interleave, each request counts in one window at most, once,
+    // However requests, snapshots and the ends of windows interleave, each request counts in one window at most, once,
     // and no window changes after it was said to be closed.
     #[test]
     fn a_closed_window_never_changes(steps in prop::collection::vec((0_u8..4, 0_u64..900), 1..120)) {
@@ -318,20 +318,20 @@
                     ended += 1;
                 }
                 _ => {
-                    let tally = meter.tally(now);
-                    told.extend(tally.windows.iter().map(|(window, counts)| (*window, counts[0].1)));
+                    let snapshot = meter.snapshot(now);
+                    told.extend(snapshot.windows.iter().map(|(window, counts)| (*window, counts[0].1)));
                     for (window, counts) in &closed {
-                        let held = tally.windows.iter().find(|(number, _)| number == window);
-                        if tally.windows.first().is_some_and(|(first, _)| first <= window) {
+                        let held = snapshot.windows.iter().find(|(number, _)| number == window);
+                        if snapshot.windows.first().is_some_and(|(first, _)| first <= window) {
                             prop_assert_eq!(held.map(|(_, counts)| counts), Some(counts));
                         }
                     }
-                    closed = tally.windows.into_iter().filter(|(window, _)| *window <= tally.through).collect();
+                    closed = snapshot.windows.into_iter().filter(|(window, _)| *window <= snapshot.through).collect();
                 }
             }
         }
         // Each request is told, in one window, however long others held it open.
-        for (window, counts) in meter.tally(now).windows {
+        for (window, counts) in meter.snapshot(now).windows {
             told.insert(window, counts[0].1);
         }
         prop_assert_eq!(told.values().sum::<u64>(), ended);
