--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -16,7 +16,7 @@
 use usage::Ledger;
 use usage::Next;
 use usage::Report;
-use usage::Share;
+use usage::WindowCounts;
 use usage::Windows;
 
 use super::kept;
@@ -181,7 +181,7 @@
         let me = (one.owner.instance.clone(), one.owner.start);
         for window in windows {
             let shares = peer::shares(self.app, one.addr, window).await?;
-            let under_way = |share: &Share| share.source == me && !share.closed;
+            let under_way = |share: &WindowCounts| share.source == me && !share.closed;
             if shares
                 .iter()
                 .any(|share| !share.counts.is_empty() || under_way(share))
@@ -212,7 +212,7 @@
         let keepers = members.iter().filter(|one| !one.reads);
         let asks = keepers.map(|one| peer::shares(self.app, one.addr, window));
         let told = join_all(asks).await;
-        let mut shares: Vec<Share> = told.into_iter().flatten().flatten().collect();
+        let mut shares: Vec<WindowCounts> = told.into_iter().flatten().flatten().collect();
         shares.extend(crate::tally::shares(self.app, window));
         let age = now.saturating_sub(self.windows.end(window));
         if age >= DIRECT {
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -11,8 +11,8 @@
 use serde::Serialize;
 use spread::Have;
 use spread::News;
-use usage::Share;
 use usage::Snapshot;
+use usage::WindowCounts;
 
 use crate::steps::accept::Accepted;
 use crate::steps::accept::Submission;
@@ -74,6 +74,6 @@
     /// There is no newer read, since the platform does not answer.
     Blind,
     Relay(Result<Answer, PlatError>),
-    Shares(Vec<Share>),
+    Shares(Vec<WindowCounts>),
     Reaches(bool),
 }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -23,8 +23,8 @@
 use spread::Lack;
 use spread::News;
 use spread::times;
-use usage::Share;
 use usage::Snapshot;
+use usage::WindowCounts;
 
 use crate::App;
 use crate::message::Ask;
@@ -199,7 +199,7 @@
 }
 
 /// Asks another instance what it knows of the requests of a window.
-pub async fn shares(app: &App, to: SocketAddr, window: u64) -> Option<Vec<Share>> {
+pub async fn shares(app: &App, to: SocketAddr, window: u64) -> Option<Vec<WindowCounts>> {
     match ask(app, to, &Ask::Shares(window), LIMIT).await? {
         Told::Shares(shares) => Some(shares),
         _ => None,
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -9,8 +9,8 @@
 use batch::Owner;
 use kernel::rank;
 use tokio::time::sleep;
-use usage::Share;
 use usage::Snapshot;
+use usage::WindowCounts;
 
 use crate::App;
 use crate::member;
@@ -83,8 +83,8 @@
 }
 
 /// What this instance knows of the requests of a window: what it was told, and what it has counted.
-pub(crate) fn shares(app: &App, window: u64) -> Vec<Share> {
-    let mut shares = app.keeper.lock().shares(window);
+pub(crate) fn shares(app: &App, window: u64) -> Vec<WindowCounts> {
+    let mut shares = app.keeper.lock().window_counts(window);
     if let Some(meter) = app
         .meter
         .as_ref()
@@ -92,7 +92,7 @@
     {
         let tally = meter.lock().snapshot(app.clock.steady());
         let me = (app.me.instance.clone(), app.me.start);
-        shares.push(tally.share(me, window));
+        shares.push(tally.window_counts(me, window));
     }
     shares
 }
--- a/crates/usage/src/keeper.rs
+++ b/crates/usage/src/keeper.rs
@@ -25,17 +25,17 @@
 /// One start of an entry instance.
 pub type Source = (Arc<str>, u64);
 
-/// What one start of an entry instance has counted in a window.
+/// Counts of one window by one start of an entry instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Share {
-    /// Who has counted it.
+pub struct WindowCounts {
+    /// Start of the entry instance that counted.
     pub source: Source,
-    /// Whether the window is closed there.
+    /// Whether the window is closed there, so that its counts are final.
     pub closed: bool,
-    /// Whether it has told of the windows right before.
+    /// Whether it has closed a window shortly before this one, and so is taken to be alive.
     pub recent: bool,
-    /// Its requests.
+    /// Requests by team.
     pub counts: Counts,
 }
 
@@ -49,8 +49,8 @@
 /// let mut keeper = Keeper::default();
 /// let snapshot = Snapshot { through: 7, windows: vec![(7, vec![("a".into(), 2)])] };
 /// keeper.take(("e1".into(), 1), snapshot);
-/// assert_eq!(keeper.shares(7)[0].counts, [("a".into(), 2)]);
-/// assert!(!keeper.shares(8)[0].closed);
+/// assert_eq!(keeper.window_counts(7)[0].counts, [("a".into(), 2)]);
+/// assert!(!keeper.window_counts(8)[0].closed);
 /// ```
 #[derive(Debug, Default)]
 pub struct Keeper {
@@ -74,21 +74,21 @@
             .retain(|_, snapshot| newest(snapshot) + OLD >= now);
     }
 
-    /// What is known of a window, by who has counted it.
-    pub fn shares(&self, window: u64) -> Vec<Share> {
+    /// Returns the counts of a window, one item for each source.
+    pub fn window_counts(&self, window: u64) -> Vec<WindowCounts> {
         let all = self.snapshots.iter();
         let fresh = all.filter(|(_, snapshot)| newest(snapshot) + OLD >= window);
         fresh
-            .map(|(source, snapshot)| snapshot.share(source.clone(), window))
+            .map(|(source, snapshot)| snapshot.window_counts(source.clone(), window))
             .collect()
     }
 }
 
 impl Snapshot {
-    /// What it says of one window.
-    pub fn share(&self, source: Source, window: u64) -> Share {
+    /// Returns the counts of one window.
+    pub fn window_counts(&self, source: Source, window: u64) -> WindowCounts {
         let found = self.windows.iter().find(|(number, _)| *number == window);
-        Share {
+        WindowCounts {
             source,
             closed: self.through >= window,
             recent: self.through + RECENT >= window,
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 
 use crate::Counts;
-use crate::Share;
+use crate::WindowCounts;
 use crate::Windows;
 use crate::keeper::Source;
 
@@ -108,12 +108,12 @@
     pub fn add_up(
         &self,
         window: u64,
-        shares: Vec<Share>,
+        shares: Vec<WindowCounts>,
         live: &Set<Source>,
         age: Millis,
         late: bool,
     ) -> Option<Report> {
-        let mut best: Map<Source, Share> = Map::default();
+        let mut best: Map<Source, WindowCounts> = Map::default();
         for share in shares {
             let held = best.get(&share.source);
             if held.is_none_or(|held| weight(held) < weight(&share)) {
@@ -135,7 +135,7 @@
     }
 
     /// The live instances that have not closed a window yet, as far as shares tell.
-    pub fn missing(shares: &[Share], live: &Set<Source>) -> Vec<Source> {
+    pub fn missing(shares: &[WindowCounts], live: &Set<Source>) -> Vec<Source> {
         let closed = |source: &&Source| {
             let mut told = shares.iter().filter(|share| share.source == **source);
             told.any(|share| share.closed)
@@ -161,7 +161,7 @@
 }
 
 /// How much a share says; counts only grow.
-fn weight(share: &Share) -> (u64, bool) {
+fn weight(share: &WindowCounts) -> (u64, bool) {
     let sum = share.counts.iter().map(|(_, count)| count).sum();
     (sum, share.closed)
 }
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod window;
 
 pub use keeper::Keeper;
-pub use keeper::Share;
+pub use keeper::WindowCounts;
 pub use ledger::Ledger;
 pub use ledger::Next;
 pub use ledger::Report;
--- a/crates/usage/tests/dropped_windows.rs
+++ b/crates/usage/tests/dropped_windows.rs
@@ -46,7 +46,7 @@
 }
 
 fn known(keeper: &Keeper, window: u64) -> u64 {
-    let shares = keeper.shares(window);
+    let shares = keeper.window_counts(window);
     let counts = shares.iter().flat_map(|share| &share.counts);
     counts.map(|(_, count)| count).sum()
 }
--- a/crates/usage/tests/usage.rs
+++ b/crates/usage/tests/usage.rs
@@ -10,8 +10,8 @@
 use usage::Meter;
 use usage::Next;
 use usage::Run;
-use usage::Share;
 use usage::Snapshot;
+use usage::WindowCounts;
 use usage::Windows;
 use yare::parameterized;
 
@@ -31,8 +31,8 @@
         .collect()
 }
 
-fn share(source: &str, closed: bool, all: &[(&str, u64)]) -> Share {
-    Share {
+fn share(source: &str, closed: bool, all: &[(&str, u64)]) -> WindowCounts {
+    WindowCounts {
         source: (source.into(), 1),
         closed,
         recent: true,
@@ -161,7 +161,7 @@
     keeper.take(("e1".into(), 1), snapshot(6, 9));
     keeper.take(("e1".into(), 1), snapshot(7, 4));
 
-    assert_eq!(keeper.shares(7), [share("e1", true, &[("a", 5)])]);
+    assert_eq!(keeper.window_counts(7), [share("e1", true, &[("a", 5)])]);
 }
 
 #[test]
@@ -176,7 +176,7 @@
         keeper.take(("e1".into(), start), snapshot);
     }
 
-    assert!(keeper.shares(2_000).len() <= 300);
+    assert!(keeper.window_counts(2_000).len() <= 300);
 }
 
 // An instance was killed: what its keeper had of it counts, beside its next start, and nobody waits for it.
