--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -78,7 +78,9 @@
         },
         Ask::Relay(_) if app.plat.is_turned_away() => Told::Relay(Err(PlatError::Unreachable)),
         Ask::Tally { owner, tally } => {
-            app.keeper.lock().take((owner.instance, owner.start), tally);
+            app.keeper
+                .lock()
+                .update((owner.instance, owner.start), tally);
             Told::Noted
         }
         Ask::Shares(window) => Told::Shares(crate::tally::shares(app, window)),
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -32,8 +32,8 @@
 use table::Roster;
 use tokio::sync::Notify;
 use tokio::sync::watch;
-use usage::Keeper;
 use usage::Meter;
+use usage::SnapshotStore;
 use usage::Windows;
 
 use crate::Dialect;
@@ -83,7 +83,7 @@
     /// What this instance has counted of the requests of teams, if they are reported.
     pub meter: Option<Mutex<Meter>>,
     /// What entry instances have told this one of what they counted.
-    pub keeper: Mutex<Keeper>,
+    pub keeper: Mutex<SnapshotStore>,
     /// Rings when a place may have become free or an upstream has changed.
     pub room: Notify,
     /// The instances that have entered, this one among them.
--- a/crates/usage/src/keeper.rs
+++ b/crates/usage/src/keeper.rs
@@ -1,7 +1,7 @@
-//! What a keeper has of the entry instances of its failure domain.
+//! Snapshots that an instance stores for the entry instances of its failure domain.
 //!
-//! Load pattern: an entry instance is killed in the midst of a window. What it had told its keeper by then
-//! still counts; what it counts is told within a part of a second.
+//! If an entry instance is killed in the middle of a window, the counts that it had sent by then still
+//! count. It sends its counts within a fraction of a second.
 
 use std::sync::Arc;
 
@@ -39,27 +39,27 @@
     pub counts: Counts,
 }
 
-/// What entry instances have told.
+/// The newest snapshot of each start of an entry instance.
 ///
 /// # Examples
 ///
 /// ```
-/// use usage::{Keeper, Snapshot};
+/// use usage::{Snapshot, SnapshotStore};
 ///
-/// let mut keeper = Keeper::default();
+/// let mut store = SnapshotStore::default();
 /// let snapshot = Snapshot { through: 7, windows: vec![(7, vec![("a".into(), 2)])] };
-/// keeper.take(("e1".into(), 1), snapshot);
-/// assert_eq!(keeper.window_counts(7)[0].counts, [("a".into(), 2)]);
-/// assert!(!keeper.window_counts(8)[0].closed);
+/// store.update(("e1".into(), 1), snapshot);
+/// assert_eq!(store.window_counts(7)[0].counts, [("a".into(), 2)]);
+/// assert!(!store.window_counts(8)[0].closed);
 /// ```
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct SnapshotStore {
     snapshots: Map<Source, Snapshot>,
 }
 
-impl Keeper {
-    /// Takes in what an entry instance tells; an older word, which has less, changes nothing.
-    pub fn take(&mut self, source: Source, snapshot: Snapshot) {
+impl SnapshotStore {
+    /// Stores a snapshot of an entry instance. One that arrives late and is older changes nothing.
+    pub fn update(&mut self, source: Source, snapshot: Snapshot) {
         if !self.snapshots.contains_key(&source) && self.snapshots.len() >= MOST {
             self.prune(newest(&snapshot));
         }
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,22 +1,22 @@
 //! How many requests of each team began to run at an upstream, by window of time.
 //!
 //! Each entry instance counts what it sent ([`Meter`]) and tells a keeper of its failure domain, which
-//! outlives it ([`Keeper`]). Whoever holds the duty adds up what the keepers have, writes the figures down and
+//! outlives it ([`SnapshotStore`]). Whoever holds the duty adds up what the keepers have, writes the figures down and
 //! sends them ([`Ledger`]). Nothing here reads a socket or a clock.
 
-pub mod keeper;
 pub mod ledger;
 pub mod meter;
+pub mod keeper;
 pub mod window;
 
-pub use keeper::Keeper;
-pub use keeper::WindowCounts;
 pub use ledger::Ledger;
 pub use ledger::Next;
 pub use ledger::Report;
 pub use meter::Meter;
 pub use meter::Run;
 pub use meter::Snapshot;
+pub use keeper::SnapshotStore;
+pub use keeper::WindowCounts;
 pub use window::Windows;
 
 use std::sync::Arc;
--- a/crates/usage/tests/dropped_windows.rs
+++ b/crates/usage/tests/dropped_windows.rs
@@ -4,13 +4,13 @@
 
 use proptest::prelude::*;
 use usage::Counts;
-use usage::Keeper;
 use usage::Ledger;
 use usage::Meter;
 use usage::Next;
 use usage::Report;
 use usage::Run;
 use usage::Snapshot;
+use usage::SnapshotStore;
 use usage::Windows;
 use yare::parameterized;
 
@@ -45,8 +45,8 @@
     meter.end(&run, &team());
 }
 
-fn known(keeper: &Keeper, window: u64) -> u64 {
-    let shares = keeper.window_counts(window);
+fn known(store: &SnapshotStore, window: u64) -> u64 {
+    let shares = store.window_counts(window);
     let counts = shares.iter().flat_map(|share| &share.counts);
     counts.map(|(_, count)| count).sum()
 }
@@ -56,12 +56,12 @@
 #[test]
 fn what_is_counted_after_the_oldest_window_was_dropped_is_known_to_the_keeper() {
     let mut meter = Meter::new(Windows::new(LENGTH), FIRST * LENGTH);
-    let mut keeper = Keeper::default();
+    let mut store = SnapshotStore::default();
     let last = FIRST + KEPT + 4;
     for now in (FIRST * LENGTH..last * LENGTH).step_by(100) {
         count(&mut meter, now);
         if now.is_multiple_of(PUSH) {
-            keeper.take(source(), meter.snapshot(now));
+            store.update(source(), meter.snapshot(now));
         }
     }
 
@@ -70,12 +70,12 @@
         let now = last * LENGTH + at * 100;
         count(&mut meter, now);
         if at % 5 == 4 {
-            keeper.take(source(), meter.snapshot(now));
+            store.update(source(), meter.snapshot(now));
         }
     }
 
-    assert_eq!(known(&keeper, last), 20);
-    assert_eq!(known(&keeper, last - 1), 50);
+    assert_eq!(known(&store, last), 20);
+    assert_eq!(known(&store, last - 1), 50);
 }
 
 // An older word that came late took the place of a newer one.
@@ -96,12 +96,12 @@
         through,
         windows: windows.collect(),
     };
-    let mut keeper = Keeper::default();
-    keeper.take(source(), newer);
+    let mut store = SnapshotStore::default();
+    store.update(source(), newer);
 
-    keeper.take(source(), older);
+    store.update(source(), older);
 
-    assert_eq!((known(&keeper, 11), known(&keeper, 12)), (3, 4));
+    assert_eq!((known(&store, 11), known(&store, 12)), (3, 4));
 }
 
 // One slow request held a window open for two minutes; its instance told what it counted meanwhile, and was killed, and
@@ -113,15 +113,15 @@
     meter.begin(&mut slow, FIRST * LENGTH);
     slow.send(FIRST * LENGTH);
     let last = FIRST + KEPT + 6;
-    let mut keeper = Keeper::default();
+    let mut store = SnapshotStore::default();
 
     for window in FIRST..=last {
         count(&mut meter, window * LENGTH + 100);
-        keeper.take(source(), meter.snapshot(window * LENGTH + 400));
+        store.update(source(), meter.snapshot(window * LENGTH + 400));
     }
 
-    assert_eq!(known(&keeper, last), 1);
-    assert_eq!(known(&keeper, last - 1), 1);
+    assert_eq!(known(&store, last), 1);
+    assert_eq!(known(&store, last - 1), 1);
 }
 
 proptest! {
@@ -132,7 +132,7 @@
         told in proptest::collection::vec(any::<bool>(), 200),
     ) {
         let mut meter = Meter::new(Windows::new(LENGTH), FIRST * LENGTH);
-        let mut keeper = Keeper::default();
+        let mut store = SnapshotStore::default();
         let mut now = FIRST * LENGTH;
 
         for (pause, told) in pauses.iter().zip(told) {
@@ -142,12 +142,12 @@
                 continue;
             }
             let snapshot = meter.snapshot(now);
-            keeper.take(source(), snapshot.clone());
+            store.update(source(), snapshot.clone());
 
             for (window, counts) in &snapshot.windows {
                 if window + KEPT > snapshot.through {
                     let sum: u64 = counts.iter().map(|(_, count)| count).sum();
-                    prop_assert_eq!(known(&keeper, *window), sum, "window {}", window);
+                    prop_assert_eq!(known(&store, *window), sum, "window {}", window);
                 }
             }
         }
--- a/crates/usage/tests/usage.rs
+++ b/crates/usage/tests/usage.rs
@@ -5,12 +5,12 @@
 use kernel::Set;
 use proptest::prelude::*;
 use usage::Counts;
-use usage::Keeper;
 use usage::Ledger;
 use usage::Meter;
 use usage::Next;
 use usage::Run;
 use usage::Snapshot;
+use usage::SnapshotStore;
 use usage::WindowCounts;
 use usage::Windows;
 use yare::parameterized;
@@ -151,32 +151,32 @@
 // A late word of an entry instance, which had counted less, took the place of a newer one.
 #[test]
 fn an_older_tally_changes_nothing() {
-    let mut keeper = Keeper::default();
+    let mut store = SnapshotStore::default();
     let snapshot = |through, count| Snapshot {
         through,
         windows: vec![(7, counts(&[("a", count)]))],
     };
 
-    keeper.take(("e1".into(), 1), snapshot(7, 5));
-    keeper.take(("e1".into(), 1), snapshot(6, 9));
-    keeper.take(("e1".into(), 1), snapshot(7, 4));
+    store.update(("e1".into(), 1), snapshot(7, 5));
+    store.update(("e1".into(), 1), snapshot(6, 9));
+    store.update(("e1".into(), 1), snapshot(7, 4));
 
-    assert_eq!(keeper.window_counts(7), [share("e1", true, &[("a", 5)])]);
+    assert_eq!(store.window_counts(7), [share("e1", true, &[("a", 5)])]);
 }
 
 #[test]
 fn a_keeper_stays_bounded_over_many_starts() {
-    let mut keeper = Keeper::default();
+    let mut store = SnapshotStore::default();
 
     for start in 0..20_000 {
         let snapshot = Snapshot {
             through: start / 10,
             windows: Vec::new(),
         };
-        keeper.take(("e1".into(), start), snapshot);
+        store.update(("e1".into(), start), snapshot);
     }
 
-    assert!(keeper.window_counts(2_000).len() <= 300);
+    assert!(store.window_counts(2_000).len() <= 300);
 }
 
 // An instance was killed: what its keeper had of it counts, beside its next start, and nobody waits for it.
