--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -21,7 +21,7 @@
 use table::Listed;
 use team::Principal;
 use usage::Meter;
-use usage::Run;
+use usage::RequestAttempts;
 
 use crate::App;
 use crate::dialect::Caller;
@@ -46,7 +46,7 @@
     /// On whose behalf it runs.
     pub(crate) principal: Principal,
     /// Its tries, for the report of its team's requests; nothing once it counts.
-    run: Mutex<Option<Run>>,
+    run: Mutex<Option<RequestAttempts>>,
     /// Whether it asks for the score of a sample.
     scores: bool,
     /// Leave to send it, for a request that belongs to a step.
@@ -72,7 +72,7 @@
             id: caller.id.clone(),
             until: app.clock.now() + wait,
             principal,
-            run: Mutex::new(Some(Run::default())),
+            run: Mutex::new(Some(RequestAttempts::default())),
             scores: false,
             permit: None,
             mark: OnceLock::new(),
@@ -95,7 +95,7 @@
             id,
             until,
             principal,
-            run: Mutex::new(Some(Run::default())),
+            run: Mutex::new(Some(RequestAttempts::default())),
             scores: true,
             permit: None,
             mark: OnceLock::new(),
@@ -159,16 +159,16 @@
         let now = self.app.clock.steady();
         let mut run = self.run.lock();
         let Some(run) = run.as_mut() else { return 0 };
-        if let Some((meter, _)) = self.counted().filter(|_| run.is_fresh()) {
+        if let Some((meter, _)) = self.counted().filter(|_| run.is_unsent()) {
             meter.lock().begin(run, now);
         }
-        run.send(now)
+        run.record_send(now)
     }
 
     /// Notes that an upstream has not run a try and never will.
     pub(crate) fn unrun(&self, at: usize) {
         if let Some(run) = self.run.lock().as_mut() {
-            run.unrun(at);
+            run.mark_unexecuted(at);
         }
     }
 
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -13,7 +13,7 @@
 pub use ledger::Next;
 pub use ledger::Report;
 pub use meter::Meter;
-pub use meter::Run;
+pub use meter::RequestAttempts;
 pub use meter::Snapshot;
 pub use keeper::SnapshotStore;
 pub use keeper::WindowCounts;
--- a/crates/usage/src/meter.rs
+++ b/crates/usage/src/meter.rs
@@ -20,46 +20,46 @@
 /// Most windows that are kept, closed or not: requests that take far longer than a window hold each of them open.
 const MOST: usize = 256;
 
-/// The tries of one request.
+/// Attempts at one request.
 ///
 /// # Examples
 ///
 /// ```
-/// let mut run = usage::Run::default();
-/// let first = run.send(100);
-/// run.send(250);
-/// run.unrun(first);
-/// assert_eq!(run.began(), Some(250));
+/// let mut attempts = usage::RequestAttempts::default();
+/// let first = attempts.record_send(100);
+/// attempts.record_send(250);
+/// attempts.mark_unexecuted(first);
+/// assert_eq!(attempts.started_at(), Some(250));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Run {
-    /// When it was sent, unless that is known not to have run.
+pub struct RequestAttempts {
+    /// When each attempt was sent; [`None`] for one that is known not to have been executed.
     sent: Vec<Option<Millis>>,
-    /// The window that it holds open.
+    /// Window that the request keeps open.
     window: Option<u64>,
 }
 
-impl Run {
-    /// Tells whether it was never sent.
-    pub fn is_fresh(&self) -> bool {
+impl RequestAttempts {
+    /// Returns whether the request was never sent.
+    pub fn is_unsent(&self) -> bool {
         self.sent.is_empty()
     }
 
-    /// Notes that it is sent; gives the number of the try.
-    pub fn send(&mut self, at: Millis) -> usize {
+    /// Records that the request is sent. Returns the number of the attempt.
+    pub fn record_send(&mut self, at: Millis) -> usize {
         self.sent.push(Some(at));
         self.sent.len() - 1
     }
 
-    /// Notes that an upstream has not run a try and never will.
-    pub fn unrun(&mut self, at: usize) {
-        if let Some(sent) = self.sent.get_mut(at) {
+    /// Records that the upstream did not execute an attempt and never will.
+    pub fn mark_unexecuted(&mut self, attempt: usize) {
+        if let Some(sent) = self.sent.get_mut(attempt) {
             *sent = None;
         }
     }
 
-    /// When it began to run; [`None`] when no upstream has run it.
-    pub fn began(&self) -> Option<Millis> {
+    /// Returns when the request began to be executed; [`None`] if no upstream executed it.
+    pub fn started_at(&self) -> Option<Millis> {
         self.sent.iter().flatten().copied().min()
     }
 }
@@ -85,14 +85,14 @@
 /// # Examples
 ///
 /// ```
-/// use usage::{Meter, Run, Windows};
+/// use usage::{Meter, RequestAttempts, Windows};
 ///
 /// let mut meter = Meter::new(Windows::new(5_000), 10_000);
-/// let mut run = Run::default();
-/// meter.begin(&mut run, 12_000);
-/// run.send(12_000);
+/// let mut attempts = RequestAttempts::default();
+/// meter.begin(&mut attempts, 12_000);
+/// attempts.record_send(12_000);
 /// assert_eq!(meter.snapshot(15_100).through, 1);
-/// meter.end(&run, &"a".into());
+/// meter.end(&attempts, &"a".into());
 /// let snapshot = meter.snapshot(15_100);
 /// assert_eq!((snapshot.through, snapshot.windows), (2, vec![(2, vec![("a".into(), 1)])]));
 /// ```
@@ -114,21 +114,23 @@
     }
 
     /// Notes that a request is about to be sent: its window stays open until it ends.
-    pub fn begin(&mut self, run: &mut Run, now: Millis) {
+    pub fn begin(&mut self, attempts: &mut RequestAttempts, now: Millis) {
         // A clock that was set back must not open what is closed.
         let window = self.of.of(now).max(self.through + 1);
-        run.window = Some(window);
+        attempts.window = Some(window);
         self.windows.entry(window).or_default().under_way += 1;
     }
 
     /// Notes that a request of a team has ended.
-    pub fn end(&mut self, run: &Run, team: &Arc<str>) {
-        let Some(held) = run.window else { return };
+    pub fn end(&mut self, attempts: &RequestAttempts, team: &Arc<str>) {
+        let Some(held) = attempts.window else { return };
         if let Some(window) = self.windows.get_mut(&held) {
             window.under_way = window.under_way.saturating_sub(1);
         }
-        let Some(began) = run.began() else { return };
-        let window = self.of.of(began).max(held);
+        let Some(started) = attempts.started_at() else {
+            return;
+        };
+        let window = self.of.of(started).max(held);
         let counts = &mut self.windows.entry(window).or_default().counts;
         *counts.entry(team.clone()).or_default() += 1;
     }
--- a/crates/usage/tests/dropped_windows.rs
+++ b/crates/usage/tests/dropped_windows.rs
@@ -8,7 +8,7 @@
 use usage::Meter;
 use usage::Next;
 use usage::Report;
-use usage::Run;
+use usage::RequestAttempts;
 use usage::Snapshot;
 use usage::SnapshotStore;
 use usage::Windows;
@@ -39,10 +39,10 @@
 }
 
 fn count(meter: &mut Meter, now: u64) {
-    let mut run = Run::default();
-    meter.begin(&mut run, now);
-    run.send(now);
-    meter.end(&run, &team());
+    let mut attempts = RequestAttempts::default();
+    meter.begin(&mut attempts, now);
+    attempts.record_send(now);
+    meter.end(&attempts, &team());
 }
 
 fn known(store: &SnapshotStore, window: u64) -> u64 {
@@ -109,9 +109,9 @@
 #[test]
 fn what_is_counted_behind_a_window_that_is_open_for_long_is_known_to_the_keeper() {
     let mut meter = Meter::new(Windows::new(LENGTH), FIRST * LENGTH);
-    let mut slow = Run::default();
+    let mut slow = RequestAttempts::default();
     meter.begin(&mut slow, FIRST * LENGTH);
-    slow.send(FIRST * LENGTH);
+    slow.record_send(FIRST * LENGTH);
     let last = FIRST + KEPT + 6;
     let mut store = SnapshotStore::default();
 
--- a/crates/usage/tests/usage.rs
+++ b/crates/usage/tests/usage.rs
@@ -8,7 +8,7 @@
 use usage::Ledger;
 use usage::Meter;
 use usage::Next;
-use usage::Run;
+use usage::RequestAttempts;
 use usage::Snapshot;
 use usage::SnapshotStore;
 use usage::WindowCounts;
@@ -59,16 +59,16 @@
     expected: Option<(u64, u64)>,
 ) {
     let mut meter = Meter::new(windows(), 10_000);
-    let mut run = Run::default();
-    meter.begin(&mut run, 10_050);
+    let mut attempts = RequestAttempts::default();
+    meter.begin(&mut attempts, 10_050);
 
     for (at, unrun) in tries {
-        let number = run.send(*at);
+        let number = attempts.record_send(*at);
         if *unrun {
-            run.unrun(number);
+            attempts.mark_unexecuted(number);
         }
     }
-    meter.end(&run, &team("a"));
+    meter.end(&attempts, &team("a"));
 
     let snapshot = meter.snapshot(20_100);
     let found = snapshot
@@ -82,11 +82,11 @@
 #[test]
 fn a_window_stays_open_while_a_request_of_it_is_under_way() {
     let mut meter = Meter::new(windows(), 10_000);
-    let (mut slow, mut quick) = (Run::default(), Run::default());
+    let (mut slow, mut quick) = (RequestAttempts::default(), RequestAttempts::default());
     meter.begin(&mut slow, 12_000);
-    slow.send(12_000);
+    slow.record_send(12_000);
     meter.begin(&mut quick, 15_500);
-    quick.send(15_500);
+    quick.record_send(15_500);
     meter.end(&quick, &team("a"));
 
     let before = meter.snapshot(21_000).through;
@@ -105,11 +105,11 @@
 fn a_clock_that_is_set_back_opens_no_window_that_is_closed() {
     let mut meter = Meter::new(windows(), 10_000);
     assert_eq!(meter.snapshot(15_100).through, 2);
-    let mut run = Run::default();
+    let mut attempts = RequestAttempts::default();
 
-    meter.begin(&mut run, 13_000);
-    run.send(13_000);
-    meter.end(&run, &team("a"));
+    meter.begin(&mut attempts, 13_000);
+    attempts.record_send(13_000);
+    meter.end(&attempts, &team("a"));
 
     assert_eq!(meter.snapshot(15_200).windows, [(3, counts(&[("a", 1)]))]);
 }
@@ -119,10 +119,10 @@
     let mut meter = Meter::new(windows(), 0);
 
     for at in 0..500 {
-        let mut run = Run::default();
-        meter.begin(&mut run, at * LENGTH);
-        run.send(at * LENGTH);
-        meter.end(&run, &team("a"));
+        let mut attempts = RequestAttempts::default();
+        meter.begin(&mut attempts, at * LENGTH);
+        attempts.record_send(at * LENGTH);
+        meter.end(&attempts, &team("a"));
         meter.snapshot(at * LENGTH);
     }
 
@@ -135,10 +135,10 @@
 #[test]
 fn a_window_is_kept_for_as_long_as_it_may_be_reported() {
     let mut meter = Meter::new(windows(), LENGTH * 10);
-    let mut run = Run::default();
-    meter.begin(&mut run, LENGTH * 10);
-    run.send(LENGTH * 10);
-    meter.end(&run, &team("a"));
+    let mut attempts = RequestAttempts::default();
+    meter.begin(&mut attempts, LENGTH * 10);
+    attempts.record_send(LENGTH * 10);
+    meter.end(&attempts, &team("a"));
 
     for at in 11..34 {
         meter.snapshot(at * LENGTH);
@@ -299,7 +299,7 @@
     fn a_closed_window_never_changes(steps in prop::collection::vec((0_u8..4, 0_u64..900), 1..120)) {
         let mut meter = Meter::new(windows(), 100_000);
         let mut now = 100_000;
-        let mut open: Vec<Run> = Vec::new();
+        let mut open: Vec<RequestAttempts> = Vec::new();
         let mut ended = 0;
         let mut closed: Vec<(u64, Counts)> = Vec::new();
         let mut told = std::collections::BTreeMap::new();
@@ -307,14 +307,14 @@
             now += time;
             match what {
                 0 => {
-                    let mut run = Run::default();
-                    meter.begin(&mut run, now);
-                    run.send(now);
-                    open.push(run);
+                    let mut attempts = RequestAttempts::default();
+                    meter.begin(&mut attempts, now);
+                    attempts.record_send(now);
+                    open.push(attempts);
                 }
                 1 if !open.is_empty() => {
-                    let run = open.remove(time as usize % open.len());
-                    meter.end(&run, &team("a"));
+                    let attempts = open.remove(time as usize % open.len());
+                    meter.end(&attempts, &team("a"));
                     ended += 1;
                 }
                 _ => {
