--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -160,7 +160,7 @@
         let mut run = self.run.lock();
         let Some(run) = run.as_mut() else { return 0 };
         if let Some((meter, _)) = self.counted().filter(|_| run.is_unsent()) {
-            meter.lock().begin(run, now);
+            meter.lock().start_request(run, now);
         }
         run.record_send(now)
     }
@@ -176,7 +176,7 @@
     pub(crate) fn settle(&self) {
         let run = self.run.lock().take();
         if let (Some(run), Some((meter, team))) = (run, self.counted()) {
-            meter.lock().end(&run, team);
+            meter.lock().finish_request(&run, team);
         }
     }
 
--- a/crates/usage/src/meter.rs
+++ b/crates/usage/src/meter.rs
@@ -89,10 +89,10 @@
 ///
 /// let mut meter = Meter::new(Windows::new(5_000), 10_000);
 /// let mut attempts = RequestAttempts::default();
-/// meter.begin(&mut attempts, 12_000);
+/// meter.start_request(&mut attempts, 12_000);
 /// attempts.record_send(12_000);
 /// assert_eq!(meter.snapshot(15_100).through, 1);
-/// meter.end(&attempts, &"a".into());
+/// meter.finish_request(&attempts, &"a".into());
 /// let snapshot = meter.snapshot(15_100);
 /// assert_eq!((snapshot.through, snapshot.windows), (2, vec![(2, vec![("a".into(), 1)])]));
 /// ```
@@ -113,16 +113,16 @@
         }
     }
 
-    /// Notes that a request is about to be sent: its window stays open until it ends.
-    pub fn begin(&mut self, attempts: &mut RequestAttempts, now: Millis) {
+    /// Records that a request is about to be sent. Its window stays open until the request finishes.
+    pub fn start_request(&mut self, attempts: &mut RequestAttempts, now: Millis) {
         // A clock that was set back must not open what is closed.
         let window = self.of.of(now).max(self.through + 1);
         attempts.window = Some(window);
         self.windows.entry(window).or_default().under_way += 1;
     }
 
-    /// Notes that a request of a team has ended.
-    pub fn end(&mut self, attempts: &RequestAttempts, team: &Arc<str>) {
+    /// Records that a request of a team has finished, and counts it if it was executed.
+    pub fn finish_request(&mut self, attempts: &RequestAttempts, team: &Arc<str>) {
         let Some(held) = attempts.window else { return };
         if let Some(window) = self.windows.get_mut(&held) {
             window.under_way = window.under_way.saturating_sub(1);
--- a/crates/usage/tests/dropped_windows.rs
+++ b/crates/usage/tests/dropped_windows.rs
@@ -40,9 +40,9 @@
 
 fn count(meter: &mut Meter, now: u64) {
     let mut attempts = RequestAttempts::default();
-    meter.begin(&mut attempts, now);
+    meter.start_request(&mut attempts, now);
     attempts.record_send(now);
-    meter.end(&attempts, &team());
+    meter.finish_request(&attempts, &team());
 }
 
 fn known(store: &SnapshotStore, window: u64) -> u64 {
@@ -110,7 +110,7 @@
 fn what_is_counted_behind_a_window_that_is_open_for_long_is_known_to_the_keeper() {
     let mut meter = Meter::new(Windows::new(LENGTH), FIRST * LENGTH);
     let mut slow = RequestAttempts::default();
-    meter.begin(&mut slow, FIRST * LENGTH);
+    meter.start_request(&mut slow, FIRST * LENGTH);
     slow.record_send(FIRST * LENGTH);
     let last = FIRST + KEPT + 6;
     let mut store = SnapshotStore::default();
--- a/crates/usage/tests/usage.rs
+++ b/crates/usage/tests/usage.rs
@@ -60,7 +60,7 @@
 ) {
     let mut meter = Meter::new(windows(), 10_000);
     let mut attempts = RequestAttempts::default();
-    meter.begin(&mut attempts, 10_050);
+    meter.start_request(&mut attempts, 10_050);
 
     for (at, unrun) in tries {
         let number = attempts.record_send(*at);
@@ -68,7 +68,7 @@
             attempts.mark_unexecuted(number);
         }
     }
-    meter.end(&attempts, &team("a"));
+    meter.finish_request(&attempts, &team("a"));
 
     let snapshot = meter.snapshot(20_100);
     let found = snapshot
@@ -83,14 +83,14 @@
 fn a_window_stays_open_while_a_request_of_it_is_under_way() {
     let mut meter = Meter::new(windows(), 10_000);
     let (mut slow, mut quick) = (RequestAttempts::default(), RequestAttempts::default());
-    meter.begin(&mut slow, 12_000);
+    meter.start_request(&mut slow, 12_000);
     slow.record_send(12_000);
-    meter.begin(&mut quick, 15_500);
+    meter.start_request(&mut quick, 15_500);
     quick.record_send(15_500);
-    meter.end(&quick, &team("a"));
+    meter.finish_request(&quick, &team("a"));
 
     let before = meter.snapshot(21_000).through;
-    meter.end(&slow, &team("a"));
+    meter.finish_request(&slow, &team("a"));
     let after = meter.snapshot(21_000);
 
     assert_eq!((before, after.through), (1, 3));
@@ -107,9 +107,9 @@
     assert_eq!(meter.snapshot(15_100).through, 2);
     let mut attempts = RequestAttempts::default();
 
-    meter.begin(&mut attempts, 13_000);
+    meter.start_request(&mut attempts, 13_000);
     attempts.record_send(13_000);
-    meter.end(&attempts, &team("a"));
+    meter.finish_request(&attempts, &team("a"));
 
     assert_eq!(meter.snapshot(15_200).windows, [(3, counts(&[("a", 1)]))]);
 }
@@ -120,9 +120,9 @@
 
     for at in 0..500 {
         let mut attempts = RequestAttempts::default();
-        meter.begin(&mut attempts, at * LENGTH);
+        meter.start_request(&mut attempts, at * LENGTH);
         attempts.record_send(at * LENGTH);
-        meter.end(&attempts, &team("a"));
+        meter.finish_request(&attempts, &team("a"));
         meter.snapshot(at * LENGTH);
     }
 
@@ -136,9 +136,9 @@
 fn a_window_is_kept_for_as_long_as_it_may_be_reported() {
     let mut meter = Meter::new(windows(), LENGTH * 10);
     let mut attempts = RequestAttempts::default();
-    meter.begin(&mut attempts, LENGTH * 10);
+    meter.start_request(&mut attempts, LENGTH * 10);
     attempts.record_send(LENGTH * 10);
-    meter.end(&attempts, &team("a"));
+    meter.finish_request(&attempts, &team("a"));
 
     for at in 11..34 {
         meter.snapshot(at * LENGTH);
@@ -308,13 +308,13 @@
             match what {
                 0 => {
                     let mut attempts = RequestAttempts::default();
-                    meter.begin(&mut attempts, now);
+                    meter.start_request(&mut attempts, now);
                     attempts.record_send(now);
                     open.push(attempts);
                 }
                 1 if !open.is_empty() => {
                     let attempts = open.remove(time as usize % open.len());
-                    meter.end(&attempts, &team("a"));
+                    meter.finish_request(&attempts, &team("a"));
                     ended += 1;
                 }
                 _ => {
