--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -14,7 +14,7 @@
 use plat::PlatError;
 use tokio::time::sleep;
 use usage::Ledger;
-use usage::Next;
+use usage::NextAction;
 use usage::Report;
 use usage::WindowCounts;
 use usage::Windows;
@@ -126,11 +126,11 @@
             return Ok(AGAIN);
         }
         let window = match ledger.next(self.windows, now) {
-            Next::Wait(wait) => {
+            NextAction::Wait(wait) => {
                 self.ledger = Some((ledger, rev));
                 return Ok(Duration::from_millis(wait).min(AGAIN));
             }
-            Next::Collect(window) => window,
+            NextAction::Collect(window) => window,
         };
         let Some(report) = self.collect(&ledger, window, now).await else {
             self.ledger = Some((ledger, rev));
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -41,7 +41,7 @@
 
 /// What is to be done next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// Nothing is due for so many milliseconds.
     Wait(Millis),
     /// The figures of this window are to be collected.
@@ -53,11 +53,11 @@
 /// # Examples
 ///
 /// ```
-/// use usage::{Ledger, Next, Windows};
+/// use usage::{Ledger, NextAction, Windows};
 ///
 /// let ledger = Ledger::begin(Windows::new(5_000), 12_000);
-/// assert_eq!(ledger.next(Windows::new(5_000), 14_000), Next::Wait(1_700));
-/// assert_eq!(ledger.next(Windows::new(5_000), 15_700), Next::Collect(2));
+/// assert_eq!(ledger.next(Windows::new(5_000), 14_000), NextAction::Wait(1_700));
+/// assert_eq!(ledger.next(Windows::new(5_000), 15_700), NextAction::Collect(2));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
@@ -94,12 +94,12 @@
 
     /// What is due. After a long time without any holder, windows are left out of which nobody knows anything
     /// any more.
-    pub fn next(&self, windows: Windows, now: Millis) -> Next {
+    pub fn next(&self, windows: Windows, now: Millis) -> NextAction {
         let oldest = windows.of(now).saturating_sub(KEPT as u64);
         let window = self.next.max(oldest);
         match (windows.end(window) + SETTLE).checked_sub(now) {
-            Some(wait @ 1..) => Next::Wait(wait),
-            Some(0) | None => Next::Collect(window),
+            Some(wait @ 1..) => NextAction::Wait(wait),
+            Some(0) | None => NextAction::Collect(window),
         }
     }
 
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod window;
 
 pub use ledger::Ledger;
-pub use ledger::Next;
+pub use ledger::NextAction;
 pub use ledger::Report;
 pub use meter::Meter;
 pub use meter::RequestAttempts;
--- a/crates/usage/tests/dropped_windows.rs
+++ b/crates/usage/tests/dropped_windows.rs
@@ -6,7 +6,7 @@
 use usage::Counts;
 use usage::Ledger;
 use usage::Meter;
-use usage::Next;
+use usage::NextAction;
 use usage::Report;
 use usage::RequestAttempts;
 use usage::Snapshot;
@@ -167,7 +167,7 @@
         let mut reported = Vec::new();
 
         for time in times {
-            let Next::Collect(window) = ledger.next(Windows::new(LENGTH), start + time) else {
+            let NextAction::Collect(window) = ledger.next(Windows::new(LENGTH), start + time) else {
                 continue;
             };
             ledger.enter(Report { window, counts: one(time) });
--- a/crates/usage/tests/usage.rs
+++ b/crates/usage/tests/usage.rs
@@ -7,7 +7,7 @@
 use usage::Counts;
 use usage::Ledger;
 use usage::Meter;
-use usage::Next;
+use usage::NextAction;
 use usage::RequestAttempts;
 use usage::Snapshot;
 use usage::SnapshotStore;
@@ -265,7 +265,7 @@
     let mut windows_seen = Vec::new();
 
     for now in (10_000..40_000).step_by(500) {
-        if let Next::Collect(window) = ledger.next(windows(), now) {
+        if let NextAction::Collect(window) = ledger.next(windows(), now) {
             let report = ledger
                 .add_up(window, Vec::new(), &Set::default(), 700, false)
                 .unwrap();
