--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -125,7 +125,7 @@
             self.ledger = Some((ledger, rev));
             return Ok(AGAIN);
         }
-        let window = match ledger.next(self.windows, now) {
+        let window = match ledger.next_action(self.windows, now) {
             NextAction::Wait(wait) => {
                 self.ledger = Some((ledger, rev));
                 return Ok(Duration::from_millis(wait).min(AGAIN));
@@ -139,7 +139,7 @@
         let requests: u64 = report.counts.iter().map(|(_, count)| count).sum();
         log::info!(target: "accounts", window, teams = report.counts.len(), requests,
             age_ms = now.saturating_sub(self.windows.end(window)); "window added up");
-        ledger.enter(report);
+        ledger.record(report);
         let rev = kept::write(self.app, KEY, &ledger, rev).await?;
         self.ledger = Some((ledger, rev));
         Ok(Duration::ZERO)
@@ -151,7 +151,7 @@
         if let Some(held) = kept::read(self.app, KEY).await? {
             return Ok(held);
         }
-        let ledger = Ledger::begin_at(self.first(now).await);
+        let ledger = Ledger::starting_at(self.first(now).await);
         let rev = kept::write(self.app, KEY, &ledger, 0).await?;
         Ok((ledger, rev))
     }
@@ -164,7 +164,7 @@
     /// The first window of which anybody has a request: entry instances serve before there is a holder.
     async fn first(&self, now: Millis) -> u64 {
         let newest = self.windows.of(now);
-        let before = Ledger::may_begin_before(newest);
+        let before = Ledger::reportable_before(newest);
         let members = self.meet().await;
         let asks = members.iter().map(|one| self.oldest(one, before.clone()));
         let told = join_all(asks).await;
@@ -218,7 +218,7 @@
         if age >= DIRECT {
             let known = members.iter().filter(|one| one.reads);
             let known = known.map(|one| (one.owner.instance.clone(), one.owner.start));
-            let missing = Ledger::missing(&shares, &known.collect());
+            let missing = Ledger::missing_sources(&shares, &known.collect());
             let silent = members
                 .iter()
                 .filter(|one| missing.iter().any(|(name, _)| *name == one.owner.instance));
@@ -226,7 +226,7 @@
             shares.extend(join_all(asks).await.into_iter().flatten().flatten());
         }
         let late = age as f64 >= self.to.late as f64 * PATIENCE;
-        ledger.add_up(window, shares, &live, age, late)
+        ledger.aggregate(window, shares, &live, age, late)
     }
 
     /// Sends what is written down and was not taken from this holder; tells whether all of it was.
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -55,9 +55,9 @@
 /// ```
 /// use usage::{Ledger, NextAction, Windows};
 ///
-/// let ledger = Ledger::begin(Windows::new(5_000), 12_000);
-/// assert_eq!(ledger.next(Windows::new(5_000), 14_000), NextAction::Wait(1_700));
-/// assert_eq!(ledger.next(Windows::new(5_000), 15_700), NextAction::Collect(2));
+/// let ledger = Ledger::new(Windows::new(5_000), 12_000);
+/// assert_eq!(ledger.next_action(Windows::new(5_000), 14_000), NextAction::Wait(1_700));
+/// assert_eq!(ledger.next_action(Windows::new(5_000), 15_700), NextAction::Collect(2));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
@@ -70,12 +70,12 @@
 
 impl Ledger {
     /// Begins with the window of a time, where nothing was served before.
-    pub fn begin(windows: Windows, now: Millis) -> Self {
-        Self::begin_at(windows.of(now))
+    pub fn new(windows: Windows, now: Millis) -> Self {
+        Self::starting_at(windows.of(now))
     }
 
     /// Begins with a window.
-    pub fn begin_at(window: u64) -> Self {
+    pub fn starting_at(window: u64) -> Self {
         Self {
             next: window,
             reports: Vec::new(),
@@ -83,7 +83,7 @@
     }
 
     /// The windows before one that may still be reported, the oldest first.
-    pub fn may_begin_before(window: u64) -> Range<u64> {
+    pub fn reportable_before(window: u64) -> Range<u64> {
         window.saturating_sub(KEPT as u64)..window
     }
 
@@ -94,7 +94,7 @@
 
     /// What is due. After a long time without any holder, windows are left out of which nobody knows anything
     /// any more.
-    pub fn next(&self, windows: Windows, now: Millis) -> NextAction {
+    pub fn next_action(&self, windows: Windows, now: Millis) -> NextAction {
         let oldest = windows.of(now).saturating_sub(KEPT as u64);
         let window = self.next.max(oldest);
         match (windows.end(window) + SETTLE).checked_sub(now) {
@@ -105,7 +105,7 @@
 
     /// Adds up the shares of a window. `live` are the instances that have to be heard of; [`None`] when one has
     /// not closed the window and it is not `late` yet. The window ended `age` milliseconds ago.
-    pub fn add_up(
+    pub fn aggregate(
         &self,
         window: u64,
         shares: Vec<WindowCounts>,
@@ -135,7 +135,7 @@
     }
 
     /// The live instances that have not closed a window yet, as far as shares tell.
-    pub fn missing(shares: &[WindowCounts], live: &Set<Source>) -> Vec<Source> {
+    pub fn missing_sources(shares: &[WindowCounts], live: &Set<Source>) -> Vec<Source> {
         let closed = |source: &&Source| {
             let mut told = shares.iter().filter(|share| share.source == **source);
             told.any(|share| share.closed)
@@ -148,7 +148,7 @@
 
     /// Takes a report in, which is then to be written before it is sent. One of a window that was reported
     /// changes nothing.
-    pub fn enter(&mut self, report: Report) {
+    pub fn record(&mut self, report: Report) {
         if report.window < self.next {
             return;
         }
--- a/crates/usage/tests/dropped_windows.rs
+++ b/crates/usage/tests/dropped_windows.rs
@@ -163,14 +163,14 @@
         begun in 0..KEPT * LENGTH * 4,
     ) {
         let start = FIRST * LENGTH;
-        let mut ledger = Ledger::begin(Windows::new(LENGTH), start + begun);
+        let mut ledger = Ledger::new(Windows::new(LENGTH), start + begun);
         let mut reported = Vec::new();
 
         for time in times {
-            let NextAction::Collect(window) = ledger.next(Windows::new(LENGTH), start + time) else {
+            let NextAction::Collect(window) = ledger.next_action(Windows::new(LENGTH), start + time) else {
                 continue;
             };
-            ledger.enter(Report { window, counts: one(time) });
+            ledger.record(Report { window, counts: one(time) });
             reported.push(window);
             let newest = ledger.reports().last().map(|report| report.window);
             prop_assert_eq!(newest, Some(window));
--- a/crates/usage/tests/usage.rs
+++ b/crates/usage/tests/usage.rs
@@ -182,7 +182,7 @@
 // An instance was killed: what its keeper had of it counts, beside its next start, and nobody waits for it.
 #[test]
 fn what_a_killed_instance_had_told_counts() {
-    let ledger = Ledger::begin(windows(), 10_000);
+    let ledger = Ledger::new(windows(), 10_000);
     let mut killed = share("e1", false, &[("a", 3)]);
     killed.source.1 = 0;
     let shares = vec![
@@ -192,8 +192,8 @@
     ];
 
     let live = live(&["e1", "e2"]);
-    let early = ledger.add_up(2, shares.clone(), &live, 700, false);
-    let report = ledger.add_up(2, shares, &live, 1_500, false).unwrap();
+    let early = ledger.aggregate(2, shares.clone(), &live, 700, false);
+    let report = ledger.aggregate(2, shares, &live, 1_500, false).unwrap();
 
     assert_eq!(early, None);
     assert_eq!(report.counts, counts(&[("a", 4), ("b", 2)]));
@@ -203,13 +203,13 @@
 // what it had counted in the last part of a second (18 and 9 requests of 20 and 10).
 #[test]
 fn an_instance_that_is_not_known_yet_is_waited_for() {
-    let ledger = Ledger::begin(windows(), 10_000);
+    let ledger = Ledger::new(windows(), 10_000);
     let (known, new) = (share("e1", true, &[]), share("e2", false, &[("a", 2)]));
 
-    let early = ledger.add_up(2, vec![known.clone(), new], &live(&["e1"]), 700, false);
+    let early = ledger.aggregate(2, vec![known.clone(), new], &live(&["e1"]), 700, false);
     let told = vec![known, share("e2", true, &[("a", 5)])];
     let report = ledger
-        .add_up(2, told, &live(&["e1"]), 1_000, false)
+        .aggregate(2, told, &live(&["e1"]), 1_000, false)
         .unwrap();
 
     assert_eq!((early, report.counts), (None, counts(&[("a", 5)])));
@@ -218,14 +218,14 @@
 // Two keepers had the same instance, since it changed between them; it was counted twice.
 #[test]
 fn an_instance_that_two_keepers_know_counts_once() {
-    let ledger = Ledger::begin(windows(), 10_000);
+    let ledger = Ledger::new(windows(), 10_000);
     let shares = vec![
         share("e1", false, &[("a", 2)]),
         share("e1", true, &[("a", 5)]),
     ];
 
     let report = ledger
-        .add_up(2, shares, &live(&["e1"]), 700, false)
+        .aggregate(2, shares, &live(&["e1"]), 700, false)
         .unwrap();
 
     assert_eq!(report.counts, counts(&[("a", 5)]));
@@ -242,18 +242,18 @@
     late: bool,
     expected: bool,
 ) {
-    let ledger = Ledger::begin(windows(), 10_000);
+    let ledger = Ledger::new(windows(), 10_000);
     let shares: Vec<_> = told
         .iter()
         .map(|(name, closed)| share(name, *closed, &[]))
         .collect();
     let live = live(&["e1", "e2"]);
 
-    let report = ledger.add_up(2, shares.clone(), &live, 1_500, late);
+    let report = ledger.aggregate(2, shares.clone(), &live, 1_500, late);
 
     assert_eq!(report.is_some(), expected);
     assert_eq!(
-        Ledger::missing(&shares, &live).is_empty(),
+        Ledger::missing_sources(&shares, &live).is_empty(),
         expected && !late
     );
 }
@@ -261,15 +261,15 @@
 // A window without requests is reported too: what is missing cannot be told from what was lost.
 #[test]
 fn windows_follow_one_another_without_a_gap() {
-    let mut ledger = Ledger::begin(windows(), 10_000);
+    let mut ledger = Ledger::new(windows(), 10_000);
     let mut windows_seen = Vec::new();
 
     for now in (10_000..40_000).step_by(500) {
-        if let NextAction::Collect(window) = ledger.next(windows(), now) {
+        if let NextAction::Collect(window) = ledger.next_action(windows(), now) {
             let report = ledger
-                .add_up(window, Vec::new(), &Set::default(), 700, false)
+                .aggregate(window, Vec::new(), &Set::default(), 700, false)
                 .unwrap();
-            ledger.enter(report);
+            ledger.record(report);
             windows_seen.push(window);
         }
     }
@@ -280,14 +280,14 @@
 // A successor that had collected other figures reported a window once more with those.
 #[test]
 fn a_window_is_reported_with_one_figure() {
-    let mut ledger = Ledger::begin(windows(), 10_000);
+    let mut ledger = Ledger::new(windows(), 10_000);
     let report = |count| usage::Report {
         window: 2,
         counts: counts(&[("a", count)]),
     };
 
-    ledger.enter(report(5));
-    ledger.enter(report(6));
+    ledger.record(report(5));
+    ledger.record(report(6));
 
     assert_eq!(ledger.reports(), [report(5)]);
 }
