--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -163,7 +163,7 @@
 
     /// The first window of which anybody has a request: entry instances serve before there is a holder.
     async fn first(&self, now: Millis) -> u64 {
-        let newest = self.windows.of(now);
+        let newest = self.windows.containing(now);
         let before = Ledger::reportable_before(newest);
         let members = self.meet().await;
         let asks = members.iter().map(|one| self.oldest(one, before.clone()));
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -71,7 +71,7 @@
 impl Ledger {
     /// Begins with the window of a time, where nothing was served before.
     pub fn new(windows: Windows, now: Millis) -> Self {
-        Self::starting_at(windows.of(now))
+        Self::starting_at(windows.containing(now))
     }
 
     /// Begins with a window.
@@ -95,7 +95,7 @@
     /// What is due. After a long time without any holder, windows are left out of which nobody knows anything
     /// any more.
     pub fn next_action(&self, windows: Windows, now: Millis) -> NextAction {
-        let oldest = windows.of(now).saturating_sub(KEPT as u64);
+        let oldest = windows.containing(now).saturating_sub(KEPT as u64);
         let window = self.next.max(oldest);
         match (windows.end(window) + SETTLE).checked_sub(now) {
             Some(wait @ 1..) => NextAction::Wait(wait),
--- a/crates/usage/src/meter.rs
+++ b/crates/usage/src/meter.rs
@@ -109,14 +109,14 @@
         Self {
             of,
             windows: BTreeMap::new(),
-            through: of.of(now).saturating_sub(1),
+            through: of.containing(now).saturating_sub(1),
         }
     }
 
     /// Records that a request is about to be sent. Its window stays open until the request finishes.
     pub fn start_request(&mut self, attempts: &mut RequestAttempts, now: Millis) {
         // A clock that was set back must not open what is closed.
-        let window = self.of.of(now).max(self.through + 1);
+        let window = self.of.containing(now).max(self.through + 1);
         attempts.window = Some(window);
         self.windows.entry(window).or_default().under_way += 1;
     }
@@ -130,7 +130,7 @@
         let Some(started) = attempts.started_at() else {
             return;
         };
-        let window = self.of.of(started).max(held);
+        let window = self.of.containing(started).max(held);
         let counts = &mut self.windows.entry(window).or_default().counts;
         *counts.entry(team.clone()).or_default() += 1;
     }
@@ -139,7 +139,7 @@
     pub fn snapshot(&mut self, now: Millis) -> Snapshot {
         let busy = self.windows.iter().find(|(_, window)| window.under_way > 0);
         let busy = busy.map_or(u64::MAX, |(window, _)| *window);
-        let over = self.of.of(now).saturating_sub(1);
+        let over = self.of.containing(now).saturating_sub(1);
         // Only what was told as closed before is dropped. A window that slow requests had held open for longer
         // than the others are kept would else be dropped before anybody had its figures.
         let first = (self.through + 1).saturating_sub(KEPT);
--- a/crates/usage/src/window.rs
+++ b/crates/usage/src/window.rs
@@ -21,10 +21,10 @@
     ///
     /// ```
     /// let windows = usage::Windows::new(5_000);
-    /// assert_eq!(windows.of(12_000), 2);
+    /// assert_eq!(windows.containing(12_000), 2);
     /// assert_eq!(windows.end(2), 15_000);
     /// ```
-    pub fn of(self, at: Millis) -> u64 {
+    pub fn containing(self, at: Millis) -> u64 {
         at / self.length
     }
 
