--- a/crates/usage/src/keeper.rs
+++ b/crates/usage/src/keeper.rs
@@ -11,18 +11,18 @@
 
 use crate::Counts;
 use crate::Snapshot;
-use crate::meter::KEPT;
+use crate::meter::KEPT_CLOSED_WINDOWS;
 
-/// Windows after which nothing is asked of an entry instance any more that has told nothing since.
-const OLD: u64 = 24;
+/// Age in windows from which the snapshot of an entry instance that has sent no newer one is ignored.
+const MAX_SNAPSHOT_AGE: u64 = 24;
 
-/// Windows before one within which an instance has closed one that is taken to live still.
-const RECENT: u64 = 2;
+/// Windows before one within which an instance that is taken to be alive has closed one.
+const RECENT_WINDOWS: u64 = 2;
 
-/// Starts of entry instances that are remembered: some kilobytes each.
-const MOST: usize = 1_024;
+/// Snapshots that are stored before old ones are pruned; each takes some kilobytes.
+const MAX_SNAPSHOTS: usize = 1_024;
 
-/// One start of an entry instance.
+/// One start of an entry instance: its name and the number of the start.
 pub type Source = (Arc<str>, u64);
 
 /// Counts of one window by one start of an entry instance.
@@ -60,25 +60,26 @@
 impl SnapshotStore {
     /// Stores a snapshot of an entry instance. One that arrives late and is older changes nothing.
     pub fn update(&mut self, source: Source, snapshot: Snapshot) {
-        if !self.snapshots.contains_key(&source) && self.snapshots.len() >= MOST {
-            self.prune(newest(&snapshot));
+        if !self.snapshots.contains_key(&source) && self.snapshots.len() >= MAX_SNAPSHOTS {
+            self.prune(newest_window(&snapshot));
         }
-        let held = self.snapshots.entry(source).or_default();
-        if size(&snapshot) >= size(held) {
-            *held = snapshot;
+        let stored = self.snapshots.entry(source).or_default();
+        if progress(&snapshot) >= progress(stored) {
+            *stored = snapshot;
         }
     }
 
-    fn prune(&mut self, now: u64) {
+    fn prune(&mut self, window: u64) {
         self.snapshots
-            .retain(|_, snapshot| newest(snapshot) + OLD >= now);
+            .retain(|_, snapshot| newest_window(snapshot) + MAX_SNAPSHOT_AGE >= window);
     }
 
     /// Returns the counts of a window, one item for each source.
     pub fn window_counts(&self, window: u64) -> Vec<WindowCounts> {
         let all = self.snapshots.iter();
-        let fresh = all.filter(|(_, snapshot)| newest(snapshot) + OLD >= window);
-        fresh
+        let current =
+            all.filter(|(_, snapshot)| newest_window(snapshot) + MAX_SNAPSHOT_AGE >= window);
+        current
             .map(|(source, snapshot)| snapshot.window_counts(source.clone(), window))
             .collect()
     }
@@ -91,24 +92,25 @@
         WindowCounts {
             source,
             closed: self.through >= window,
-            recent: self.through + RECENT >= window,
+            recent: self.through + RECENT_WINDOWS >= window,
             counts: found.map(|(_, counts)| counts.clone()).unwrap_or_default(),
         }
     }
 }
 
-/// How much a snapshot says: windows only close, new ones only begin, and counts only grow. Old windows are
-/// dropped, some time after one was closed, and do not count.
-fn size(snapshot: &Snapshot) -> (u64, u64, u64) {
+/// Returns a key that is greater for newer snapshots of a source: windows only close, new ones only begin, and
+/// counts only grow. Old windows do not count, since they are dropped some time after they were closed.
+fn progress(snapshot: &Snapshot) -> (u64, u64, u64) {
     let windows = snapshot.windows.iter();
-    let kept = windows.filter(|(window, _)| window + KEPT > snapshot.through);
+    let kept = windows.filter(|(window, _)| window + KEPT_CLOSED_WINDOWS > snapshot.through);
     let counts = kept.flat_map(|(_, counts)| counts);
     let sum = counts.map(|(_, count)| count).sum();
-    (snapshot.through, newest(snapshot), sum)
+    (snapshot.through, newest_window(snapshot), sum)
 }
 
-/// The newest window of which a snapshot says anything. One slow request holds its window open, and those after it.
-fn newest(snapshot: &Snapshot) -> u64 {
+/// Returns the newest window that a snapshot covers. A slow request keeps its window open, and those after it, so
+/// the last closed window may be older.
+fn newest_window(snapshot: &Snapshot) -> u64 {
     let counted = snapshot.windows.last().map_or(0, |(window, _)| *window);
     counted.max(snapshot.through)
 }
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -1,7 +1,7 @@
-//! What the holder of the duty has reported, and what it reports next.
+//! Usage reports of the leader, sent and still to be sent.
 //!
-//! A figure that was sent once is never followed by another one for the same window: each report is written down
-//! before it is sent, and whoever takes the duty over sends what is written, to the byte.
+//! All reports of one window state the same counts: each report is persisted before it is sent, and a new leader
+//! sends the persisted reports byte for byte.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -18,37 +18,37 @@
 use crate::Windows;
 use crate::keeper::Source;
 
-/// Reports that are kept: those of a minute or two of the shortest windows, longer than any may be late by.
-const KEPT: usize = 24;
+/// Number of reports that are kept: one or two minutes of the shortest windows, longer than any report may be late.
+const KEPT_REPORTS: usize = 24;
 
-/// Time after the end of a window before its figures are collected, in milliseconds: entry instances tell what
-/// they count each 300 ms, and one that has just started is not among those that are known to live.
-const SETTLE: Millis = 700;
+/// Time after the end of a window before its counts are collected, in milliseconds. Entry instances send snapshots
+/// every 300 ms, and one that has just started is not yet among the known live ones.
+const SETTLE_MS: Millis = 700;
 
-/// Time after the end of a window for which an instance that is not known to live, and has told something of the
-/// windows before, is waited for, in milliseconds: it has started a moment ago, or was killed.
-const UNKNOWN: Millis = 1_500;
+/// Time after the end of a window for which the leader waits for an instance that is not known to be alive but has
+/// sent counts shortly before, in milliseconds: it has either just started or been killed.
+const UNKNOWN_SOURCE_WAIT_MS: Millis = 1_500;
 
-/// The requests of one window.
+/// Usage of all teams in one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// The window.
+    /// Number of the window.
     pub window: u64,
-    /// Its requests.
+    /// Requests by team.
     pub counts: Counts,
 }
 
-/// What is to be done next.
+/// What the leader has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextAction {
-    /// Nothing is due for so many milliseconds.
+    /// Wait this many milliseconds.
     Wait(Millis),
-    /// The figures of this window are to be collected.
+    /// Collect the counts of this window.
     Collect(u64),
 }
 
-/// What was reported.
+/// The newest reports, and the window to report next.
 ///
 /// # Examples
 ///
@@ -62,19 +62,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Ledger {
-    /// The window that is due next.
+    /// Number of the window to report next.
     next: u64,
-    /// The newest reports, the oldest first.
+    /// The newest reports, oldest first.
     reports: Vec<Report>,
 }
 
 impl Ledger {
-    /// Begins with the window of a time, where nothing was served before.
+    /// Creates a ledger that starts with the window that contains `now`, when nothing was served before.
     pub fn new(windows: Windows, now: Millis) -> Self {
         Self::starting_at(windows.containing(now))
     }
 
-    /// Begins with a window.
+    /// Creates a ledger that starts with the given window.
     pub fn starting_at(window: u64) -> Self {
         Self {
             next: window,
@@ -82,63 +82,65 @@
         }
     }
 
-    /// The windows before one that may still be reported, the oldest first.
+    /// Returns the windows before the given one that may still be reported, oldest first.
     pub fn reportable_before(window: u64) -> Range<u64> {
-        window.saturating_sub(KEPT as u64)..window
+        window.saturating_sub(KEPT_REPORTS as u64)..window
     }
 
-    /// The reports, the oldest first.
+    /// Returns the kept reports, oldest first.
     pub fn reports(&self) -> &[Report] {
         &self.reports
     }
 
-    /// What is due. After a long time without any holder, windows are left out of which nobody knows anything
-    /// any more.
+    /// Returns the next action. After a long time without a leader, windows whose counts nobody has any more are
+    /// skipped.
     pub fn next_action(&self, windows: Windows, now: Millis) -> NextAction {
-        let oldest = windows.containing(now).saturating_sub(KEPT as u64);
+        let oldest = windows.containing(now).saturating_sub(KEPT_REPORTS as u64);
         let window = self.next.max(oldest);
-        match (windows.end(window) + SETTLE).checked_sub(now) {
+        match (windows.end(window) + SETTLE_MS).checked_sub(now) {
             Some(wait @ 1..) => NextAction::Wait(wait),
             Some(0) | None => NextAction::Collect(window),
         }
     }
 
-    /// Adds up the shares of a window. `live` are the instances that have to be heard of; [`None`] when one has
-    /// not closed the window and it is not `late` yet. The window ended `age` milliseconds ago.
+    /// Adds up the counts of a window, which ended `age` milliseconds ago. Returns [`None`] while an instance in
+    /// `live`, or one that may be alive, has not closed the window, unless it is already `late`.
     pub fn aggregate(
         &self,
         window: u64,
-        shares: Vec<WindowCounts>,
+        all: Vec<WindowCounts>,
         live: &Set<Source>,
         age: Millis,
         late: bool,
     ) -> Option<Report> {
-        let mut best: Map<Source, WindowCounts> = Map::default();
-        for share in shares {
-            let held = best.get(&share.source);
-            if held.is_none_or(|held| weight(held) < weight(&share)) {
-                best.insert(share.source.clone(), share);
+        let mut newest: Map<Source, WindowCounts> = Map::default();
+        for counts in all {
+            let known = newest.get(&counts.source);
+            if known.is_none_or(|known| progress(known) < progress(&counts)) {
+                newest.insert(counts.source.clone(), counts);
             }
         }
-        let closed = |source| best.get(source).is_some_and(|share| share.closed);
-        let heard = best.values().all(|share| share.closed || !share.recent);
-        let settled = live.iter().all(closed) && (heard || age >= UNKNOWN);
+        let closed = |source| newest.get(source).is_some_and(|counts| counts.closed);
+        let all_closed = newest
+            .values()
+            .all(|counts| counts.closed || !counts.recent);
+        let settled = live.iter().all(closed) && (all_closed || age >= UNKNOWN_SOURCE_WAIT_MS);
         if !late && !settled {
             return None;
         }
         let mut sum: BTreeMap<Arc<str>, u64> = BTreeMap::new();
-        for (team, count) in best.into_values().flat_map(|share| share.counts) {
+        for (team, count) in newest.into_values().flat_map(|counts| counts.counts) {
             *sum.entry(team).or_default() += count;
         }
         let counts = sum.into_iter().collect();
         Some(Report { window, counts })
     }
 
-    /// The live instances that have not closed a window yet, as far as shares tell.
-    pub fn missing_sources(shares: &[WindowCounts], live: &Set<Source>) -> Vec<Source> {
+    /// Returns the live instances that have not closed the window yet according to `counts`.
+    pub fn missing_sources(counts: &[WindowCounts], live: &Set<Source>) -> Vec<Source> {
         let closed = |source: &&Source| {
-            let mut told = shares.iter().filter(|share| share.source == **source);
-            told.any(|share| share.closed)
+            let mut own = counts.iter().filter(|one| one.source == **source);
+            own.any(|one| one.closed)
         };
         live.iter()
             .filter(|source| !closed(source))
@@ -146,22 +148,22 @@
             .collect()
     }
 
-    /// Takes a report in, which is then to be written before it is sent. One of a window that was reported
-    /// changes nothing.
+    /// Records a report, which must be persisted before it is sent. A report of a window that was already reported
+    /// is ignored.
     pub fn record(&mut self, report: Report) {
         if report.window < self.next {
             return;
         }
         self.next = report.window + 1;
         self.reports.push(report);
-        if self.reports.len() > KEPT {
+        if self.reports.len() > KEPT_REPORTS {
             self.reports.remove(0);
         }
     }
 }
 
-/// How much a share says; counts only grow.
-fn weight(share: &WindowCounts) -> (u64, bool) {
-    let sum = share.counts.iter().map(|(_, count)| count).sum();
-    (sum, share.closed)
+/// Returns a key that is greater for newer counts of a source, since counts only grow.
+fn progress(counts: &WindowCounts) -> (u64, bool) {
+    let sum = counts.counts.iter().map(|(_, count)| count).sum();
+    (sum, counts.closed)
 }
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,25 +1,26 @@
-//! How many requests of each team began to run at an upstream, by window of time.
+//! Usage accounting: how many requests of each team upstreams began to execute, by time window.
 //!
-//! Each entry instance counts what it sent ([`Meter`]) and tells a keeper of its failure domain, which
-//! outlives it ([`SnapshotStore`]). Whoever holds the duty adds up what the keepers have, writes the figures down and
-//! sends them ([`Ledger`]). Nothing here reads a socket or a clock.
+//! Each entry instance counts the requests that it sent ([`Meter`]) and sends snapshots of the counts to another
+//! instance of its failure domain, where they outlive it ([`SnapshotStore`]). The leader for usage reports adds
+//! up the stored counts, persists the sums and sends them ([`Ledger`]). Nothing in this crate reads a socket or a
+//! clock.
 
+pub mod keeper;
 pub mod ledger;
 pub mod meter;
-pub mod keeper;
 pub mod window;
 
+pub use keeper::SnapshotStore;
+pub use keeper::WindowCounts;
 pub use ledger::Ledger;
 pub use ledger::NextAction;
 pub use ledger::Report;
 pub use meter::Meter;
 pub use meter::RequestAttempts;
 pub use meter::Snapshot;
-pub use keeper::SnapshotStore;
-pub use keeper::WindowCounts;
 pub use window::Windows;
 
 use std::sync::Arc;
 
-/// Requests by team, in the order of the teams' names.
+/// Number of requests by team, sorted by the name of the team.
 pub type Counts = Vec<(Arc<str>, u64)>;
--- a/crates/usage/src/meter.rs
+++ b/crates/usage/src/meter.rs
@@ -1,7 +1,7 @@
-//! What one entry instance counts.
+//! Counting of requests by one entry instance.
 //!
-//! A request counts once, in the window in which it was first sent to an upstream that may have run it,
-//! however often it is tried. A window is closed when it is over and no request that was sent in it is under way.
+//! A request counts once, however often it is attempted: in the window in which it was first sent to an upstream
+//! that may have executed it. A window is closed when it is over and no request sent in it is in progress.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::Counts;
 use crate::Windows;
 
-/// Closed windows that are kept: as many as are still reported after a time without a holder.
-pub(crate) const KEPT: u64 = 24;
+/// Number of closed windows that are kept: as many as can still be reported after a time without a leader.
+pub(crate) const KEPT_CLOSED_WINDOWS: u64 = 24;
 
-/// Most windows that are kept, closed or not: requests that take far longer than a window hold each of them open.
-const MOST: usize = 256;
+/// Most windows that are kept, closed or open: a request that takes far longer than a window keeps all of them open.
+const MAX_WINDOWS: usize = 256;
 
 /// Attempts at one request.
 ///
@@ -77,7 +77,7 @@
 #[derive(Debug, Default)]
 struct Window {
     counts: Map<Arc<str>, u64>,
-    under_way: u32,
+    in_progress: u32,
 }
 
 /// Counts the requests of an entry instance.
@@ -98,56 +98,61 @@
 /// ```
 #[derive(Debug)]
 pub struct Meter {
-    of: Windows,
+    grid: Windows,
     windows: BTreeMap<u64, Window>,
     through: u64,
 }
 
 impl Meter {
-    /// Makes a meter that has counted nothing before `now`.
-    pub fn new(of: Windows, now: Millis) -> Self {
+    /// Creates a meter whose windows before the one that contains `now` are closed and empty.
+    pub fn new(grid: Windows, now: Millis) -> Self {
         Self {
-            of,
+            grid,
             windows: BTreeMap::new(),
-            through: of.containing(now).saturating_sub(1),
+            through: grid.containing(now).saturating_sub(1),
         }
     }
 
     /// Records that a request is about to be sent. Its window stays open until the request finishes.
     pub fn start_request(&mut self, attempts: &mut RequestAttempts, now: Millis) {
-        // A clock that was set back must not open what is closed.
-        let window = self.of.containing(now).max(self.through + 1);
+        // A clock that was set back must not reopen a closed window.
+        let window = self.grid.containing(now).max(self.through + 1);
         attempts.window = Some(window);
-        self.windows.entry(window).or_default().under_way += 1;
+        self.windows.entry(window).or_default().in_progress += 1;
     }
 
     /// Records that a request of a team has finished, and counts it if it was executed.
     pub fn finish_request(&mut self, attempts: &RequestAttempts, team: &Arc<str>) {
-        let Some(held) = attempts.window else { return };
-        if let Some(window) = self.windows.get_mut(&held) {
-            window.under_way = window.under_way.saturating_sub(1);
+        let Some(first) = attempts.window else { return };
+        if let Some(window) = self.windows.get_mut(&first) {
+            window.in_progress = window.in_progress.saturating_sub(1);
         }
         let Some(started) = attempts.started_at() else {
             return;
         };
-        let window = self.of.containing(started).max(held);
+        let window = self.grid.containing(started).max(first);
         let counts = &mut self.windows.entry(window).or_default().counts;
         *counts.entry(team.clone()).or_default() += 1;
     }
 
     /// Closes the windows that are over at `now` and returns the counts so far.
     pub fn snapshot(&mut self, now: Millis) -> Snapshot {
-        let busy = self.windows.iter().find(|(_, window)| window.under_way > 0);
-        let busy = busy.map_or(u64::MAX, |(window, _)| *window);
-        let over = self.of.containing(now).saturating_sub(1);
-        // Only what was told as closed before is dropped. A window that slow requests had held open for longer
-        // than the others are kept would else be dropped before anybody had its figures.
-        let first = (self.through + 1).saturating_sub(KEPT);
-        self.windows = self.windows.split_off(&first);
-        while self.windows.len() > MOST {
+        let oldest_open = self
+            .windows
+            .iter()
+            .find(|(_, window)| window.in_progress > 0);
+        let oldest_open = oldest_open.map_or(u64::MAX, |(window, _)| *window);
+        let last_over = self.grid.containing(now).saturating_sub(1);
+        // Only windows that an earlier snapshot stated as closed are dropped. Otherwise a window that slow requests
+        // kept open for longer than closed ones are kept would be dropped before its counts were ever sent.
+        let oldest_kept = (self.through + 1).saturating_sub(KEPT_CLOSED_WINDOWS);
+        self.windows = self.windows.split_off(&oldest_kept);
+        while self.windows.len() > MAX_WINDOWS {
             self.windows.pop_first();
         }
-        self.through = self.through.max(over.min(busy.saturating_sub(1)));
+        self.through = self
+            .through
+            .max(last_over.min(oldest_open.saturating_sub(1)));
         let windows = self.windows.iter();
         let counted = windows.filter(|(_, window)| !window.counts.is_empty());
         Snapshot {
--- a/crates/usage/src/window.rs
+++ b/crates/usage/src/window.rs
@@ -1,21 +1,21 @@
-//! Windows of time.
+//! Time windows.
 
 use kernel::Millis;
 
-/// Windows of one length, counted from 1970.
+/// Consecutive time windows of one length, numbered from 0 at the start of 1970 (UTC).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Windows {
     length: Millis,
 }
 
 impl Windows {
-    /// Windows of a length in milliseconds, which is 1 at least.
+    /// Creates windows of a length in milliseconds; 0 counts as 1.
     pub fn new(length: Millis) -> Self {
         let length = length.max(1);
         Self { length }
     }
 
-    /// The window of a time, in milliseconds since 1970.
+    /// Returns the number of the window that contains a time, in milliseconds since 1970.
     ///
     /// # Examples
     ///
@@ -28,7 +28,7 @@
         at / self.length
     }
 
-    /// When a window ends, in milliseconds since 1970.
+    /// Returns when a window ends, in milliseconds since 1970.
     pub fn end(self, window: u64) -> Millis {
         (window + 1).saturating_mul(self.length)
     }
--- a/crates/usage/tests/dropped_windows.rs
+++ b/crates/usage/tests/dropped_windows.rs
@@ -1,4 +1,4 @@
-//! What a keeper knows of an entry instance whose oldest windows are dropped, or not closed for long.
+//! Tests of stored snapshots when an entry instance drops its oldest windows or keeps one open for long.
 
 use std::sync::Arc;
 
@@ -17,13 +17,13 @@
 /// Length of a window, in milliseconds.
 const LENGTH: u64 = 5_000;
 
-/// Time between two words of an entry instance, in milliseconds.
+/// Time between two snapshots of an entry instance, in milliseconds.
 const PUSH: u64 = 500;
 
-/// Windows that an entry instance keeps.
+/// Closed windows that an entry instance keeps.
 const KEPT: u64 = 24;
 
-/// The first window.
+/// Number of the first window.
 const FIRST: u64 = 1_000;
 
 fn team() -> Arc<str> {
@@ -45,16 +45,16 @@
     meter.finish_request(&attempts, &team());
 }
 
-fn known(store: &SnapshotStore, window: u64) -> u64 {
-    let shares = store.window_counts(window);
-    let counts = shares.iter().flat_map(|share| &share.counts);
+fn stored_count(store: &SnapshotStore, window: u64) -> u64 {
+    let windows = store.window_counts(window);
+    let counts = windows.iter().flat_map(|window| &window.counts);
     counts.map(|(_, count)| count).sum()
 }
 
-// An entry instance that had served for longer than windows are kept dropped its oldest one; its keeper took all it
-// told until the next window was closed for old words, and what it had counted was lost when it was killed.
+// Guards against lost counts: an entry instance that has run for longer than windows are kept drops its oldest window.
+// Its next snapshots were taken for older ones until it closed another window, and were lost when it was killed.
 #[test]
-fn what_is_counted_after_the_oldest_window_was_dropped_is_known_to_the_keeper() {
+fn counts_after_the_oldest_window_was_dropped_are_stored() {
     let mut meter = Meter::new(Windows::new(LENGTH), FIRST * LENGTH);
     let mut store = SnapshotStore::default();
     let last = FIRST + KEPT + 4;
@@ -65,7 +65,7 @@
         }
     }
 
-    // The first of these words closes the last window.
+    // The first of these snapshots closes the last window.
     for at in 0..20 {
         let now = last * LENGTH + at * 100;
         count(&mut meter, now);
@@ -74,18 +74,18 @@
         }
     }
 
-    assert_eq!(known(&store, last), 20);
-    assert_eq!(known(&store, last - 1), 50);
+    assert_eq!(stored_count(&store, last), 20);
+    assert_eq!(stored_count(&store, last - 1), 50);
 }
 
-// An older word that came late took the place of a newer one.
+// Guards against an older snapshot that arrives late and replaces a newer one.
 #[parameterized(
     nothing_counted_yet = { 10, &[] },
     counted_less = { 10, &[(11, 2)] },
     a_window_is_missing = { 10, &[(12, 4)] },
     closed_less = { 9, &[(11, 3), (12, 9)] },
 )]
-fn an_older_word_changes_nothing(through: u64, windows: &[(u64, u64)]) {
+fn an_older_snapshot_changes_nothing(through: u64, windows: &[(u64, u64)]) {
     let newer = [(11, 3), (12, 4)].map(|(window, sum)| (window, one(sum)));
     let newer = Snapshot {
         through: 10,
@@ -101,13 +101,13 @@
 
     store.update(source(), older);
 
-    assert_eq!((known(&store, 11), known(&store, 12)), (3, 4));
+    assert_eq!((stored_count(&store, 11), stored_count(&store, 12)), (3, 4));
 }
 
-// One slow request held a window open for two minutes; its instance told what it counted meanwhile, and was killed, and
-// the keeper knew of nothing.
+// Guards against lost counts behind a slow request: it kept a window open for two minutes, and the snapshots that its
+// instance sent in that time, before it was killed, were ignored.
 #[test]
-fn what_is_counted_behind_a_window_that_is_open_for_long_is_known_to_the_keeper() {
+fn counts_behind_a_window_that_is_open_for_long_are_stored() {
     let mut meter = Meter::new(Windows::new(LENGTH), FIRST * LENGTH);
     let mut slow = RequestAttempts::default();
     meter.start_request(&mut slow, FIRST * LENGTH);
@@ -120,25 +120,25 @@
         store.update(source(), meter.snapshot(window * LENGTH + 400));
     }
 
-    assert_eq!(known(&store, last), 1);
-    assert_eq!(known(&store, last - 1), 1);
+    assert_eq!(stored_count(&store, last), 1);
+    assert_eq!(stored_count(&store, last - 1), 1);
 }
 
 proptest! {
-    // A keeper that heard every word knew less of the newest windows than the instance had told.
+    // Guards against a store that received every snapshot but has lower counts of the newest windows than they state.
     #[test]
-    fn a_keeper_knows_the_newest_windows_as_they_were_told(
+    fn a_store_has_the_newest_windows_as_the_snapshots_state_them(
         pauses in proptest::collection::vec(0..LENGTH, 1..200),
-        told in proptest::collection::vec(any::<bool>(), 200),
+        is_sent in proptest::collection::vec(any::<bool>(), 200),
     ) {
         let mut meter = Meter::new(Windows::new(LENGTH), FIRST * LENGTH);
         let mut store = SnapshotStore::default();
         let mut now = FIRST * LENGTH;
 
-        for (pause, told) in pauses.iter().zip(told) {
+        for (pause, is_sent) in pauses.iter().zip(is_sent) {
             now += pause;
             count(&mut meter, now);
-            if !told {
+            if !is_sent {
                 continue;
             }
             let snapshot = meter.snapshot(now);
@@ -147,7 +147,7 @@
             for (window, counts) in &snapshot.windows {
                 if window + KEPT > snapshot.through {
                     let sum: u64 = counts.iter().map(|(_, count)| count).sum();
-                    prop_assert_eq!(known(&store, *window), sum, "window {}", window);
+                    prop_assert_eq!(stored_count(&store, *window), sum, "window {}", window);
                 }
             }
         }
@@ -155,15 +155,15 @@
 }
 
 proptest! {
-    // A window that had been reported and was no longer among the reports that are kept was counted and reported again
-    // with another figure, after a holder whose clock is behind, or a pause for longer than reports are kept.
+    // Guards against reporting a window again with other counts once its report is no longer kept, after a leader whose
+    // clock is behind or a pause for longer than reports are kept.
     #[test]
-    fn no_window_is_reported_twice_whatever_the_holders_clocks_say(
+    fn no_window_is_reported_twice_whatever_the_clocks_of_leaders_say(
         times in proptest::collection::vec(0..KEPT * LENGTH * 4, 1..200),
-        begun in 0..KEPT * LENGTH * 4,
+        start_offset in 0..KEPT * LENGTH * 4,
     ) {
         let start = FIRST * LENGTH;
-        let mut ledger = Ledger::new(Windows::new(LENGTH), start + begun);
+        let mut ledger = Ledger::new(Windows::new(LENGTH), start + start_offset);
         let mut reported = Vec::new();
 
         for time in times {
--- a/crates/usage/tests/usage.rs
+++ b/crates/usage/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counting requests by window, and reporting each window once.
+//! Tests of counting requests by window and of reporting each window once.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
         .collect()
 }
 
-fn share(source: &str, closed: bool, all: &[(&str, u64)]) -> WindowCounts {
+fn window_counts(source: &str, closed: bool, all: &[(&str, u64)]) -> WindowCounts {
     WindowCounts {
         source: (source.into(), 1),
         closed,
@@ -40,31 +40,31 @@
     }
 }
 
-fn live(all: &[&str]) -> Set<(Arc<str>, u64)> {
+fn live_sources(all: &[&str]) -> Set<(Arc<str>, u64)> {
     all.iter().map(|name| ((*name).into(), 1)).collect()
 }
 
-// A request that was tried three times counted three times, one that was turned away unrun once, and one whose caller
-// had left not at all.
+// Guards against counting each attempt at a request, counting a request that was rejected without being executed, and
+// not counting one whose caller disconnected.
 #[parameterized(
     answered = { &[(10_100, false)], Some((2, 1)) },
-    refused = { &[(10_100, true)], None },
-    refused_then_answered = { &[(10_100, true), (10_300, false)], Some((2, 1)) },
-    tried_twice = { &[(10_100, false), (10_300, false)], Some((2, 1)) },
-    nowhere_sent = { &[], None },
-    ran_in_the_next_window = { &[(14_990, true), (15_010, false)], Some((3, 1)) },
+    rejected = { &[(10_100, true)], None },
+    rejected_then_answered = { &[(10_100, true), (10_300, false)], Some((2, 1)) },
+    attempted_twice = { &[(10_100, false), (10_300, false)], Some((2, 1)) },
+    never_sent = { &[], None },
+    executed_in_the_next_window = { &[(14_990, true), (15_010, false)], Some((3, 1)) },
 )]
-fn a_request_counts_once_where_it_began_to_run(
-    tries: &[(u64, bool)],
+fn a_request_counts_once_in_the_window_of_its_first_execution(
+    sends: &[(u64, bool)],
     expected: Option<(u64, u64)>,
 ) {
     let mut meter = Meter::new(windows(), 10_000);
     let mut attempts = RequestAttempts::default();
     meter.start_request(&mut attempts, 10_050);
 
-    for (at, unrun) in tries {
+    for (at, is_unexecuted) in sends {
         let number = attempts.record_send(*at);
-        if *unrun {
+        if *is_unexecuted {
             attempts.mark_unexecuted(number);
         }
     }
@@ -78,9 +78,9 @@
     assert_eq!((snapshot.through, found), (3, expected));
 }
 
-// A window was reported while a request of it was still at its upstream.
+// Guards against reporting a window while an upstream still processes a request of it.
 #[test]
-fn a_window_stays_open_while_a_request_of_it_is_under_way() {
+fn a_window_stays_open_while_a_request_of_it_is_in_progress() {
     let mut meter = Meter::new(windows(), 10_000);
     let (mut slow, mut quick) = (RequestAttempts::default(), RequestAttempts::default());
     meter.start_request(&mut slow, 12_000);
@@ -100,9 +100,9 @@
     );
 }
 
-// The wall clock was set back by two seconds, and requests were counted in a window that was reported.
+// Guards against counting requests in a reported window after the wall clock was set back by two seconds.
 #[test]
-fn a_clock_that_is_set_back_opens_no_window_that_is_closed() {
+fn a_clock_that_is_set_back_does_not_reopen_a_window() {
     let mut meter = Meter::new(windows(), 10_000);
     assert_eq!(meter.snapshot(15_100).through, 2);
     let mut attempts = RequestAttempts::default();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_meter_that_nobody_asks_stays_bounded() {
+fn a_meter_stays_bounded_without_reports() {
     let mut meter = Meter::new(windows(), 0);
 
     for at in 0..500 {
@@ -126,14 +126,15 @@
         meter.snapshot(at * LENGTH);
     }
 
-    // Those that may still be reported, and the one that is not closed.
+    // The windows that can still be reported, and the open one.
     assert!(meter.snapshot(500 * LENGTH).windows.len() <= 25);
 }
 
-// The store was away and the holder changed: by the time somebody could report, twelve windows had gone by, and the
-// entries had dropped the first ones (0 and 0 requests reported of 48 and 24).
+// Guards against dropping windows before they are reported: the platform's store was unreachable and the leader changed,
+// so twelve windows passed without a report, and entry instances had dropped the first ones (0 and 0 requests were
+// reported of 48 and 24).
 #[test]
-fn a_window_is_kept_for_as_long_as_it_may_be_reported() {
+fn a_window_is_kept_while_it_can_be_reported() {
     let mut meter = Meter::new(windows(), LENGTH * 10);
     let mut attempts = RequestAttempts::default();
     meter.start_request(&mut attempts, LENGTH * 10);
@@ -148,9 +149,9 @@
     assert_eq!(kept, [(10, counts(&[("a", 1)]))]);
 }
 
-// A late word of an entry instance, which had counted less, took the place of a newer one.
+// Guards against a late snapshot with lower counts that replaces a newer one.
 #[test]
-fn an_older_tally_changes_nothing() {
+fn an_older_snapshot_changes_nothing() {
     let mut store = SnapshotStore::default();
     let snapshot = |through, count| Snapshot {
         through,
@@ -161,11 +162,14 @@
     store.update(("e1".into(), 1), snapshot(6, 9));
     store.update(("e1".into(), 1), snapshot(7, 4));
 
-    assert_eq!(store.window_counts(7), [share("e1", true, &[("a", 5)])]);
+    assert_eq!(
+        store.window_counts(7),
+        [window_counts("e1", true, &[("a", 5)])]
+    );
 }
 
 #[test]
-fn a_keeper_stays_bounded_over_many_starts() {
+fn a_store_stays_bounded_over_many_starts() {
     let mut store = SnapshotStore::default();
 
     for start in 0..20_000 {
@@ -179,90 +183,102 @@
     assert!(store.window_counts(2_000).len() <= 300);
 }
 
-// An instance was killed: what its keeper had of it counts, beside its next start, and nobody waits for it.
+// The stored counts of a killed instance are added to those of its next start, and the leader does not wait for it.
 #[test]
-fn what_a_killed_instance_had_told_counts() {
+fn the_stored_counts_of_a_killed_instance_are_reported() {
     let ledger = Ledger::new(windows(), 10_000);
-    let mut killed = share("e1", false, &[("a", 3)]);
+    let mut killed = window_counts("e1", false, &[("a", 3)]);
     killed.source.1 = 0;
-    let shares = vec![
+    let counts_by_source = vec![
         killed,
-        share("e1", true, &[("a", 1)]),
-        share("e2", true, &[("b", 2)]),
+        window_counts("e1", true, &[("a", 1)]),
+        window_counts("e2", true, &[("b", 2)]),
     ];
 
-    let live = live(&["e1", "e2"]);
-    let early = ledger.aggregate(2, shares.clone(), &live, 700, false);
-    let report = ledger.aggregate(2, shares, &live, 1_500, false).unwrap();
+    let live = live_sources(&["e1", "e2"]);
+    let early = ledger.aggregate(2, counts_by_source.clone(), &live, 700, false);
+    let report = ledger
+        .aggregate(2, counts_by_source, &live, 1_500, false)
+        .unwrap();
 
     assert_eq!(early, None);
     assert_eq!(report.counts, counts(&[("a", 4), ("b", 2)]));
 }
 
-// An instance had started a moment ago, and the leader did not know yet that it lives: the window was reported without
-// what it had counted in the last part of a second (18 and 9 requests of 20 and 10).
+// Guards against incomplete reports after an instance starts: the leader did not know yet that the instance was alive,
+// and reported the window without what it had counted in the last fraction of a second (18 and 9 requests of 20 and 10).
 #[test]
-fn an_instance_that_is_not_known_yet_is_waited_for() {
+fn a_report_waits_for_an_instance_that_is_not_known_yet() {
     let ledger = Ledger::new(windows(), 10_000);
-    let (known, new) = (share("e1", true, &[]), share("e2", false, &[("a", 2)]));
+    let (known, new) = (
+        window_counts("e1", true, &[]),
+        window_counts("e2", false, &[("a", 2)]),
+    );
 
-    let early = ledger.aggregate(2, vec![known.clone(), new], &live(&["e1"]), 700, false);
-    let told = vec![known, share("e2", true, &[("a", 5)])];
+    let early = ledger.aggregate(
+        2,
+        vec![known.clone(), new],
+        &live_sources(&["e1"]),
+        700,
+        false,
+    );
+    let complete = vec![known, window_counts("e2", true, &[("a", 5)])];
     let report = ledger
-        .aggregate(2, told, &live(&["e1"]), 1_000, false)
+        .aggregate(2, complete, &live_sources(&["e1"]), 1_000, false)
         .unwrap();
 
     assert_eq!((early, report.counts), (None, counts(&[("a", 5)])));
 }
 
-// Two keepers had the same instance, since it changed between them; it was counted twice.
+// Guards against counting an instance twice that has changed the instance which stores its snapshots, so that two have
+// one.
 #[test]
-fn an_instance_that_two_keepers_know_counts_once() {
+fn an_instance_in_two_stores_counts_once() {
     let ledger = Ledger::new(windows(), 10_000);
-    let shares = vec![
-        share("e1", false, &[("a", 2)]),
-        share("e1", true, &[("a", 5)]),
+    let counts_by_source = vec![
+        window_counts("e1", false, &[("a", 2)]),
+        window_counts("e1", true, &[("a", 5)]),
     ];
 
     let report = ledger
-        .aggregate(2, shares, &live(&["e1"]), 700, false)
+        .aggregate(2, counts_by_source, &live_sources(&["e1"]), 700, false)
         .unwrap();
 
     assert_eq!(report.counts, counts(&[("a", 5)]));
 }
 
 #[parameterized(
-    heard_of_all = { &[("e1", true), ("e2", true)], false, true },
+    all_closed = { &[("e1", true), ("e2", true)], false, true },
     one_open = { &[("e1", true), ("e2", false)], false, false },
-    one_silent = { &[("e1", true)], false, false },
-    one_silent_and_late = { &[("e1", true)], true, true },
+    one_missing = { &[("e1", true)], false, false },
+    one_missing_and_late = { &[("e1", true)], true, true },
 )]
-fn a_report_waits_for_all_that_live_until_it_is_late(
-    told: &[(&str, bool)],
+fn a_report_waits_for_all_live_instances_until_it_is_late(
+    sources: &[(&str, bool)],
     late: bool,
     expected: bool,
 ) {
     let ledger = Ledger::new(windows(), 10_000);
-    let shares: Vec<_> = told
+    let counts_by_source: Vec<_> = sources
         .iter()
-        .map(|(name, closed)| share(name, *closed, &[]))
+        .map(|(name, closed)| window_counts(name, *closed, &[]))
         .collect();
-    let live = live(&["e1", "e2"]);
+    let live = live_sources(&["e1", "e2"]);
 
-    let report = ledger.aggregate(2, shares.clone(), &live, 1_500, late);
+    let report = ledger.aggregate(2, counts_by_source.clone(), &live, 1_500, late);
 
     assert_eq!(report.is_some(), expected);
     assert_eq!(
-        Ledger::missing_sources(&shares, &live).is_empty(),
+        Ledger::missing_sources(&counts_by_source, &live).is_empty(),
         expected && !late
     );
 }
 
-// A window without requests is reported too: what is missing cannot be told from what was lost.
+// A window without requests is reported too, since a missing report could not be told from a lost one.
 #[test]
-fn windows_follow_one_another_without_a_gap() {
+fn windows_are_reported_without_gaps() {
     let mut ledger = Ledger::new(windows(), 10_000);
-    let mut windows_seen = Vec::new();
+    let mut reported = Vec::new();
 
     for now in (10_000..40_000).step_by(500) {
         if let NextAction::Collect(window) = ledger.next_action(windows(), now) {
@@ -270,16 +286,16 @@
                 .aggregate(window, Vec::new(), &Set::default(), 700, false)
                 .unwrap();
             ledger.record(report);
-            windows_seen.push(window);
+            reported.push(window);
         }
     }
 
-    assert_eq!(windows_seen, [2, 3, 4, 5, 6]);
+    assert_eq!(reported, [2, 3, 4, 5, 6]);
 }
 
-// A successor that had collected other figures reported a window once more with those.
+// Guards against a new leader that collected other counts and reports a window again with those.
 #[test]
-fn a_window_is_reported_with_one_figure() {
+fn a_window_is_not_reported_again_with_other_counts() {
     let mut ledger = Ledger::new(windows(), 10_000);
     let report = |count| usage::Report {
         window: 2,
@@ -293,8 +309,8 @@
 }
 
 proptest! {
-    // However requests, snapshots and the ends of windows interleave, each request counts in one window at most, once,
-    // and no window changes after it was said to be closed.
+    // However requests, snapshots and the ends of windows interleave, each request counts once, in one window, and no
+    // window changes after a snapshot stated it as closed.
     #[test]
     fn a_closed_window_never_changes(steps in prop::collection::vec((0_u8..4, 0_u64..900), 1..120)) {
         let mut meter = Meter::new(windows(), 100_000);
@@ -302,10 +318,10 @@
         let mut open: Vec<RequestAttempts> = Vec::new();
         let mut ended = 0;
         let mut closed: Vec<(u64, Counts)> = Vec::new();
-        let mut told = std::collections::BTreeMap::new();
-        for (what, time) in steps {
+        let mut counted = std::collections::BTreeMap::new();
+        for (operation, time) in steps {
             now += time;
-            match what {
+            match operation {
                 0 => {
                     let mut attempts = RequestAttempts::default();
                     meter.start_request(&mut attempts, now);
@@ -319,7 +335,7 @@
                 }
                 _ => {
                     let snapshot = meter.snapshot(now);
-                    told.extend(snapshot.windows.iter().map(|(window, counts)| (*window, counts[0].1)));
+                    counted.extend(snapshot.windows.iter().map(|(window, counts)| (*window, counts[0].1)));
                     for (window, counts) in &closed {
                         let held = snapshot.windows.iter().find(|(number, _)| number == window);
                         if snapshot.windows.first().is_some_and(|(first, _)| first <= window) {
@@ -330,10 +346,10 @@
                 }
             }
         }
-        // Each request is told, in one window, however long others held it open.
+        // Each request appears in one window, however long other requests kept the window open.
         for (window, counts) in meter.snapshot(now).windows {
-            told.insert(window, counts[0].1);
+            counted.insert(window, counts[0].1);
         }
-        prop_assert_eq!(told.values().sum::<u64>(), ended);
+        prop_assert_eq!(counted.values().sum::<u64>(), ended);
     }
 }
