--- a/crates/bench/src/swap.rs
+++ b/crates/bench/src/swap.rs
@@ -6,9 +6,9 @@
 
 use kernel::Map;
 use load::Table;
-use weight::Aim;
-use weight::swap::Seen;
-use weight::swap::Swap;
+use weight::Target;
+use weight::scheduler::EngineState;
+use weight::scheduler::LoadScheduler;
 
 /// Models.
 const MODELS: usize = 6;
@@ -16,9 +16,9 @@
 /// Choices that are timed together.
 const TIMES: u32 = 20;
 
-fn seen(at: usize) -> Seen {
+fn seen(at: usize) -> EngineState {
     let models = (0..MODELS).map(|model| (format!("m{model}").into(), 1));
-    Seen {
+    EngineState {
         id: format!("i-{at:010x}").into(),
         models: models.collect(),
         running: (at % 6) as u32,
@@ -28,13 +28,13 @@
 }
 
 /// Versions of models whose steps differ in what they ask for.
-fn aims() -> Map<Arc<str>, Aim> {
-    let aim = |model: usize| Aim {
+fn aims() -> Map<Arc<str>, Target> {
+    let aim = |model: usize| Target {
         newest: 2,
         oldest: 2,
         work: 1_000 + 300 * model as u64,
-        samples: 200,
-        ..Aim::default()
+        concurrent_samples: 200,
+        ..Target::default()
     };
     let aims = (0..MODELS).map(|model| (format!("m{model}").into(), aim(model)));
     aims.collect()
@@ -45,9 +45,9 @@
     let mut table = Table::default();
     for engines in [100, 1_000, 10_000, 20_000] {
         let all: Vec<_> = (0..engines).map(seen).collect();
-        let (aims, mut swap) = (aims(), Swap::default());
+        let (aims, mut swap) = (aims(), LoadScheduler::default());
         let begun = Instant::now();
-        black_box(swap.next(&all, 200, &aims));
+        black_box(swap.schedule(&all, 200, &aims));
         let first = begun.elapsed().as_secs_f64() * 1e3;
         table.row(
             format!("{engines} engines: ms of the first choice"),
@@ -55,7 +55,7 @@
         );
         let begun = Instant::now();
         for _ in 0..TIMES {
-            black_box(swap.next(black_box(&all), 200, &aims));
+            black_box(swap.schedule(black_box(&all), 200, &aims));
         }
         let each = begun.elapsed().as_secs_f64() * 1e3 / f64::from(TIMES);
         table.row(
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -9,8 +9,8 @@
 use kernel::Map;
 use kernel::Name;
 use plat::Client;
-use route::Kind;
-use route::Spec;
+use route::UpstreamKind;
+use route::UpstreamSpec;
 use serve::Settings;
 use tokio::task::JoinHandle;
 use wire::peer;
@@ -59,9 +59,9 @@
         let plat = Client::new(settings.platform.clone());
         let http = net::Client::new();
         let clock = Clock::default();
-        let mut engines: Map<Name, Vec<Spec>> = Map::default();
+        let mut engines: Map<Name, Vec<UpstreamSpec>> = Map::default();
         for spec in &settings.upstreams {
-            if spec.kind == Kind::Engine && spec.domain == settings.me.domain {
+            if spec.kind == UpstreamKind::Engine && spec.domain == settings.me.domain {
                 engines
                     .entry(spec.pool.clone())
                     .or_default()
--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -11,11 +11,11 @@
 use plat::holder;
 use plat::holder::Taken;
 use plat::keys;
-use route::Spec;
+use route::UpstreamSpec;
 use serve::audit;
 use serve::weights::Version;
 use tokio::task::JoinSet;
-use weight::Act;
+use weight::Action;
 use weight::Plan;
 use wire::engine::Order;
 
@@ -48,7 +48,7 @@
     pub(crate) model: Name,
     pub(crate) domain: Name,
     pub(crate) instance: Name,
-    pub(crate) engines: Vec<Spec>,
+    pub(crate) engines: Vec<UpstreamSpec>,
     pub(crate) sources: Sources,
     pub(crate) plat: Client,
     pub(crate) http: net::Client,
@@ -158,15 +158,15 @@
                 Ok((Some(stated), engine)) => {
                     // Nothing was announced yet: what the engines came with is the version.
                     if plan.target() == 0 {
-                        plan.announce(stated.single().unwrap_or(0));
+                        plan.announce(stated.single_version().unwrap_or(0));
                     }
-                    plan.state(&engine.name, &stated, now);
+                    plan.record_state(&engine.name, &stated, now);
                 }
-                Ok((None, engine)) => plan.lost(&engine.name),
+                Ok((None, engine)) => plan.remove_engine(&engine.name),
                 Err(_) => (),
             }
         }
-        let acts = plan.next(self.clock.now());
+        let acts = plan.next_actions(self.clock.now());
         for act in acts {
             if !self.act(act, lease).await {
                 return Turn::Lost;
@@ -176,16 +176,16 @@
     }
 
     /// Does one thing; tells whether the lease is still ours.
-    async fn act(&self, act: Act, lease: &Lease<Held>) -> bool {
+    async fn act(&self, act: Action, lease: &Lease<Held>) -> bool {
         let fence = lease.fencing_token().0;
         match act {
-            Act::Order { engine, version } => self.order(&engine, version, lease).await,
-            Act::Quarantine { engine, why } => {
-                let why = format!("{why:?}");
-                audit::line(&self.instance, "quarantined", &engine, "", &why, fence);
+            Action::Order { engine, version } => self.order(&engine, version, lease).await,
+            Action::Quarantine { engine, reason } => {
+                let reason = format!("{reason:?}");
+                audit::line(&self.instance, "quarantined", &engine, "", &reason, fence);
                 true
             }
-            Act::Release { engine } => {
+            Action::Release { engine } => {
                 audit::line(&self.instance, "out of quarantine", &engine, "", "", fence);
                 true
             }
--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -7,10 +7,10 @@
 use kernel::Millis;
 use table::Config;
 use table::Route;
-use team::Bounds;
 use team::Credential;
 use team::Denial;
 use team::Principal;
+use team::StalenessLimits;
 
 use crate::App;
 use crate::dialect::Caller;
@@ -25,11 +25,11 @@
     app.roster.lock().age(app.clock.now())
 }
 
-fn bounds(app: &App) -> Bounds {
+fn bounds(app: &App) -> StalenessLimits {
     let settings = &app.settings;
-    Bounds {
-        sure: settings.apply / FRESH,
-        closed: settings.closed.then_some(settings.revoke),
+    StalenessLimits {
+        reject_unknown: settings.apply / FRESH,
+        fail_closed: settings.closed.then_some(settings.revoke),
     }
 }
 
@@ -37,7 +37,7 @@
 /// known here.
 pub(crate) fn missing(app: &App, age: Option<Millis>) -> Refusal {
     match age {
-        Some(age) if age <= bounds(app).sure => Refusal::Missing,
+        Some(age) if age <= bounds(app).reject_unknown => Refusal::Missing,
         _ => Refusal::Unrun,
     }
 }
@@ -57,7 +57,7 @@
     let Some(plan) = app.plan.load_full() else {
         // What was submitted without a key is found without one; with one nothing is known of its team.
         return match caller.credential {
-            Credential::None => Ok(Principal::Any),
+            Credential::None => Ok(Principal::NoTeams),
             Credential::Malformed | Credential::Key(_) => Err(Refusal::Unrun),
         };
     };
@@ -75,7 +75,7 @@
         Denial::Missing => ("no key", Refusal::Unauthorized),
         Denial::Malformed => ("no proper key", Refusal::Unauthorized),
         Denial::Unknown => ("nobody holds the key", Refusal::Unauthorized),
-        Denial::Unsure => ("the configuration may be too old", Refusal::Unrun),
+        Denial::StaleConfig => ("the configuration may be too old", Refusal::Unrun),
     };
     log::info!(target: "front", id = &*caller.id, why, version = plan.version, age_ms = age,
         outcome = refusal.name(); "key refused");
@@ -86,7 +86,7 @@
 pub(crate) fn is_closed(app: &App) -> bool {
     let plan = app.plan.load();
     let keys = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
-    let Some(bound) = bounds(app).closed.filter(|_| keys) else {
+    let Some(bound) = bounds(app).fail_closed.filter(|_| keys) else {
         return false;
     };
     age(app).is_none_or(|age| age > bound)
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -9,11 +9,11 @@
 use kernel::Set;
 use table::Upstream;
 use tokio::task::JoinSet;
-use weight::Aim;
+use weight::Target;
 use weight::Version;
-use weight::swap::Load;
-use weight::swap::Seen;
-use weight::swap::Swap;
+use weight::scheduler::EngineState;
+use weight::scheduler::LoadOrder;
+use weight::scheduler::LoadScheduler;
 
 use super::office::Office;
 use super::targets::Targets;
@@ -46,7 +46,7 @@
 pub struct Orders<'a> {
     app: &'a Arc<App>,
     office: &'a Office,
-    swaps: Map<Arc<str>, Swap>,
+    swaps: Map<Arc<str>, LoadScheduler>,
     /// Engines that were ordered and of which nothing more is asked for a while.
     ordered: Map<Arc<str>, Loading>,
     /// Engines that did not state how they are, with the time until which they are left alone.
@@ -97,7 +97,7 @@
         engines.cloned().collect()
     }
 
-    async fn serve(&mut self, service: &Arc<str>, aims: &Map<Arc<str>, Aim>) {
+    async fn serve(&mut self, service: &Arc<str>, aims: &Map<Arc<str>, Target>) {
         let engines = self.engines(service);
         let part = self.app.settings.part * engines.len() as f64;
         let width = (part.round() as usize).max(1);
@@ -106,7 +106,7 @@
         // What the list says is a second or two old, so an engine states its versions itself
         // before it is ordered. Only those are asked that could be ordered now: asking all cost
         // 32,580 probes on a day with 48 engines.
-        let due = swap.next(&self.seen(&engines, &Map::default()), SPARE * room, aims);
+        let due = swap.schedule(&self.seen(&engines, &Map::default()), SPARE * room, aims);
         if due.is_empty() {
             self.swaps.insert(service.clone(), swap);
             return;
@@ -116,7 +116,7 @@
         let silent = due.iter().filter(|load| !states.contains_key(&load.id));
         let silent = silent.map(|load| (load.id.clone(), until));
         self.silent.extend(silent);
-        let loads = swap.next(&self.seen(&engines, &states), room, aims);
+        let loads = swap.schedule(&self.seen(&engines, &states), room, aims);
         self.swaps.insert(service.clone(), swap);
         let engines: Map<_, _> = engines.iter().map(|one| (&one.id, one)).collect();
         let orders = loads.iter().filter_map(|load| {
@@ -130,7 +130,7 @@
     }
 
     /// Asks engines that may have to load for their state.
-    async fn ask(&self, engines: &[Arc<Upstream>], due: &[Load]) -> Map<Arc<str>, Stated> {
+    async fn ask(&self, engines: &[Arc<Upstream>], due: &[LoadOrder]) -> Map<Arc<str>, Stated> {
         let mut asks = JoinSet::new();
         let due: Set<_> = due.iter().map(|load| &load.id).collect();
         for one in engines {
@@ -147,7 +147,7 @@
         answers.into_iter().flatten().collect()
     }
 
-    fn seen(&self, engines: &[Arc<Upstream>], states: &Map<Arc<str>, Stated>) -> Vec<Seen> {
+    fn seen(&self, engines: &[Arc<Upstream>], states: &Map<Arc<str>, Stated>) -> Vec<EngineState> {
         let fleet = self.app.fleet.lock();
         let one = |one: &Arc<Upstream>| {
             let ordered = self.ordered.get(&one.id);
@@ -158,7 +158,7 @@
                 let loading = loading.map_or(0, |load| load.version);
                 (model.clone(), seen.max(loading))
             };
-            Seen {
+            EngineState {
                 id: one.id.clone(),
                 models: one.weights.iter().map(newest).collect(),
                 slots: one.slots,
@@ -175,7 +175,7 @@
     async fn order(
         &self,
         engine: &Arc<Upstream>,
-        load: &Load,
+        load: &LoadOrder,
         state: &Stated,
     ) -> Option<(Arc<str>, Loading)> {
         let now = self.app.clock.now();
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -11,8 +11,8 @@
 use plat::Item;
 use plat::PlatError;
 use tokio::time::sleep;
-use weight::Aim;
 use weight::Demand;
+use weight::Target;
 use weight::Version;
 
 use crate::App;
@@ -38,9 +38,11 @@
 
 impl Targets {
     /// The versions that are worth having, of each model of which one was announced.
-    pub fn aims(&self, now: Millis) -> Map<Arc<str>, Aim> {
+    pub fn aims(&self, now: Millis) -> Map<Arc<str>, Target> {
         let all = self.all.lock();
-        let aims = all.iter().map(|(model, demand)| (model, demand.aim(now)));
+        let aims = all
+            .iter()
+            .map(|(model, demand)| (model, demand.target(now)));
         aims.filter(|(_, aim)| aim.newest > 0)
             .map(|(model, aim)| (model.clone(), aim))
             .collect()
@@ -49,7 +51,9 @@
     /// Notes an announced version; tells whether it is new.
     pub fn announce(&self, model: Arc<str>, version: Version, now: Millis) -> bool {
         let mut all = self.all.lock();
-        all.entry(model).or_default().announced(version, now)
+        all.entry(model)
+            .or_default()
+            .record_announcement(version, now)
     }
 
     /// Notes a step.
@@ -57,7 +61,7 @@
         let mut all = self.all.lock();
         let demand = all.entry(head.model.clone()).or_default();
         let samples = u64::from(head.total);
-        demand.opened(head.min_version, head.work, samples, head.opened);
+        demand.record_step(head.min_version, head.work, samples, head.opened);
     }
 }
 
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -23,8 +23,8 @@
 use spread::SyncState;
 use spread::Update;
 use spread::timing;
-use usage::Share;
-use usage::Tally;
+use usage::Snapshot;
+use usage::WindowCounts;
 
 use crate::App;
 use crate::message::Ask;
@@ -191,7 +191,7 @@
 }
 
 /// Tells a keeper what this instance has counted; whether it has heard.
-pub async fn tally(app: &App, keeper: SocketAddr, tally: Tally) -> bool {
+pub async fn tally(app: &App, keeper: SocketAddr, tally: Snapshot) -> bool {
     let owner = app.me.clone();
     ask(app, keeper, &Ask::Tally { owner, tally }, LIMIT)
         .await
@@ -199,7 +199,7 @@
 }
 
 /// Asks another instance what it knows of the requests of a window.
-pub async fn shares(app: &App, to: SocketAddr, window: u64) -> Option<Vec<Share>> {
+pub async fn shares(app: &App, to: SocketAddr, window: u64) -> Option<Vec<WindowCounts>> {
     match ask(app, to, &Ask::Shares(window), LIMIT).await? {
         Told::Shares(shares) => Some(shares),
         _ => None,
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,140 +1,148 @@
-//! Health of an upstream as one instance sees it.
+//! Health of an upstream as observed by one instance.
 
 use kernel::Millis;
 
-/// Failures in a row after which an upstream is ejected.
-const FAILURES: u32 = 3;
+/// Consecutive failures after which an upstream is ejected.
+const MAX_FAILURES: u32 = 3;
 
-/// First time out; it doubles with each ejection that follows soon.
-const FIRST: Millis = 1_000;
+/// Duration of the first ejection in milliseconds. It doubles with each further ejection that comes
+/// within [`MAX_EJECTION_MS`] after the end of the last.
+const FIRST_EJECTION_MS: Millis = 1_000;
 
-/// Longest time out.
-const LONGEST: Millis = 30_000;
+/// Longest duration of an ejection in milliseconds.
+const MAX_EJECTION_MS: Millis = 30_000;
 
-/// Doublings after which the time out stays at [`LONGEST`].
-const DOUBLINGS: u32 = 5;
+/// Doublings after which an ejection lasts [`MAX_EJECTION_MS`].
+const MAX_DOUBLINGS: u32 = 5;
 
-/// Time over which an upstream that returns gets its whole share back.
-const RETURN: Millis = 5_000;
+/// Time in milliseconds over which an upstream regains its whole window after an ejection.
+const RECOVERY_MS: Millis = 5_000;
 
-/// Smallest part of its window that a returning upstream has.
-const RETURN_FLOOR: f64 = 0.1;
+/// Smallest fraction of its window that a recovering upstream has.
+const MIN_RECOVERY_FRACTION: f64 = 0.1;
 
-/// Whether an upstream may get new work.
+/// Whether an upstream may be sent new requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
-    /// It may, up to this part of its window.
+pub enum Availability {
+    /// It may, up to this fraction of its concurrency window.
     Open(f64),
-    /// It is out because of failures.
+    /// It may not for some time, because of consecutive failures.
     Ejected,
-    /// It is leaving, or has left.
+    /// It may not: it is leaving, or has left.
     Leaving,
-    /// It contradicted itself and waits for an operator's or the control's word.
+    /// It may not until an operator or the control service releases it, because it reported
+    /// contradictory state.
     Quarantined,
 }
 
-/// Who says that an upstream is leaving. Whoever says so first counts, and each takes back only
-/// its own word.
+/// Which source states that an upstream is leaving.
+///
+/// The upstream is leaving while either source says so; a source can clear only its own statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    /// The platform's list.
-    Listed,
-    /// The upstream itself.
-    Said,
+pub enum LeavingSource {
+    /// The platform's list of instances.
+    Platform,
+    /// A response or load report of the upstream.
+    Upstream,
 }
 
-/// Health of one upstream.
+/// Health of one upstream: ejection after failures, leaving and quarantine.
 ///
 /// # Examples
 ///
 /// ```
 /// use route::Health;
-/// use route::Standing;
+/// use route::Availability;
 ///
 /// let mut health = Health::default();
 /// for _ in 0..3 {
-///     health.failed(0);
+///     health.record_failure(0);
 /// }
-/// assert_eq!(health.standing(10), Standing::Ejected);
-/// assert!(matches!(health.standing(1_500), Standing::Open(part) if part < 0.2));
-/// assert_eq!(health.standing(7_000), Standing::Open(1.0));
+/// assert_eq!(health.availability(10), Availability::Ejected);
+/// assert!(matches!(health.availability(1_500), Availability::Open(fraction) if fraction < 0.2));
+/// assert_eq!(health.availability(7_000), Availability::Open(1.0));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    row: u32,
-    times: u32,
-    until: Option<Millis>,
-    listed: bool,
-    said: bool,
+    failures: u32,
+    ejections: u32,
+    ejected_until: Option<Millis>,
+    platform_leaving: bool,
+    upstream_leaving: bool,
     quarantined: bool,
 }
 
 impl Health {
-    /// Tells whether the upstream may get new work now.
-    pub fn standing(&self, now: Millis) -> Standing {
+    /// Returns whether the upstream may be sent new requests at `now`.
+    pub fn availability(&self, now: Millis) -> Availability {
         if self.quarantined {
-            return Standing::Quarantined;
+            return Availability::Quarantined;
         }
-        if self.listed || self.said {
-            return Standing::Leaving;
+        if self.platform_leaving || self.upstream_leaving {
+            return Availability::Leaving;
         }
-        let Some(until) = self.until else {
-            return Standing::Open(1.0);
+        let Some(until) = self.ejected_until else {
+            return Availability::Open(1.0);
         };
         if now < until {
-            return Standing::Ejected;
+            return Availability::Ejected;
         }
-        let back = (now - until) as f64 / RETURN as f64;
-        Standing::Open(back.clamp(RETURN_FLOOR, 1.0))
+        let recovered = (now - until) as f64 / RECOVERY_MS as f64;
+        Availability::Open(recovered.clamp(MIN_RECOVERY_FRACTION, 1.0))
     }
 
-    /// Notes a failed attempt; ejects after some in a row, or at once while returning.
-    pub fn failed(&mut self, now: Millis) {
-        self.row += 1;
-        let returning = self.until.is_some_and(|until| now < until + RETURN);
-        let limit = if returning { 1 } else { FAILURES };
-        let out = self.until.is_some_and(|until| now < until);
-        if self.row >= limit && !out {
+    /// Records a failed attempt. Ejects the upstream after `MAX_FAILURES` in a row, or after a single
+    /// one while it recovers from an ejection.
+    pub fn record_failure(&mut self, now: Millis) {
+        self.failures += 1;
+        let recovering = self
+            .ejected_until
+            .is_some_and(|until| now < until + RECOVERY_MS);
+        let limit = if recovering { 1 } else { MAX_FAILURES };
+        let ejected = self.ejected_until.is_some_and(|until| now < until);
+        if self.failures >= limit && !ejected {
             self.eject(now);
         }
     }
 
     fn eject(&mut self, now: Millis) {
-        let calm = self.until.is_some_and(|until| now > until + LONGEST);
-        if calm {
-            self.times = 0;
+        let stable = self
+            .ejected_until
+            .is_some_and(|until| now > until + MAX_EJECTION_MS);
+        if stable {
+            self.ejections = 0;
         }
-        let span = FIRST << self.times.min(DOUBLINGS);
-        self.times += 1;
-        self.row = 0;
-        self.until = Some(now + span.min(LONGEST));
+        let duration = FIRST_EJECTION_MS << self.ejections.min(MAX_DOUBLINGS);
+        self.ejections += 1;
+        self.failures = 0;
+        self.ejected_until = Some(now + duration.min(MAX_EJECTION_MS));
     }
 
-    /// Notes an attempt that went well.
-    pub fn succeeded(&mut self) {
-        self.row = 0;
+    /// Records a successful attempt.
+    pub fn record_success(&mut self) {
+        self.failures = 0;
     }
 
-    /// Notes whether the upstream is leaving, in the eyes of one who knows.
-    pub fn leave(&mut self, sign: Sign, leaving: bool) {
-        match sign {
-            Sign::Listed => self.listed = leaving,
-            Sign::Said => self.said = leaving,
+    /// Records whether `source` states that the upstream is leaving.
+    pub fn set_leaving(&mut self, source: LeavingSource, leaving: bool) {
+        match source {
+            LeavingSource::Platform => self.platform_leaving = leaving,
+            LeavingSource::Upstream => self.upstream_leaving = leaving,
         }
     }
 
-    /// Tells whether the upstream says that it is leaving.
-    pub fn is_leaving(&self) -> bool {
-        self.said
+    /// Returns whether the upstream itself states that it is leaving.
+    pub fn reports_leaving(&self) -> bool {
+        self.upstream_leaving
     }
 
-    /// Tells whether the upstream is quarantined.
+    /// Returns whether the upstream is quarantined.
     pub fn is_quarantined(&self) -> bool {
         self.quarantined
     }
 
-    /// Notes whether the upstream is quarantined.
-    pub fn quarantine(&mut self, on: bool) {
-        self.quarantined = on;
+    /// Sets whether the upstream is quarantined.
+    pub fn set_quarantined(&mut self, quarantined: bool) {
+        self.quarantined = quarantined;
     }
 }
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -3,207 +3,216 @@
 use kernel::Millis;
 use kernel::Name;
 
+use crate::Availability;
 use crate::Chooser;
 use crate::Health;
-use crate::Kind;
-use crate::Spec;
-use crate::Standing;
 use crate::Upstream;
+use crate::UpstreamKind;
+use crate::UpstreamSpec;
 use crate::choose::Candidate;
-use crate::choose::Choose;
-use crate::prefix::Prefixes;
+use crate::choose::Strategy;
+use crate::prefix::PrefixIndex;
 
-/// Blocks of prompts that a pool remembers.
-const PREFIXES: usize = 65_536;
+/// Most prompt blocks in the prefix index of a pool.
+const MAX_PREFIX_BLOCKS: usize = 65_536;
 
-/// What a request asks of the upstream that takes it.
+/// What a request requires of the upstream that serves it.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct Requirements {
     /// Block hashes of the prompt.
     pub blocks: Vec<u64>,
-    /// Lowest weight version that will do.
-    pub version: u64,
-    /// Upstreams that have failed this request already; taken only when nothing else is left.
+    /// Lowest acceptable weight version.
+    pub min_version: u64,
+    /// Upstreams that already failed this request; picked only when no other can serve it.
     pub avoid: Vec<Name>,
 }
 
-/// What a pool says to a request.
+/// Result of picking an upstream for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// This upstream takes it; [`Pool::done`] must follow.
-    Take(Spec),
-    /// All that could take it are full.
+    /// The upstream to send the request to; [`Pool::finish`] must follow.
+    Upstream(UpstreamSpec),
+    /// Every upstream that could serve it is at its concurrency limit.
     Busy,
-    /// No upstream can take it now: each is out, leaving, or has too old weights.
-    None,
+    /// No upstream can serve it now: each is ejected, quarantined, leaving or has weights that are too old.
+    Unavailable,
 }
 
-/// How an attempt at an upstream ended.
+/// Outcome of an attempt at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// With an answer, after so many milliseconds.
+    /// The upstream responded, after this many milliseconds.
     Answered(f64),
-    /// With a failure of the upstream.
+    /// The upstream failed.
     Failed,
-    /// Without a word about the upstream: the caller left, or the attempt was cancelled.
+    /// Says nothing about the upstream: the caller disconnected, or the attempt was cancelled.
     Neutral,
 }
 
-/// Part of its window that an ejected upstream has when more than half are ejected.
-const CROWDED: f64 = 0.25;
+/// Fraction of its window that an ejected upstream keeps while more than half are ejected.
+const MOST_EJECTED_FRACTION: f64 = 0.25;
 
-/// The part of its window that an upstream may use, if any.
-fn part(upstream: &Upstream, now: Millis, crowded: bool) -> Option<f64> {
-    match upstream.health.standing(now) {
-        Standing::Open(part) => Some(part),
-        Standing::Ejected if crowded => Some(CROWDED),
-        Standing::Ejected | Standing::Leaving | Standing::Quarantined => None,
+/// Returns the fraction of its window that an upstream may use, if any.
+fn window_fraction(upstream: &Upstream, now: Millis, most_ejected: bool) -> Option<f64> {
+    match upstream.health.availability(now) {
+        Availability::Open(fraction) => Some(fraction),
+        Availability::Ejected if most_ejected => Some(MOST_EJECTED_FRACTION),
+        Availability::Ejected | Availability::Leaving | Availability::Quarantined => None,
     }
 }
 
-/// The upstreams of one model or service, as one instance sees them.
+/// The upstreams of one model or service, as observed by one instance.
 pub struct Pool {
-    chooser: Box<dyn Choose>,
+    chooser: Box<dyn Strategy>,
     domain: Name,
-    live: u32,
+    instances: u32,
     upstreams: Vec<Upstream>,
-    prefixes: Prefixes,
+    prefixes: PrefixIndex,
 }
 
 impl Pool {
-    /// Makes an empty pool for an instance in `domain`.
+    /// Creates an empty pool for an instance in the failure domain `domain`.
     pub fn new(chooser: &Chooser, domain: Name) -> Self {
         Self {
             chooser: (chooser.make)(),
             domain,
-            live: 1,
+            instances: 1,
             upstreams: Vec::new(),
-            prefixes: Prefixes::new(PREFIXES),
+            prefixes: PrefixIndex::new(MAX_PREFIX_BLOCKS),
         }
     }
 
-    /// Adds an upstream, or replaces what the settings say of one.
-    pub fn add(&mut self, spec: Spec) {
-        match self.find(&spec.name) {
+    /// Adds an upstream, or replaces the specification of a known one.
+    pub fn add(&mut self, spec: UpstreamSpec) {
+        match self.find_mut(&spec.name) {
             Some(upstream) => upstream.spec = spec,
             None => self.upstreams.push(Upstream::new(spec)),
         }
     }
 
-    /// Notes how many instances share these upstreams.
-    pub fn share(&mut self, live: u32) {
-        self.live = live.max(1);
+    /// Sets how many live instances share these upstreams.
+    pub fn set_instances(&mut self, count: u32) {
+        self.instances = count.max(1);
     }
 
-    /// Finds an upstream to change what is known of it.
-    pub fn find(&mut self, name: &str) -> Option<&mut Upstream> {
+    /// Finds an upstream by name, for a change of its state.
+    pub fn find_mut(&mut self, name: &str) -> Option<&mut Upstream> {
         self.upstreams.iter_mut().find(|u| &*u.spec.name == name)
     }
 
-    /// All upstreams.
-    pub fn all(&self) -> &[Upstream] {
+    /// Returns all upstreams, in the order in which they were added.
+    pub fn upstreams(&self) -> &[Upstream] {
         &self.upstreams
     }
 
-    /// Chooses an upstream for a request and counts it as outstanding there.
-    pub fn pick(&mut self, ask: &Ask, now: Millis) -> Pick {
-        let open = self.open(ask, now);
-        if open.is_empty() {
-            return Pick::None;
+    /// Picks an upstream for a request and counts the request as outstanding there.
+    pub fn pick(&mut self, requirements: &Requirements, now: Millis) -> Pick {
+        let eligible = self.eligible(requirements, now);
+        if eligible.is_empty() {
+            return Pick::Unavailable;
         }
-        let fresh = |at: &usize| !ask.avoid.contains(&self.upstreams[*at].spec.name);
-        let untried: Vec<_> = open.iter().copied().filter(fresh).collect();
-        let from = if untried.is_empty() { open } else { untried };
-        let roomy: Vec<_> = from
+        let is_untried = |i: &usize| !requirements.avoid.contains(&self.upstreams[*i].spec.name);
+        let untried: Vec<_> = eligible.iter().copied().filter(is_untried).collect();
+        let preferred = if untried.is_empty() {
+            eligible
+        } else {
+            untried
+        };
+        let free: Vec<_> = preferred
             .into_iter()
-            .filter(|at| self.room(*at, now) > 0)
+            .filter(|index| self.available_slots(*index, now) > 0)
             .collect();
-        if roomy.is_empty() {
+        if free.is_empty() {
             return Pick::Busy;
         }
-        let at = self.choose(&roomy, ask, now);
-        self.take(at, ask)
+        let index = self.choose(&free, requirements, now);
+        self.assign(index, requirements)
     }
 
-    fn open(&self, ask: &Ask, now: Millis) -> Vec<usize> {
-        let crowded = self.is_crowded(now);
-        let able = |u: &Upstream| {
-            // An engine of which nothing is known may do; its first chunk tells.
-            let known = u.version.is_none_or(|version| version >= ask.version);
-            let versioned = u.spec.kind == Kind::Service || known;
-            versioned && part(u, now, crowded).is_some()
+    fn eligible(&self, requirements: &Requirements, now: Millis) -> Vec<usize> {
+        let most_ejected = self.are_most_ejected(now);
+        let is_eligible = |u: &Upstream| {
+            // An engine of unknown version is eligible: the first chunk of its response states it.
+            let is_new_enough = u
+                .version
+                .is_none_or(|version| version >= requirements.min_version);
+            let is_suitable = u.spec.kind == UpstreamKind::Service || is_new_enough;
+            is_suitable && window_fraction(u, now, most_ejected).is_some()
         };
         let all = 0..self.upstreams.len();
-        all.filter(|at| able(&self.upstreams[*at])).collect()
+        all.filter(|index| is_eligible(&self.upstreams[*index]))
+            .collect()
     }
 
-    /// Tells whether more than half of the upstreams are ejected. Then ejection is more likely to
-    /// follow from the load than from faults of theirs, and to leave the rest alone with all of
-    /// it would eject them as well; so the ejected ones get a little work.
-    fn is_crowded(&self, now: Millis) -> bool {
-        let out = |u: &&Upstream| u.health.standing(now) == Standing::Ejected;
-        self.upstreams.iter().filter(out).count() * 2 > self.upstreams.len()
+    /// Returns whether more than half of the upstreams are ejected. The cause is then more likely
+    /// overload than faults of theirs, and the rest would be ejected as well if they got all the load,
+    /// so the ejected ones get a little of it.
+    fn are_most_ejected(&self, now: Millis) -> bool {
+        let is_ejected = |u: &&Upstream| u.health.availability(now) == Availability::Ejected;
+        self.upstreams.iter().filter(is_ejected).count() * 2 > self.upstreams.len()
     }
 
-    fn room(&self, at: usize, now: Millis) -> u32 {
-        let upstream = &self.upstreams[at];
-        let part = part(upstream, now, self.is_crowded(now));
-        part.map_or(0, |part| upstream.room(now, part, self.live))
+    fn available_slots(&self, index: usize, now: Millis) -> u32 {
+        let upstream = &self.upstreams[index];
+        let fraction = window_fraction(upstream, now, self.are_most_ejected(now));
+        fraction.map_or(0, |fraction| {
+            upstream.available_slots(now, fraction, self.instances)
+        })
     }
 
-    fn choose(&mut self, roomy: &[usize], ask: &Ask, now: Millis) -> usize {
-        let cached = self.prefixes.longest(&ask.blocks);
-        let candidates: Vec<_> = roomy
+    fn choose(&mut self, free: &[usize], requirements: &Requirements, now: Millis) -> usize {
+        let cached = self.prefixes.longest_match(&requirements.blocks);
+        let candidates: Vec<_> = free
             .iter()
-            .map(|at| {
-                let u = &self.upstreams[*at];
-                let hit = cached.filter(|(holder, _)| **holder == u.spec.name);
+            .map(|index| {
+                let u = &self.upstreams[*index];
+                let hit = cached.filter(|(upstream, _)| **upstream == u.spec.name);
                 Candidate {
                     name: &u.spec.name,
-                    near: u.spec.domain == self.domain,
+                    same_domain: u.spec.domain == self.domain,
                     outstanding: u.outstanding,
-                    others: u.others(now),
+                    other_requests: u.other_requests(now),
                     slots: u.spec.slots,
                     latency: u.latency,
-                    cached: hit.map_or(0, |(_, blocks)| blocks),
+                    cached_blocks: hit.map_or(0, |(_, blocks)| blocks),
                 }
             })
             .collect();
-        roomy[self.chooser.choose(&candidates)]
+        free[self.chooser.choose(&candidates)]
     }
 
-    fn take(&mut self, at: usize, ask: &Ask) -> Pick {
-        let upstream = &mut self.upstreams[at];
+    fn assign(&mut self, index: usize, requirements: &Requirements) -> Pick {
+        let upstream = &mut self.upstreams[index];
         upstream.outstanding += 1;
         let spec = upstream.spec.clone();
-        self.prefixes.note(&ask.blocks, &spec.name);
-        Pick::Take(spec)
+        self.prefixes.record(&requirements.blocks, &spec.name);
+        Pick::Upstream(spec)
     }
 
-    /// Ends an attempt that [`Pool::pick`] began.
-    pub fn done(&mut self, name: &str, outcome: Outcome, now: Millis) {
-        let Some(upstream) = self.find(name) else {
+    /// Ends an attempt that [`Pool::pick`] began, and records its outcome.
+    pub fn finish(&mut self, name: &str, outcome: Outcome, now: Millis) {
+        let Some(upstream) = self.find_mut(name) else {
             return;
         };
         upstream.outstanding = upstream.outstanding.saturating_sub(1);
         match outcome {
             Outcome::Answered(latency) => {
-                upstream.health.succeeded();
-                upstream.observe(latency);
+                upstream.health.record_success();
+                upstream.record_latency(latency);
             }
-            Outcome::Failed => upstream.health.failed(now),
+            Outcome::Failed => upstream.health.record_failure(now),
             Outcome::Neutral => (),
         }
     }
 
-    /// Notes that an upstream lost its cache.
-    pub fn uncached(&mut self, name: &str) {
-        self.prefixes.forget(name);
+    /// Drops the prompt prefixes recorded for an upstream, whose cache was lost.
+    pub fn forget_cache(&mut self, name: &str) {
+        self.prefixes.remove(name);
     }
 
-    /// Changes the health of an upstream, if it is in this pool.
-    pub fn judge(&mut self, name: &str, f: impl FnOnce(&mut Health)) {
-        if let Some(upstream) = self.find(name) {
+    /// Applies `f` to the health of an upstream; does nothing if the pool lacks it.
+    pub fn update_health(&mut self, name: &str, f: impl FnOnce(&mut Health)) {
+        if let Some(upstream) = self.find_mut(name) {
             f(&mut upstream.health);
         }
     }
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as one instance sees it.
+//! State of one upstream as observed by one instance.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -8,91 +8,91 @@
 
 use crate::Health;
 
-/// What an upstream is.
+/// Kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum UpstreamKind {
     /// A model engine.
     Engine,
-    /// A plain service.
+    /// A service that is no model engine.
     Service,
 }
 
-/// The text names no kind of upstream.
+/// Error for a text that names no kind of upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("expected engine or service")]
-pub struct KindError;
+pub struct UpstreamKindError;
 
-impl FromStr for Kind {
-    type Err = KindError;
+impl FromStr for UpstreamKind {
+    type Err = UpstreamKindError;
 
-    fn from_str(text: &str) -> Result<Self, KindError> {
+    fn from_str(text: &str) -> Result<Self, UpstreamKindError> {
         match text {
             "engine" => Ok(Self::Engine),
             "service" => Ok(Self::Service),
-            _ => Err(KindError),
+            _ => Err(UpstreamKindError),
         }
     }
 }
 
-/// What the settings say of an upstream.
+/// Specification of an upstream in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spec {
-    /// Its name.
+pub struct UpstreamSpec {
+    /// Unique name.
     pub name: Name,
-    /// Its address.
+    /// Network address.
     pub addr: SocketAddr,
-    /// What it is.
-    pub kind: Kind,
-    /// The model or service that it serves.
+    /// Kind of upstream.
+    pub kind: UpstreamKind,
+    /// Pool of the model or service that it serves.
     pub pool: Name,
-    /// Its failure domain.
+    /// Failure domain that it runs in.
     pub domain: Name,
-    /// Requests that it can work on at the same time.
+    /// Requests that it can process concurrently.
     pub slots: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub fencing: bool,
 }
 
 /// A load report of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Requests that it was working on.
+    /// Requests that it was processing.
     pub running: u32,
     /// When it was received.
-    pub at: Millis,
-    /// What this instance had outstanding there at that time.
-    pub mine: u32,
+    pub received_at: Millis,
+    /// Outstanding requests of this instance there at that time.
+    pub own_requests: u32,
 }
 
-/// Time after which a load report says nothing any more.
-const REPORT_AGE: Millis = 5_000;
+/// Age in milliseconds from which a load report is ignored.
+const MAX_REPORT_AGE_MS: Millis = 5_000;
 
-/// Weight of the newest latency in the mean, when it is lower than the mean.
-const SMOOTH: f64 = 0.1;
+/// Weight of a new latency in the moving mean when it is at most the mean.
+const FALLING_WEIGHT: f64 = 0.1;
 
-/// Part of a latency above the mean that counts at once, so that a slow upstream shows soon.
-const PEAK: f64 = 0.5;
+/// Weight of a new latency above the moving mean; higher, so that a slow upstream is noticed soon.
+const RISING_WEIGHT: f64 = 0.5;
 
-/// One upstream as one instance sees it.
+/// One upstream as observed by one instance.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What the settings say.
-    pub spec: Spec,
-    /// Its health.
+    /// Its specification in the settings.
+    pub spec: UpstreamSpec,
+    /// Whether it may be sent requests.
     pub health: Health,
-    /// The weight version that it stated last, when it is an engine.
+    /// Weight version that an engine stated last.
     pub version: Option<u64>,
-    /// Requests of this instance that run there.
+    /// Outstanding requests of this instance there.
     pub outstanding: u32,
-    /// Mean latency in milliseconds; 0 before the first answer.
+    /// Moving mean of the latency in milliseconds; 0 before the first response.
     pub latency: f64,
     report: Option<Report>,
 }
 
 impl Upstream {
-    /// Makes an upstream of which nothing is known yet.
-    pub fn new(spec: Spec) -> Self {
+    /// Creates an upstream without any observation.
+    pub fn new(spec: UpstreamSpec) -> Self {
         Self {
             spec,
             health: Health::default(),
@@ -103,18 +103,22 @@
         }
     }
 
-    /// Notes a load report.
-    pub fn report(&mut self, running: u32, now: Millis) {
+    /// Records a load report that was received at `now`.
+    pub fn record_report(&mut self, running: u32, now: Millis) {
         self.report = Some(Report {
             running,
-            at: now,
-            mine: self.outstanding,
+            received_at: now,
+            own_requests: self.outstanding,
         });
     }
 
-    /// Notes the latency of an answer in milliseconds.
-    pub fn observe(&mut self, latency: f64) {
-        let weight = if latency > self.latency { PEAK } else { SMOOTH };
+    /// Adds the latency of a response, in milliseconds, to the mean.
+    pub fn record_latency(&mut self, latency: f64) {
+        let weight = if latency > self.latency {
+            RISING_WEIGHT
+        } else {
+            FALLING_WEIGHT
+        };
         if self.latency == 0.0 {
             self.latency = latency;
             return;
@@ -122,25 +126,26 @@
         self.latency += weight * (latency - self.latency);
     }
 
-    /// Requests of others, by the last report: what ran less what was this instance's own.
-    pub fn others(&self, now: Millis) -> u32 {
+    /// Returns the requests of other instances by the last report: those running there minus this
+    /// instance's own at that time. 0 when the report is too old.
+    pub fn other_requests(&self, now: Millis) -> u32 {
         match self.report {
-            Some(report) if now < report.at + REPORT_AGE => {
-                report.running.saturating_sub(report.mine)
+            Some(report) if now < report.received_at + MAX_REPORT_AGE_MS => {
+                report.running.saturating_sub(report.own_requests)
             }
             _ => 0,
         }
     }
 
-    /// Requests that this instance may still send, when `part` of the window is open to it and
-    /// `live` instances share the upstream.
+    /// Returns how many more requests this instance may send, when it may use `fraction` of its window and
+    /// `instances` instances share the upstream.
     ///
-    /// The report lags, so it is never trusted alone: what this instance sent itself counts as it
-    /// is now, and an even share of the slots is always open, whatever a late report says.
-    pub fn room(&self, now: Millis, part: f64, live: u32) -> u32 {
-        let fair = self.spec.slots.div_ceil(live.max(1));
-        let free = self.spec.slots.saturating_sub(self.others(now));
-        let window = (f64::from(fair.max(free)) * part).ceil() as u32;
+    /// Load reports lag, so they do not decide alone: this instance's own requests count as of now, and an
+    /// even share of the slots is always available, whatever a late report says.
+    pub fn available_slots(&self, now: Millis, fraction: f64, instances: u32) -> u32 {
+        let even = self.spec.slots.div_ceil(instances.max(1));
+        let free = self.spec.slots.saturating_sub(self.other_requests(now));
+        let window = (f64::from(even.max(free)) * fraction).ceil() as u32;
         window.saturating_sub(self.outstanding)
     }
 }
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -17,10 +17,10 @@
 use net::events;
 use poison::Fingerprint;
 use route::Attempt;
-use route::Kind;
-use route::Next;
+use route::Decision;
 use route::Ran;
-use route::pool::Ask;
+use route::UpstreamKind;
+use route::pool::Requirements;
 use route::prefix::blocks;
 use route::retry::Failure;
 use step::Assembly;
@@ -102,7 +102,7 @@
     }
     let dispatcher = app.dispatchers.get(model);
     let dispatcher = dispatcher
-        .filter(|dispatcher| dispatcher.kind == Kind::Engine)
+        .filter(|dispatcher| dispatcher.kind == UpstreamKind::Engine)
         .cloned();
     dispatcher.ok_or_else(|| no(Type::NotFound).because(format!("model {model:?}")))
 }
@@ -143,9 +143,9 @@
     sink: &mut impl Sink,
 ) -> Result<Sample, Problem> {
     let mut assembly = Assembly::new(trace.id.attempt(0));
-    let mut ask = Ask {
+    let mut ask = Requirements {
         blocks: blocks(&job.asked.prompt),
-        ..Ask::default()
+        ..Requirements::default()
     };
     let sent = sent(job, trace);
     // Whether an attempt before may have run; a refusal speaks of all of them.
@@ -176,7 +176,7 @@
             End::Unwanted => return Err(Problem::new(Type::Late, Ran::Unknown)),
             End::Early(ran, why) => (ran, why),
         };
-        before = before.or(ran);
+        before = before.combine(ran);
         trace.note(format!("attempt {} at {upstream}: {why}", trace.attempts));
         let failure = Failure {
             ran,
@@ -185,8 +185,8 @@
             deadline: job.deadline,
         };
         match job.dispatcher.retry(failure) {
-            Next::Again(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
-            Next::Stop(stop) => return Err(forward::given_up(stop, before, why.to_string())),
+            Decision::Retry(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
+            Decision::Stop(stop) => return Err(forward::given_up(stop, before, why.to_string())),
         }
         ask.avoid.push(upstream);
     }
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -13,17 +13,17 @@
 use limit::order::QueueEntry;
 use limit::queue::Dequeued;
 use parking_lot::Mutex;
-use route::Budget;
 use route::Chooser;
+use route::Decision;
 use route::Health;
-use route::Kind;
-use route::Next;
 use route::Pool;
-use route::Spec;
+use route::RetryBudget;
 use route::Upstream;
-use route::pool::Ask;
+use route::UpstreamKind;
+use route::UpstreamSpec;
 use route::pool::Outcome;
 use route::pool::Pick;
+use route::pool::Requirements;
 use route::retry::Failure;
 use route::retry::decide;
 use tokio::sync::oneshot;
@@ -50,14 +50,14 @@
 
 /// What waits in a queue.
 struct Waiter {
-    ask: Ask,
+    ask: Requirements,
     sender: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
 struct State {
     queue: Queue<Waiter>,
     pool: Pool,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 /// The queue and the upstreams of one model or service.
@@ -65,7 +65,7 @@
     /// The model or service.
     pub name: Name,
     /// What serves it.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     instance: Name,
     clock: Clock,
     state: Mutex<State>,
@@ -74,7 +74,7 @@
 /// The right to send one request to an upstream.
 pub struct Permit {
     /// The upstream.
-    pub spec: Spec,
+    pub spec: UpstreamSpec,
     dispatcher: Arc<Dispatcher>,
     began: Millis,
     ended: bool,
@@ -142,7 +142,7 @@
     pub fn new(
         pool: &settings::Pool,
         me: &settings::Me,
-        upstreams: &[Spec],
+        upstreams: &[UpstreamSpec],
         clock: Clock,
     ) -> Result<Self, UnknownPlugin> {
         let order = plugin::find::<QueueOrder>(pool.order)?;
@@ -153,7 +153,7 @@
         let state = State {
             queue: Queue::new((order.make)(), pool.queue),
             pool: known,
-            budget: Budget::default(),
+            budget: RetryBudget::default(),
         };
         Ok(Self {
             name: pool.name.clone(),
@@ -173,7 +173,7 @@
     pub async fn acquire(
         self: &Arc<Self>,
         entry: &QueueEntry,
-        ask: Ask,
+        ask: Requirements,
         deadline: Millis,
     ) -> Result<Permit, Refusal> {
         let (ticket, receiver) = match self.enter(entry, ask, deadline)? {
@@ -199,15 +199,15 @@
     fn enter(
         self: &Arc<Self>,
         entry: &QueueEntry,
-        ask: Ask,
+        ask: Requirements,
         deadline: Millis,
     ) -> Result<Entered, Refusal> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         if state.queue.is_empty() {
             match state.pool.pick(&ask, now) {
-                Pick::Take(spec) => return Ok(Entered::Now(self.permit(spec, now))),
-                Pick::None => return Err(refusal(Type::NoUpstream, OUT)),
+                Pick::Upstream(spec) => return Ok(Entered::Now(self.permit(spec, now))),
+                Pick::Unavailable => return Err(refusal(Type::NoUpstream, OUT)),
                 Pick::Busy => (),
             }
         }
@@ -226,7 +226,7 @@
         }
     }
 
-    fn permit(self: &Arc<Self>, spec: Spec, now: Millis) -> Permit {
+    fn permit(self: &Arc<Self>, spec: UpstreamSpec, now: Millis) -> Permit {
         Permit {
             spec,
             dispatcher: self.clone(),
@@ -253,8 +253,8 @@
                 true => Err(refusal(Type::Late, OUT)),
                 false => match state.pool.pick(&ask, now) {
                     Pick::Busy => break,
-                    Pick::None => Err(refusal(Type::NoUpstream, OUT)),
-                    Pick::Take(spec) => Ok(self.permit(spec, now)),
+                    Pick::Unavailable => Err(refusal(Type::NoUpstream, OUT)),
+                    Pick::Upstream(spec) => Ok(self.permit(spec, now)),
                 },
             };
             let popped = state.queue.pop(now, work).map(Dequeued::into_inner);
@@ -280,7 +280,7 @@
         )
         .increment(1);
         let now = self.clock.now();
-        self.state.lock().pool.done(name, outcome, now);
+        self.state.lock().pool.finish(name, outcome, now);
         self.pump();
     }
 
@@ -290,7 +290,7 @@
     }
 
     /// Decides what follows a failed attempt.
-    pub fn retry(&self, failure: Failure) -> Next {
+    pub fn retry(&self, failure: Failure) -> Decision {
         let now = self.clock.now();
         let jitter = rand::random();
         decide(failure, &mut self.state.lock().budget, now, jitter)
@@ -298,13 +298,13 @@
 
     /// Changes the health of an upstream, if this dispatcher has it.
     pub fn judge(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Health)) {
-        self.state.lock().pool.judge(name, f);
+        self.state.lock().pool.update_health(name, f);
         self.pump();
     }
 
     /// Changes what is known of an upstream, if this dispatcher has it.
     pub fn update(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Upstream)) {
-        if let Some(upstream) = self.state.lock().pool.find(name) {
+        if let Some(upstream) = self.state.lock().pool.find_mut(name) {
             f(upstream);
         }
         self.pump();
@@ -313,17 +313,17 @@
     /// Notes what an upstream says it is working on.
     pub fn heard(self: &Arc<Self>, name: &str, running: u32) {
         let now = self.clock.now();
-        self.update(name, |upstream| upstream.report(running, now));
+        self.update(name, |upstream| upstream.record_report(running, now));
     }
 
     /// Notes how many instances share the upstreams.
     pub fn share(&self, live: u32) {
-        self.state.lock().pool.share(live);
+        self.state.lock().pool.set_instances(live);
     }
 
     /// Runs `f` on all upstreams.
     pub fn all<R>(&self, f: impl FnOnce(&[Upstream]) -> R) -> R {
-        f(self.state.lock().pool.all())
+        f(self.state.lock().pool.upstreams())
     }
 }
 
@@ -339,7 +339,7 @@
 /// The latency that a request is to reckon with: the mean over the upstreams that may get work,
 /// weighted by what runs there, since that is where the next one goes.
 fn typical(pool: &Pool) -> Millis {
-    let known = pool.all().iter().filter(|u| u.latency > 0.0);
+    let known = pool.upstreams().iter().filter(|u| u.latency > 0.0);
     let (mut sum, mut count) = (0.0, 0.0);
     for upstream in known {
         let weight = f64::from(upstream.outstanding + 1);
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -23,15 +23,15 @@
 use net::body;
 use poison::Fingerprint;
 use route::Attempt;
-use route::Kind;
-use route::Next;
+use route::Decision;
+use route::LeavingSource;
 use route::Ran;
-use route::Sign;
+use route::UpstreamKind;
 use route::attempt::NoConnection;
 use route::attempt::Unsent;
-use route::pool::Ask;
+use route::pool::Requirements;
 use route::retry::Failure;
-use route::retry::Stop;
+use route::retry::StopReason;
 use wire::Problem;
 use wire::caller::TIMEOUT;
 use wire::engine::RUNNING;
@@ -99,7 +99,7 @@
     }
     let dispatcher = app.dispatchers.get(service.as_str());
     let dispatcher = dispatcher
-        .filter(|dispatcher| dispatcher.kind == Kind::Service)
+        .filter(|dispatcher| dispatcher.kind == UpstreamKind::Service)
         .cloned();
     let dispatcher =
         dispatcher.ok_or_else(|| no(Type::NotFound).because(format!("service {service:?}")))?;
@@ -211,7 +211,7 @@
         outbound,
         ..
     } = job;
-    let mut ask = Ask::default();
+    let mut ask = Requirements::default();
     let print = print(&job.entry, dispatcher, outbound);
     let id = trace.id.to_string();
     let sent = Sent { print, id };
@@ -228,7 +228,7 @@
         {
             Ok(permit) => permit,
             Err(refusal) => {
-                let ran = before.or(attempt.refuse());
+                let ran = before.combine(attempt.refuse());
                 return Err(Problem::new(refusal.kind, ran).after(refusal.after));
             }
         };
@@ -241,7 +241,7 @@
             Err(failed) => failed,
         };
         drop(stay);
-        before = before.or(ran);
+        before = before.combine(ran);
         trace.note(format!("attempt {} at {upstream}: {why}", trace.attempts));
         let failure = Failure {
             ran,
@@ -250,20 +250,20 @@
             deadline: outbound.deadline,
         };
         match dispatcher.retry(failure) {
-            Next::Again(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
-            Next::Stop(stop) => return Err(given_up(stop, before, why)),
+            Decision::Retry(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
+            Decision::Stop(stop) => return Err(given_up(stop, before, why)),
         }
         ask.avoid.push(upstream);
     }
 }
 
 /// The refusal of a call that is not tried again.
-pub fn given_up(stop: Stop, ran: Ran, why: String) -> Problem {
+pub fn given_up(stop: StopReason, ran: Ran, why: String) -> Problem {
     let reason = match stop {
-        Stop::MayHaveRun => "it may have run and must not run twice",
-        Stop::Attempts => "it was tried often enough",
-        Stop::Deadline => "its deadline is too near to try again",
-        Stop::Budget => "too many requests are being tried again",
+        StopReason::MayHaveRun => "it may have run and must not run twice",
+        StopReason::Attempts => "it was tried often enough",
+        StopReason::Deadline => "its deadline is too near to try again",
+        StopReason::Budget => "too many requests are being tried again",
     };
     let problem = Problem::new(Type::Upstream, ran);
     let problem = problem.because(format!("{why}; {reason}"));
@@ -325,7 +325,7 @@
         }
         Err(SendError::Unconnected) => {
             permit.end(false);
-            let attempt = attempt.unconnected(NoConnection::vouched());
+            let attempt = attempt.unconnected(NoConnection::connect_failed());
             Err((attempt.refuse(), SendError::Unconnected.to_string()))
         }
         Err(SendError::Late) => {
@@ -355,7 +355,9 @@
     let headers = answer.headers();
     let number = |name: &str| headers.get(name)?.to_str().ok()?.parse::<u32>().ok();
     if headers.contains_key(LEAVING) {
-        dispatcher.judge(name, |health| health.leave(Sign::Said, true));
+        dispatcher.judge(name, |health| {
+            health.set_leaving(LeavingSource::Upstream, true)
+        });
     }
     if let Some(running) = number(RUNNING) {
         dispatcher.heard(name, running);
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -136,7 +136,7 @@
     let answer = match app.http.send(request, SILENCE).await {
         Ok(answer) => answer,
         Err(error) if error.is_unsent() => {
-            let attempt = attempt.unconnected(NoConnection::vouched());
+            let attempt = attempt.unconnected(NoConnection::connect_failed());
             return End::Early(attempt.refuse(), Why::Unconnected);
         }
         Err(_) => return End::Early(attempt.fail(), Why::Cut),
@@ -233,7 +233,7 @@
                     error = fault.to_string().as_str();
                     "quarantined"
                 );
-                dispatcher.judge(&name, |health| health.quarantine(true));
+                dispatcher.judge(&name, |health| health.set_quarantined(true));
             }
         }
     }
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -8,9 +8,9 @@
 
 use fleet::Rumour;
 use http::Method;
-use route::Kind;
-use route::Sign;
-use route::Spec;
+use route::LeavingSource;
+use route::UpstreamKind;
+use route::UpstreamSpec;
 use wire::engine::LOAD;
 use wire::engine::Load;
 
@@ -29,9 +29,9 @@
         for dispatcher in app
             .dispatchers
             .values()
-            .filter(|dispatcher| dispatcher.kind == Kind::Engine)
+            .filter(|dispatcher| dispatcher.kind == UpstreamKind::Engine)
         {
-            let specs: Vec<Spec> =
+            let specs: Vec<UpstreamSpec> =
                 dispatcher.all(|all| all.iter().map(|u| u.spec.clone()).collect());
             for spec in specs {
                 if !is_mine(&app, &spec) {
@@ -51,7 +51,7 @@
 
 /// Tells whether this instance asks the engine: those with the highest rank do, among the live
 /// ones of the engine's failure domain, or of all when none there is live.
-fn is_mine(app: &App, spec: &Spec) -> bool {
+fn is_mine(app: &App, spec: &UpstreamSpec) -> bool {
     let view = app.view.lock();
     let mut live: Vec<_> = view
         .live()
@@ -69,23 +69,31 @@
 pub fn believe(dispatcher: &Arc<Dispatcher>, name: &str, version: Option<u64>, leaving: bool) {
     dispatcher.update(name, |upstream| {
         upstream.version = version.or(upstream.version);
-        upstream.health.leave(Sign::Said, leaving);
+        upstream
+            .health
+            .set_leaving(LeavingSource::Upstream, leaving);
         // An engine in the middle of a failed swap may use either version for the next token.
-        upstream.health.quarantine(version.is_none());
+        upstream.health.set_quarantined(version.is_none());
     });
 }
 
-async fn ask(app: &Arc<App>, dispatcher: &Arc<Dispatcher>, spec: &Spec) {
+async fn ask(app: &Arc<App>, dispatcher: &Arc<Dispatcher>, spec: &UpstreamSpec) {
     let uri = net::client::uri(spec.addr, LOAD);
     let answer: Result<Load, _> = app.http.json(Method::GET, &uri, &(), LIMIT).await;
     let Ok(load) = answer else {
         // Its requests will show whether it is dead; a lost report alone says little.
         return;
     };
-    let single = load.stated.single();
+    let single = load.stated.single_version();
     let before = dispatcher.all(|all| {
         let found = all.iter().find(|u| u.spec.name == spec.name);
-        found.map(|u| (u.version, u.health.is_quarantined(), u.health.is_leaving()))
+        found.map(|u| {
+            (
+                u.version,
+                u.health.is_quarantined(),
+                u.health.reports_leaving(),
+            )
+        })
     });
     dispatcher.heard(&spec.name, load.running);
     believe(dispatcher, &spec.name, single, load.leaving);
@@ -106,7 +114,7 @@
 }
 
 /// Notes what changed, for `explain`.
-fn tell(app: &App, spec: &Spec, before: Option<u64>, now: Option<u64>, quarantined: bool) {
+fn tell(app: &App, spec: &UpstreamSpec, before: Option<u64>, now: Option<u64>, quarantined: bool) {
     let what = match (before, now) {
         (Some(before), Some(now)) if before == now && quarantined => "out of quarantine".into(),
         (before, Some(now)) if before != Some(now) => format!("states version {now}"),
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -15,8 +15,8 @@
 use limit::QueueOrder;
 use net::Limits;
 use route::Chooser;
-use route::Kind;
-use route::Spec;
+use route::UpstreamKind;
+use route::UpstreamSpec;
 use step::Policy;
 use wire::peer::Secret;
 
@@ -50,7 +50,7 @@
     /// The model or service.
     pub name: Name,
     /// What serves it.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     /// In which order its queue lets requests go.
     pub order: &'static str,
     /// How an upstream is chosen.
@@ -108,7 +108,7 @@
     /// Models and services.
     pub pools: Vec<Pool>,
     /// Upstreams.
-    pub upstreams: Vec<Spec>,
+    pub upstreams: Vec<UpstreamSpec>,
     /// Bounds on what callers send and receive.
     pub bounds: Bounds,
     /// The journal.
@@ -260,7 +260,7 @@
     })
 }
 
-fn upstreams(doc: &mut Doc, pools: &[Pool]) -> Vec<Spec> {
+fn upstreams(doc: &mut Doc, pools: &[Pool]) -> Vec<UpstreamSpec> {
     many(doc, "upstream", |s| {
         let name = label(s);
         let addr = s.need("address", ADDRESS);
@@ -275,7 +275,7 @@
         if slots == 0 {
             s.refuse("slots", "at least 1");
         }
-        Some(Spec {
+        Some(UpstreamSpec {
             name: name?,
             addr: addr?,
             kind: found.kind,
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -7,7 +7,7 @@
 use kernel::Millis;
 use limit::order::QueueEntry;
 use poison::Fingerprint;
-use route::pool::Ask;
+use route::pool::Requirements;
 use route::prefix::blocks;
 use step::Assembly;
 use step::assembly::Partial;
@@ -124,9 +124,9 @@
     let avoid = work.avoid.lock().get(&begin.index).cloned();
     let mut avoid: Vec<_> = avoid.into_iter().collect();
     avoid.extend(sent(work, begin).apart(app));
-    let ask = Ask {
+    let ask = Requirements {
         blocks: blocks(&begin.prompt),
-        version: begin.min_version,
+        min_version: begin.min_version,
         avoid,
     };
     let deadline = app.clock.now() + LIMIT;
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -11,8 +11,8 @@
 use net::client::JsonError;
 use net::client::uri;
 use poison::Fingerprint;
-use route::Kind;
-use route::pool::Ask;
+use route::UpstreamKind;
+use route::pool::Requirements;
 use step::Sample;
 use wire::scorer::SCORE;
 use wire::scorer::Score;
@@ -96,7 +96,7 @@
     text: &str,
 ) -> Result<f64, ScoreError> {
     let dispatcher = app.dispatchers.get(scorer);
-    let dispatcher = dispatcher.filter(|dispatcher| dispatcher.kind == Kind::Service);
+    let dispatcher = dispatcher.filter(|dispatcher| dispatcher.kind == UpstreamKind::Service);
     let dispatcher = dispatcher.ok_or_else(|| ScoreError::Unknown(scorer.into()))?;
     let entry = QueueEntry {
         customer: contract.customer.clone(),
@@ -114,9 +114,9 @@
         return Err(ScoreError::Quarantined);
     }
     let deadline = app.clock.now() + LIMIT;
-    let apart = Ask {
+    let apart = Requirements {
         avoid: sent.apart(app),
-        ..Ask::default()
+        ..Requirements::default()
     };
     let permit = dispatcher.acquire(&entry, apart, deadline).await;
     let permit = permit.map_err(|_| ScoreError::Busy)?;
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -11,7 +11,7 @@
 use plat::keys;
 use poison::Fingerprint;
 use route::Ran;
-use route::Spec;
+use route::UpstreamSpec;
 use wire::Problem;
 use wire::problem::Type;
 
@@ -52,13 +52,13 @@
     }
 
     /// Notes that the request goes to an upstream, if it is a suspect.
-    pub(crate) fn stay(&self, app: &App, spec: &Spec) -> Option<SuspectGuard> {
+    pub(crate) fn stay(&self, app: &App, spec: &UpstreamSpec) -> Option<SuspectGuard> {
         app.crashes
             .track_suspect(|| self.print.into(), &start(app, spec))
     }
 
     /// Looks whether an upstream has crashed after the connection broke there.
-    pub(crate) async fn broke(&self, app: &App, spec: &Spec) {
+    pub(crate) async fn broke(&self, app: &App, spec: &UpstreamSpec) {
         let leaving = app.view.lock().is_leaving(&spec.name).unwrap_or(false);
         let left = move || leaving;
         let start = start(app, spec);
@@ -82,7 +82,7 @@
     }
 }
 
-fn start(app: &App, spec: &Spec) -> Arc<str> {
+fn start(app: &App, spec: &UpstreamSpec) -> Arc<str> {
     format!("{}@{}", spec.name, app.clock.wall() / START).into()
 }
 
--- a/crates/usage/src/keeper.rs
+++ b/crates/usage/src/keeper.rs
@@ -1,7 +1,7 @@
-//! What a keeper has of the entry instances of its failure domain.
+//! Snapshots that an instance stores for the entry instances of its failure domain.
 //!
-//! Load pattern: an entry instance is killed in the midst of a window. What it had told its keeper by then
-//! still counts; what it counts is told within a part of a second.
+//! If an entry instance is killed in the middle of a window, the counts that it had sent by then still
+//! count. It sends its counts within a fraction of a second.
 
 use std::sync::Arc;
 
@@ -10,104 +10,107 @@
 use serde::Serialize;
 
 use crate::Counts;
-use crate::Tally;
-use crate::meter::KEPT;
+use crate::Snapshot;
+use crate::meter::KEPT_CLOSED_WINDOWS;
 
-/// Windows after which nothing is asked of an entry instance any more that has told nothing since.
-const OLD: u64 = 24;
+/// Age in windows from which the snapshot of an entry instance that has sent no newer one is ignored.
+const MAX_SNAPSHOT_AGE: u64 = 24;
 
-/// Windows before one within which an instance has closed one that is taken to live still.
-const RECENT: u64 = 2;
+/// Windows before one within which an instance that is taken to be alive has closed one.
+const RECENT_WINDOWS: u64 = 2;
 
-/// Starts of entry instances that are remembered: some kilobytes each.
-const MOST: usize = 1_024;
+/// Snapshots that are stored before old ones are pruned; each takes some kilobytes.
+const MAX_SNAPSHOTS: usize = 1_024;
 
-/// One start of an entry instance.
+/// One start of an entry instance: its name and the number of the start.
 pub type Source = (Arc<str>, u64);
 
-/// What one start of an entry instance has counted in a window.
+/// Counts of one window by one start of an entry instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Share {
-    /// Who has counted it.
+pub struct WindowCounts {
+    /// Start of the entry instance that counted.
     pub source: Source,
-    /// Whether the window is closed there.
+    /// Whether the window is closed there, so that its counts are final.
     pub closed: bool,
-    /// Whether it has told of the windows right before.
+    /// Whether it has closed a window shortly before this one, and so is taken to be alive.
     pub recent: bool,
-    /// Its requests.
+    /// Requests by team.
     pub counts: Counts,
 }
 
-/// What entry instances have told.
+/// The newest snapshot of each start of an entry instance.
 ///
 /// # Examples
 ///
 /// ```
-/// use usage::{Keeper, Tally};
+/// use usage::{Snapshot, SnapshotStore};
 ///
-/// let mut keeper = Keeper::default();
-/// let tally = Tally { through: 7, windows: vec![(7, vec![("a".into(), 2)])] };
-/// keeper.take(("e1".into(), 1), tally);
-/// assert_eq!(keeper.shares(7)[0].counts, [("a".into(), 2)]);
-/// assert!(!keeper.shares(8)[0].closed);
+/// let mut store = SnapshotStore::default();
+/// let snapshot = Snapshot { through: 7, windows: vec![(7, vec![("a".into(), 2)])] };
+/// store.update(("e1".into(), 1), snapshot);
+/// assert_eq!(store.window_counts(7)[0].counts, [("a".into(), 2)]);
+/// assert!(!store.window_counts(8)[0].closed);
 /// ```
 #[derive(Debug, Default)]
-pub struct Keeper {
-    tallies: Map<Source, Tally>,
+pub struct SnapshotStore {
+    snapshots: Map<Source, Snapshot>,
 }
 
-impl Keeper {
-    /// Takes in what an entry instance tells; an older word, which has less, changes nothing.
-    pub fn take(&mut self, source: Source, tally: Tally) {
-        if !self.tallies.contains_key(&source) && self.tallies.len() >= MOST {
-            self.prune(newest(&tally));
+impl SnapshotStore {
+    /// Stores a snapshot of an entry instance. One that arrives late and is older changes nothing.
+    pub fn update(&mut self, source: Source, snapshot: Snapshot) {
+        if !self.snapshots.contains_key(&source) && self.snapshots.len() >= MAX_SNAPSHOTS {
+            self.prune(newest_window(&snapshot));
         }
-        let held = self.tallies.entry(source).or_default();
-        if size(&tally) >= size(held) {
-            *held = tally;
+        let stored = self.snapshots.entry(source).or_default();
+        if progress(&snapshot) >= progress(stored) {
+            *stored = snapshot;
         }
     }
 
-    fn prune(&mut self, now: u64) {
-        self.tallies.retain(|_, tally| newest(tally) + OLD >= now);
+    fn prune(&mut self, window: u64) {
+        self.snapshots
+            .retain(|_, snapshot| newest_window(snapshot) + MAX_SNAPSHOT_AGE >= window);
     }
 
-    /// What is known of a window, by who has counted it.
-    pub fn shares(&self, window: u64) -> Vec<Share> {
-        let all = self.tallies.iter();
-        let fresh = all.filter(|(_, tally)| newest(tally) + OLD >= window);
-        fresh
-            .map(|(source, tally)| tally.share(source.clone(), window))
+    /// Returns the counts of a window, one item for each source.
+    pub fn window_counts(&self, window: u64) -> Vec<WindowCounts> {
+        let all = self.snapshots.iter();
+        let current =
+            all.filter(|(_, snapshot)| newest_window(snapshot) + MAX_SNAPSHOT_AGE >= window);
+        current
+            .map(|(source, snapshot)| snapshot.window_counts(source.clone(), window))
             .collect()
     }
 }
 
-impl Tally {
-    /// What it says of one window.
-    pub fn share(&self, source: Source, window: u64) -> Share {
+impl Snapshot {
+    /// Returns the counts of one window.
+    pub fn window_counts(&self, source: Source, window: u64) -> WindowCounts {
         let found = self.windows.iter().find(|(number, _)| *number == window);
-        Share {
+        WindowCounts {
             source,
             closed: self.through >= window,
-            recent: self.through + RECENT >= window,
+            recent: self.through + RECENT_WINDOWS >= window,
             counts: found.map(|(_, counts)| counts.clone()).unwrap_or_default(),
         }
     }
 }
 
-/// How much a tally says: windows only close, new ones only begin, and counts only grow. Old windows are
-/// dropped, some time after one was closed, and do not count.
-fn size(tally: &Tally) -> (u64, u64, u64) {
-    let windows = tally.windows.iter();
-    let kept = windows.filter(|(window, _)| window + KEPT > tally.through);
+/// Returns a key that is greater for newer snapshots of a source: windows only close, new ones only begin, and
+/// counts only grow. Old windows do not count, since they are dropped some time after they were closed.
+fn progress(snapshot: &Snapshot) -> (u64, u64, u64) {
+    let windows = snapshot.windows.iter();
+    let kept = windows.filter(|(window, _)| window + KEPT_CLOSED_WINDOWS > snapshot.through);
     let counts = kept.flat_map(|(_, counts)| counts);
     let sum = counts.map(|(_, count)| count).sum();
-    (tally.through, newest(tally), sum)
+    (snapshot.through, newest_window(snapshot), sum)
 }
 
-/// The newest window of which a tally says anything. One slow request holds its window open, and those after it.
-fn newest(tally: &Tally) -> u64 {
-    let counted = tally.windows.last().map_or(0, |(window, _)| *window);
-    counted.max(tally.through)
+/// Returns the newest window that a snapshot covers. A slow request keeps its window open, and those after it, so
+/// the last closed window may be older.
+fn newest_window(snapshot: &Snapshot) -> u64 {
+    let counted = snapshot.windows.last().map_or(0, |(window, _)| *window);
+    counted.max(snapshot.through)
 }
--- a/crates/weight/src/lib.rs
+++ b/crates/weight/src/lib.rs
@@ -1,18 +1,18 @@
-//! Weight versions: orders to engines in waves, fencing, verification, quarantine.
+//! Distribution of weight versions: load orders in waves, verification and quarantine of engines.
 //!
 //! A [`Plan`] is the state of one model in one failure domain on the instance that holds the
-//! lease for it. It is rebuilt from what the engines state, so a new holder needs nothing from
-//! the former one.
+//! lease for it. It is rebuilt from what the engines report, so a new lease holder needs nothing from
+//! the previous one.
 
-pub mod aim;
+pub mod demand;
 pub mod plan;
-pub mod swap;
+pub mod scheduler;
 
-pub use aim::Aim;
-pub use aim::Demand;
-pub use plan::Act;
+pub use demand::Demand;
+pub use demand::Target;
+pub use plan::Action;
 pub use plan::Plan;
-pub use plan::Stated;
+pub use plan::WeightState;
 
-/// A weight version of a model; higher is newer.
+/// Version of a model's weights; a higher one is newer.
 pub type Version = u64;
