--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -44,7 +44,8 @@
     /// of a suspicion that was answered, do not count.
     pub incarnation: u64,
     /// Whether it is thought to be there.
-    pub life: MemberState,
+    #[serde(rename = "life")]
+    pub state: MemberState,
 }
 
 impl Member {
@@ -60,14 +61,14 @@
     ///     domain: "nord".parse()?,
     ///     addr: "127.0.0.1:1".parse()?,
     ///     incarnation: 1,
-    ///     life: MemberState::Suspect,
+    ///     state: MemberState::Suspect,
     /// };
-    /// let back = Member { incarnation: 2, life: MemberState::Alive, ..old.clone() };
+    /// let back = Member { incarnation: 2, state: MemberState::Alive, ..old.clone() };
     /// assert!(old.yields_to(&back));
     /// assert!(!back.yields_to(&old));
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     pub fn yields_to(&self, news: &Self) -> bool {
-        (news.incarnation, news.life) > (self.incarnation, self.life)
+        (news.incarnation, news.state) > (self.incarnation, self.state)
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -92,7 +92,7 @@
 ///     domain: "nord".parse().expect("a name"),
 ///     addr: "127.0.0.1:1".parse().expect("an address"),
 ///     incarnation: 1,
-///     life: MemberState::Alive,
+///     state: MemberState::Alive,
 /// };
 /// let mut view = View::new(member("nord-1"), 0);
 /// view.add_member(member("nord-2"), 0);
@@ -150,7 +150,7 @@
         let others = self.others.values().map(|known| &known.member);
         std::iter::once(&self.me)
             .chain(others)
-            .filter(|member| member.life.is_live())
+            .filter(|member| member.state.is_live())
     }
 
     /// Everyone who is known, those gone among them.
@@ -161,7 +161,7 @@
     /// Instances that a limit is split over: all but those that said goodbye. One that fell silent
     /// may be cut off and go on serving, so it counts until it is forgotten.
     pub fn limit_shares(&self) -> usize {
-        self.all().filter(|m| m.life != MemberState::Left).count()
+        self.all().filter(|m| m.state != MemberState::Left).count()
     }
 
     /// The live instances of this instance's failure domain.
@@ -175,7 +175,7 @@
     pub fn is_reader(&self) -> bool {
         let alive = self
             .same_domain()
-            .filter(|member| member.life == MemberState::Alive);
+            .filter(|member| member.state == MemberState::Alive);
         alive.map(|member| &member.name).min() == Some(&self.me.name)
     }
 
@@ -197,7 +197,7 @@
             .values()
             .map(|known| &known.member)
             .filter(|member| (member.domain == self.me.domain) == near)
-            .filter(|member| member.life.is_live())
+            .filter(|member| member.state.is_live())
             .collect();
         if wanted.is_empty() {
             return None;
@@ -221,8 +221,8 @@
         let mut gone = Vec::new();
         for known in self.others.values_mut() {
             let over = now >= known.since + SUSPICION;
-            if known.member.life == MemberState::Suspect && over {
-                known.member.life = MemberState::Dead;
+            if known.member.state == MemberState::Suspect && over {
+                known.member.state = MemberState::Dead;
                 known.since = now;
                 gone.push(known.member.clone());
             }
@@ -232,7 +232,7 @@
             self.broadcast.add(Rumour::Member(member));
         }
         self.others
-            .retain(|_, k| k.member.life.is_live() || now < k.since + FORGET);
+            .retain(|_, k| k.member.state.is_live() || now < k.since + FORGET);
     }
 
     /// Notes that a probed instance answered.
@@ -245,12 +245,12 @@
         let Some(known) = self.others.get(name) else {
             return ProbeFailure::NotAlive;
         };
-        if known.member.life != MemberState::Alive {
+        if known.member.state != MemberState::Alive {
             return ProbeFailure::NotAlive;
         }
         let helpers: Vec<_> = self
             .same_domain()
-            .filter(|m| m.life == MemberState::Alive && m.name != self.me.name && &*m.name != name)
+            .filter(|m| m.state == MemberState::Alive && m.name != self.me.name && &*m.name != name)
             .take(HELPERS)
             .map(Probe::of)
             .collect();
@@ -264,7 +264,7 @@
         let Some(known) = self.others.get_mut(name) else {
             return ProbeFailure::NotAlive;
         };
-        known.member.life = MemberState::Suspect;
+        known.member.state = MemberState::Suspect;
         known.since = now;
         self.broadcast.add(Rumour::Member(known.member.clone()));
         ProbeFailure::Suspected
@@ -310,7 +310,7 @@
             return false;
         }
         // One that is gone and was forgotten stays forgotten.
-        if known.is_none() && !news.life.is_live() {
+        if known.is_none() && !news.state.is_live() {
             return false;
         }
         let member = news.clone();
@@ -324,7 +324,7 @@
     /// Contradicts a suspicion against this instance by a higher incarnation.
     fn hear_of_me(&mut self, news: &Member) -> bool {
         let stale = news.incarnation < self.me.incarnation;
-        if stale || (news.incarnation == self.me.incarnation && news.life == self.me.life) {
+        if stale || (news.incarnation == self.me.incarnation && news.state == self.me.state) {
             return false;
         }
         self.me.incarnation = news.incarnation + 1;
@@ -387,7 +387,7 @@
 
     /// Says goodbye: peers stop counting on this instance at once.
     pub fn leave(&mut self) {
-        self.me.life = MemberState::Left;
+        self.me.state = MemberState::Left;
         self.broadcast.add(Rumour::Member(self.me.clone()));
     }
 }
--- a/crates/fleet/tests/domains.rs
+++ b/crates/fleet/tests/domains.rs
@@ -32,7 +32,7 @@
         domain: name(domain),
         addr: "127.0.0.1:1".parse().unwrap(),
         incarnation: 1,
-        life: MemberState::Alive,
+        state: MemberState::Alive,
     }
 }
 
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -26,7 +26,7 @@
         domain: name(domain),
         addr: "127.0.0.1:1".parse().unwrap(),
         incarnation: 1,
-        life: MemberState::Alive,
+        state: MemberState::Alive,
     }
 }
 
@@ -40,13 +40,13 @@
 
 fn life(view: &View, name: &str) -> Option<MemberState> {
     let found = view.all().find(|member| &*member.name == name);
-    found.map(|member| member.life)
+    found.map(|member| member.state)
 }
 
 fn news(text: &str, incarnation: u64, life: MemberState) -> Rumour {
     Rumour::Member(Member {
         incarnation,
-        life,
+        state: life,
         ..member(text, "nord")
     })
 }
@@ -110,7 +110,7 @@
     let told = view.outgoing(&name("nord"));
     let mine = |r: &Rumour| matches!(r, Rumour::Member(m) if &*m.name == "a" && m.incarnation == 2);
     assert!(told.iter().any(mine), "{told:?}");
-    assert_eq!(view.me().life, MemberState::Alive);
+    assert_eq!(view.me().state, MemberState::Alive);
 }
 
 #[test]
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -172,7 +172,7 @@
         addr: settings.me.address,
         // The time of the start tells this life from a former one.
         incarnation: clock.wall(),
-        life: MemberState::Alive,
+        state: MemberState::Alive,
     };
     let mut view = View::new(me, clock.now());
     for peer in &settings.peers {
@@ -181,7 +181,7 @@
             domain: peer.domain.clone(),
             addr: peer.address,
             incarnation: 0,
-            life: MemberState::Alive,
+            state: MemberState::Alive,
         };
         view.add_member(member, clock.now());
     }
--- a/crates/snipeway/src/cmd/status.rs
+++ b/crates/snipeway/src/cmd/status.rs
@@ -57,7 +57,10 @@
 }
 
 fn instance(status: &Status) {
-    let live = status.members.iter().filter(|member| member.life.is_live());
+    let live = status
+        .members
+        .iter()
+        .filter(|member| member.state.is_live());
     let known = status
         .known
         .map_or_else(|| "never".into(), |age| age.to_string());
