--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clock::Clock;
-use fleet::Fence;
+use fleet::FencingToken;
 use fleet::Lease;
 use fleet::lease::Held;
 use fleet::lease::Next;
@@ -47,7 +47,7 @@
     engine: &Spec,
     lease: &Lease<Held>,
     clock: Clock,
-    order: impl FnOnce(Fence) -> Order,
+    order: impl FnOnce(FencingToken) -> Order,
 ) -> Given {
     // Asked for each order, right before it: the process may have been stopped since the last.
     let fence = match lease.next(clock.now()) {
--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -197,7 +197,7 @@
             return true;
         };
         let source = self.sources.next(name, &self.model, version);
-        let order = |fence: fleet::Fence| Order {
+        let order = |fence: fleet::FencingToken| Order {
             version,
             source,
             fence: fence.0,
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -19,7 +19,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Fence;
+use crate::FencingToken;
 
 /// Time between two renewals, in milliseconds: each is a write that the platform counts.
 const RENEW: Millis = 900;
@@ -197,7 +197,7 @@
         Leader {
             me: self.me,
             from: self.from,
-            fence: Fence(rev),
+            fence: FencingToken(rev),
             rev,
             renewed: sent,
         }
@@ -209,7 +209,7 @@
 pub struct Leader {
     me: Seat,
     from: Millis,
-    fence: Fence,
+    fence: FencingToken,
     rev: i64,
     renewed: Millis,
 }
@@ -221,7 +221,7 @@
     }
 
     /// The fencing number of its orders; a later leader always has a higher one.
-    pub fn fence(&self) -> Fence {
+    pub fn fence(&self) -> FencingToken {
         self.fence
     }
 
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -10,7 +10,7 @@
 /// has a higher one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct Fence(pub i64);
+pub struct FencingToken(pub i64);
 
 /// Nobody here holds the lease.
 #[derive(Debug)]
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Work, with this fencing number.
-    Work(Fence),
+    Work(FencingToken),
     /// Work, and renew now.
-    Renew(Fence),
+    Renew(FencingToken),
     /// Do nothing: the lease may have lapsed. Take it again.
     Lapsed,
 }
@@ -46,18 +46,18 @@
 /// # Examples
 ///
 /// ```
-/// use fleet::lease::{Fence, Lease, Next};
+/// use fleet::lease::{FencingToken, Lease, Next};
 ///
-/// let held = Lease::new(10_000).taken(Fence(7), 42, 0);
-/// assert_eq!(held.next(1_000), Next::Work(Fence(7)));
-/// assert_eq!(held.next(4_000), Next::Renew(Fence(7)));
+/// let held = Lease::new(10_000).taken(FencingToken(7), 42, 0);
+/// assert_eq!(held.next(1_000), Next::Work(FencingToken(7)));
+/// assert_eq!(held.next(4_000), Next::Renew(FencingToken(7)));
 /// // The holder was paused; it resumes after the lease may have lapsed.
 /// assert_eq!(held.next(9_000), Next::Lapsed);
 /// ```
 #[derive(Debug)]
 pub struct Lease<S = Free> {
     ttl: Millis,
-    fence: Fence,
+    fence: FencingToken,
     id: i64,
     since: Millis,
     state: PhantomData<S>,
@@ -68,7 +68,7 @@
     pub fn new(ttl: Millis) -> Self {
         Self {
             ttl,
-            fence: Fence(0),
+            fence: FencingToken(0),
             id: 0,
             since: 0,
             state: PhantomData,
@@ -76,7 +76,7 @@
     }
 
     /// Notes that the lease was taken, by a request sent at `sent`.
-    pub fn taken(self, fence: Fence, id: i64, sent: Millis) -> Lease<Held> {
+    pub fn taken(self, fence: FencingToken, id: i64, sent: Millis) -> Lease<Held> {
         Lease {
             ttl: self.ttl,
             fence,
@@ -107,7 +107,7 @@
     }
 
     /// The fencing number.
-    pub fn fence(&self) -> Fence {
+    pub fn fence(&self) -> FencingToken {
         self.fence
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use election::Candidate;
 pub use election::Leader;
-pub use lease::Fence;
+pub use lease::FencingToken;
 pub use lease::Lease;
 pub use member::Member;
 pub use member::MemberState;
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Tests of membership, rumours and leases.
 
-use fleet::Fence;
+use fleet::FencingToken;
 use fleet::Lease;
 use fleet::Member;
 use fleet::MemberState;
@@ -192,26 +192,26 @@
 // Sequence: the holder is paused for longer than its lease and resumes between check and order.
 // Cause: a check against the moment the grant arrived, or a check made once for many orders.
 #[parameterized(
-    fresh = { 0, Next::Work(Fence(7)) },
-    third = { 3_400, Next::Renew(Fence(7)) },
-    margin = { 7_499, Next::Renew(Fence(7)) },
+    fresh = { 0, Next::Work(FencingToken(7)) },
+    third = { 3_400, Next::Renew(FencingToken(7)) },
+    margin = { 7_499, Next::Renew(FencingToken(7)) },
     lapsed = { 7_500, Next::Lapsed },
     long_after = { 1_000_000, Next::Lapsed },
 )]
 fn a_lease_ends_here_before_it_ends_there(now: u64, expected: Next) {
-    let held = Lease::new(10_000).taken(Fence(7), 1, 0);
+    let held = Lease::new(10_000).taken(FencingToken(7), 1, 0);
 
     assert_eq!(held.next(now), expected);
 }
 
 #[test]
 fn a_renewal_counts_from_its_sending() {
-    let mut held = Lease::new(10_000).taken(Fence(7), 1, 0);
+    let mut held = Lease::new(10_000).taken(FencingToken(7), 1, 0);
 
     held.renewed(5_000);
     held.renewed(4_000);
 
-    assert_eq!(held.next(12_499), Next::Renew(Fence(7)));
+    assert_eq!(held.next(12_499), Next::Renew(FencingToken(7)));
     assert_eq!(held.next(12_500), Next::Lapsed);
 }
 
@@ -279,12 +279,12 @@
             if now >= ends {
                 fence += 1;
                 ends = now + answer + ttl;
-                holders.push(Lease::new(ttl).taken(Fence(fence), 1, now));
+                holders.push(Lease::new(ttl).taken(FencingToken(fence), 1, now));
             }
             let work = |lease: &&Lease<_>| lease.next(now) != Next::Lapsed;
             let workers: Vec<_> = holders.iter().filter(work).collect();
             prop_assert!(workers.len() <= 1);
-            prop_assert!(workers.iter().all(|lease| lease.fence() == Fence(fence)));
+            prop_assert!(workers.iter().all(|lease| lease.fence() == FencingToken(fence)));
         }
     }
 }
--- a/crates/plat/src/holder.rs
+++ b/crates/plat/src/holder.rs
@@ -1,7 +1,7 @@
 //! Holding a lease at the platform.
 
 use clock::Clock;
-use fleet::Fence;
+use fleet::FencingToken;
 use fleet::Lease;
 use fleet::lease::Held;
 use fleet::lease::Next;
@@ -60,7 +60,11 @@
         // The platform's revision only rises, so a later holder has a higher number.
         Done::At(rev) => {
             let lease = Lease::new(granted.ttl);
-            Ok(Taken::Ours(lease.taken(Fence(rev), granted.id, sent)))
+            Ok(Taken::Ours(lease.taken(
+                FencingToken(rev),
+                granted.id,
+                sent,
+            )))
         }
     }
 }
