--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -6,7 +6,7 @@
 use fleet::FencingToken;
 use fleet::Lease;
 use fleet::lease::Held;
-use fleet::lease::Next;
+use fleet::lease::HolderAction;
 use http::Method;
 use http::StatusCode;
 use net::client::JsonError;
@@ -51,8 +51,8 @@
 ) -> Given {
     // Asked for each order, right before it: the process may have been stopped since the last.
     let fence = match lease.next(clock.now()) {
-        Next::Work(fence) | Next::Renew(fence) => fence,
-        Next::Lapsed => return Given::Lapsed,
+        HolderAction::Work(fence) | HolderAction::Renew(fence) => fence,
+        HolderAction::Lapsed => return Given::Lapsed,
     };
     let uri = net::client::uri(engine.addr, ORDER);
     match http.json(Method::POST, &uri, &order(fence), LIMIT).await {
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -29,7 +29,7 @@
 
 /// What the holder of a lease may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum HolderAction {
     /// Work, with this fencing number.
     Work(FencingToken),
     /// Work, and renew now.
@@ -46,13 +46,13 @@
 /// # Examples
 ///
 /// ```
-/// use fleet::lease::{FencingToken, Lease, Next};
+/// use fleet::lease::{FencingToken, Lease, HolderAction};
 ///
 /// let held = Lease::new(10_000).taken(FencingToken(7), 42, 0);
-/// assert_eq!(held.next(1_000), Next::Work(FencingToken(7)));
-/// assert_eq!(held.next(4_000), Next::Renew(FencingToken(7)));
+/// assert_eq!(held.next(1_000), HolderAction::Work(FencingToken(7)));
+/// assert_eq!(held.next(4_000), HolderAction::Renew(FencingToken(7)));
 /// // The holder was paused; it resumes after the lease may have lapsed.
-/// assert_eq!(held.next(9_000), Next::Lapsed);
+/// assert_eq!(held.next(9_000), HolderAction::Lapsed);
 /// ```
 #[derive(Debug)]
 pub struct Lease<S = Free> {
@@ -89,16 +89,16 @@
 
 impl Lease<Held> {
     /// Says what the holder may do now. Ask before each order, not once for many.
-    pub fn next(&self, now: Millis) -> Next {
+    pub fn next(&self, now: Millis) -> HolderAction {
         let age = now.saturating_sub(self.since) as f64;
         let ttl = self.ttl as f64;
         if age >= ttl * (1.0 - MARGIN) {
-            return Next::Lapsed;
+            return HolderAction::Lapsed;
         }
         if age >= ttl * RENEW {
-            return Next::Renew(self.fence);
+            return HolderAction::Renew(self.fence);
         }
-        Next::Work(self.fence)
+        HolderAction::Work(self.fence)
     }
 
     /// The platform's identifier of the lease.
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -6,7 +6,7 @@
 use fleet::MemberState;
 use fleet::Rumour;
 use fleet::View;
-use fleet::lease::Next;
+use fleet::lease::HolderAction;
 use fleet::rumour::Demand;
 use fleet::view::FORGET;
 use fleet::view::PROBE_INTERVAL;
@@ -192,13 +192,13 @@
 // Sequence: the holder is paused for longer than its lease and resumes between check and order.
 // Cause: a check against the moment the grant arrived, or a check made once for many orders.
 #[parameterized(
-    fresh = { 0, Next::Work(FencingToken(7)) },
-    third = { 3_400, Next::Renew(FencingToken(7)) },
-    margin = { 7_499, Next::Renew(FencingToken(7)) },
-    lapsed = { 7_500, Next::Lapsed },
-    long_after = { 1_000_000, Next::Lapsed },
+    fresh = { 0, HolderAction::Work(FencingToken(7)) },
+    third = { 3_400, HolderAction::Renew(FencingToken(7)) },
+    margin = { 7_499, HolderAction::Renew(FencingToken(7)) },
+    lapsed = { 7_500, HolderAction::Lapsed },
+    long_after = { 1_000_000, HolderAction::Lapsed },
 )]
-fn a_lease_ends_here_before_it_ends_there(now: u64, expected: Next) {
+fn a_lease_ends_here_before_it_ends_there(now: u64, expected: HolderAction) {
     let held = Lease::new(10_000).taken(FencingToken(7), 1, 0);
 
     assert_eq!(held.next(now), expected);
@@ -211,8 +211,8 @@
     held.renewed(5_000);
     held.renewed(4_000);
 
-    assert_eq!(held.next(12_499), Next::Renew(FencingToken(7)));
-    assert_eq!(held.next(12_500), Next::Lapsed);
+    assert_eq!(held.next(12_499), HolderAction::Renew(FencingToken(7)));
+    assert_eq!(held.next(12_500), HolderAction::Lapsed);
 }
 
 /// Lets every instance in `up` probe as its view says; a message is lost where `lost` says so.
@@ -281,7 +281,7 @@
                 ends = now + answer + ttl;
                 holders.push(Lease::new(ttl).taken(FencingToken(fence), 1, now));
             }
-            let work = |lease: &&Lease<_>| lease.next(now) != Next::Lapsed;
+            let work = |lease: &&Lease<_>| lease.next(now) != HolderAction::Lapsed;
             let workers: Vec<_> = holders.iter().filter(work).collect();
             prop_assert!(workers.len() <= 1);
             prop_assert!(workers.iter().all(|lease| lease.fence() == FencingToken(fence)));
--- a/crates/plat/src/holder.rs
+++ b/crates/plat/src/holder.rs
@@ -4,7 +4,7 @@
 use fleet::FencingToken;
 use fleet::Lease;
 use fleet::lease::Held;
-use fleet::lease::Next;
+use fleet::lease::HolderAction;
 use kernel::Millis;
 
 use crate::Client;
@@ -72,9 +72,9 @@
 /// Renews a lease when it is time; tells whether it may still be used.
 pub async fn keep(plat: &Client, lease: &mut Lease<Held>, clock: Clock) -> bool {
     match lease.next(clock.now()) {
-        Next::Work(_) => true,
-        Next::Lapsed => false,
-        Next::Renew(_) => {
+        HolderAction::Work(_) => true,
+        HolderAction::Lapsed => false,
+        HolderAction::Renew(_) => {
             let sent = clock.now();
             match plat.renew(lease.id()).await {
                 Ok(true) => {
@@ -83,7 +83,7 @@
                 }
                 Ok(false) => false,
                 // The platform is away: the lease holds until its margin, and is tried again.
-                Err(_) => lease.next(clock.now()) != Next::Lapsed,
+                Err(_) => lease.next(clock.now()) != HolderAction::Lapsed,
             }
         }
     }
