--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -50,7 +50,7 @@
     order: impl FnOnce(FencingToken) -> Order,
 ) -> Given {
     // Asked for each order, right before it: the process may have been stopped since the last.
-    let fence = match lease.next(clock.now()) {
+    let fence = match lease.check(clock.now()) {
         HolderAction::Work(fence) | HolderAction::Renew(fence) => fence,
         HolderAction::Lapsed => return Given::Lapsed,
     };
--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -93,7 +93,7 @@
 
     async fn hold(&self, mut lease: Lease<Held>) {
         let name = self.name();
-        let fence = lease.fence().0;
+        let fence = lease.fencing_token().0;
         audit::line(
             &self.instance,
             "lease taken",
@@ -177,7 +177,7 @@
 
     /// Does one thing; tells whether the lease is still ours.
     async fn act(&self, act: Act, lease: &Lease<Held>) -> bool {
-        let fence = lease.fence().0;
+        let fence = lease.fencing_token().0;
         match act {
             Act::Order { engine, version } => self.order(&engine, version, lease).await,
             Act::Quarantine { engine, why } => {
@@ -204,7 +204,7 @@
             keep: true,
         };
         let given = orders::give(&self.http, engine, lease, self.clock, order).await;
-        let fence = lease.fence().0;
+        let fence = lease.fencing_token().0;
         let after = format!("load version {version}: {given:?}");
         audit::line(&self.instance, "order", name, "", &after, fence);
         !matches!(given, Given::Lapsed | Given::Fenced)
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -48,11 +48,11 @@
 /// ```
 /// use fleet::lease::{FencingToken, Lease, HolderAction};
 ///
-/// let held = Lease::new(10_000).taken(FencingToken(7), 42, 0);
-/// assert_eq!(held.next(1_000), HolderAction::Work(FencingToken(7)));
-/// assert_eq!(held.next(4_000), HolderAction::Renew(FencingToken(7)));
+/// let held = Lease::new(10_000).acquired(FencingToken(7), 42, 0);
+/// assert_eq!(held.check(1_000), HolderAction::Work(FencingToken(7)));
+/// assert_eq!(held.check(4_000), HolderAction::Renew(FencingToken(7)));
 /// // The holder was paused; it resumes after the lease may have lapsed.
-/// assert_eq!(held.next(9_000), HolderAction::Lapsed);
+/// assert_eq!(held.check(9_000), HolderAction::Lapsed);
 /// ```
 #[derive(Debug)]
 pub struct Lease<S = Free> {
@@ -76,7 +76,7 @@
     }
 
     /// Notes that the lease was taken, by a request sent at `sent`.
-    pub fn taken(self, fence: FencingToken, id: i64, sent: Millis) -> Lease<Held> {
+    pub fn acquired(self, fence: FencingToken, id: i64, sent: Millis) -> Lease<Held> {
         Lease {
             ttl: self.ttl,
             fence,
@@ -89,7 +89,7 @@
 
 impl Lease<Held> {
     /// Says what the holder may do now. Ask before each order, not once for many.
-    pub fn next(&self, now: Millis) -> HolderAction {
+    pub fn check(&self, now: Millis) -> HolderAction {
         let age = now.saturating_sub(self.since) as f64;
         let ttl = self.ttl as f64;
         if age >= ttl * (1.0 - MARGIN) {
@@ -107,7 +107,7 @@
     }
 
     /// The fencing number.
-    pub fn fence(&self) -> FencingToken {
+    pub fn fencing_token(&self) -> FencingToken {
         self.fence
     }
 
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -199,20 +199,20 @@
     long_after = { 1_000_000, HolderAction::Lapsed },
 )]
 fn a_lease_ends_here_before_it_ends_there(now: u64, expected: HolderAction) {
-    let held = Lease::new(10_000).taken(FencingToken(7), 1, 0);
+    let held = Lease::new(10_000).acquired(FencingToken(7), 1, 0);
 
-    assert_eq!(held.next(now), expected);
+    assert_eq!(held.check(now), expected);
 }
 
 #[test]
 fn a_renewal_counts_from_its_sending() {
-    let mut held = Lease::new(10_000).taken(FencingToken(7), 1, 0);
+    let mut held = Lease::new(10_000).acquired(FencingToken(7), 1, 0);
 
     held.renewed(5_000);
     held.renewed(4_000);
 
-    assert_eq!(held.next(12_499), HolderAction::Renew(FencingToken(7)));
-    assert_eq!(held.next(12_500), HolderAction::Lapsed);
+    assert_eq!(held.check(12_499), HolderAction::Renew(FencingToken(7)));
+    assert_eq!(held.check(12_500), HolderAction::Lapsed);
 }
 
 /// Lets every instance in `up` probe as its view says; a message is lost where `lost` says so.
@@ -279,12 +279,12 @@
             if now >= ends {
                 fence += 1;
                 ends = now + answer + ttl;
-                holders.push(Lease::new(ttl).taken(FencingToken(fence), 1, now));
+                holders.push(Lease::new(ttl).acquired(FencingToken(fence), 1, now));
             }
-            let work = |lease: &&Lease<_>| lease.next(now) != HolderAction::Lapsed;
+            let work = |lease: &&Lease<_>| lease.check(now) != HolderAction::Lapsed;
             let workers: Vec<_> = holders.iter().filter(work).collect();
             prop_assert!(workers.len() <= 1);
-            prop_assert!(workers.iter().all(|lease| lease.fence() == FencingToken(fence)));
+            prop_assert!(workers.iter().all(|lease| lease.fencing_token() == FencingToken(fence)));
         }
     }
 }
--- a/crates/plat/src/holder.rs
+++ b/crates/plat/src/holder.rs
@@ -60,7 +60,7 @@
         // The platform's revision only rises, so a later holder has a higher number.
         Done::At(rev) => {
             let lease = Lease::new(granted.ttl);
-            Ok(Taken::Ours(lease.taken(
+            Ok(Taken::Ours(lease.acquired(
                 FencingToken(rev),
                 granted.id,
                 sent,
@@ -71,7 +71,7 @@
 
 /// Renews a lease when it is time; tells whether it may still be used.
 pub async fn keep(plat: &Client, lease: &mut Lease<Held>, clock: Clock) -> bool {
-    match lease.next(clock.now()) {
+    match lease.check(clock.now()) {
         HolderAction::Work(_) => true,
         HolderAction::Lapsed => false,
         HolderAction::Renew(_) => {
@@ -83,7 +83,7 @@
                 }
                 Ok(false) => false,
                 // The platform is away: the lease holds until its margin, and is tried again.
-                Err(_) => lease.next(clock.now()) != HolderAction::Lapsed,
+                Err(_) => lease.check(clock.now()) != HolderAction::Lapsed,
             }
         }
     }
