--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -41,7 +41,7 @@
 /// The machine on which a process runs, and which of its starts it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Seat {
+pub struct ProcessId {
     /// The machine, by its address: names may be given again to another machine.
     pub machine: Arc<str>,
     /// Which start of the process.
@@ -53,7 +53,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct Record {
     /// The leader.
-    pub leader: Seat,
+    pub leader: ProcessId,
     /// How far it is.
     pub phase: Phase,
 }
@@ -95,10 +95,10 @@
 /// ```
 /// use std::sync::Arc;
 ///
-/// use fleet::election::{Candidate, Next, Record, Seat};
+/// use fleet::election::{Candidate, Next, Record, ProcessId};
 ///
-/// let seat = |machine: &str, start| Seat { machine: machine.into(), start };
-/// let mut candidate = Candidate::new(seat("10.0.0.1", 7), 3_000);
+/// let process = |machine: &str, start| ProcessId { machine: machine.into(), start };
+/// let mut candidate = Candidate::new(process("10.0.0.1", 7), 3_000);
 /// // Nobody has ever led: it stands at once.
 /// let Next::Stand(0, _) = candidate.read(None, 100) else { panic!() };
 /// let leader = candidate.won(5, 100);
@@ -108,7 +108,7 @@
 /// ```
 #[derive(Debug)]
 pub struct Candidate {
-    me: Seat,
+    me: ProcessId,
     /// Time within which two machines must not both give orders, in milliseconds.
     turn: Millis,
     sight: Option<Sight>,
@@ -118,7 +118,7 @@
 
 impl Candidate {
     /// Makes a candidate; two machines must not both give orders within `turn` milliseconds.
-    pub fn new(me: Seat, turn: Millis) -> Self {
+    pub fn new(me: ProcessId, turn: Millis) -> Self {
         Self {
             me,
             turn,
@@ -207,7 +207,7 @@
 /// The instance that gives orders.
 #[derive(Debug)]
 pub struct Leader {
-    me: Seat,
+    me: ProcessId,
     from: Millis,
     fence: FencingToken,
     rev: i64,
--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -4,16 +4,16 @@
 use fleet::election::Leader;
 use fleet::election::Next;
 use fleet::election::Phase;
+use fleet::election::ProcessId;
 use fleet::election::Record;
-use fleet::election::Seat;
 use kernel::Millis;
 use proptest::prelude::*;
 
 /// Time within which two machines must not both order.
 const TURN: Millis = 3_000;
 
-fn seat(machine: usize, start: u64) -> Seat {
-    Seat {
+fn seat(machine: usize, start: u64) -> ProcessId {
+    ProcessId {
         machine: format!("10.0.0.{machine}").into(),
         start,
     }
--- a/crates/fleet/tests/removed.rs
+++ b/crates/fleet/tests/removed.rs
@@ -3,8 +3,8 @@
 use fleet::election::Candidate;
 use fleet::election::Next;
 use fleet::election::Phase;
+use fleet::election::ProcessId;
 use fleet::election::Record;
-use fleet::election::Seat;
 use kernel::Millis;
 use yare::parameterized;
 
@@ -14,8 +14,8 @@
 /// Time between two reads of the record, in milliseconds.
 const LOOK: Millis = 300;
 
-fn seat(machine: usize) -> Seat {
-    Seat {
+fn seat(machine: usize) -> ProcessId {
+    ProcessId {
         machine: format!("10.0.0.{machine}").into(),
         start: 1,
     }
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -7,8 +7,8 @@
 use fleet::Candidate;
 use fleet::Leader;
 use fleet::election::Next;
+use fleet::election::ProcessId;
 use fleet::election::Record;
-use fleet::election::Seat;
 use kernel::Millis;
 use parking_lot::Mutex;
 use plat::Done;
@@ -92,7 +92,7 @@
 /// Stands for leader until this instance is it.
 pub async fn stand(app: &App) -> Office {
     let addr = SocketAddr::new(app.settings.address, app.settings.peer);
-    let me = Seat {
+    let me = ProcessId {
         machine: addr.to_string().into(),
         start: app.me.start,
     };
