--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -72,11 +72,11 @@
 
 /// What a candidate does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum CandidateAction {
     /// Read the record again after a while.
     Wait,
     /// Write this record if the present one still has this revision, which is 0 for none.
-    Stand(i64, Record),
+    Claim(i64, Record),
 }
 
 /// One revision of the record as a candidate sees it.
@@ -95,12 +95,12 @@
 /// ```
 /// use std::sync::Arc;
 ///
-/// use fleet::election::{Candidate, Next, Record, ProcessId};
+/// use fleet::election::{Candidate, CandidateAction, Record, ProcessId};
 ///
 /// let process = |machine: &str, start| ProcessId { machine: machine.into(), start };
 /// let mut candidate = Candidate::new(process("10.0.0.1", 7), 3_000);
 /// // Nobody has ever led: it stands at once.
-/// let Next::Stand(0, _) = candidate.read(None, 100) else { panic!() };
+/// let CandidateAction::Claim(0, _) = candidate.read(None, 100) else { panic!() };
 /// let leader = candidate.won(5, 100);
 /// assert!(leader.may_order(200));
 /// // Its renewals fail.
@@ -127,16 +127,16 @@
         }
     }
 
-    fn stand(&self, rev: i64) -> Next {
+    fn stand(&self, rev: i64) -> CandidateAction {
         let record = Record {
             leader: self.me.clone(),
             phase: Phase::Waiting,
         };
-        Next::Stand(rev, record)
+        CandidateAction::Claim(rev, record)
     }
 
     /// Takes in a read of the record and its revision, which was sent at `now`.
-    pub fn read(&mut self, found: Option<(&Record, i64)>, now: Millis) -> Next {
+    pub fn read(&mut self, found: Option<(&Record, i64)>, now: Millis) -> CandidateAction {
         let Some((record, rev)) = found else {
             self.from = self.without_record(now);
             return self.stand(NONE);
@@ -165,7 +165,7 @@
         let gone = mine || record.phase == Phase::Resigned;
         match gone || now >= sight.steady + SILENT {
             true => self.stand(rev),
-            false => Next::Wait,
+            false => CandidateAction::Wait,
         }
     }
 
--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -1,8 +1,8 @@
 //! Who gives orders: at most one machine within the bound, and soon again after a failure.
 
 use fleet::election::Candidate;
+use fleet::election::CandidateAction;
 use fleet::election::Leader;
-use fleet::election::Next;
 use fleet::election::Phase;
 use fleet::election::ProcessId;
 use fleet::election::Record;
@@ -29,7 +29,7 @@
 /// Reads one record every 300 ms from `from` on until the candidate stands; gives the time.
 fn stands(candidate: &mut Candidate, record: &Record, rev: i64, from: Millis) -> Millis {
     let mut now = from;
-    while candidate.read(Some((record, rev)), now) == Next::Wait {
+    while candidate.read(Some((record, rev)), now) == CandidateAction::Wait {
         now += 300;
     }
     now
@@ -53,7 +53,7 @@
 
     let next = candidate.read(None, 50);
 
-    assert!(matches!(next, Next::Stand(0, _)));
+    assert!(matches!(next, CandidateAction::Claim(0, _)));
     assert!(candidate.won(1, 50).may_order(50));
 }
 
@@ -123,7 +123,10 @@
 
     candidate.missed(4_000);
 
-    assert_eq!(candidate.read(Some((&other, 9)), 4_100), Next::Wait);
+    assert_eq!(
+        candidate.read(Some((&other, 9)), 4_100),
+        CandidateAction::Wait
+    );
 }
 
 #[test]
@@ -245,8 +248,8 @@
                     Role::Candidate(candidate)
                 } else {
                     match candidate.read(found, now) {
-                        Next::Wait => Role::Candidate(candidate),
-                        Next::Stand(rev, record) => {
+                        CandidateAction::Wait => Role::Candidate(candidate),
+                        CandidateAction::Claim(rev, record) => {
                             match Self::write(platform, luck, rev, record, now) {
                                 Some(Some(rev)) => Role::Leader(candidate.won(rev, now)),
                                 Some(None) | None => Role::Candidate(candidate),
--- a/crates/fleet/tests/removed.rs
+++ b/crates/fleet/tests/removed.rs
@@ -1,7 +1,7 @@
 //! What becomes of the leader's bound when its record is removed.
 
 use fleet::election::Candidate;
-use fleet::election::Next;
+use fleet::election::CandidateAction;
 use fleet::election::Phase;
 use fleet::election::ProcessId;
 use fleet::election::Record;
@@ -43,7 +43,7 @@
         now += LOOK;
         // The writes of the first looks are not answered, and take no effect.
         let next = other.read(None, now);
-        assert!(matches!(next, Next::Stand(0, _)));
+        assert!(matches!(next, CandidateAction::Claim(0, _)));
     }
     let mut other = other.won(9, now);
 
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -6,7 +6,7 @@
 use batch::record;
 use fleet::Candidate;
 use fleet::Leader;
-use fleet::election::Next;
+use fleet::election::CandidateAction;
 use fleet::election::ProcessId;
 use fleet::election::Record;
 use kernel::Millis;
@@ -99,7 +99,7 @@
     let mut candidate = Candidate::new(me, app.settings.turn);
     let mut reach = Reach::new("leader's record");
     loop {
-        if let Next::Stand(rev, record) = look(app, &mut candidate).await {
+        if let CandidateAction::Claim(rev, record) = look(app, &mut candidate).await {
             let sent = app.clock.now();
             match write(app, rev, &record).await {
                 Ok(Done::At(rev)) => {
@@ -115,7 +115,7 @@
     }
 }
 
-async fn look(app: &App, candidate: &mut Candidate) -> Next {
+async fn look(app: &App, candidate: &mut Candidate) -> CandidateAction {
     let sent = app.clock.now();
     let found = match app.plat.stale(KEY).await {
         Ok(range) => range.items.first().map(decode).transpose(),
@@ -129,7 +129,7 @@
         Err(error) => {
             log::debug!(target: "control", error = error.to_string().as_str(); "no look at the leader");
             candidate.missed(app.clock.now());
-            Next::Wait
+            CandidateAction::Wait
         }
     }
 }
