--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -100,7 +100,7 @@
 /// let process = |machine: &str, start| ProcessId { machine: machine.into(), start };
 /// let mut candidate = Candidate::new(process("10.0.0.1", 7), 3_000);
 /// // Nobody has ever led: it stands at once.
-/// let CandidateAction::Claim(0, _) = candidate.read(None, 100) else { panic!() };
+/// let CandidateAction::Claim(0, _) = candidate.observe(None, 100) else { panic!() };
 /// let leader = candidate.won(5, 100);
 /// assert!(leader.may_order(200));
 /// // Its renewals fail.
@@ -136,7 +136,7 @@
     }
 
     /// Takes in a read of the record and its revision, which was sent at `now`.
-    pub fn read(&mut self, found: Option<(&Record, i64)>, now: Millis) -> CandidateAction {
+    pub fn observe(&mut self, found: Option<(&Record, i64)>, now: Millis) -> CandidateAction {
         let Some((record, rev)) = found else {
             self.from = self.without_record(now);
             return self.stand(NONE);
@@ -186,7 +186,7 @@
 
     /// Notes that a read failed: the leader may be as unable to renew as this one is to read, and
     /// gets its time once more.
-    pub fn missed(&mut self, now: Millis) {
+    pub fn read_failed(&mut self, now: Millis) {
         if let Some(sight) = &mut self.sight {
             sight.steady = now;
         }
--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -29,7 +29,7 @@
 /// Reads one record every 300 ms from `from` on until the candidate stands; gives the time.
 fn stands(candidate: &mut Candidate, record: &Record, rev: i64, from: Millis) -> Millis {
     let mut now = from;
-    while candidate.read(Some((record, rev)), now) == CandidateAction::Wait {
+    while candidate.observe(Some((record, rev)), now) == CandidateAction::Wait {
         now += 300;
     }
     now
@@ -51,7 +51,7 @@
 fn the_first_leader_orders_at_once() {
     let mut candidate = Candidate::new(seat(1, 1), TURN);
 
-    let next = candidate.read(None, 50);
+    let next = candidate.observe(None, 50);
 
     assert!(matches!(next, CandidateAction::Claim(0, _)));
     assert!(candidate.won(1, 50).may_order(50));
@@ -119,12 +119,12 @@
 fn a_time_without_reads_does_not_count_as_silence() {
     let mut candidate = Candidate::new(seat(2, 1), TURN);
     let other = record(1, 1, Phase::Ordering);
-    candidate.read(Some((&other, 9)), 0);
+    candidate.observe(Some((&other, 9)), 0);
 
-    candidate.missed(4_000);
+    candidate.read_failed(4_000);
 
     assert_eq!(
-        candidate.read(Some((&other, 9)), 4_100),
+        candidate.observe(Some((&other, 9)), 4_100),
         CandidateAction::Wait
     );
 }
@@ -132,7 +132,7 @@
 #[test]
 fn a_leader_that_cannot_renew_stops() {
     let mut candidate = Candidate::new(seat(1, 1), TURN);
-    candidate.read(None, 0);
+    candidate.observe(None, 0);
     let leader = candidate.won(1, 0);
 
     let now = [0, 1_500, 1_700, 60_000].map(|now| leader.may_order(now));
@@ -244,10 +244,10 @@
                 let found = platform.record.clone();
                 let found = found.as_ref().map(|(record, rev)| (record, *rev));
                 if !reaches {
-                    candidate.missed(now);
+                    candidate.read_failed(now);
                     Role::Candidate(candidate)
                 } else {
-                    match candidate.read(found, now) {
+                    match candidate.observe(found, now) {
                         CandidateAction::Wait => Role::Candidate(candidate),
                         CandidateAction::Claim(rev, record) => {
                             match Self::write(platform, luck, rev, record, now) {
--- a/crates/fleet/tests/removed.rs
+++ b/crates/fleet/tests/removed.rs
@@ -29,20 +29,20 @@
 )]
 fn a_leader_whose_record_is_removed_may_still_order_for_a_while(looks: u64) {
     let mut leader = Candidate::new(seat(1), TURN);
-    leader.read(None, 0);
+    leader.observe(None, 0);
     let leader = leader.won(5, 0);
     let record = Record {
         leader: seat(1),
         phase: Phase::Ordering,
     };
     let mut other = Candidate::new(seat(2), TURN);
-    other.read(Some((&record, 5)), 100);
+    other.observe(Some((&record, 5)), 100);
 
     let mut now = 100;
     for _ in 0..looks {
         now += LOOK;
         // The writes of the first looks are not answered, and take no effect.
-        let next = other.read(None, now);
+        let next = other.observe(None, now);
         assert!(matches!(next, CandidateAction::Claim(0, _)));
     }
     let mut other = other.won(9, now);
@@ -65,10 +65,10 @@
         phase: Phase::Ordering,
     };
     let mut candidate = Candidate::new(seat(2), TURN);
-    candidate.read(Some((&record, 5)), 100);
+    candidate.observe(Some((&record, 5)), 100);
 
     for now in (400..20_000).step_by(LOOK as usize) {
-        candidate.read(None, now);
+        candidate.observe(None, now);
     }
 
     assert!(candidate.won(9, 20_000).may_order(20_000));
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -124,11 +124,11 @@
     match found {
         Ok(found) => {
             let found = found.as_ref().map(|(record, rev)| (record, *rev));
-            candidate.read(found, sent)
+            candidate.observe(found, sent)
         }
         Err(error) => {
             log::debug!(target: "control", error = error.to_string().as_str(); "no look at the leader");
-            candidate.missed(app.clock.now());
+            candidate.read_failed(app.clock.now());
             CandidateAction::Wait
         }
     }
