--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -221,7 +221,7 @@
     }
 
     /// The fencing number of its orders; a later leader always has a higher one.
-    pub fn fence(&self) -> FencingToken {
+    pub fn fencing_token(&self) -> FencingToken {
         self.fence
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// Tells whether the record is to be renewed.
-    pub fn is_due(&self, now: Millis) -> bool {
+    pub fn is_renewal_due(&self, now: Millis) -> bool {
         now >= self.renewed + RENEW
     }
 
--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -260,7 +260,7 @@
             }
             Role::Leader(mut leader) => {
                 let mut lost = false;
-                if reaches && leader.is_due(now) {
+                if reaches && leader.is_renewal_due(now) {
                     let record = leader.record(now);
                     match Self::write(platform, luck, leader.rev(), record, now) {
                         Some(Some(rev)) => leader.renewed(rev, now),
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -43,7 +43,7 @@
 
     /// The fencing number of orders.
     pub fn fence(&self) -> i64 {
-        self.leader.lock().fence().0
+        self.leader.lock().fencing_token().0
     }
 
     /// Renews the record until it belongs to somebody else.
@@ -55,7 +55,7 @@
             let due = {
                 let leader = self.leader.lock();
                 leader
-                    .is_due(now)
+                    .is_renewal_due(now)
                     .then(|| (leader.rev(), leader.record(now)))
             };
             let Some((rev, record)) = due else { continue };
