--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -1,17 +1,17 @@
-//! Who gives orders, decided by a record at the platform that its leader renews.
+//! Election of the leader, which alone gives orders, by a record at the platform that the leader renews.
 //!
-//! What goes wrong with a lease of the platform's: a restarted leader waits until the lease of its
-//! former process has lapsed, and a successor waits the whole time in which the former one might
-//! have ordered once more; on days with a killed or cut off leader nothing was loaded for five to
-//! seven seconds. And a platform may end a lease early, while its holder still believes in it.
+//! The platform's leases are too slow for this. A restarted leader waits until the lease of its previous process has
+//! expired, and a successor waits for the whole time in which the previous leader might still have given an order:
+//! after a leader was killed or cut off, nothing was loaded for five to seven seconds. A platform may also end a lease
+//! early while its holder still believes in it.
 //!
-//! Here the leader rewrites its record under the record's own revision. A candidate that has seen
-//! one revision for a while, in reads that did not fail meanwhile, replaces the record under that
-//! revision, which fails if the leader has renewed it. It knows from when it first saw the revision
-//! how long the former leader can have gone on, so it waits no longer than that. A leader that is
-//! restarted on the same machine finds its own record, and need not wait for anybody.
+//! Here the leader rewrites its record on condition that the record's revision is unchanged. A candidate that has seen
+//! one revision for a while, without a failed read in between, replaces the record on condition of that revision,
+//! which fails if the leader has renewed it. From when it first saw the revision, the candidate knows for how long the
+//! previous leader can have continued, and waits no longer than that. A leader that restarts on the same machine finds
+//! its own record and need not wait.
 //!
-//! Time is that of a monotonic clock that goes on while the process is paused.
+//! Times are those of a monotonic clock that continues while the process is paused.
 
 use std::sync::Arc;
 
@@ -21,52 +21,52 @@
 
 use crate::FencingToken;
 
-/// Time between two renewals, in milliseconds: each is a write that the platform counts.
-const RENEW: Millis = 900;
+/// Interval between renewals, in milliseconds. Each is a write that counts against the platform's limits.
+const RENEW_INTERVAL: Millis = 900;
 
-/// Time after the last renewal was sent for which a leader gives orders, in milliseconds: one
-/// renewal may fail before it stops.
-const USE: Millis = 1_600;
+/// Time after the last renewal was sent for which a leader gives orders, in milliseconds. One renewal may fail before
+/// the leader stops.
+const LEADER_TTL: Millis = 1_600;
 
-/// Time for which a candidate has to see one revision before it replaces the record, in
-/// milliseconds: two renewals and the half second of a slow platform.
-const SILENT: Millis = 2_400;
+/// Time for which a candidate must see one revision before it replaces the record, in milliseconds: two renewals and
+/// half a second for a slow platform.
+const TAKEOVER_AFTER: Millis = 2_400;
 
-/// Time that an order may take to arrive, and by which clocks may run apart, in milliseconds.
+/// Allowance for the time that an order takes to arrive and for clock drift, in milliseconds.
 const MARGIN: Millis = 300;
 
-/// The revision of a record that is not there.
-const NONE: i64 = 0;
+/// The revision that stands for a missing record.
+const MISSING_REV: i64 = 0;
 
-/// The machine on which a process runs, and which of its starts it is.
+/// Identifies a process by its machine and its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ProcessId {
-    /// The machine, by its address: names may be given again to another machine.
+    /// Address of the machine; a name may be assigned to another machine later.
     pub machine: Arc<str>,
-    /// Which start of the process.
+    /// Distinguishes the starts of the process.
     pub start: u64,
 }
 
-/// The record at the platform.
+/// The leader's record at the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
     /// The leader.
     pub leader: ProcessId,
-    /// How far it is.
+    /// Phase of its leadership.
     pub phase: Phase,
 }
 
-/// How far a leader is.
+/// Phase of a leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Phase {
-    /// It waits until those before it can give no orders any more.
+    /// The leader waits until its predecessors can no longer give orders.
     Waiting,
-    /// It may give orders.
+    /// The leader may give orders.
     Ordering,
-    /// It gives none any more.
+    /// The leader has stopped giving orders.
     Resigned,
 }
 
@@ -75,17 +75,17 @@
 pub enum CandidateAction {
     /// Read the record again after a while.
     Wait,
-    /// Write this record if the present one still has this revision, which is 0 for none.
+    /// Write this record on condition that the current one has this revision; 0 stands for no record.
     Claim(i64, Record),
 }
 
-/// One revision of the record as a candidate sees it.
+/// A candidate's observation of one revision of the record.
 #[derive(Clone, Copy, Debug)]
-struct Sight {
+struct Observation {
     rev: i64,
     since: Millis,
-    /// Since when reads have not failed.
-    steady: Millis,
+    /// Time since which no read has failed.
+    reads_ok_since: Millis,
 }
 
 /// An instance that may become the leader.
@@ -99,7 +99,7 @@
 ///
 /// let process = |machine: &str, start| ProcessId { machine: machine.into(), start };
 /// let mut candidate = Candidate::new(process("10.0.0.1", 7), 3_000);
-/// // Nobody has ever led: it stands at once.
+/// // There has never been a leader, so it claims the leadership at once.
 /// let CandidateAction::Claim(0, _) = candidate.observe(None, 100) else { panic!() };
 /// let leader = candidate.won(5, 100);
 /// assert!(leader.may_order(200));
@@ -109,25 +109,25 @@
 #[derive(Debug)]
 pub struct Candidate {
     me: ProcessId,
-    /// Time within which two machines must not both give orders, in milliseconds.
-    turn: Millis,
-    sight: Option<Sight>,
-    /// When orders may begin, if it wins.
-    from: Millis,
+    /// Minimum time between orders of two machines, in milliseconds.
+    exclusion: Millis,
+    observation: Option<Observation>,
+    /// When orders may begin if this candidate wins.
+    orders_from: Millis,
 }
 
 impl Candidate {
-    /// Makes a candidate; two machines must not both give orders within `turn` milliseconds.
-    pub fn new(me: ProcessId, turn: Millis) -> Self {
+    /// Makes a candidate. Orders of two machines must be at least `exclusion` milliseconds apart.
+    pub fn new(me: ProcessId, exclusion: Millis) -> Self {
         Self {
             me,
-            turn,
-            sight: None,
-            from: 0,
+            exclusion,
+            observation: None,
+            orders_from: 0,
         }
     }
 
-    fn stand(&self, rev: i64) -> CandidateAction {
+    fn claim(&self, rev: i64) -> CandidateAction {
         let record = Record {
             leader: self.me.clone(),
             phase: Phase::Waiting,
@@ -135,69 +135,69 @@
         CandidateAction::Claim(rev, record)
     }
 
-    /// Takes in a read of the record and its revision, which was sent at `now`.
+    /// Processes the result of a read of the record and its revision that was sent at `now`.
     pub fn observe(&mut self, found: Option<(&Record, i64)>, now: Millis) -> CandidateAction {
         let Some((record, rev)) = found else {
-            self.from = self.without_record(now);
-            return self.stand(NONE);
+            self.orders_from = self.without_record(now);
+            return self.claim(MISSING_REV);
         };
-        let sight = match self.sight {
-            Some(sight) if sight.rev == rev => sight,
-            _ => Sight {
+        let seen = match self.observation {
+            Some(seen) if seen.rev == rev => seen,
+            _ => Observation {
                 rev,
                 since: now,
-                steady: now,
+                reads_ok_since: now,
             },
         };
-        self.sight = Some(sight);
+        self.observation = Some(seen);
         if record.leader == self.me {
-            // An earlier write of its own whose answer was lost; what it waits for stays the same.
-            return self.stand(rev);
+            // An earlier write of its own whose reply was lost. The time from which it may give orders stays the same.
+            return self.claim(rev);
         }
-        let mine = record.leader.machine == self.me.machine;
-        self.from = match record.phase {
-            // Its own former process, which is gone.
-            Phase::Ordering | Phase::Resigned if mine => now + MARGIN,
-            Phase::Resigned => sight.since + self.turn + MARGIN,
-            // One that had not begun: those before it may have ordered until a moment ago.
-            Phase::Ordering | Phase::Waiting => sight.since + USE + self.turn + MARGIN,
+        let same_machine = record.leader.machine == self.me.machine;
+        self.orders_from = match record.phase {
+            // The previous process on this machine, which has ended.
+            Phase::Ordering | Phase::Resigned if same_machine => now + MARGIN,
+            Phase::Resigned => seen.since + self.exclusion + MARGIN,
+            // A leader in phase Waiting gave no orders, but its predecessors may have done so until a moment ago.
+            Phase::Ordering | Phase::Waiting => seen.since + LEADER_TTL + self.exclusion + MARGIN,
         };
-        let gone = mine || record.phase == Phase::Resigned;
-        match gone || now >= sight.steady + SILENT {
-            true => self.stand(rev),
+        let has_stopped = same_machine || record.phase == Phase::Resigned;
+        match has_stopped || now >= seen.reads_ok_since + TAKEOVER_AFTER {
+            true => self.claim(rev),
             false => CandidateAction::Wait,
         }
     }
 
-    /// When orders may begin while there is no record. Where there was one its leader may not have noticed yet.
+    /// When orders may begin while there is no record. If a record was removed, its leader may not have noticed yet.
     fn without_record(&mut self, now: Millis) -> Millis {
-        let Some(sight) = &mut self.sight else {
+        let Some(seen) = &mut self.observation else {
             return now;
         };
-        if sight.rev != NONE {
-            *sight = Sight {
-                rev: NONE,
+        if seen.rev != MISSING_REV {
+            *seen = Observation {
+                rev: MISSING_REV,
                 since: now,
-                steady: now,
+                reads_ok_since: now,
             };
         }
-        sight.since + USE + self.turn + MARGIN
+        seen.since + LEADER_TTL + self.exclusion + MARGIN
     }
 
-    /// Notes that a read failed: the leader may be as unable to renew as this one is to read, and
-    /// gets its time once more.
+    /// Records that a read failed. The leader may be as unable to renew as this candidate is to read, so its time
+    /// starts again.
     pub fn read_failed(&mut self, now: Millis) {
-        if let Some(sight) = &mut self.sight {
-            sight.steady = now;
+        if let Some(seen) = &mut self.observation {
+            seen.reads_ok_since = now;
         }
     }
 
-    /// Notes that its record was written at a revision, by a request sent at `sent`.
+    /// Records that its record was written at a revision by a request sent at `sent`.
     pub fn won(self, rev: i64, sent: Millis) -> Leader {
         Leader {
             me: self.me,
-            from: self.from,
-            fence: FencingToken(rev),
+            orders_from: self.orders_from,
+            fencing_token: FencingToken(rev),
             rev,
             renewed: sent,
         }
@@ -208,21 +208,21 @@
 #[derive(Debug)]
 pub struct Leader {
     me: ProcessId,
-    from: Millis,
-    fence: FencingToken,
+    orders_from: Millis,
+    fencing_token: FencingToken,
     rev: i64,
     renewed: Millis,
 }
 
 impl Leader {
-    /// Tells whether an order may be given now. Ask before each order, not once for many.
+    /// Tells whether an order may be given now. Call it before each order, and not once for several.
     pub fn may_order(&self, now: Millis) -> bool {
-        self.from <= now && now < self.renewed + USE
+        self.orders_from <= now && now < self.renewed + LEADER_TTL
     }
 
-    /// The fencing number of its orders; a later leader always has a higher one.
+    /// The fencing token of its orders; a later leader always has a higher one.
     pub fn fencing_token(&self) -> FencingToken {
-        self.fence
+        self.fencing_token
     }
 
     /// The revision of its record.
@@ -230,27 +230,27 @@
         self.rev
     }
 
-    /// Tells whether the record is to be renewed.
+    /// Tells whether the record has to be renewed.
     pub fn is_renewal_due(&self, now: Millis) -> bool {
-        now >= self.renewed + RENEW
+        now >= self.renewed + RENEW_INTERVAL
     }
 
-    /// The record that it writes now.
+    /// The record to write now.
     pub fn record(&self, now: Millis) -> Record {
         Record {
             leader: self.me.clone(),
-            phase: match self.from <= now {
+            phase: match self.orders_from <= now {
                 true => Phase::Ordering,
                 false => Phase::Waiting,
             },
         }
     }
 
-    /// The record with which it gives its office up; it gives no order after this.
+    /// The record by which it resigns; it gives no orders afterwards.
     pub fn resign(self, now: Millis) -> Record {
-        let phase = match self.from <= now {
+        let phase = match self.orders_from <= now {
             true => Phase::Resigned,
-            // It never began, and those before it may have ordered until a moment ago.
+            // It never gave orders, but its predecessors may have done so until a moment ago.
             false => Phase::Waiting,
         };
         Record {
@@ -264,7 +264,7 @@
         record.leader == self.me
     }
 
-    /// Notes that its record is at a revision, by a request sent at `sent` or later.
+    /// Records that its record has a revision, written by a request sent at `sent` or later.
     pub fn renewed(&mut self, rev: i64, sent: Millis) {
         self.rev = rev;
         self.renewed = self.renewed.max(sent);
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,4 +1,4 @@
-//! The state of a lease on a piece of control work.
+//! Leases on pieces of control work.
 
 use std::marker::PhantomData;
 
@@ -6,42 +6,41 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A fencing number: the platform's revision at which the lease was taken. A later holder always
-/// has a higher one.
+/// A fencing token: the platform's revision at which the lease was acquired. A later holder always has a higher one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct FencingToken(pub i64);
 
-/// Nobody here holds the lease.
+/// State of a lease that this instance does not hold.
 #[derive(Debug)]
 pub enum Free {}
 
-/// This instance took the lease.
+/// State of a lease that this instance has acquired.
 #[derive(Debug)]
 pub enum Held {}
 
-/// Part of the time to live that is never used, for what passes between the check and the moment
-/// at which an order takes effect, and for clocks that run at different speeds.
-const MARGIN: f64 = 0.25;
+/// Fraction of the time to live, at its end, in which the lease is not used. It covers the time between the check and
+/// the effect of an order, and clocks that run at different rates.
+const UNUSED_TTL_FRACTION: f64 = 0.25;
 
-/// Part of the time to live after which the lease is renewed.
-const RENEW: f64 = 0.33;
+/// Fraction of the time to live after which the lease is renewed.
+const RENEW_AT_TTL_FRACTION: f64 = 0.33;
 
 /// What the holder of a lease may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderAction {
-    /// Work, with this fencing number.
+    /// Work, with this fencing token.
     Work(FencingToken),
-    /// Work, and renew now.
+    /// Work, with this fencing token, and renew the lease now.
     Renew(FencingToken),
-    /// Do nothing: the lease may have lapsed. Take it again.
+    /// Stop working: the lease may have expired and has to be acquired again.
     Lapsed,
 }
 
-/// A lease as its taker sees it.
+/// A lease as its holder sees it.
 ///
-/// Time is that of a monotonic clock that goes on while the process is paused. The lease counts
-/// from when the request for it was *sent*, so that it ends here before it ends at the platform.
+/// Times are those of a monotonic clock that continues while the process is paused. The time to live counts from when
+/// the request was *sent*, so the lease ends at the holder before it ends at the platform.
 ///
 /// # Examples
 ///
@@ -51,35 +50,35 @@
 /// let held = Lease::new(10_000).acquired(FencingToken(7), 42, 0);
 /// assert_eq!(held.check(1_000), HolderAction::Work(FencingToken(7)));
 /// assert_eq!(held.check(4_000), HolderAction::Renew(FencingToken(7)));
-/// // The holder was paused; it resumes after the lease may have lapsed.
+/// // The holder was paused and resumes after the lease may have expired.
 /// assert_eq!(held.check(9_000), HolderAction::Lapsed);
 /// ```
 #[derive(Debug)]
 pub struct Lease<S = Free> {
     ttl: Millis,
-    fence: FencingToken,
+    fencing_token: FencingToken,
     id: i64,
     since: Millis,
     state: PhantomData<S>,
 }
 
 impl Lease<Free> {
-    /// Describes a lease that lives `ttl` milliseconds unless renewed.
+    /// Makes a lease that lives `ttl` milliseconds unless renewed.
     pub fn new(ttl: Millis) -> Self {
         Self {
             ttl,
-            fence: FencingToken(0),
+            fencing_token: FencingToken(0),
             id: 0,
             since: 0,
             state: PhantomData,
         }
     }
 
-    /// Notes that the lease was taken, by a request sent at `sent`.
-    pub fn acquired(self, fence: FencingToken, id: i64, sent: Millis) -> Lease<Held> {
+    /// Records that the lease was acquired by a request sent at `sent`.
+    pub fn acquired(self, fencing_token: FencingToken, id: i64, sent: Millis) -> Lease<Held> {
         Lease {
             ttl: self.ttl,
-            fence,
+            fencing_token,
             id,
             since: sent,
             state: PhantomData,
@@ -88,17 +87,17 @@
 }
 
 impl Lease<Held> {
-    /// Says what the holder may do now. Ask before each order, not once for many.
+    /// Returns what the holder may do now. Call it before each order, and not once for several.
     pub fn check(&self, now: Millis) -> HolderAction {
         let age = now.saturating_sub(self.since) as f64;
         let ttl = self.ttl as f64;
-        if age >= ttl * (1.0 - MARGIN) {
+        if age >= ttl * (1.0 - UNUSED_TTL_FRACTION) {
             return HolderAction::Lapsed;
         }
-        if age >= ttl * RENEW {
-            return HolderAction::Renew(self.fence);
+        if age >= ttl * RENEW_AT_TTL_FRACTION {
+            return HolderAction::Renew(self.fencing_token);
         }
-        HolderAction::Work(self.fence)
+        HolderAction::Work(self.fencing_token)
     }
 
     /// The platform's identifier of the lease.
@@ -106,17 +105,17 @@
         self.id
     }
 
-    /// The fencing number.
+    /// The fencing token.
     pub fn fencing_token(&self) -> FencingToken {
-        self.fence
+        self.fencing_token
     }
 
-    /// Notes that a renewal sent at `sent` was granted.
+    /// Records that a renewal sent at `sent` succeeded.
     pub fn renewed(&mut self, sent: Millis) {
         self.since = self.since.max(sent);
     }
 
-    /// Gives the lease up.
+    /// Gives up the lease.
     pub fn released(self) -> Lease<Free> {
         Lease::new(self.ttl)
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! The instances as a whole: who is there, which revision spreads, who holds which lease.
+//! Membership of the instances, gossip among them, leases and leader election.
 //!
-//! [`View`] is one instance's picture of its failure domain, kept up by probes and rumours
-//! (after SWIM), with a summary of each other domain. [`Lease`] is the state of a lease on a piece
-//! of control work; its fencing number comes from the platform's revision. [`election`] does without
-//! leases of the platform.
+//! [`View`] is one instance's view of the members, kept up to date by probes and gossiped rumours (after SWIM). It
+//! probes its own failure domain often and the others rarely. [`Lease`] is the state of a lease on a piece of control
+//! work; its fencing token is a revision of the platform's store. [`election`] elects a leader without the platform's
+//! leases.
 
 pub mod election;
 pub mod lease;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! One instance as its peers see it.
+//! A member as its peers see it.
 
 use std::net::SocketAddr;
 
@@ -6,31 +6,31 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whether an instance is thought to be there.
+/// State of a member as its peers see it.
 ///
-/// The order is that of precedence at the same incarnation.
+/// Of two states at the same incarnation the later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum MemberState {
     /// It answers.
     Alive,
-    /// It did not answer; it has some time to contradict.
+    /// It did not answer a probe and may still refute the suspicion.
     Suspect,
-    /// It did not contradict the suspicion: dead, or cut off.
+    /// It did not refute the suspicion in time: it is dead or cut off.
     #[serde(rename = "Gone")]
     Dead,
-    /// It said goodbye.
+    /// It left gracefully.
     Left,
 }
 
 impl MemberState {
-    /// Tells whether the instance counts as one that can be asked.
+    /// Tells whether the instance is expected to answer.
     pub fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// One instance as its peers see it.
+/// A member as its peers see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
@@ -40,16 +40,16 @@
     pub domain: Name,
     /// Its address for peers.
     pub addr: SocketAddr,
-    /// Rises with each start and each contradicted suspicion, so that news of a former life, or
-    /// of a suspicion that was answered, do not count.
+    /// Rises with each start and each refuted suspicion, so that rumours about an earlier start, or about a refuted
+    /// suspicion, are ignored.
     pub incarnation: u64,
-    /// Whether it is thought to be there.
+    /// Its state.
     #[serde(rename = "life")]
     pub state: MemberState,
 }
 
 impl Member {
-    /// Tells whether news about the same instance replace what is known.
+    /// Tells whether a rumour about the same instance replaces what is known.
     ///
     /// # Examples
     ///
@@ -64,11 +64,11 @@
     ///     state: MemberState::Suspect,
     /// };
     /// let back = Member { incarnation: 2, state: MemberState::Alive, ..old.clone() };
-    /// assert!(old.yields_to(&back));
-    /// assert!(!back.yields_to(&old));
+    /// assert!(old.is_superseded_by(&back));
+    /// assert!(!back.is_superseded_by(&old));
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
-    pub fn yields_to(&self, news: &Self) -> bool {
-        (news.incarnation, news.state) > (self.incarnation, self.state)
+    pub fn is_superseded_by(&self, newer: &Self) -> bool {
+        (newer.incarnation, newer.state) > (self.incarnation, self.state)
     }
 }
--- a/crates/fleet/src/rumour.rs
+++ b/crates/fleet/src/rumour.rs
@@ -1,4 +1,4 @@
-//! News that instances pass on to one another.
+//! Rumours: pieces of state that instances pass on to each other.
 
 use kernel::Map;
 use kernel::Name;
@@ -8,194 +8,195 @@
 
 use crate::Member;
 
-/// A customer's demand on one instance.
+/// Demand of a customer at one instance.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Demand {
     /// The customer.
     pub customer: Name,
-    /// Requests a second that arrived.
+    /// Requests per second that arrived.
     pub rate: f64,
 }
 
-/// One piece of news.
+/// A piece of state that instances pass on to each other.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Rumour {
-    /// An instance's life.
+    /// State of a member.
     Member(Member),
-    /// An upstream is leaving, or is back; the higher ordinal is newer.
+    /// An upstream is leaving, or is back; the rumour with the higher `at` is newer.
     Upstream {
-        /// The upstream.
+        /// Name of the upstream.
         name: Name,
         /// Whether it is leaving.
         leaving: bool,
-        /// Milliseconds since 1970 at the instance that noticed.
+        /// Milliseconds since 1970 on the clock of the instance that noticed.
         at: u64,
     },
-    /// What an engine states, as far as requests depend on it.
+    /// What an engine reports about itself, as far as requests depend on it.
     Engine {
-        /// The engine.
+        /// Name of the engine.
         name: Name,
-        /// Its weight version; [`None`] when it states no single one.
+        /// Its weight version; [`None`] if it reports no single one.
         version: Option<u64>,
-        /// Whether it says that it is leaving.
+        /// Whether it reports that it is leaving.
         leaving: bool,
-        /// Milliseconds since 1970 at the instance that asked it.
+        /// Milliseconds since 1970 on the clock of the instance that asked the engine.
         at: u64,
     },
-    /// What an instance has seen of crashes under requests.
+    /// Crashes of upstreams that an instance has observed while requests ran.
     Crashes {
         /// The instance.
         from: Name,
-        /// Milliseconds since 1970 at that instance.
+        /// Milliseconds since 1970 on the clock of that instance.
         at: u64,
-        /// What it has seen.
+        /// What it has observed.
         report: Seen,
     },
-    /// What customers ask of one instance, for the split of their limits.
+    /// Demand of the customers at one instance, by which their limits are split.
     Demand {
         /// The instance.
         from: Name,
         /// Rises with each report of that instance.
-        turn: u64,
-        /// Its customers with their demand.
+        #[serde(rename = "turn")]
+        sequence: u64,
+        /// The customers and their demand.
         rates: Vec<Demand>,
     },
 }
 
-/// What a rumour is about; a newer one about the same replaces it.
+/// The subject of a rumour; a newer rumour replaces an older one with the same subject.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum About {
+pub enum Subject {
     /// An instance.
     Member(Name),
     /// An upstream.
     Upstream(Name),
-    /// The demand on an instance.
+    /// The demand at an instance.
     Demand(Name),
-    /// What an engine states.
+    /// The state of an engine.
     Engine(Name),
-    /// What an instance has seen of crashes.
+    /// The crashes that an instance has observed.
     Crashes(Name),
 }
 
 impl Rumour {
-    /// What the rumour is about.
-    pub fn about(&self) -> About {
+    /// The subject of the rumour.
+    pub fn subject(&self) -> Subject {
         match self {
-            Self::Member(member) => About::Member(member.name.clone()),
-            Self::Upstream { name, .. } => About::Upstream(name.clone()),
-            Self::Engine { name, .. } => About::Engine(name.clone()),
-            Self::Crashes { from, .. } => About::Crashes(from.clone()),
-            Self::Demand { from, .. } => About::Demand(from.clone()),
+            Self::Member(member) => Subject::Member(member.name.clone()),
+            Self::Upstream { name, .. } => Subject::Upstream(name.clone()),
+            Self::Engine { name, .. } => Subject::Engine(name.clone()),
+            Self::Crashes { from, .. } => Subject::Crashes(from.clone()),
+            Self::Demand { from, .. } => Subject::Demand(from.clone()),
         }
     }
 }
 
-/// Rumours in one message, so that its size stays bounded.
-const BATCH: usize = 4;
+/// Maximum number of rumours per message, which bounds its size.
+const MAX_RUMOURS_PER_MESSAGE: usize = 4;
 
-/// Where a message goes. Probes of another failure domain are few, so what is told to those near must not
-/// count for them.
+/// Recipients of a message. Messages to other failure domains are few, so messages within the own domain must not
+/// count as sent to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// To an instance of the same failure domain.
-    Near,
-    /// To an instance of another one.
-    Far,
+pub enum Scope {
+    /// An instance of the same failure domain.
+    Local,
+    /// An instance of another failure domain.
+    Remote,
 }
 
-/// Which messages a rumour must have been in before it is dropped.
+/// Recipients that a rumour must be sent to before it is dropped.
 #[derive(Clone, Copy, Debug)]
-pub struct Due {
-    /// Instances that are known; each rumour is told a number of times that grows with their logarithm.
+pub struct Audience {
+    /// Number of known instances. Each rumour is sent a number of times that grows with its logarithm.
     pub instances: usize,
-    /// Whether those near have to hear of it from here.
-    pub near: bool,
-    /// Whether another failure domain has to hear of it from here.
-    pub far: bool,
+    /// Whether this instance has peers in its failure domain.
+    pub local: bool,
+    /// Whether this instance sends to other failure domains.
+    pub remote: bool,
 }
 
 #[derive(Debug)]
-struct Told {
+struct Pending {
     rumour: Rumour,
-    near: u32,
-    far: u32,
-    /// Rises with each rumour.
-    turn: u64,
+    local: u32,
+    remote: u32,
+    /// Position in the order in which rumours were added.
+    sequence: u64,
 }
 
-impl Told {
-    fn times(&self, way: Way) -> u32 {
-        match way {
-            Way::Near => self.near,
-            Way::Far => self.far,
+impl Pending {
+    fn sends(&self, scope: Scope) -> u32 {
+        match scope {
+            Scope::Local => self.local,
+            Scope::Remote => self.remote,
         }
     }
 
-    fn count(&mut self, way: Way) {
-        match way {
-            Way::Near => self.near += 1,
-            Way::Far => self.far += 1,
+    fn record_send(&mut self, scope: Scope) {
+        match scope {
+            Scope::Local => self.local += 1,
+            Scope::Remote => self.remote += 1,
         }
     }
 }
 
-/// Rumours that still have to be passed on, each a number of times that grows with the logarithm
-/// of the instances: enough for all to hear of it, and then no more traffic.
+/// Rumours that still have to be sent. Each is sent a number of times that grows with the logarithm of the number of
+/// instances, which suffices for all of them to receive it; then its traffic ends.
 #[derive(Debug, Default)]
 pub struct Broadcast {
-    rumours: Map<About, Told>,
-    turn: u64,
+    rumours: Map<Subject, Pending>,
+    sequence: u64,
 }
 
 impl Broadcast {
-    /// Adds a rumour in place of an older one about the same.
+    /// Adds a rumour, replacing an older one with the same subject.
     pub fn add(&mut self, rumour: Rumour) {
-        self.turn += 1;
-        let told = Told {
-            near: 0,
-            far: 0,
-            turn: self.turn,
+        self.sequence += 1;
+        let pending = Pending {
+            local: 0,
+            remote: 0,
+            sequence: self.sequence,
             rumour,
         };
-        self.rumours.insert(told.rumour.about(), told);
+        self.rumours.insert(pending.rumour.subject(), pending);
     }
 
-    /// Takes the rumours for one message; those told least that way go first. Messages to another failure
-    /// domain are seconds apart, so the newest go first in them.
-    pub fn batch(&mut self, way: Way, due: Due) -> Vec<Rumour> {
-        let times = 3 * (due.instances + 1).ilog2().max(1);
-        let place = |told: &Told| match way {
-            Way::Near => 0,
-            Way::Far => u64::MAX - told.turn,
+    /// Takes the rumours for one message. The rumours least often sent within this scope go first. Messages to another
+    /// failure domain are seconds apart, so among equals the newest rumours go first there.
+    pub fn batch(&mut self, scope: Scope, to: Audience) -> Vec<Rumour> {
+        let quota = 3 * (to.instances + 1).ilog2().max(1);
+        let priority = |pending: &Pending| match scope {
+            Scope::Local => 0,
+            Scope::Remote => u64::MAX - pending.sequence,
         };
-        let open = self
+        let unsent = self
             .rumours
             .iter()
-            .filter(|(_, told)| told.times(way) < times);
-        let mut order: Vec<_> = open
-            .map(|(about, told)| (told.times(way), place(told), about.clone()))
+            .filter(|(_, pending)| pending.sends(scope) < quota);
+        let mut order: Vec<_> = unsent
+            .map(|(subject, pending)| (pending.sends(scope), priority(pending), subject.clone()))
             .collect();
         order.sort();
         let mut batch = Vec::new();
-        for (.., about) in order.into_iter().take(BATCH) {
-            if let Some(told) = self.rumours.get_mut(&about) {
-                told.count(way);
-                batch.push(told.rumour.clone());
+        for (.., subject) in order.into_iter().take(MAX_RUMOURS_PER_MESSAGE) {
+            if let Some(pending) = self.rumours.get_mut(&subject) {
+                pending.record_send(scope);
+                batch.push(pending.rumour.clone());
             }
         }
         self.rumours
-            .retain(|_, told| (due.near && told.near < times) || (due.far && told.far < times));
+            .retain(|_, p| (to.local && p.local < quota) || (to.remote && p.remote < quota));
         batch
     }
 
-    /// Rumours that are still passed on.
+    /// Number of rumours that still have to be sent.
     pub fn len(&self) -> usize {
         self.rumours.len()
     }
 
-    /// Tells whether there is nothing to pass on.
+    /// Tells whether there are no rumours to send.
     pub fn is_empty(&self) -> bool {
         self.rumours.is_empty()
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! One instance's picture of the fleet.
+//! One instance's view of the members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,28 +11,28 @@
 use crate::Member;
 use crate::MemberState;
 use crate::Rumour;
+use crate::rumour::Audience;
 use crate::rumour::Broadcast;
 use crate::rumour::Demand;
-use crate::rumour::Due;
-use crate::rumour::Way;
+use crate::rumour::Scope;
 
-/// Time between two probes of an instance.
+/// Interval between probes of an instance.
 pub const PROBE_INTERVAL: Millis = 1_000;
 
-/// Time that a suspected instance has to contradict.
-pub const SUSPICION: Millis = 5_000;
+/// Time that a suspected instance has to refute the suspicion.
+pub const SUSPICION_TIMEOUT: Millis = 5_000;
 
-/// Time after which an instance that is gone is forgotten.
-pub const FORGET: Millis = 60_000;
+/// Time after which a dead instance is forgotten.
+pub const FORGET_AFTER: Millis = 60_000;
 
-/// Peers that are asked to probe an instance that did not answer.
-pub const HELPERS: usize = 2;
+/// Maximum number of peers that are asked to probe an instance that did not answer.
+pub const MAX_HELPERS: usize = 2;
 
-/// Periods between two probes of another failure domain by the instance that reads for its own.
-const FAR_TURNS: u64 = 3;
+/// Number of probe intervals between probes of another failure domain, which only the reader of a domain sends.
+const INTERVALS_PER_REMOTE_PROBE: u64 = 3;
 
-/// Time after which a demand report counts no more.
-const DEMAND_AGE: Millis = 30_000;
+/// Age from which on a demand report is ignored.
+const MAX_DEMAND_AGE: Millis = 30_000;
 
 /// An instance to probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 }
 
 impl Probe {
-    /// A probe of a member.
+    /// Makes a probe of a member.
     pub fn of(member: &Member) -> Self {
         Self {
             name: member.name.clone(),
@@ -56,31 +56,31 @@
     }
 }
 
-/// What a silent probe calls for.
+/// What to do after a failed probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbeFailure {
-    /// Ask these peers to probe it, then call [`View::silent`] again if none reached it.
+    /// Ask these peers to probe it, then call [`View::probe_failed`] again if none reached it.
     AskHelpers(Vec<Probe>),
-    /// It is a suspect now.
+    /// The instance is now suspected.
     Suspected,
-    /// It is not a member any more.
+    /// The instance is unknown or no longer alive in this view; there is nothing to do.
     NotAlive,
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownMember {
     member: Member,
     since: Millis,
 }
 
 #[derive(Debug)]
-struct Wanted {
-    turn: u64,
+struct PeerDemand {
+    sequence: u64,
     at: Millis,
     rates: Vec<Demand>,
 }
 
-/// One instance's picture of the fleet.
+/// One instance's view of the members.
 ///
 /// # Examples
 ///
@@ -102,19 +102,19 @@
 #[derive(Debug)]
 pub struct View {
     me: Member,
-    others: BTreeMap<Name, Known>,
+    others: BTreeMap<Name, KnownMember>,
     broadcast: Broadcast,
-    turn: u64,
-    demands: Map<Name, Wanted>,
+    interval_count: u64,
+    demands: Map<Name, PeerDemand>,
     upstreams: Map<Name, (bool, u64)>,
-    /// When the newest that is known of each engine was seen.
+    /// For each engine, the time of its newest known state.
     engines: Map<Name, u64>,
-    /// When the newest report of crashes of each instance was made.
-    reports: Map<Name, u64>,
+    /// For each instance, the time of its newest crash report.
+    crash_reports: Map<Name, u64>,
 }
 
 impl View {
-    /// Makes the view of an instance that knows nobody.
+    /// Makes the view of an instance that knows no others.
     pub fn new(me: Member, _now: Millis) -> Self {
         let mut broadcast = Broadcast::default();
         broadcast.add(Rumour::Member(me.clone()));
@@ -122,11 +122,11 @@
             me,
             others: BTreeMap::new(),
             broadcast,
-            turn: 0,
+            interval_count: 0,
             demands: Map::default(),
             upstreams: Map::default(),
             engines: Map::default(),
-            reports: Map::default(),
+            crash_reports: Map::default(),
         }
     }
 
@@ -135,17 +135,17 @@
         &self.me
     }
 
-    /// Adds an instance that the settings or the platform's list name, if it is not known.
+    /// Adds an instance from the settings or the platform's list if it is not known.
     pub fn add_member(&mut self, member: Member, now: Millis) {
         if member.name == self.me.name || self.others.contains_key(&member.name) {
             return;
         }
         let name = member.name.clone();
         let since = now;
-        self.others.insert(name, Known { member, since });
+        self.others.insert(name, KnownMember { member, since });
     }
 
-    /// This instance and those thought to be there, suspects among them.
+    /// This instance and the other live ones, including suspects.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         let others = self.others.values().map(|known| &known.member);
         std::iter::once(&self.me)
@@ -153,13 +153,13 @@
             .filter(|member| member.state.is_live())
     }
 
-    /// Everyone who is known, those gone among them.
+    /// All known instances, including dead ones.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.me).chain(self.others.values().map(|known| &known.member))
     }
 
-    /// Instances that a limit is split over: all but those that said goodbye. One that fell silent
-    /// may be cut off and go on serving, so it counts until it is forgotten.
+    /// Number of instances that a limit is split over: all but those that left. An instance that does not answer may
+    /// be cut off and still serve, so it counts until it is forgotten.
     pub fn limit_shares(&self) -> usize {
         self.all().filter(|m| m.state != MemberState::Left).count()
     }
@@ -169,9 +169,9 @@
         self.live().filter(|member| member.domain == self.me.domain)
     }
 
-    /// Tells whether this instance reads the platform for its failure domain: the live one with
-    /// the first name does. When views differ two may read, or for a moment none, which costs a
-    /// call or some time and nothing else.
+    /// Tells whether this instance reads the platform for its failure domain, which the alive instance with the lowest
+    /// name does. While views differ, two instances may read, or none for a moment; the only cost is an extra call or
+    /// a delay.
     pub fn is_reader(&self) -> bool {
         let alive = self
             .same_domain()
@@ -179,68 +179,72 @@
         alive.map(|member| &member.name).min() == Some(&self.me.name)
     }
 
-    /// Begins a period: suspicions run out, and one or two instances are to be probed.
+    /// Begins a probe interval: expires suspicions and returns one or two instances to probe.
     pub fn tick(&mut self, now: Millis) -> Vec<Probe> {
-        self.turn += 1;
-        self.expire(now);
-        let mut probes: Vec<_> = self.rotate(true).into_iter().collect();
-        if self.turn.is_multiple_of(FAR_TURNS) && self.is_reader() {
-            probes.extend(self.rotate(false));
+        self.interval_count += 1;
+        self.expire_suspects(now);
+        let mut probes: Vec<_> = self.next_probe(true).into_iter().collect();
+        if self
+            .interval_count
+            .is_multiple_of(INTERVALS_PER_REMOTE_PROBE)
+            && self.is_reader()
+        {
+            probes.extend(self.next_probe(false));
         }
         probes
     }
 
-    /// The next instance in turn, in this failure domain or in another.
-    fn rotate(&self, near: bool) -> Option<Probe> {
-        let wanted: Vec<_> = self
+    /// The next instance to probe, in this failure domain or in another.
+    fn next_probe(&self, same_domain: bool) -> Option<Probe> {
+        let candidates: Vec<_> = self
             .others
             .values()
             .map(|known| &known.member)
-            .filter(|member| (member.domain == self.me.domain) == near)
+            .filter(|member| (member.domain == self.me.domain) == same_domain)
             .filter(|member| member.state.is_live())
             .collect();
-        if wanted.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let turn = if near {
-            self.turn
+        let interval_count = if same_domain {
+            self.interval_count
         } else {
-            self.turn / FAR_TURNS
+            self.interval_count / INTERVALS_PER_REMOTE_PROBE
         };
-        // Each instance starts at another place, so that probes spread over all.
+        // Each instance starts at a different offset, which distributes the probes.
         let start = self
             .others
             .keys()
             .filter(|name| **name < self.me.name)
             .count() as u64;
-        let at = (turn + start) % wanted.len() as u64;
-        Some(Probe::of(wanted[at as usize]))
+        let at = (interval_count + start) % candidates.len() as u64;
+        Some(Probe::of(candidates[at as usize]))
     }
 
-    fn expire(&mut self, now: Millis) {
-        let mut gone = Vec::new();
+    fn expire_suspects(&mut self, now: Millis) {
+        let mut dead = Vec::new();
         for known in self.others.values_mut() {
-            let over = now >= known.since + SUSPICION;
+            let over = now >= known.since + SUSPICION_TIMEOUT;
             if known.member.state == MemberState::Suspect && over {
                 known.member.state = MemberState::Dead;
                 known.since = now;
-                gone.push(known.member.clone());
+                dead.push(known.member.clone());
             }
         }
-        for member in gone {
+        for member in dead {
             self.demands.remove(&member.name);
             self.broadcast.add(Rumour::Member(member));
         }
         self.others
-            .retain(|_, k| k.member.state.is_live() || now < k.since + FORGET);
+            .retain(|_, k| k.member.state.is_live() || now < k.since + FORGET_AFTER);
     }
 
-    /// Notes that a probed instance answered.
+    /// Records that a probed instance answered.
     pub fn probe_answered(&mut self, member: &Member, now: Millis) {
         self.receive(Rumour::Member(member.clone()), now);
     }
 
-    /// Notes that an instance did not answer; `asked` says whether helpers have tried as well.
+    /// Records that an instance did not answer; `asked` tells whether helpers have tried as well.
     pub fn probe_failed(&mut self, name: &str, asked: bool, now: Millis) -> ProbeFailure {
         let Some(known) = self.others.get(name) else {
             return ProbeFailure::NotAlive;
@@ -251,7 +255,7 @@
         let helpers: Vec<_> = self
             .same_domain()
             .filter(|m| m.state == MemberState::Alive && m.name != self.me.name && &*m.name != name)
-            .take(HELPERS)
+            .take(MAX_HELPERS)
             .map(Probe::of)
             .collect();
         if !asked && !helpers.is_empty() {
@@ -270,30 +274,34 @@
         ProbeFailure::Suspected
     }
 
-    /// The rumours to put into the next message to an instance of a failure domain.
+    /// The rumours for the next message to an instance of a failure domain.
     pub fn outgoing(&mut self, domain: &Name) -> Vec<Rumour> {
-        let way = match *domain == self.me.domain {
-            true => Way::Near,
-            false => Way::Far,
+        let scope = match *domain == self.me.domain {
+            true => Scope::Local,
+            false => Scope::Remote,
         };
-        let is_far = |member: &Member| member.domain != self.me.domain;
-        let due = Due {
+        let is_remote = |member: &Member| member.domain != self.me.domain;
+        let audience = Audience {
             instances: self.others.len() + 1,
-            near: self.same_domain().any(|member| member.name != self.me.name),
-            // Others probe no other domain, and would keep what nobody asks them for.
-            far: self.is_reader() && self.live().any(is_far),
+            local: self.same_domain().any(|member| member.name != self.me.name),
+            // Instances that are not the reader probe no other domain and would keep these rumours forever.
+            remote: self.is_reader() && self.live().any(is_remote),
         };
-        self.broadcast.batch(way, due)
+        self.broadcast.batch(scope, audience)
     }
 
-    /// Takes a rumour in; tells whether it was news, so that it is passed on.
+    /// Processes a rumour; tells whether it was new and will be passed on.
     pub fn receive(&mut self, rumour: Rumour, now: Millis) -> bool {
         let new = match &rumour {
-            Rumour::Member(member) => return self.hear_member(member, now),
-            Rumour::Upstream { name, leaving, at } => self.hear_upstream(name, *leaving, *at),
-            Rumour::Engine { name, at, .. } => is_newer(&mut self.engines, name, *at),
-            Rumour::Crashes { from, at, .. } => is_newer(&mut self.reports, from, *at),
-            Rumour::Demand { from, turn, rates } => self.hear_demand(from, *turn, rates, now),
+            Rumour::Member(member) => return self.receive_member(member, now),
+            Rumour::Upstream { name, leaving, at } => self.receive_upstream(name, *leaving, *at),
+            Rumour::Engine { name, at, .. } => record_time(&mut self.engines, name, *at),
+            Rumour::Crashes { from, at, .. } => record_time(&mut self.crash_reports, from, *at),
+            Rumour::Demand {
+                from,
+                sequence,
+                rates,
+            } => self.receive_demand(from, *sequence, rates, now),
         };
         if new {
             self.broadcast.add(rumour);
@@ -301,38 +309,38 @@
         new
     }
 
-    fn hear_member(&mut self, news: &Member, now: Millis) -> bool {
-        if news.name == self.me.name {
-            return self.hear_of_me(news);
+    fn receive_member(&mut self, rumour: &Member, now: Millis) -> bool {
+        if rumour.name == self.me.name {
+            return self.refute(rumour);
         }
-        let known = self.others.get(&news.name);
-        if known.is_some_and(|known| !known.member.yields_to(news)) {
+        let known = self.others.get(&rumour.name);
+        if known.is_some_and(|known| !known.member.is_superseded_by(rumour)) {
             return false;
         }
-        // One that is gone and was forgotten stays forgotten.
-        if known.is_none() && !news.state.is_live() {
+        // A dead instance that was forgotten is not added again.
+        if known.is_none() && !rumour.state.is_live() {
             return false;
         }
-        let member = news.clone();
+        let member = rumour.clone();
         let since = now;
         self.others
-            .insert(news.name.clone(), Known { member, since });
-        self.broadcast.add(Rumour::Member(news.clone()));
+            .insert(rumour.name.clone(), KnownMember { member, since });
+        self.broadcast.add(Rumour::Member(rumour.clone()));
         true
     }
 
-    /// Contradicts a suspicion against this instance by a higher incarnation.
-    fn hear_of_me(&mut self, news: &Member) -> bool {
-        let stale = news.incarnation < self.me.incarnation;
-        if stale || (news.incarnation == self.me.incarnation && news.state == self.me.state) {
+    /// Refutes a rumour about this instance with a higher incarnation.
+    fn refute(&mut self, rumour: &Member) -> bool {
+        let stale = rumour.incarnation < self.me.incarnation;
+        if stale || (rumour.incarnation == self.me.incarnation && rumour.state == self.me.state) {
             return false;
         }
-        self.me.incarnation = news.incarnation + 1;
+        self.me.incarnation = rumour.incarnation + 1;
         self.broadcast.add(Rumour::Member(self.me.clone()));
         true
     }
 
-    fn hear_upstream(&mut self, name: &Name, leaving: bool, at: u64) -> bool {
+    fn receive_upstream(&mut self, name: &Name, leaving: bool, at: u64) -> bool {
         let known = self.upstreams.get(name);
         if known.is_some_and(|(_, before)| *before >= at) {
             return false;
@@ -341,61 +349,81 @@
         true
     }
 
-    fn hear_demand(&mut self, from: &Name, turn: u64, rates: &[Demand], now: Millis) -> bool {
+    fn receive_demand(
+        &mut self,
+        from: &Name,
+        sequence: u64,
+        rates: &[Demand],
+        now: Millis,
+    ) -> bool {
         if *from == self.me.name {
             return false;
         }
-        if self.demands.get(from).is_some_and(|d| d.turn >= turn) {
+        if self
+            .demands
+            .get(from)
+            .is_some_and(|d| d.sequence >= sequence)
+        {
             return false;
         }
         let rates = rates.to_vec();
         let at = now;
-        self.demands
-            .insert(from.clone(), Wanted { turn, at, rates });
+        self.demands.insert(
+            from.clone(),
+            PeerDemand {
+                sequence,
+                at,
+                rates,
+            },
+        );
         true
     }
 
-    /// Reports this instance's own demand to its peers.
-    pub fn report_demand(&mut self, turn: u64, rates: Vec<Demand>) {
+    /// Reports this instance's demand to its peers.
+    pub fn report_demand(&mut self, sequence: u64, rates: Vec<Demand>) {
         let from = self.me.name.clone();
-        self.broadcast.add(Rumour::Demand { from, turn, rates });
+        self.broadcast.add(Rumour::Demand {
+            from,
+            sequence,
+            rates,
+        });
     }
 
-    /// Reports to its peers what this instance has seen of crashes.
+    /// Reports the crashes that this instance has observed to its peers.
     pub fn report_crashes(&mut self, at: u64, report: Seen) {
         let from = self.me.name.clone();
         self.broadcast.add(Rumour::Crashes { from, at, report });
     }
 
-    /// What other live instances reported of a customer.
+    /// Demand of a customer as reported by other instances.
     pub fn peer_demands(&self, customer: &str, now: Millis) -> Vec<f64> {
-        let rate = |wanted: &Wanted| {
+        let rate = |demand: &PeerDemand| {
             let mine = |d: &&Demand| &*d.customer == customer;
-            wanted.rates.iter().find(mine).map(|d| d.rate)
+            demand.rates.iter().find(mine).map(|d| d.rate)
         };
         self.demands
             .values()
-            .filter(|wanted| now < wanted.at + DEMAND_AGE)
+            .filter(|demand| now < demand.at + MAX_DEMAND_AGE)
             .filter_map(rate)
             .collect()
     }
 
-    /// What is known of an upstream's leaving.
+    /// Whether an upstream is leaving; [`None`] if no rumour has reported it.
     pub fn is_leaving(&self, upstream: &str) -> Option<bool> {
         self.upstreams.get(upstream).map(|(leaving, _)| *leaving)
     }
 
-    /// Says goodbye: peers stop counting on this instance at once.
+    /// Announces that this instance leaves, so that peers stop counting on it at once.
     pub fn leave(&mut self) {
         self.me.state = MemberState::Left;
         self.broadcast.add(Rumour::Member(self.me.clone()));
     }
 }
 
-/// Notes when something was seen; tells whether that is later than what was known.
-fn is_newer(known: &mut Map<Name, u64>, name: &Name, at: u64) -> bool {
+/// Records the time of an observation; tells whether it is newer than the last one.
+fn record_time(known: &mut Map<Name, u64>, name: &Name, at: u64) -> bool {
     let known = known.entry(name.clone()).or_insert(0);
-    let news = at > *known;
+    let is_new = at > *known;
     *known = at.max(*known);
-    news
+    is_new
 }
--- a/crates/fleet/tests/domains.rs
+++ b/crates/fleet/tests/domains.rs
@@ -1,4 +1,4 @@
-//! News between failure domains.
+//! Rumours between failure domains.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,14 @@
 use poison::Seen;
 use proptest::prelude::*;
 
-/// Time within which all instances of two failure domains hear of what one has seen, in milliseconds.
-const HEARD: Millis = 6_000;
+/// Time within which a crash report must reach all instances of two failure domains, in milliseconds.
+const REPORT_DEADLINE: Millis = 6_000;
 
-/// Time after the start within which something is seen, in milliseconds: news of the start are still told.
-const START: Millis = 9_000;
+/// Time after the start, in milliseconds, within which the crashes are observed: the rumours of the start are still
+/// being sent.
+const START_PERIOD: Millis = 9_000;
 
-/// Engines whose state the first instance tells of at its start.
+/// Number of engines whose state the first instance reports at its start.
 const ENGINES: usize = 4;
 
 fn name(text: &str) -> Name {
@@ -60,36 +61,36 @@
     }
 }
 
-/// Passes on what one instance tells another; tells whether it was told of crashes that it did not know.
-fn pass(views: &mut [View], from: usize, to: usize, now: Millis) -> bool {
+/// Sends the rumours of one instance to another; tells whether they held a crash report that was new to it.
+fn send(views: &mut [View], from: usize, to: usize, now: Millis) -> bool {
     let domain = views[to].me().domain.clone();
-    let told = views[from].outgoing(&domain);
-    let mut news = false;
-    for rumour in told {
+    let rumours = views[from].outgoing(&domain);
+    let mut is_new = false;
+    for rumour in rumours {
         let crashes = matches!(rumour, Rumour::Crashes { .. });
-        news |= views[to].receive(rumour, now) && crashes;
+        is_new |= views[to].receive(rumour, now) && crashes;
     }
-    news
+    is_new
 }
 
-/// Lets the instances probe until a time; gives those that hear of crashes, with the time.
+/// Lets the instances probe until `end`; returns those that receive a crash report, with the time.
 fn run(
     views: &mut [View],
-    seen: Millis,
+    observed: Millis,
     end: Millis,
     pauses: &[Millis],
 ) -> BTreeMap<usize, Millis> {
-    let mut heard = BTreeMap::new();
+    let mut received = BTreeMap::new();
     let mut next: Vec<Millis> = pauses.iter().take(views.len()).copied().collect();
-    let (mut told, mut turn) = (false, 0);
+    let (mut reported, mut turn) = (false, 0);
     while let Some((from, now)) = next.iter().copied().enumerate().min_by_key(|(_, at)| *at) {
         if now > end {
             break;
         }
-        if from == 0 && now >= seen && !told {
+        if from == 0 && now >= observed && !reported {
             views[0].report_demand(1, Vec::new());
             views[0].report_crashes(now, Seen::default());
-            told = true;
+            reported = true;
         }
         for probe in views[from].tick(now) {
             let to = views
@@ -97,31 +98,32 @@
                 .position(|v| v.me().name == probe.name)
                 .unwrap();
             for (from, to) in [(from, to), (to, from)] {
-                if pass(views, from, to, now) {
-                    heard.entry(to).or_insert(now);
+                if send(views, from, to, now) {
+                    received.entry(to).or_insert(now);
                 }
             }
         }
         turn += 1;
         next[from] = now + pauses[turn % pauses.len()];
     }
-    heard
+    received
 }
 
 proptest! {
-    // Symptom: a request that ended three upstreams of one failure domain ends three more of another, seconds
-    // later. Sequence: instances tell their neighbours of crashes beside the news of the start; none of the
-    // probes of the other domain has room for them. Cause: one count for those near and those far.
+    // Guards against a request that crashes three upstreams of one failure domain and, seconds later, three more of
+    // another. The crash report competed with the rumours of the start for room in the messages. With one count of
+    // sends for both domains it was dropped after the messages to neighbours, before any probe of the other domain had
+    // room for it.
     #[test]
-    fn another_failure_domain_hears_of_crashes_beside_other_news(
+    fn crash_reports_reach_another_failure_domain_beside_other_rumours(
         pauses in prop::collection::vec(PROBE_INTERVAL * 9 / 10..PROBE_INTERVAL * 11 / 10, 64),
-        seen in 0..START,
+        observed in 0..START_PERIOD,
     ) {
         let mut views = views(&["nord-0", "nord-1", "syd-0", "syd-1"]);
 
-        let heard = run(&mut views, seen, seen + HEARD, &pauses);
+        let received = run(&mut views, observed, observed + REPORT_DEADLINE, &pauses);
 
-        let others: Vec<_> = heard.keys().filter(|at| **at > 0).copied().collect();
-        prop_assert_eq!(others, [1, 2, 3], "{:?} after {}", heard, seen);
+        let others: Vec<_> = received.keys().filter(|at| **at > 0).copied().collect();
+        prop_assert_eq!(others, [1, 2, 3], "{:?} after {}", received, observed);
     }
 }
--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -1,4 +1,4 @@
-//! Who gives orders: at most one machine within the bound, and soon again after a failure.
+//! Leader election: at most one machine gives orders within the bound, and one does soon after a failure.
 
 use fleet::election::Candidate;
 use fleet::election::CandidateAction;
@@ -9,10 +9,10 @@
 use kernel::Millis;
 use proptest::prelude::*;
 
-/// Time within which two machines must not both order.
-const TURN: Millis = 3_000;
+/// Minimum time between orders of two machines, in milliseconds.
+const EXCLUSION: Millis = 3_000;
 
-fn seat(machine: usize, start: u64) -> ProcessId {
+fn process_id(machine: usize, start: u64) -> ProcessId {
     ProcessId {
         machine: format!("10.0.0.{machine}").into(),
         start,
@@ -21,13 +21,13 @@
 
 fn record(machine: usize, start: u64, phase: Phase) -> Record {
     Record {
-        leader: seat(machine, start),
+        leader: process_id(machine, start),
         phase,
     }
 }
 
-/// Reads one record every 300 ms from `from` on until the candidate stands; gives the time.
-fn stands(candidate: &mut Candidate, record: &Record, rev: i64, from: Millis) -> Millis {
+/// Reads one record every 300 ms from `from` on until the candidate claims the leadership; returns the time.
+fn claim_time(candidate: &mut Candidate, record: &Record, rev: i64, from: Millis) -> Millis {
     let mut now = from;
     while candidate.observe(Some((record, rev)), now) == CandidateAction::Wait {
         now += 300;
@@ -35,8 +35,8 @@
     now
 }
 
-/// The first time at which a leader may order that keeps its record renewed.
-fn first(mut leader: Leader, from: Millis) -> Millis {
+/// Returns the first time at which a leader may give an order while its record is renewed.
+fn first_order(mut leader: Leader, from: Millis) -> Millis {
     let mut now = from;
     loop {
         leader.renewed(leader.rev(), now);
@@ -49,7 +49,7 @@
 
 #[test]
 fn the_first_leader_orders_at_once() {
-    let mut candidate = Candidate::new(seat(1, 1), TURN);
+    let mut candidate = Candidate::new(process_id(1, 1), EXCLUSION);
 
     let next = candidate.observe(None, 50);
 
@@ -57,67 +57,63 @@
     assert!(candidate.won(1, 50).may_order(50));
 }
 
-// Symptom: nothing is loaded for six seconds after all processes were killed.
-// Sequence: the leader is killed and restarted within a second.
-// Cause: waiting for its own former process. It finds its own record and goes on.
+// Guards against six seconds without loading after all processes were killed. The leader was restarted within a second
+// and waited for its own previous process. It must recognise its own record and go on.
 #[test]
-fn a_restarted_leader_goes_on_at_once() {
-    let mut candidate = Candidate::new(seat(1, 2), TURN);
+fn a_restarted_leader_resumes_at_once() {
+    let mut candidate = Candidate::new(process_id(1, 2), EXCLUSION);
     let own = record(1, 1, Phase::Ordering);
 
-    let at = stands(&mut candidate, &own, 9, 1_000);
+    let at = claim_time(&mut candidate, &own, 9, 1_000);
 
     assert_eq!(at, 1_000);
-    assert!(first(candidate.won(10, at), at) <= 1_400);
+    assert!(first_order(candidate.won(10, at), at) <= 1_400);
 }
 
-// Symptom: two machines order within the bound.
-// Sequence: a machine takes over and is restarted before it has given an order; the one before it
-//   ordered until shortly before.
-// Cause: taking one's own record for proof that nobody else has ordered.
+// Guards against orders of two machines within the bound. A machine takes over and restarts before its first order,
+// while its predecessor gave orders until shortly before. Its own record does not prove that no other machine has
+// given orders.
 #[test]
-fn a_leader_that_had_not_begun_waits_after_its_restart() {
-    let mut candidate = Candidate::new(seat(1, 2), TURN);
+fn a_leader_without_orders_waits_after_its_restart() {
+    let mut candidate = Candidate::new(process_id(1, 2), EXCLUSION);
     let own = record(1, 1, Phase::Waiting);
 
-    let at = stands(&mut candidate, &own, 9, 1_000);
+    let at = claim_time(&mut candidate, &own, 9, 1_000);
 
-    assert!(first(candidate.won(10, at), at) >= 1_000 + TURN);
+    assert!(first_order(candidate.won(10, at), at) >= 1_000 + EXCLUSION);
 }
 
 #[test]
-fn a_silent_leader_is_replaced_and_its_time_waited_out() {
-    let mut candidate = Candidate::new(seat(2, 1), TURN);
+fn a_dead_leader_is_replaced_after_its_last_possible_order() {
+    let mut candidate = Candidate::new(process_id(2, 1), EXCLUSION);
     let other = record(1, 1, Phase::Ordering);
 
-    let at = stands(&mut candidate, &other, 9, 0);
-    let order = first(candidate.won(10, at), at);
+    let at = claim_time(&mut candidate, &other, 9, 0);
+    let order = first_order(candidate.won(10, at), at);
 
     assert!((2_000..3_000).contains(&at), "{at}");
-    assert!((TURN + 1_000..6_000).contains(&order), "{order}");
+    assert!((EXCLUSION + 1_000..6_000).contains(&order), "{order}");
 }
 
-// Symptom: nothing is loaded for five seconds whenever the leader's machine is stopped.
-// Sequence: the leader leaves gracefully.
-// Cause: waiting for its silence. It says that it gives no orders any more.
+// Guards against five seconds without loading whenever the leader's machine is stopped. A leader that leaves
+// gracefully must record that it gives no more orders, so that its successor need not wait for its silence.
 #[test]
 fn a_leader_that_has_resigned_is_replaced_at_once() {
-    let mut candidate = Candidate::new(seat(2, 1), TURN);
+    let mut candidate = Candidate::new(process_id(2, 1), EXCLUSION);
     let other = record(1, 1, Phase::Resigned);
 
-    let at = stands(&mut candidate, &other, 9, 1_000);
-    let order = first(candidate.won(10, at), at);
+    let at = claim_time(&mut candidate, &other, 9, 1_000);
+    let order = first_order(candidate.won(10, at), at);
 
     assert_eq!(at, 1_000);
     assert!((4_000..4_500).contains(&order), "{order}");
 }
 
-// Symptom: the leader changes at each outage of the platform.
-// Sequence: the platform is away for all; the candidate counts that time as the leader's silence.
-// Cause: taking one's own blindness for the leader's end.
+// Guards against a change of leader at each outage of the platform. No instance can reach the platform, and the
+// candidate must not count its own failed reads as the leader's silence.
 #[test]
-fn a_time_without_reads_does_not_count_as_silence() {
-    let mut candidate = Candidate::new(seat(2, 1), TURN);
+fn failed_reads_do_not_count_as_leader_silence() {
+    let mut candidate = Candidate::new(process_id(2, 1), EXCLUSION);
     let other = record(1, 1, Phase::Ordering);
     candidate.observe(Some((&other, 9)), 0);
 
@@ -131,7 +127,7 @@
 
 #[test]
 fn a_leader_that_cannot_renew_stops() {
-    let mut candidate = Candidate::new(seat(1, 1), TURN);
+    let mut candidate = Candidate::new(process_id(1, 1), EXCLUSION);
     candidate.observe(None, 0);
     let leader = candidate.won(1, 0);
 
@@ -140,13 +136,13 @@
     assert_eq!(now, [true, true, false, false]);
 }
 
-/// The record and what becomes of writes to it.
+/// The record at the platform and the pending writes to it.
 #[derive(Default)]
 struct Platform {
     record: Option<(Record, i64)>,
     rev: i64,
-    /// Writes that take effect later, if their condition still holds.
-    late: Vec<(Millis, i64, Record)>,
+    /// Writes that take effect later if their condition still holds then.
+    late_writes: Vec<(Millis, i64, Record)>,
 }
 
 impl Platform {
@@ -159,9 +155,9 @@
         Some(self.rev)
     }
 
-    fn settle(&mut self, now: Millis) {
-        let (due, later) = self.late.drain(..).partition(|(at, ..)| *at <= now);
-        self.late = later;
+    fn apply_late_writes(&mut self, now: Millis) {
+        let (due, later) = self.late_writes.drain(..).partition(|(at, ..)| *at <= now);
+        self.late_writes = later;
         let due: Vec<_> = due;
         for (_, expected, record) in due {
             self.write(expected, record);
@@ -179,15 +175,15 @@
     machine: usize,
     start: u64,
     role: Option<Role>,
-    /// Until when it is paused.
+    /// Time until which it is paused.
     paused: Millis,
-    /// Until when it cannot reach the platform.
-    cut: Millis,
+    /// Time until which it cannot reach the platform.
+    partitioned: Millis,
 }
 
-/// What happens to the calls of one turn.
+/// Outcome of the calls of one turn.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Luck {
+enum CallOutcome {
     Good,
     Lost,
     Late(Millis),
@@ -198,47 +194,50 @@
         Self {
             machine,
             start,
-            role: Some(Role::Candidate(Candidate::new(seat(machine, start), TURN))),
+            role: Some(Role::Candidate(Candidate::new(
+                process_id(machine, start),
+                EXCLUSION,
+            ))),
             paused: 0,
-            cut: 0,
+            partitioned: 0,
         }
     }
 
     fn write(
         platform: &mut Platform,
-        luck: Luck,
+        outcome: CallOutcome,
         rev: i64,
         record: Record,
         now: Millis,
     ) -> Option<Option<i64>> {
-        match luck {
-            Luck::Good => Some(platform.write(rev, record)),
-            Luck::Lost => {
+        match outcome {
+            CallOutcome::Good => Some(platform.write(rev, record)),
+            CallOutcome::Lost => {
                 platform.write(rev, record);
                 None
             }
-            Luck::Late(after) => {
-                platform.late.push((now + after, rev, record));
+            CallOutcome::Late(after) => {
+                platform.late_writes.push((now + after, rev, record));
                 None
             }
         }
     }
 
-    fn leave(self, platform: &mut Platform, luck: Luck, now: Millis) {
+    fn leave(self, platform: &mut Platform, outcome: CallOutcome, now: Millis) {
         if let Some(Role::Leader(leader)) = self.role
-            && now >= self.cut.max(self.paused)
+            && now >= self.partitioned.max(self.paused)
         {
-            Self::write(platform, luck, leader.rev(), leader.resign(now), now);
+            Self::write(platform, outcome, leader.rev(), leader.resign(now), now);
         }
     }
 
-    /// Does one turn as the shell does; tells whether an order was given.
-    fn turn(&mut self, platform: &mut Platform, luck: Luck, now: Millis) -> bool {
+    /// Runs one turn as the control loop does; tells whether an order was given.
+    fn turn(&mut self, platform: &mut Platform, outcome: CallOutcome, now: Millis) -> bool {
         if now < self.paused {
             return false;
         }
-        let reaches = now >= self.cut;
-        let me = seat(self.machine, self.start);
+        let reaches = now >= self.partitioned;
+        let me = process_id(self.machine, self.start);
         let role = match self.role.take().unwrap() {
             Role::Candidate(mut candidate) => {
                 let found = platform.record.clone();
@@ -250,7 +249,7 @@
                     match candidate.observe(found, now) {
                         CandidateAction::Wait => Role::Candidate(candidate),
                         CandidateAction::Claim(rev, record) => {
-                            match Self::write(platform, luck, rev, record, now) {
+                            match Self::write(platform, outcome, rev, record, now) {
                                 Some(Some(rev)) => Role::Leader(candidate.won(rev, now)),
                                 Some(None) | None => Role::Candidate(candidate),
                             }
@@ -262,10 +261,10 @@
                 let mut lost = false;
                 if reaches && leader.is_renewal_due(now) {
                     let record = leader.record(now);
-                    match Self::write(platform, luck, leader.rev(), record, now) {
+                    match Self::write(platform, outcome, leader.rev(), record, now) {
                         Some(Some(rev)) => leader.renewed(rev, now),
                         Some(None) => match &platform.record {
-                            // A write of its own whose answer was lost.
+                            // An earlier write of its own whose reply was lost.
                             Some((record, rev)) if leader.owns(record) => {
                                 let rev = *rev;
                                 leader.renewed(rev, 0);
@@ -276,7 +275,7 @@
                     }
                 }
                 if lost {
-                    Role::Candidate(Candidate::new(me, TURN))
+                    Role::Candidate(Candidate::new(me, EXCLUSION))
                 } else {
                     Role::Leader(leader)
                 }
@@ -289,53 +288,52 @@
 }
 
 #[derive(Clone, Debug)]
-enum Trouble {
+enum Fault {
     Pause(usize, Millis),
-    Cut(usize, Millis),
+    Partition(usize, Millis),
     Restart(usize),
     RestartAll,
     Leave(usize),
-    Luck(Luck),
+    CallOutcome(CallOutcome),
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
-    let luck = prop_oneof![
-        2 => Just(Luck::Good),
-        1 => Just(Luck::Lost),
-        1 => (200..5_000_u64).prop_map(Luck::Late),
+fn fault() -> impl Strategy<Value = Fault> {
+    let outcome = prop_oneof![
+        2 => Just(CallOutcome::Good),
+        1 => Just(CallOutcome::Lost),
+        1 => (200..5_000_u64).prop_map(CallOutcome::Late),
     ];
     prop_oneof![
-        (0..3_usize, 300..6_000_u64).prop_map(|(at, time)| Trouble::Pause(at, time)),
-        (0..3_usize, 300..6_000_u64).prop_map(|(at, time)| Trouble::Cut(at, time)),
-        (0..3_usize).prop_map(Trouble::Restart),
-        Just(Trouble::RestartAll),
-        (0..3_usize).prop_map(Trouble::Leave),
-        luck.prop_map(Trouble::Luck),
+        (0..3_usize, 300..6_000_u64).prop_map(|(at, time)| Fault::Pause(at, time)),
+        (0..3_usize, 300..6_000_u64).prop_map(|(at, time)| Fault::Partition(at, time)),
+        (0..3_usize).prop_map(Fault::Restart),
+        Just(Fault::RestartAll),
+        (0..3_usize).prop_map(Fault::Leave),
+        outcome.prop_map(Fault::CallOutcome),
     ]
 }
 
 proptest! {
-    // Symptom: weights are ordered by two machines within the bound.
-    // Sequence: any of pauses, cuts, restarts, lost and late writes, in any order.
-    // Cause: whatever the rules above do not cover.
+    // Guards against orders of two machines within the bound, under any sequence of pauses, partitions, restarts, and
+    // lost or late writes. It covers causes that the tests above do not.
     #[test]
     fn two_machines_never_order_within_the_bound(
-        troubles in prop::collection::vec((50..2_500_u64, trouble()), 1..40)
+        faults in prop::collection::vec((50..2_500_u64, fault()), 1..40)
     ) {
         let mut platform = Platform::default();
         let mut all: Vec<_> = (0..3).map(|machine| Process::new(machine, 0)).collect();
-        let mut luck = Luck::Good;
+        let mut outcome = CallOutcome::Good;
         let mut last: Option<(usize, Millis)> = None;
         let mut now = 0;
         let mut starts = 0;
-        for (pause, trouble) in troubles.into_iter().chain([(30_000, Trouble::Luck(Luck::Good))]) {
+        for (pause, fault) in faults.into_iter().chain([(30_000, Fault::CallOutcome(CallOutcome::Good))]) {
             let end = now + pause;
             while now < end {
-                platform.settle(now);
+                platform.apply_late_writes(now);
                 for (at, one) in all.iter_mut().enumerate() {
-                    if one.turn(&mut platform, luck, now) {
+                    if one.turn(&mut platform, outcome, now) {
                         if let Some((machine, when)) = last {
-                            prop_assert!(machine == at || now >= when + TURN,
+                            prop_assert!(machine == at || now >= when + EXCLUSION,
                                 "{machine} at {when} and {at} at {now}");
                         }
                         last = Some((at, now));
@@ -343,32 +341,32 @@
                 }
                 now += 50;
             }
-            match trouble {
-                Trouble::Pause(at, time) => all[at].paused = now + time,
-                Trouble::Cut(at, time) => all[at].cut = now + time,
-                Trouble::Restart(at) => {
+            match fault {
+                Fault::Pause(at, time) => all[at].paused = now + time,
+                Fault::Partition(at, time) => all[at].partitioned = now + time,
+                Fault::Restart(at) => {
                     starts += 1;
                     all[at] = Process::new(at, starts);
                 }
-                Trouble::RestartAll => {
+                Fault::RestartAll => {
                     starts += 1;
                     for (at, one) in all.iter_mut().enumerate() {
                         *one = Process::new(at, starts);
                     }
                 }
-                Trouble::Leave(at) => {
+                Fault::Leave(at) => {
                     let gone = std::mem::replace(&mut all[at], Process::new(at, starts + 1));
                     starts += 1;
-                    gone.leave(&mut platform, luck, now);
+                    gone.leave(&mut platform, outcome, now);
                 }
-                Trouble::Luck(next) => luck = next,
+                Fault::CallOutcome(next) => outcome = next,
             }
         }
-        // With nothing wrong any more somebody gives orders.
-        let calm = now;
-        while now < calm + 15_000 {
+        // Without further faults, some machine gives orders.
+        let recovered = now;
+        while now < recovered + 15_000 {
             for (at, one) in all.iter_mut().enumerate() {
-                if one.turn(&mut platform, Luck::Good, now) {
+                if one.turn(&mut platform, CallOutcome::Good, now) {
                     last = Some((at, now));
                 }
             }
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -8,10 +8,10 @@
 use fleet::View;
 use fleet::lease::HolderAction;
 use fleet::rumour::Demand;
-use fleet::view::FORGET;
+use fleet::view::FORGET_AFTER;
 use fleet::view::PROBE_INTERVAL;
 use fleet::view::ProbeFailure;
-use fleet::view::SUSPICION;
+use fleet::view::SUSPICION_TIMEOUT;
 use kernel::Name;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -38,33 +38,32 @@
     view
 }
 
-fn life(view: &View, name: &str) -> Option<MemberState> {
+fn state_of(view: &View, name: &str) -> Option<MemberState> {
     let found = view.all().find(|member| &*member.name == name);
     found.map(|member| member.state)
 }
 
-fn news(text: &str, incarnation: u64, life: MemberState) -> Rumour {
+fn rumour(text: &str, incarnation: u64, state: MemberState) -> Rumour {
     Rumour::Member(Member {
         incarnation,
-        state: life,
+        state,
         ..member(text, "nord")
     })
 }
 
-// Symptom: an instance that is merely slow is taken out, and its work doubled.
-// Sequence: one probe gets no answer in time.
-// Cause: removal on a single instance's word.
+// Guards against the removal of an instance that is merely slow, whose work would then be done twice. One instance
+// that gets no answer to one probe must not suffice to remove it.
 #[test]
-fn silence_leads_to_helpers_then_suspicion_then_removal() {
+fn a_failed_probe_leads_to_helpers_then_suspicion_then_removal() {
     let mut view = view("a", &["b", "c"]);
 
     let first = view.probe_failed("b", false, 0);
     let second = view.probe_failed("b", true, 100);
-    view.tick(100 + SUSPICION - 1);
-    let during = life(&view, "b");
-    view.tick(100 + SUSPICION);
-    let after = life(&view, "b");
-    view.tick(100 + SUSPICION + FORGET);
+    view.tick(100 + SUSPICION_TIMEOUT - 1);
+    let during = state_of(&view, "b");
+    view.tick(100 + SUSPICION_TIMEOUT);
+    let after = state_of(&view, "b");
+    view.tick(100 + SUSPICION_TIMEOUT + FORGET_AFTER);
 
     assert!(matches!(first, ProbeFailure::AskHelpers(helpers) if &*helpers[0].name == "c"));
     assert_eq!(second, ProbeFailure::Suspected);
@@ -72,20 +71,20 @@
         (during, after),
         (Some(MemberState::Suspect), Some(MemberState::Dead))
     );
-    assert_eq!(life(&view, "b"), None);
+    assert_eq!(state_of(&view, "b"), None);
 }
 
-// Symptom: a restarted instance stays out for as long as its peers remember its former life.
-// Sequence: it dies, is suspected and removed, and starts again under the same name.
-// Cause: lives of one name that cannot be told apart.
+// Guards against a restarted instance that stays removed for as long as its peers remember its previous start. It
+// died, was suspected and removed, and started again under the same name; without incarnations the two starts cannot
+// be told apart.
 #[parameterized(
-    same_life = { 1, MemberState::Dead, 1, MemberState::Alive, MemberState::Dead },
-    next_life = { 1, MemberState::Dead, 2, MemberState::Alive, MemberState::Alive },
-    contradicted = { 1, MemberState::Suspect, 2, MemberState::Alive, MemberState::Alive },
-    late_news = { 2, MemberState::Alive, 1, MemberState::Dead, MemberState::Alive },
+    same_incarnation = { 1, MemberState::Dead, 1, MemberState::Alive, MemberState::Dead },
+    next_incarnation = { 1, MemberState::Dead, 2, MemberState::Alive, MemberState::Alive },
+    refuted = { 1, MemberState::Suspect, 2, MemberState::Alive, MemberState::Alive },
+    late_rumour = { 2, MemberState::Alive, 1, MemberState::Dead, MemberState::Alive },
     suspicion = { 1, MemberState::Alive, 1, MemberState::Suspect, MemberState::Suspect },
 )]
-fn lives_are_told_apart(
+fn incarnations_are_distinguished(
     first: u64,
     was: MemberState,
     second: u64,
@@ -93,23 +92,23 @@
     expected: MemberState,
 ) {
     let mut view = view("a", &["b"]);
-    view.receive(news("b", first, was), 0);
+    view.receive(rumour("b", first, was), 0);
 
-    view.receive(news("b", second, then), 1);
+    view.receive(rumour("b", second, then), 1);
 
-    assert_eq!(life(&view, "b"), Some(expected));
+    assert_eq!(state_of(&view, "b"), Some(expected));
 }
 
 #[test]
-fn a_suspected_instance_contradicts() {
+fn a_suspected_instance_refutes() {
     let mut view = view("a", &["b"]);
     view.outgoing(&name("nord"));
 
-    view.receive(news("a", 1, MemberState::Suspect), 0);
+    view.receive(rumour("a", 1, MemberState::Suspect), 0);
 
-    let told = view.outgoing(&name("nord"));
+    let rumours = view.outgoing(&name("nord"));
     let mine = |r: &Rumour| matches!(r, Rumour::Member(m) if &*m.name == "a" && m.incarnation == 2);
-    assert!(told.iter().any(mine), "{told:?}");
+    assert!(rumours.iter().any(mine), "{rumours:?}");
     assert_eq!(view.me().state, MemberState::Alive);
 }
 
@@ -125,7 +124,7 @@
 }
 
 #[test]
-fn a_goodbye_counts_at_once() {
+fn a_graceful_leave_takes_effect_at_once() {
     let (mut one, mut two) = (view("a", &["b"]), view("b", &["a"]));
 
     one.leave();
@@ -133,11 +132,11 @@
         two.receive(rumour, 0);
     }
 
-    assert_eq!(life(&two, "a"), Some(MemberState::Left));
+    assert_eq!(state_of(&two, "a"), Some(MemberState::Left));
 }
 
 #[test]
-fn older_news_of_an_upstream_do_not_count() {
+fn older_rumours_about_an_upstream_are_ignored() {
     let mut view = view("a", &[]);
     let upstream = |leaving, at| Rumour::Upstream {
         name: name("engine-1"),
@@ -153,7 +152,7 @@
 }
 
 #[test]
-fn older_news_of_an_engine_do_not_count() {
+fn older_rumours_about_an_engine_are_ignored() {
     let mut view = view("a", &[]);
     let engine = |version, at| Rumour::Engine {
         name: name("engine-1"),
@@ -172,25 +171,32 @@
 }
 
 #[test]
-fn demands_of_peers_are_known_until_they_are_old() {
+fn peer_demands_expire() {
     let mut view = view("a", &["b"]);
     let rates = vec![Demand {
         customer: name("aarhus"),
         rate: 12.0,
     }];
     let from = name("b");
-    let turn = 1;
-
-    view.receive(Rumour::Demand { from, turn, rates }, 0);
+    let sequence = 1;
+
+    view.receive(
+        Rumour::Demand {
+            from,
+            sequence,
+            rates,
+        },
+        0,
+    );
 
     assert_eq!(view.peer_demands("aarhus", 1), [12.0]);
     assert!(view.peer_demands("aarhus", 60_000).is_empty());
     assert!(view.peer_demands("other", 1).is_empty());
 }
 
-// Symptom: orders of two holders reach an engine.
-// Sequence: the holder is paused for longer than its lease and resumes between check and order.
-// Cause: a check against the moment the grant arrived, or a check made once for many orders.
+// Guards against orders of two holders that reach an engine. The holder is paused for longer than its lease, and
+// resumes between check and order. Checking against the time at which the grant arrived, or once for several orders,
+// allows this.
 #[parameterized(
     fresh = { 0, HolderAction::Work(FencingToken(7)) },
     third = { 3_400, HolderAction::Renew(FencingToken(7)) },
@@ -198,14 +204,14 @@
     lapsed = { 7_500, HolderAction::Lapsed },
     long_after = { 1_000_000, HolderAction::Lapsed },
 )]
-fn a_lease_ends_here_before_it_ends_there(now: u64, expected: HolderAction) {
+fn a_lease_ends_at_the_holder_before_it_ends_at_the_platform(now: u64, expected: HolderAction) {
     let held = Lease::new(10_000).acquired(FencingToken(7), 1, 0);
 
     assert_eq!(held.check(now), expected);
 }
 
 #[test]
-fn a_renewal_counts_from_its_sending() {
+fn a_renewal_counts_from_when_it_was_sent() {
     let mut held = Lease::new(10_000).acquired(FencingToken(7), 1, 0);
 
     held.renewed(5_000);
@@ -215,7 +221,7 @@
     assert_eq!(held.check(12_500), HolderAction::Lapsed);
 }
 
-/// Lets every instance in `up` probe as its view says; a message is lost where `lost` says so.
+/// Lets every instance in `up` probe as its view says; `lost` tells whether a message is lost.
 fn round(views: &mut [View], up: &[bool], now: u64, lost: &mut impl FnMut() -> bool) {
     for from in 0..views.len() {
         if !up[from] {
@@ -228,14 +234,14 @@
                 views[from].probe_failed(&probe.name, true, now);
                 continue;
             };
-            let told = views[from].outgoing(&name("nord"));
-            for rumour in told {
+            let rumours = views[from].outgoing(&name("nord"));
+            for rumour in rumours {
                 views[to].receive(rumour, now);
             }
             let answer = views[to].me().clone();
-            let told = views[to].outgoing(&name("nord"));
+            let rumours = views[to].outgoing(&name("nord"));
             views[from].probe_answered(&answer, now);
-            for rumour in told {
+            for rumour in rumours {
                 views[from].receive(rumour, now);
             }
         }
@@ -243,9 +249,9 @@
 }
 
 proptest! {
-    // Over any lost messages, all learn of a death, and nobody who lives stays removed.
+    // Whichever messages are lost, all instances learn of a death, and no live instance stays removed.
     #[test]
-    fn views_agree_in_the_end(
+    fn views_converge(
         dead in 0usize..6,
         losses in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
@@ -265,8 +271,8 @@
         }
     }
 
-    // However holders pause, at any moment at most one believes that it may work, when each
-    // grant comes only after the platform's time to live of the one before has passed.
+    // However holders are paused, at most one of them believes at any time that it may work, if each grant comes only
+    // after the platform's time to live of the previous one has passed.
     #[test]
     fn at_most_one_holder(pauses in prop::collection::vec((0u64..20_000, 0u64..3_000), 1..30)) {
         let ttl = 10_000;
