--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -408,7 +408,7 @@
             .collect()
     }
 
-    /// Whether an upstream is leaving; [`None`] if no rumour told.
+    /// Whether an upstream is leaving; [`None`] if no rumour has reported it.
     pub fn is_leaving(&self, upstream: &str) -> Option<bool> {
         self.upstreams.get(upstream).map(|(leaving, _)| *leaving)
     }
