--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -19,13 +19,13 @@
 use net::client::uri;
 
 use crate::Answer;
-use crate::Ask;
 use crate::Budget;
 use crate::Call;
 use crate::Change;
 use crate::Done;
 use crate::Etcd;
 use crate::Fresh;
+use crate::HttpRequest;
 use crate::Item;
 use crate::Lease;
 use crate::PlatError;
@@ -187,7 +187,7 @@
     ///
     /// Returns [`PlatError`].
     pub async fn direct(&self, call: &Call) -> Result<Answer, PlatError> {
-        let ask = self.protocol.ask(call)?;
+        let ask = self.protocol.encode(call)?;
         let limit = match call {
             Call::Poll { wait, .. } => LIMIT + Duration::from_millis(*wait),
             _ => LIMIT,
@@ -196,7 +196,7 @@
         for addr in &*self.addrs {
             match self.http.fetch(request(*addr, &ask)?, limit, MOST).await {
                 Ok(answer) => {
-                    return self.protocol.answer(call, answer.status(), answer.body());
+                    return self.protocol.decode(call, answer.status(), answer.body());
                 }
                 Err(error) if error.is_unsent() => (),
                 Err(SendError::Garbled | SendError::Long) => return Err(PlatError::Garbled),
@@ -393,7 +393,7 @@
                 progress_notify: true,
             },
         })?;
-        let ask = Ask {
+        let ask = HttpRequest {
             method: http::Method::POST,
             path: "/v3/watch".into(),
             body,
@@ -412,7 +412,7 @@
     }
 }
 
-fn request(addr: SocketAddr, ask: &Ask) -> Result<Request<Full<Bytes>>, PlatError> {
+fn request(addr: SocketAddr, ask: &HttpRequest) -> Result<Request<Full<Bytes>>, PlatError> {
     Request::builder()
         .method(ask.method.clone())
         .uri(uri(addr, &ask.path))
--- a/crates/plat/src/etcd.rs
+++ b/crates/plat/src/etcd.rs
@@ -4,11 +4,11 @@
 use http::StatusCode;
 
 use crate::Answer;
-use crate::Ask;
 use crate::Call;
 use crate::Delete;
 use crate::Done;
 use crate::Guard;
+use crate::HttpRequest;
 use crate::Item;
 use crate::Lease;
 use crate::PlatError;
@@ -27,7 +27,7 @@
 pub struct Etcd;
 
 impl Protocol for Etcd {
-    fn ask(&self, call: &Call) -> Result<Ask, PlatError> {
+    fn encode(&self, call: &Call) -> Result<HttpRequest, PlatError> {
         let (path, body) = match call {
             Call::Get(key) => ("/v3/kv/range", write(&one(key))?),
             Call::List { prefix, after, .. } => {
@@ -43,14 +43,14 @@
             // This protocol streams its watches; see `Client::watch`.
             Call::Poll { .. } => return Err(PlatError::Unsupported),
         };
-        Ok(Ask {
+        Ok(HttpRequest {
             method: Method::POST,
             path: path.into(),
             body,
         })
     }
 
-    fn answer(&self, call: &Call, status: StatusCode, body: &[u8]) -> Result<Answer, PlatError> {
+    fn decode(&self, call: &Call, status: StatusCode, body: &[u8]) -> Result<Answer, PlatError> {
         if !status.is_success() {
             return Err(refusal(status, body));
         }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -35,7 +35,7 @@
 pub use client::Client;
 pub use error::PlatError;
 pub use etcd::Etcd;
-pub use protocol::Ask;
+pub use protocol::HttpRequest;
 pub use protocol::Protocol;
 pub use relay::Relay;
 pub use single::Single;
--- a/crates/plat/src/protocol.rs
+++ b/crates/plat/src/protocol.rs
@@ -10,7 +10,7 @@
 
 /// A call as an HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct HttpRequest {
     /// The method.
     pub method: Method,
     /// The path with its query.
@@ -28,14 +28,14 @@
     /// # Errors
     ///
     /// Returns [`PlatError::Unsupported`] when the protocol has no such call.
-    fn ask(&self, call: &Call) -> Result<Ask, PlatError>;
+    fn encode(&self, call: &Call) -> Result<HttpRequest, PlatError>;
 
     /// Reads the answer to a call.
     ///
     /// # Errors
     ///
     /// Returns [`PlatError`] when the answer is a refusal or cannot be understood.
-    fn answer(&self, call: &Call, status: StatusCode, body: &[u8]) -> Result<Answer, PlatError>;
+    fn decode(&self, call: &Call, status: StatusCode, body: &[u8]) -> Result<Answer, PlatError>;
 }
 
 /// Reads the JSON of an answer.
