--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -9,12 +9,12 @@
 use kernel::Millis;
 use plat::Client;
 use plat::Delete;
-use plat::Done;
 use plat::Guard;
 use plat::Item;
 use plat::PlatError;
 use plat::Single;
 use plat::Txn;
+use plat::TxnOutcome;
 use poison::Observations;
 use poison::Report;
 use poison::ledger::CRASH_TTL_MS;
@@ -90,8 +90,8 @@
         };
         let done = plat.txn(&txn).await;
         let outcome = match done {
-            Ok(Done::At(_)) => "deleted",
-            Ok(Done::Conflict) => "rewritten meanwhile",
+            Ok(TxnOutcome::At(_)) => "deleted",
+            Ok(TxnOutcome::Conflict) => "rewritten meanwhile",
             Err(_) => "failed, retried after the next read",
         };
         log::info!(target: "crash", key = item.key.as_str(), outcome; "delete expired crash record");
--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -13,12 +13,12 @@
 use batch::keys;
 use batch::record;
 use kernel::Millis;
-use plat::Done;
 use plat::Guard;
 use plat::Item;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use tokio::time::sleep;
 
 use crate::App;
@@ -102,7 +102,7 @@
     let asked = app.clock.now();
     let names = || [step].into_iter().chain(former);
     let guards = names().map(|name| Guard::Absent(keys::head(name)));
-    if let Done::At(rev) = write(app, step, guards.collect(), head, spec).await? {
+    if let TxnOutcome::At(rev) = write(app, step, guards.collect(), head, spec).await? {
         return Ok(Tried::Open(Open { rev, asked }));
     }
     for name in names() {
@@ -126,7 +126,7 @@
     guards: Vec<Guard>,
     head: &Head,
     spec: &Spec,
-) -> Result<Done, PlatError> {
+) -> Result<TxnOutcome, PlatError> {
     let parts = spec.encode_parts().map_err(|_| PlatError::Garbled)?;
     let mut puts: Vec<_> = parts
         .into_iter()
@@ -199,12 +199,12 @@
     while app.clock.wall() < head.opened + app.settings.keep {
         let asked = app.clock.now();
         match app.plat.txn(&txn).await {
-            Ok(Done::At(rev)) => return Ok(Taken::Open(Open { rev, asked })),
-            Ok(Done::Conflict) if !unclear => {
+            Ok(TxnOutcome::At(rev)) => return Ok(Taken::Open(Open { rev, asked })),
+            Ok(TxnOutcome::Conflict) if !unclear => {
                 let ended = app.plat.get(&keys::end(step)).await?;
                 return Ok(ended.map_or(Taken::Not, |_| Taken::Ended));
             }
-            Ok(Done::Conflict) => match found(app, step, &mine).await {
+            Ok(TxnOutcome::Conflict) => match found(app, step, &mine).await {
                 Ok(taken) => return Ok(taken),
                 Err(error) => note(step, &error),
             },
@@ -276,7 +276,7 @@
             deletes: Vec::new(),
         };
         // Otherwise it was taken over or ended meanwhile.
-        if let Done::At(_) = app.plat.txn(&txn).await? {
+        if let TxnOutcome::At(_) = app.plat.txn(&txn).await? {
             let rev = item.rev;
             return Ok(Some(Ended { owner, rev }));
         }
--- a/crates/node/src/control/kept.rs
+++ b/crates/node/src/control/kept.rs
@@ -1,11 +1,11 @@
 //! A value at the platform that the leader alone changes, under the revision of the value before.
 
 use batch::record;
-use plat::Done;
 use plat::Guard;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -41,7 +41,7 @@
         deletes: Vec::new(),
     };
     match app.plat.txn(&txn).await? {
-        Done::At(rev) => Ok(rev),
-        Done::Conflict => Err(PlatError::Silent),
+        TxnOutcome::At(rev) => Ok(rev),
+        TxnOutcome::Conflict => Err(PlatError::Silent),
     }
 }
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -11,11 +11,11 @@
 use fleet::election::Seat;
 use kernel::Millis;
 use parking_lot::Mutex;
-use plat::Done;
 use plat::Guard;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use tokio::time::sleep;
 
 use crate::App;
@@ -60,11 +60,11 @@
             };
             let Some((rev, record)) = due else { continue };
             match write(app, rev, &record).await {
-                Ok(Done::At(rev)) => {
+                Ok(TxnOutcome::At(rev)) => {
                     self.leader.lock().renewed(rev, now);
                     reach.back();
                 }
-                Ok(Done::Conflict) => match read(app).await {
+                Ok(TxnOutcome::Conflict) => match read(app).await {
                     // A renewal whose answer was lost; when it took effect is not known.
                     Ok(Some((record, rev))) if self.leader.lock().owns(&record) => {
                         self.leader.lock().renewed(rev, 0);
@@ -102,12 +102,12 @@
         if let Next::Stand(rev, record) = look(app, &mut candidate).await {
             let sent = app.clock.now();
             match write(app, rev, &record).await {
-                Ok(Done::At(rev)) => {
+                Ok(TxnOutcome::At(rev)) => {
                     let leader = Mutex::new(candidate.won(rev, sent));
                     return Office { leader };
                 }
                 // Somebody else was first, or this write's answer was lost: the next read shows it.
-                Ok(Done::Conflict) => reach.back(),
+                Ok(TxnOutcome::Conflict) => reach.back(),
                 Err(error) => reach.lost(&error),
             }
         }
@@ -144,7 +144,7 @@
     Ok((record, item.rev))
 }
 
-async fn write(app: &App, rev: i64, record: &Record) -> Result<Done, PlatError> {
+async fn write(app: &App, rev: i64, record: &Record) -> Result<TxnOutcome, PlatError> {
     let value = record::encode(record).map_err(|_| PlatError::Garbled)?;
     let txn = Txn {
         guards: vec![Guard::on(KEY, rev)],
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -4,11 +4,11 @@
 use batch::Segment;
 use batch::keys;
 use batch::record;
-use plat::Done;
 use plat::Guard;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 
 use super::Work;
 use crate::App;
@@ -49,11 +49,11 @@
         deletes: Vec::new(),
     };
     match app.plat.txn(&txn).await {
-        Ok(Done::At(_)) => {
+        Ok(TxnOutcome::At(_)) => {
             work.word.lock().confirm(sent);
             Written::Kept
         }
-        Ok(Done::Conflict) => settle(app, work, &first, &end).await,
+        Ok(TxnOutcome::Conflict) => settle(app, work, &first, &end).await,
         Err(error) => {
             let why = error.to_string();
             log::warn!(target: "owner", id = &*work.step, segment = segment.seq,
--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -16,12 +16,12 @@
 use contract::ini::LineDiff;
 use kernel::Name;
 use plat::Client;
-use plat::Done;
 use plat::Guard;
 use plat::Item;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use plat::keys;
 use uuid::Uuid;
 
@@ -212,9 +212,9 @@
         let mut unclear = false;
         for turn in 0..TRIES {
             match self.plat.txn(&txn).await {
-                Ok(Done::At(rev)) => return Ok(Applied::InForce(rev)),
+                Ok(TxnOutcome::At(rev)) => return Ok(Applied::InForce(rev)),
                 // A conflict may be with this very change, written by a try whose answer was lost.
-                Ok(Done::Conflict) => (),
+                Ok(TxnOutcome::Conflict) => (),
                 Err(error) if error.is_unclear() => unclear = true,
                 Err(error) if !unclear => return Err(error.into()),
                 Err(_) => (),
--- a/crates/plat/src/call.rs
+++ b/crates/plat/src/call.rs
@@ -118,7 +118,7 @@
 /// What came of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Done {
+pub enum TxnOutcome {
     /// It took effect at this revision.
     At(i64),
     /// A guard did not hold; nothing was written.
@@ -215,7 +215,7 @@
     /// The keys that a read found.
     Range(Range),
     /// What came of a transaction.
-    Done(Done),
+    Done(TxnOutcome),
     /// The lease that was granted.
     Lease(Lease),
     /// Whether the platform still had the lease.
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -22,7 +22,6 @@
 use crate::Budget;
 use crate::Call;
 use crate::Change;
-use crate::Done;
 use crate::Etcd;
 use crate::Fresh;
 use crate::HttpRequest;
@@ -33,6 +32,7 @@
 use crate::Range;
 use crate::Relay;
 use crate::Txn;
+use crate::TxnOutcome;
 use crate::Watch;
 use crate::budget::Kind;
 use crate::proto;
@@ -314,7 +314,7 @@
     /// # Errors
     ///
     /// Returns [`PlatError`]; [`PlatError::is_unclear`] tells whether it may have taken effect.
-    pub async fn txn(&self, txn: &Txn) -> Result<Done, PlatError> {
+    pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, PlatError> {
         match self.call(&Call::Txn(txn.clone())).await? {
             Answer::Done(done) => Ok(done),
             _ => Err(PlatError::Garbled),
--- a/crates/plat/src/etcd.rs
+++ b/crates/plat/src/etcd.rs
@@ -6,7 +6,6 @@
 use crate::Answer;
 use crate::Call;
 use crate::Delete;
-use crate::Done;
 use crate::Guard;
 use crate::HttpRequest;
 use crate::Item;
@@ -15,6 +14,7 @@
 use crate::Protocol;
 use crate::Range;
 use crate::Txn;
+use crate::TxnOutcome;
 use crate::proto;
 use crate::protocol::parse;
 use crate::protocol::write;
@@ -59,8 +59,8 @@
             Call::Txn(_) => {
                 let answer: proto::TxnResponse = parse(body)?;
                 Ok(Answer::Done(match answer.succeeded {
-                    true => Done::At(answer.header.revision.0),
-                    false => Done::Conflict,
+                    true => TxnOutcome::At(answer.header.revision.0),
+                    false => TxnOutcome::Conflict,
                 }))
             }
             Call::Grant(_) => {
--- a/crates/plat/src/holder.rs
+++ b/crates/plat/src/holder.rs
@@ -8,11 +8,11 @@
 use kernel::Millis;
 
 use crate::Client;
-use crate::Done;
 use crate::Guard;
 use crate::PlatError;
 use crate::Put;
 use crate::Txn;
+use crate::TxnOutcome;
 
 /// What came of trying for a lease.
 #[derive(Debug)]
@@ -53,12 +53,12 @@
         ..Txn::default()
     };
     match plat.txn(&txn).await? {
-        Done::Conflict => {
+        TxnOutcome::Conflict => {
             plat.revoke(granted.id).await?;
             Ok(Taken::Others)
         }
         // The platform's revision only rises, so a later holder has a higher number.
-        Done::At(rev) => {
+        TxnOutcome::At(rev) => {
             let lease = Lease::new(granted.ttl);
             Ok(Taken::Ours(lease.taken(Fence(rev), granted.id, sent)))
         }
--- a/crates/plat/src/single.rs
+++ b/crates/plat/src/single.rs
@@ -1,11 +1,11 @@
 //! A key that only one start of one instance writes.
 
 use crate::Client;
-use crate::Done;
 use crate::Guard;
 use crate::PlatError;
 use crate::Put;
 use crate::Txn;
+use crate::TxnOutcome;
 
 /// A key that only one start of one instance writes. It has no lease, since those may run out while the
 /// platform is away; whoever reads it deletes it when it is old.
@@ -54,12 +54,12 @@
             ..Txn::default()
         };
         match plat.txn(&txn).await? {
-            Done::At(rev) => {
+            TxnOutcome::At(rev) => {
                 self.rev = rev;
                 Ok(())
             }
             // An earlier write was carried out late, or the key was old and was deleted.
-            Done::Conflict => Err(PlatError::Silent),
+            TxnOutcome::Conflict => Err(PlatError::Silent),
         }
     }
 }
--- a/crates/plat/tests/contract.rs
+++ b/crates/plat/tests/contract.rs
@@ -5,11 +5,11 @@
 
 use plat::Change;
 use plat::Client;
-use plat::Done;
 use plat::Guard;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use plat::budget::Kind;
 use standin::Fault;
 use standin::Host;
@@ -56,10 +56,10 @@
         let next = f.client.txn(&put("/a", "3", item.rev)).await.unwrap();
         let stale = f.client.txn(&put("/a", "4", item.rev)).await.unwrap();
 
-        assert_eq!(first, Done::At(item.rev));
-        assert_eq!(again, Done::Conflict);
-        assert!(matches!(next, Done::At(rev) if rev > item.rev));
-        assert_eq!(stale, Done::Conflict);
+        assert_eq!(first, TxnOutcome::At(item.rev));
+        assert_eq!(again, TxnOutcome::Conflict);
+        assert!(matches!(next, TxnOutcome::At(rev) if rev > item.rev));
+        assert_eq!(stale, TxnOutcome::Conflict);
         assert_eq!(f.client.get("/a").await.unwrap().unwrap().value, b"3");
     });
 }
@@ -145,7 +145,7 @@
 fn a_watch_tells_what_changed_since_and_what_changes() {
     block(async {
         let f = fixture().await;
-        let Done::At(rev) = f.client.txn(&put("/w/a", "1", 0)).await.unwrap() else {
+        let TxnOutcome::At(rev) = f.client.txn(&put("/w/a", "1", 0)).await.unwrap() else {
             panic!("conflict");
         };
         f.client.txn(&put("/w/b", "2", 0)).await.unwrap();
--- a/crates/plat/tests/relay.rs
+++ b/crates/plat/tests/relay.rs
@@ -6,11 +6,11 @@
 use plat::Answer;
 use plat::Call;
 use plat::Client;
-use plat::Done;
 use plat::PlatError;
 use plat::Put;
 use plat::Relay;
 use plat::Txn;
+use plat::TxnOutcome;
 use plat::relay::Relayed;
 
 struct Other(Result<Answer, PlatError>);
@@ -38,11 +38,11 @@
 
 #[tokio::test]
 async fn a_call_that_cannot_be_made_goes_through_another() {
-    let client = client(Ok(Answer::Done(Done::At(7))));
+    let client = client(Ok(Answer::Done(TxnOutcome::At(7))));
 
     let done = client.txn(&txn()).await;
 
-    assert!(matches!(done, Ok(Done::At(7))));
+    assert!(matches!(done, Ok(TxnOutcome::At(7))));
 }
 
 // Symptom: a step is refused with the promise that nothing runs, and runs.
--- a/crates/serve/src/journal/driver.rs
+++ b/crates/serve/src/journal/driver.rs
@@ -11,11 +11,11 @@
 use once::Segment;
 use once::shard::WriteResult;
 use plat::Client;
-use plat::Done;
 use plat::Guard;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use plat::keys;
 
 use super::AWAY;
@@ -157,15 +157,15 @@
     async fn write(&self, head: i64, segment: &Segment) -> Result<(), PlatError> {
         let done = self.put(head, segment).await;
         let wrote = match &done {
-            Ok(Done::At(rev)) => WriteResult::Committed(*rev),
-            Ok(Done::Conflict) => WriteResult::Conflict,
+            Ok(TxnOutcome::At(rev)) => WriteResult::Committed(*rev),
+            Ok(TxnOutcome::Conflict) => WriteResult::Conflict,
             Err(_) => WriteResult::Unknown,
         };
         self.cell.shard.lock().write_finished(wrote);
         done.map(drop)
     }
 
-    async fn put(&self, head: i64, segment: &Segment) -> Result<Done, PlatError> {
+    async fn put(&self, head: i64, segment: &Segment) -> Result<TxnOutcome, PlatError> {
         let bytes = segment.encode().map_err(|_| PlatError::Garbled)?;
         if bytes.len() > MOST {
             log::warn!(target: "journal", shard = self.at, bytes = bytes.len(); "large segment");
--- a/crates/serve/src/steps/ledger.rs
+++ b/crates/serve/src/steps/ledger.rs
@@ -12,11 +12,11 @@
 
 use kernel::Name;
 use plat::Delete;
-use plat::Done;
 use plat::Guard;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use plat::keys;
 use serde::Deserialize;
 use serde::Serialize;
@@ -82,8 +82,8 @@
     head.spec.prompts = Vec::new();
     let value = serde_json::to_vec(&head).map_err(|_| PlatError::Garbled)?;
     match app.plat.txn(&put(keys::step(id), value)).await? {
-        Done::At(_) => Ok(Saved::Whole),
-        Done::Conflict => Ok(Saved::Ended),
+        TxnOutcome::At(_) => Ok(Saved::Whole),
+        TxnOutcome::Conflict => Ok(Saved::Ended),
     }
 }
 
@@ -150,7 +150,7 @@
             None if !is_known => return Ok(false),
             None => 0,
         };
-        if app.plat.txn(&ending(app, id, customer, rev).await?).await? != Done::Conflict {
+        if app.plat.txn(&ending(app, id, customer, rev).await?).await? != TxnOutcome::Conflict {
             return Ok(true);
         }
     }
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -7,11 +7,11 @@
 use net::Call;
 use net::Reply;
 use net::body;
-use plat::Done;
 use plat::Guard;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use plat::keys;
 use route::Attempt;
 use route::Ran;
@@ -104,8 +104,8 @@
         ..Txn::default()
     };
     match app.plat.txn(&txn).await? {
-        Done::Conflict => Ok(None),
-        Done::At(rev) => {
+        TxnOutcome::Conflict => Ok(None),
+        TxnOutcome::At(rev) => {
             let instance = &app.settings.me.name;
             let (before, after) = (known.to_string(), new.version.to_string());
             let what = format!("weights announced by {}", new.customer);
