--- a/crates/control/src/work.rs
+++ b/crates/control/src/work.rs
@@ -9,7 +9,7 @@
 use kernel::Name;
 use plat::Client;
 use plat::holder;
-use plat::holder::Taken;
+use plat::holder::Acquisition;
 use plat::keys;
 use route::Spec;
 use serve::audit;
@@ -71,7 +71,7 @@
     /// Tries for the lease and holds it for as long as it can.
     pub(crate) async fn turn(&self) {
         let name = self.name();
-        let taken = holder::take(
+        let taken = holder::acquire(
             &self.plat,
             &keys::lease(&name),
             self.instance.as_bytes(),
@@ -80,8 +80,8 @@
         )
         .await;
         match taken {
-            Ok(Taken::Ours(lease)) => self.hold(lease).await,
-            Ok(Taken::Others) => tokio::time::sleep(OTHERS).await,
+            Ok(Acquisition::Acquired(lease)) => self.hold(lease).await,
+            Ok(Acquisition::HeldElsewhere) => tokio::time::sleep(OTHERS).await,
             Err(error) => {
                 let error = error.to_string();
                 log::warn!(target: "control", work = name.as_str(), error = error.as_str();
@@ -111,7 +111,7 @@
         };
         let mut read = None;
         loop {
-            if !holder::keep(&self.plat, &mut lease, self.clock).await {
+            if !holder::renew_if_due(&self.plat, &mut lease, self.clock).await {
                 break;
             }
             let due = read.is_none_or(|at| self.clock.now() >= at + READ);
--- a/crates/plat/src/holder.rs
+++ b/crates/plat/src/holder.rs
@@ -16,11 +16,11 @@
 
 /// What came of trying for a lease.
 #[derive(Debug)]
-pub enum Taken {
+pub enum Acquisition {
     /// It is ours.
-    Ours(Lease<Held>),
+    Acquired(Lease<Held>),
     /// Somebody else has it.
-    Others,
+    HeldElsewhere,
 }
 
 /// Tries for the lease on a piece of work, which lives `ttl` milliseconds unless renewed and is
@@ -29,16 +29,16 @@
 /// # Errors
 ///
 /// Returns [`PlatError`]; a lease that was granted without our knowing lapses by itself.
-pub async fn take(
+pub async fn acquire(
     plat: &Client,
     key: &str,
     name: &[u8],
     ttl: Millis,
     clock: Clock,
-) -> Result<Taken, PlatError> {
+) -> Result<Acquisition, PlatError> {
     // Looking first costs a read; a grant for a key that is taken would cost three lease calls.
     if plat.get(key).await?.is_some() {
-        return Ok(Taken::Others);
+        return Ok(Acquisition::HeldElsewhere);
     }
     // Before the request: the time to live may begin as soon as it is sent.
     let sent = clock.now();
@@ -55,18 +55,22 @@
     match plat.txn(&txn).await? {
         TxnOutcome::Conflict => {
             plat.revoke(granted.id).await?;
-            Ok(Taken::Others)
+            Ok(Acquisition::HeldElsewhere)
         }
         // The platform's revision only rises, so a later holder has a higher number.
         TxnOutcome::At(rev) => {
             let lease = Lease::new(granted.ttl);
-            Ok(Taken::Ours(lease.taken(Fence(rev), granted.id, sent)))
+            Ok(Acquisition::Acquired(lease.taken(
+                Fence(rev),
+                granted.id,
+                sent,
+            )))
         }
     }
 }
 
 /// Renews a lease when it is time; tells whether it may still be used.
-pub async fn keep(plat: &Client, lease: &mut Lease<Held>, clock: Clock) -> bool {
+pub async fn renew_if_due(plat: &Client, lease: &mut Lease<Held>, clock: Clock) -> bool {
     match lease.next(clock.now()) {
         Next::Work(_) => true,
         Next::Lapsed => false,
