--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -12,7 +12,7 @@
 use plat::Guard;
 use plat::Item;
 use plat::PlatError;
-use plat::Single;
+use plat::SingleWriterKey;
 use plat::Txn;
 use plat::TxnOutcome;
 use poison::Observations;
@@ -42,7 +42,7 @@
     key: &str,
     mut on_write: impl FnMut(Result<(), &PlatError>),
 ) {
-    let mut single = Single::new(key);
+    let mut single = SingleWriterKey::new(key);
     let mut written = Observations::default();
     loop {
         tracker.wait_for_changes().await;
@@ -71,7 +71,7 @@
 }
 
 async fn write(
-    single: &mut Single,
+    single: &mut SingleWriterKey,
     plat: &Client,
     observed: &Observations,
 ) -> Result<(), PlatError> {
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod proto;
 pub mod protocol;
 pub mod relay;
-pub mod single;
+pub mod single_writer_key;
 pub mod watch;
 pub mod wide;
 
@@ -38,6 +38,6 @@
 pub use protocol::HttpRequest;
 pub use protocol::Protocol;
 pub use relay::Relay;
-pub use single::Single;
+pub use single_writer_key::SingleWriterKey;
 pub use watch::Watch;
 pub use wide::Wide;
--- a/crates/plat/src/single.rs
+++ b/crates/plat/src/single_writer_key.rs
@@ -13,14 +13,14 @@
 /// A write whose answer was lost may be carried out seconds later, behind the next one, and would put the
 /// older value back; each write therefore has the revision of the one before as its condition.
 #[derive(Debug)]
-pub struct Single {
+pub struct SingleWriterKey {
     key: String,
     rev: i64,
     /// Whether the last write may have taken effect, or may yet.
     unclear: bool,
 }
 
-impl Single {
+impl SingleWriterKey {
     /// Makes a key that was never written.
     pub fn new(key: &str) -> Self {
         Self {
--- a/crates/plat/tests/single.rs
+++ b/crates/plat/tests/single_writer_key.rs
@@ -5,7 +5,7 @@
 use plat::Client;
 use plat::Delete;
 use plat::Put;
-use plat::Single;
+use plat::SingleWriterKey;
 use plat::Txn;
 use standin::Fault;
 use standin::Host;
@@ -40,7 +40,7 @@
 #[tokio::test]
 async fn the_last_value_is_kept() {
     let f = fixture().await;
-    let mut single = Single::new(KEY);
+    let mut single = SingleWriterKey::new(KEY);
 
     for value in ["a", "b", "c"] {
         single.write(&f.client, value.into()).await.unwrap();
@@ -54,7 +54,7 @@
 #[tokio::test]
 async fn a_write_that_was_not_answered_stops_no_later_one() {
     let f = fixture().await;
-    let mut single = Single::new(KEY);
+    let mut single = SingleWriterKey::new(KEY);
     single.write(&f.client, "a".into()).await.unwrap();
     f.host.faults.set(Fault {
         mute_writes: 1,
@@ -74,7 +74,7 @@
 #[tokio::test]
 async fn a_value_that_somebody_else_has_changed_is_read_again() {
     let f = fixture().await;
-    let mut single = Single::new(KEY);
+    let mut single = SingleWriterKey::new(KEY);
     single.write(&f.client, "a".into()).await.unwrap();
     let late = Txn {
         puts: vec![Put::new(KEY, "late")],
@@ -94,7 +94,7 @@
 #[tokio::test]
 async fn a_value_is_written_anew_after_its_key_was_deleted() {
     let f = fixture().await;
-    let mut single = Single::new(KEY);
+    let mut single = SingleWriterKey::new(KEY);
     single.write(&f.client, "a".into()).await.unwrap();
     let delete = Txn {
         deletes: vec![Delete::Key(KEY.into())],
