--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use plat::Listing;
+use plat::PagedList;
 use plat::PlatError;
-use plat::Wide;
 use spread::times;
 use tokio::time::sleep;
 
@@ -18,17 +18,17 @@
     /// Reads so far.
     count: u64,
     /// The list of upstreams.
-    upstreams: Wide,
+    upstreams: PagedList,
     /// What instances have seen of requests that crash upstreams.
-    crashes: Wide,
+    crashes: PagedList,
 }
 
 impl Reader {
     pub(super) fn new(app: &App) -> Self {
         Self {
             count: 0,
-            upstreams: Wide::new(app.dialect.places().upstreams),
-            crashes: Wide::new(CRASHES),
+            upstreams: PagedList::new(app.dialect.places().upstreams),
+            crashes: PagedList::new(CRASHES),
         }
     }
 
--- a/crates/plat/src/wide.rs
+++ b/crates/plat/src/paged_list.rs
@@ -13,11 +13,11 @@
 use crate::call::Listing;
 
 /// Calls that one read makes at once.
-pub const TOGETHER: usize = 16;
+pub const MAX_CONCURRENT_READS: usize = 16;
 
 /// A list that is read again and again.
 #[derive(Clone, Debug)]
-pub struct Wide {
+pub struct PagedList {
     prefix: Box<str>,
     /// Keys between which the list is read in pieces of about a page: some of those that it had last.
     marks: Vec<String>,
@@ -39,7 +39,7 @@
     end: Option<String>,
 }
 
-impl Wide {
+impl PagedList {
     /// A list of the keys with a prefix.
     pub fn new(prefix: &str) -> Self {
         Self {
@@ -60,7 +60,7 @@
             .pieces()
             .into_iter()
             .map(|piece| piece.read(plat, prefix));
-        let reads = stream::iter(reads).buffered(TOGETHER);
+        let reads = stream::iter(reads).buffered(MAX_CONCURRENT_READS);
         let parts: Vec<(Listing, usize)> = reads.try_collect().await?;
         let mut all = nothing();
         for (part, page) in parts {
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use kernel::Millis;
-use plat::wide;
+use plat::paged_list;
 use rand::Rng;
 use spread::Lack;
 use spread::Member;
@@ -232,7 +232,7 @@
         let turns = if known == 0 {
             pages
         } else {
-            pages.div_ceil(wide::TOGETHER)
+            pages.div_ceil(paged_list::MAX_CONCURRENT_READS)
         };
         let waits = turns as u64 * (self.world.call + 2 * self.world.hop);
         let entries = pages * self.world.page;
