--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -122,7 +122,7 @@
         }
         let front = Glue::new(&app, front::answer);
         let front = callers.map(|callers| serve(callers, front, &drain));
-        app.plat.relay(Arc::new(Through(Arc::downgrade(&app))));
+        app.plat.set_relay(Arc::new(Through(Arc::downgrade(&app))));
         tokio::spawn(member::keep(app.clone()));
         tokio::spawn(member::follow(app.clone()));
         match app.settings.role {
--- a/crates/node/src/through.rs
+++ b/crates/node/src/through.rs
@@ -10,7 +10,7 @@
 use plat::Call;
 use plat::PlatError;
 use plat::Relay;
-use plat::relay::Relayed;
+use plat::relay::RelayFuture;
 use rand::seq::SliceRandom;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -29,7 +29,7 @@
 pub(crate) struct Through(pub(crate) Weak<App>);
 
 impl Relay for Through {
-    fn relay(&self, call: Call) -> Relayed {
+    fn relay(&self, call: Call) -> RelayFuture {
         let app = self.0.clone();
         Box::pin(async move {
             let app = app.upgrade().ok_or(PlatError::Unreachable)?;
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -96,7 +96,7 @@
     }
 
     /// Makes calls through others while the platform turns this instance away.
-    pub fn relay(&self, relay: Arc<dyn Relay>) {
+    pub fn set_relay(&self, relay: Arc<dyn Relay>) {
         // The first one stays; an instance has only one way to reach others.
         let _ = self.relay.set(relay);
     }
--- a/crates/plat/tests/relay.rs
+++ b/crates/plat/tests/relay.rs
@@ -11,12 +11,12 @@
 use plat::Relay;
 use plat::Txn;
 use plat::TxnOutcome;
-use plat::relay::Relayed;
+use plat::relay::RelayFuture;
 
 struct Other(Result<Answer, PlatError>);
 
 impl Relay for Other {
-    fn relay(&self, _: Call) -> Relayed {
+    fn relay(&self, _: Call) -> RelayFuture {
         let answer = self.0.clone();
         Box::pin(async move { answer })
     }
@@ -32,7 +32,7 @@
 fn client(other: Result<Answer, PlatError>) -> Client {
     // Nobody listens there: nothing that is sent directly can take effect.
     let client = Client::new(vec![SocketAddr::from(([127, 0, 0, 1], 1))]);
-    client.relay(Arc::new(Other(other)));
+    client.set_relay(Arc::new(Other(other)));
     client
 }
 
