--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -76,7 +76,7 @@
             None if app.is_blind() => Told::Blind,
             news => Told::News(news),
         },
-        Ask::Relay(_) if app.plat.is_turned_away() => Told::Relay(Err(PlatError::Unreachable)),
+        Ask::Relay(_) if app.plat.is_unserved() => Told::Relay(Err(PlatError::Unreachable)),
         Ask::Tally { owner, tally } => {
             app.keeper.lock().take((owner.instance, owner.start), tally);
             Told::Noted
@@ -94,7 +94,7 @@
         }
         Ask::Reaches => Told::Reaches(crate::tally::reaches(app).await),
         // Never through a third one: two that are turned away would ask each other forever.
-        Ask::Relay(call) => Told::Relay(app.plat.assist(&call).await),
+        Ask::Relay(call) => Told::Relay(app.plat.call_for_peer(&call).await),
         Ask::Try(call) => Told::Relay(attempted(app, &call).await),
     }
 }
@@ -102,7 +102,7 @@
 /// Makes a call whose answer is needed soon; that there is none is one as well.
 async fn attempted(app: &App, call: &Call) -> Result<Answer, PlatError> {
     let limit = Duration::from_millis(TRY);
-    let tried = tokio::time::timeout(limit, app.plat.direct(call)).await;
+    let tried = tokio::time::timeout(limit, app.plat.call_direct(call)).await;
     tried.unwrap_or(Err(PlatError::Silent))
 }
 
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -117,7 +117,7 @@
 
 async fn look(app: &App, candidate: &mut Candidate) -> Next {
     let sent = app.clock.now();
-    let found = match app.plat.stale(KEY).await {
+    let found = match app.plat.list_stale(KEY).await {
         Ok(range) => range.items.first().map(decode).transpose(),
         Err(error) => Err(error),
     };
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -88,9 +88,9 @@
 
 impl Looks {
     async fn turn(&mut self, app: &Arc<App>, targets: &Targets) -> Result<(), PlatError> {
-        let heads = app.plat.stale(keys::HEADS_PREFIX).await?;
+        let heads = app.plat.list_stale(keys::HEADS_PREFIX).await?;
         if !heads.items.is_empty() {
-            let entries = app.plat.stale(member::INSTANCES).await?;
+            let entries = app.plat.list_stale(member::INSTANCES).await?;
             let live: Set<_> = entries
                 .items
                 .iter()
@@ -184,7 +184,7 @@
     /// the platform's store.
     async fn empty(&mut self, app: &App) -> Result<(), PlatError> {
         let prefix = app.dialect.places().empty;
-        for item in app.plat.stale(prefix).await?.items {
+        for item in app.plat.list_stale(prefix).await?.items {
             let Some(name) = item.key.strip_prefix(prefix) else {
                 continue;
             };
@@ -221,7 +221,7 @@
 }
 
 async fn try_reclaim(app: &Arc<App>, settled: &mut Set<Arc<str>>) -> Result<(), PlatError> {
-    for item in app.plat.stale(keys::HEADS_PREFIX).await?.items {
+    for item in app.plat.list_stale(keys::HEADS_PREFIX).await?.items {
         let Some(step) = keys::step_of_head(&item.key).map(Arc::<str>::from) else {
             continue;
         };
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -71,7 +71,7 @@
     let prefix = app.dialect.places().weights;
     loop {
         sleep(GLANCE).await;
-        match app.plat.stale(prefix).await {
+        match app.plat.list_stale(prefix).await {
             Ok(range) => range.items.iter().for_each(|item| note(app, targets, item)),
             Err(error) => {
                 let error = error.to_string();
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -100,13 +100,17 @@
 /// Reads who has entered, or the entries of some if there are many: enough to hear of the rest from one of them.
 /// When a thousand start together and each reads all entries, that alone takes the platform's link for a second.
 pub async fn meet(app: &App) {
-    let mut some = match app.plat.some(INSTANCES, None).await {
+    let mut some = match app.plat.page_stale(INSTANCES, None).await {
         Ok(some) => some,
         Err(error) => return unread(&error),
     };
     if some.more {
         // The first ones are the same for all, and those behind its own key are others for each.
-        match app.plat.some(INSTANCES, Some(key(&app.me.instance))).await {
+        match app
+            .plat
+            .page_stale(INSTANCES, Some(key(&app.me.instance)))
+            .await
+        {
             Ok(more) => some.items.extend(more.items),
             Err(error) => unread(&error),
         }
@@ -133,7 +137,7 @@
 ///
 /// Returns [`PlatError`].
 pub async fn list(app: &App) -> Result<Vec<Member>, PlatError> {
-    let range = app.plat.stale(INSTANCES).await?;
+    let range = app.plat.list_stale(INSTANCES).await?;
     let members = range.items.iter().filter_map(|item| read(&item.value));
     Ok(members.collect())
 }
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -72,7 +72,7 @@
 
 async fn question(app: &Arc<App>, work: &Work, asked: Millis) {
     // One that was turned away a moment ago has the others ask at once.
-    let patience = match app.plat.is_turned_away() {
+    let patience = match app.plat.is_unserved() {
         true => 0,
         false => app.settings.cancel / PATIENCE,
     };
@@ -98,7 +98,7 @@
     let call = Call::Get(keys::head(&work.step));
     let limit = Duration::from_millis(app.settings.cancel / LIMIT);
     let patience = Duration::from_millis(patience);
-    let direct = pin!(in_time(limit, app.plat.direct(&call)));
+    let direct = pin!(in_time(limit, app.plat.call_direct(&call)));
     let others = pin!(async {
         sleep(patience).await;
         through::any(app, &call, limit - patience).await
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -107,7 +107,7 @@
         settings.peer = inner.local_addr()?.port();
         let gate = bind_some(&mut settings.ready).await?;
         let callers = bind_some(&mut settings.listen).await?;
-        let plat = Client::speaking(vec![settings.platform], protocol);
+        let plat = Client::with_protocol(vec![settings.platform], protocol);
         let app = App::new(settings, dialect, plat);
         let scrape = meter::begin();
         let drain = Drain::default();
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -78,11 +78,11 @@
 impl Client {
     /// Makes a client that tries the addresses in turn when one cannot be connected to.
     pub fn new(addrs: impl Into<Arc<[SocketAddr]>>) -> Self {
-        Self::speaking(addrs, Arc::new(Etcd))
+        Self::with_protocol(addrs, Arc::new(Etcd))
     }
 
     /// Makes a client that speaks another protocol.
-    pub fn speaking(addrs: impl Into<Arc<[SocketAddr]>>, protocol: Arc<dyn Protocol>) -> Self {
+    pub fn with_protocol(addrs: impl Into<Arc<[SocketAddr]>>, protocol: Arc<dyn Protocol>) -> Self {
         Self {
             addrs: addrs.into(),
             protocol,
@@ -123,13 +123,13 @@
     /// effect, or may yet.
     pub async fn call(&self, call: &Call) -> Result<Answer, PlatError> {
         let Some(relay) = self.relay.get() else {
-            return self.direct(call).await;
+            return self.call_direct(call).await;
         };
         // A write that may have taken effect is for the caller to settle, whoever sent it: after
         // it no later answer may say that nothing was done.
         let unsettled = |error: &PlatError| error.is_unclear() && matches!(call, Call::Txn(_));
         if self.clock.now() < self.alone.load(Ordering::Relaxed) {
-            return self.direct(call).await;
+            return self.call_direct(call).await;
         }
         if self.clock.now() < self.detour.load(Ordering::Relaxed) {
             match relay.relay(call.clone()).await {
@@ -137,7 +137,7 @@
                 done => return done,
             }
         }
-        let error = match self.direct(call).await {
+        let error = match self.call_direct(call).await {
             Err(error) if error.is_away() => error,
             done => return done,
         };
@@ -157,7 +157,7 @@
 
     /// Tells whether the platform did not serve this instance a moment ago. Others need not ask it to
     /// make calls for them: during an outage each would cost a call that is turned away as well.
-    pub fn is_turned_away(&self) -> bool {
+    pub fn is_unserved(&self) -> bool {
         self.clock.now() < self.detour.load(Ordering::Relaxed)
     }
 
@@ -173,8 +173,8 @@
     /// # Errors
     ///
     /// Returns [`PlatError`].
-    pub async fn assist(&self, call: &Call) -> Result<Answer, PlatError> {
-        let done = self.direct(call).await;
+    pub async fn call_for_peer(&self, call: &Call) -> Result<Answer, PlatError> {
+        let done = self.call_direct(call).await;
         if done.as_ref().is_err_and(PlatError::is_away) {
             self.turned_away();
         }
@@ -186,7 +186,7 @@
     /// # Errors
     ///
     /// Returns [`PlatError`].
-    pub async fn direct(&self, call: &Call) -> Result<Answer, PlatError> {
+    pub async fn call_direct(&self, call: &Call) -> Result<Answer, PlatError> {
         let ask = self.protocol.encode(call)?;
         let limit = match call {
             Call::Poll { wait, .. } => LIMIT + Duration::from_millis(*wait),
@@ -237,7 +237,7 @@
     /// # Errors
     ///
     /// Returns [`PlatError`].
-    pub async fn stale(&self, prefix: &str) -> Result<Range, PlatError> {
+    pub async fn list_stale(&self, prefix: &str) -> Result<Range, PlatError> {
         self.pages(prefix, None, Fresh::Stale).await
     }
 
@@ -246,7 +246,7 @@
     /// # Errors
     ///
     /// Returns [`PlatError`].
-    pub async fn behind(&self, after: &str, prefix: &str) -> Result<Range, PlatError> {
+    pub async fn list_after(&self, after: &str, prefix: &str) -> Result<Range, PlatError> {
         self.pages(prefix, Some(after.into()), Fresh::Newest).await
     }
 
@@ -271,7 +271,11 @@
     /// # Errors
     ///
     /// Returns [`PlatError`].
-    pub async fn some(&self, prefix: &str, after: Option<String>) -> Result<Range, PlatError> {
+    pub async fn page_stale(
+        &self,
+        prefix: &str,
+        after: Option<String>,
+    ) -> Result<Range, PlatError> {
         self.range(Call::List {
             prefix: prefix.into(),
             after,
--- a/crates/plat/tests/contract.rs
+++ b/crates/plat/tests/contract.rs
@@ -95,7 +95,7 @@
         }
 
         let range = f.client.list("/a/").await.unwrap();
-        let rest = f.client.behind("/a/1", "/a/").await.unwrap();
+        let rest = f.client.list_after("/a/1", "/a/").await.unwrap();
 
         assert_eq!(range.items.len(), 2);
         assert_eq!(rest.items.len(), 1);
