--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`PlatError`]; [`PlatError::is_unclear`] tells whether the step may be there.
+/// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether the step may be there.
 pub async fn accept(
     app: &App,
     step: &str,
@@ -208,7 +208,7 @@
                 Ok(taken) => return Ok(taken),
                 Err(error) => note(step, &error),
             },
-            Err(error) if !unclear && !error.is_unclear() => return Err(error),
+            Err(error) if !unclear && !error.is_indeterminate() => return Err(error),
             Err(error) => {
                 unclear = true;
                 note(step, &error);
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -115,7 +115,7 @@
     };
     match said {
         Others::Answer(answer) => head_of(answer),
-        Others::Away if error.is_away() => Came::Outage,
+        Others::Away if error.is_unavailable() => Came::Outage,
         Others::Away | Others::Nobody => Came::Nothing(error),
     }
 }
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -273,7 +273,7 @@
             // Removed between the two calls: nothing of it can run.
             Ok(Tried::Gone) if !unclear => return Accepted::Refused,
             Ok(Tried::Gone) => (),
-            Err(error) if error.is_unclear() => {
+            Err(error) if error.is_indeterminate() => {
                 unclear = true;
                 tell(&id, &error);
             }
--- a/crates/node/src/through.rs
+++ b/crates/node/src/through.rs
@@ -49,7 +49,9 @@
     let mut failed = PlatError::Unreachable;
     for addr in helpers(app) {
         match peer::relay(app, addr, call.clone(), wait + RELAY).await {
-            Some(Err(error)) if error.is_away() && !error.is_unclear() => failed = error,
+            Some(Err(error)) if error.is_unavailable() && !error.is_indeterminate() => {
+                failed = error
+            }
             Some(answer) => {
                 app.set_helper(Some(addr));
                 return answer;
@@ -92,7 +94,7 @@
     while let Ok(Some(asked)) = timeout_at(end, asks.join_next()).await {
         match asked {
             Ok(Some(Ok(answer))) => return Others::Answer(answer),
-            Ok(Some(Err(error))) if error.is_away() => said = Others::Away,
+            Ok(Some(Err(error))) if error.is_unavailable() => said = Others::Away,
             // It did not answer, or could not ask.
             Ok(_) | Err(_) => (),
         }
--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -215,7 +215,7 @@
                 Ok(TxnOutcome::At(rev)) => return Ok(Applied::InForce(rev)),
                 // A conflict may be with this very change, written by a try whose answer was lost.
                 Ok(TxnOutcome::Conflict) => (),
-                Err(error) if error.is_unclear() => unclear = true,
+                Err(error) if error.is_indeterminate() => unclear = true,
                 Err(error) if !unclear => return Err(error.into()),
                 Err(_) => (),
             }
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`]; [`PlatError::is_unclear`] tells whether a write may have taken
+    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether a write may have taken
     /// effect, or may yet.
     pub async fn call(&self, call: &Call) -> Result<Answer, PlatError> {
         let Some(relay) = self.relay.get() else {
@@ -127,7 +127,8 @@
         };
         // A write that may have taken effect is for the caller to settle, whoever sent it: after
         // it no later answer may say that nothing was done.
-        let unsettled = |error: &PlatError| error.is_unclear() && matches!(call, Call::Txn(_));
+        let unsettled =
+            |error: &PlatError| error.is_indeterminate() && matches!(call, Call::Txn(_));
         if self.clock.now() < self.alone.load(Ordering::Relaxed) {
             return self.call_direct(call).await;
         }
@@ -138,7 +139,7 @@
             }
         }
         let error = match self.call_direct(call).await {
-            Err(error) if error.is_away() => error,
+            Err(error) if error.is_unavailable() => error,
             done => return done,
         };
         self.turned_away();
@@ -175,7 +176,7 @@
     /// Returns [`PlatError`].
     pub async fn call_for_peer(&self, call: &Call) -> Result<Answer, PlatError> {
         let done = self.call_direct(call).await;
-        if done.as_ref().is_err_and(PlatError::is_away) {
+        if done.as_ref().is_err_and(PlatError::is_unavailable) {
             self.turned_away();
         }
         done
@@ -317,7 +318,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`]; [`PlatError::is_unclear`] tells whether it may have taken effect.
+    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether it may have taken effect.
     pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, PlatError> {
         match self.call(&Call::Txn(txn.clone())).await? {
             Answer::Done(done) => Ok(done),
--- a/crates/plat/src/error.rs
+++ b/crates/plat/src/error.rs
@@ -35,12 +35,12 @@
 
 impl PlatError {
     /// Tells whether the platform did not serve this instance, and may serve others.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         matches!(self, Self::Unreachable | Self::Silent | Self::TurnedAway(_))
     }
 
     /// Tells whether a write that ended so may have taken effect.
-    pub fn is_unclear(&self) -> bool {
+    pub fn is_indeterminate(&self) -> bool {
         matches!(self, Self::Silent | Self::Garbled)
     }
 }
--- a/crates/plat/src/single_writer_key.rs
+++ b/crates/plat/src/single_writer_key.rs
@@ -38,7 +38,7 @@
     pub async fn write(&mut self, plat: &Client, value: Vec<u8>) -> Result<(), PlatError> {
         let done = self.try_write(plat, value).await;
         if let Err(error) = &done {
-            self.unclear |= error.is_unclear();
+            self.unclear |= error.is_indeterminate();
         }
         done
     }
--- a/crates/plat/tests/contract.rs
+++ b/crates/plat/tests/contract.rs
@@ -223,7 +223,7 @@
         let error = f.client.txn(&put("/a", "1", 0)).await.unwrap_err();
 
         f.host.faults.set(Fault::default());
-        assert_eq!(error.is_unclear(), unclear, "{error}");
+        assert_eq!(error.is_indeterminate(), unclear, "{error}");
         assert_eq!(f.client.get("/a").await.unwrap().is_some(), written);
     });
 }
@@ -236,7 +236,7 @@
         let error = gone.txn(&put("/a", "1", 0)).await.unwrap_err();
 
         assert!(matches!(error, PlatError::Unreachable), "{error}");
-        assert!(!error.is_unclear());
+        assert!(!error.is_indeterminate());
     });
 }
 
--- a/crates/plat/tests/relay.rs
+++ b/crates/plat/tests/relay.rs
@@ -56,8 +56,8 @@
     let first = client.txn(&txn()).await.unwrap_err();
     let second = client.txn(&txn()).await.unwrap_err();
 
-    assert!(first.is_unclear());
-    assert!(second.is_unclear());
+    assert!(first.is_indeterminate());
+    assert!(second.is_indeterminate());
 }
 
 #[tokio::test]
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -216,7 +216,7 @@
                     ASK
                 }
                 Err(error) => {
-                    missed += u32::from(error.is_away());
+                    missed += u32::from(error.is_unavailable());
                     match missed < AWAY {
                         true => AGAIN,
                         false => {
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -68,7 +68,7 @@
         match write(app, &model, &new).await {
             Ok(Some(version)) => return Ok(version),
             Ok(None) => (),
-            Err(error) if error.is_unclear() => unclear = true,
+            Err(error) if error.is_indeterminate() => unclear = true,
             Err(error) => return Err(refusal(&error, unclear)),
         }
     }
