--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -16,7 +16,7 @@
 use plat::Client;
 use plat::PlatError;
 use plat::Protocol;
-use plat::budget::Kind;
+use plat::budget::CallKind;
 use tokio::net::TcpListener;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
@@ -250,12 +250,12 @@
     loop {
         sleep(COUNT).await;
         let used = |kind| app.plat.budget().used(kind);
-        for kind in Kind::ALL {
+        for kind in CallKind::ALL {
             metrics::gauge!(meter::PLATFORM, "kind" => kind.name()).set(used(kind) as f64);
         }
-        log::info!(target: "platform", reads = used(Kind::Read), stale = used(Kind::Stale),
-            writes = used(Kind::Write), leases = used(Kind::Lease),
-            watches = used(Kind::Watch); "calls so far");
+        log::info!(target: "platform", reads = used(CallKind::Read), stale = used(CallKind::Stale),
+            writes = used(CallKind::Write), leases = used(CallKind::Lease),
+            watches = used(CallKind::Watch); "calls so far");
     }
 }
 
--- a/crates/plat/src/budget.rs
+++ b/crates/plat/src/budget.rs
@@ -7,7 +7,7 @@
 
 /// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum CallKind {
     /// A read of the newest state.
     Read,
     /// A read that may be seconds old, which costs the platform a tenth.
@@ -20,7 +20,7 @@
     Watch,
 }
 
-impl Kind {
+impl CallKind {
     /// Every kind.
     pub const ALL: [Self; 5] = [
         Self::Read,
@@ -128,25 +128,25 @@
 }
 
 impl Budget {
-    fn line(&self, kind: Kind) -> &Line {
+    fn line(&self, kind: CallKind) -> &Line {
         match kind {
-            Kind::Read => &self.read,
-            Kind::Stale => &self.stale,
-            Kind::Write => &self.write,
-            Kind::Lease => &self.lease,
-            Kind::Watch => &self.watch,
+            CallKind::Read => &self.read,
+            CallKind::Stale => &self.stale,
+            CallKind::Write => &self.write,
+            CallKind::Lease => &self.lease,
+            CallKind::Watch => &self.watch,
         }
     }
 
     /// Takes the next turn for a call; gives the wait until it comes, or [`None`] when that would
     /// be too long.
-    pub fn reserve(&self, kind: Kind) -> Option<Duration> {
+    pub fn reserve(&self, kind: CallKind) -> Option<Duration> {
         let now = self.start.elapsed().as_micros() as u64;
         self.line(kind).reserve(now).map(Duration::from_micros)
     }
 
     /// Calls of a kind so far.
-    pub fn used(&self, kind: Kind) -> u64 {
+    pub fn used(&self, kind: CallKind) -> u64 {
         self.line(kind).used.load(Ordering::Relaxed)
     }
 }
--- a/crates/plat/src/call.rs
+++ b/crates/plat/src/call.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::budget::Kind;
+use crate::budget::CallKind;
 
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -194,16 +194,16 @@
 
 impl Call {
     /// What the call counts as.
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> CallKind {
         match self {
             Self::List {
                 fresh: Fresh::Stale,
                 ..
-            } => Kind::Stale,
-            Self::Get(_) | Self::List { .. } => Kind::Read,
-            Self::Txn(_) => Kind::Write,
-            Self::Grant(_) | Self::Renew(_) | Self::Revoke(_) => Kind::Lease,
-            Self::Poll { .. } => Kind::Watch,
+            } => CallKind::Stale,
+            Self::Get(_) | Self::List { .. } => CallKind::Read,
+            Self::Txn(_) => CallKind::Write,
+            Self::Grant(_) | Self::Renew(_) | Self::Revoke(_) => CallKind::Lease,
+            Self::Poll { .. } => CallKind::Watch,
         }
     }
 }
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -34,7 +34,7 @@
 use crate::Txn;
 use crate::TxnOutcome;
 use crate::Watch;
-use crate::budget::Kind;
+use crate::budget::CallKind;
 use crate::proto;
 use crate::protocol::write;
 
@@ -107,7 +107,7 @@
     }
 
     /// Waits for the turn of a call.
-    async fn turn(&self, kind: Kind) -> Result<(), PlatError> {
+    async fn turn(&self, kind: CallKind) -> Result<(), PlatError> {
         let wait = self.budget.reserve(kind).ok_or(PlatError::Budget)?;
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
@@ -389,7 +389,7 @@
     ///
     /// Returns [`PlatError`].
     pub async fn watch(&self, prefix: &str, from: i64) -> Result<Watch, PlatError> {
-        self.turn(Kind::Watch).await?;
+        self.turn(CallKind::Watch).await?;
         let body = write(&proto::WatchRequest {
             create_request: proto::WatchCreate {
                 key: prefix.into(),
--- a/crates/plat/tests/contract.rs
+++ b/crates/plat/tests/contract.rs
@@ -10,7 +10,7 @@
 use plat::Put;
 use plat::Txn;
 use plat::TxnOutcome;
-use plat::budget::Kind;
+use plat::budget::CallKind;
 use standin::Fault;
 use standin::Host;
 use standin::Platform;
@@ -268,6 +268,6 @@
         }
 
         assert!(refused > 0);
-        assert_eq!(f.client.budget().used(Kind::Read), 400 - refused);
+        assert_eq!(f.client.budget().used(CallKind::Read), 400 - refused);
     });
 }
--- a/crates/serve/src/operator.rs
+++ b/crates/serve/src/operator.rs
@@ -120,10 +120,10 @@
 pub async fn metrics(app: Arc<App>, _: Call) -> Reply {
     let instance = app.settings.me.name.to_string();
     for kind in [
-        plat::budget::Kind::Read,
-        plat::budget::Kind::Write,
-        plat::budget::Kind::Lease,
-        plat::budget::Kind::Watch,
+        plat::budget::CallKind::Read,
+        plat::budget::CallKind::Write,
+        plat::budget::CallKind::Lease,
+        plat::budget::CallKind::Watch,
     ] {
         let used = app.plat.budget().used(kind) as f64;
         metrics::gauge!(meter::PLATFORM, "instance" => instance.clone(), "kind" => kind.name())
--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -6,7 +6,7 @@
 
 use http::Method;
 use http::StatusCode;
-use plat::budget::Kind;
+use plat::budget::CallKind;
 use rig::Asked;
 use rig::Make;
 use rig::Rig;
@@ -377,7 +377,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let reads = || {
-            let used = |entry: &Running| entry.app.plat.budget().used(Kind::Read);
+            let used = |entry: &Running| entry.app.plat.budget().used(CallKind::Read);
             rig.running().map(used).sum::<u64>()
         };
         tokio::time::sleep(WATCHED).await;
