--- a/crates/plat/src/call.rs
+++ b/crates/plat/src/call.rs
@@ -150,7 +150,7 @@
 /// How fresh a read has to be.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Fresh {
+pub enum Freshness {
     /// It gives the newest state.
     #[default]
     Newest,
@@ -171,7 +171,7 @@
         /// The key to begin behind; absent to begin with the first.
         after: Option<String>,
         /// How fresh the answer has to be.
-        fresh: Fresh,
+        fresh: Freshness,
     },
     /// Carries out a transaction.
     Txn(Txn),
@@ -197,7 +197,7 @@
     pub fn kind(&self) -> CallKind {
         match self {
             Self::List {
-                fresh: Fresh::Stale,
+                fresh: Freshness::Stale,
                 ..
             } => CallKind::Stale,
             Self::Get(_) | Self::List { .. } => CallKind::Read,
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -23,7 +23,7 @@
 use crate::Call;
 use crate::Change;
 use crate::Etcd;
-use crate::Fresh;
+use crate::Freshness;
 use crate::HttpRequest;
 use crate::Item;
 use crate::Lease;
@@ -230,7 +230,7 @@
     ///
     /// Returns [`PlatError`].
     pub async fn list(&self, prefix: &str) -> Result<Range, PlatError> {
-        self.pages(prefix, None, Fresh::Newest).await
+        self.pages(prefix, None, Freshness::Newest).await
     }
 
     /// Reads every key with a prefix, perhaps as they were seconds ago.
@@ -239,7 +239,7 @@
     ///
     /// Returns [`PlatError`].
     pub async fn list_stale(&self, prefix: &str) -> Result<Range, PlatError> {
-        self.pages(prefix, None, Fresh::Stale).await
+        self.pages(prefix, None, Freshness::Stale).await
     }
 
     /// Reads the keys behind `after` that have a prefix.
@@ -248,7 +248,8 @@
     ///
     /// Returns [`PlatError`].
     pub async fn list_after(&self, after: &str, prefix: &str) -> Result<Range, PlatError> {
-        self.pages(prefix, Some(after.into()), Fresh::Newest).await
+        self.pages(prefix, Some(after.into()), Freshness::Newest)
+            .await
     }
 
     /// Reads the first of the keys that have a prefix, behind `after` if it is given: as many as the
@@ -261,7 +262,7 @@
         self.range(Call::List {
             prefix: prefix.into(),
             after,
-            fresh: Fresh::Newest,
+            fresh: Freshness::Newest,
         })
         .await
     }
@@ -280,7 +281,7 @@
         self.range(Call::List {
             prefix: prefix.into(),
             after,
-            fresh: Fresh::Stale,
+            fresh: Freshness::Stale,
         })
         .await
     }
@@ -291,7 +292,7 @@
         &self,
         prefix: &str,
         mut after: Option<String>,
-        fresh: Fresh,
+        fresh: Freshness,
     ) -> Result<Range, PlatError> {
         let mut all = Range::default();
         loop {
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -23,7 +23,7 @@
 pub use call::Call;
 pub use call::Change;
 pub use call::Delete;
-pub use call::Fresh;
+pub use call::Freshness;
 pub use call::Guard;
 pub use call::Item;
 pub use call::Lease;
