--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -394,7 +394,7 @@
         let body = write(&proto::WatchRequest {
             create_request: proto::WatchCreate {
                 key: prefix.into(),
-                range_end: proto::Bytes(proto::end(prefix.as_bytes())),
+                range_end: proto::Bytes(proto::prefix_end(prefix.as_bytes())),
                 start_revision: proto::Int(from),
                 progress_notify: true,
             },
--- a/crates/plat/src/etcd.rs
+++ b/crates/plat/src/etcd.rs
@@ -92,7 +92,7 @@
     let from = after.map_or_else(|| prefix.to_owned(), |after| format!("{after}\0"));
     proto::RangeRequest {
         key: from.as_str().into(),
-        range_end: Some(proto::Bytes(proto::end(prefix.as_bytes()))),
+        range_end: Some(proto::Bytes(proto::prefix_end(prefix.as_bytes()))),
         ..Default::default()
     }
 }
--- a/crates/plat/src/proto.rs
+++ b/crates/plat/src/proto.rs
@@ -329,12 +329,12 @@
 /// # Examples
 ///
 /// ```
-/// use plat::proto::end;
+/// use plat::proto::prefix_end;
 ///
-/// assert_eq!(end(b"/a/"), b"/a0");
-/// assert_eq!(end(b"\xff"), b"\0");
+/// assert_eq!(prefix_end(b"/a/"), b"/a0");
+/// assert_eq!(prefix_end(b"\xff"), b"\0");
 /// ```
-pub fn end(prefix: &[u8]) -> Vec<u8> {
+pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
         if last < u8::MAX {
--- a/crates/serve/src/steps/ledger.rs
+++ b/crates/serve/src/steps/ledger.rs
@@ -159,7 +159,7 @@
 
 async fn ending(app: &App, id: &str, customer: &Name, rev: i64) -> Result<Txn, PlatError> {
     let prefix = keys::step_all(id);
-    let behind = String::from_utf8(plat::proto::end(prefix.as_bytes()));
+    let behind = String::from_utf8(plat::proto::prefix_end(prefix.as_bytes()));
     let behind = behind.map_err(|_| PlatError::Garbled)?;
     let end = Put {
         key: ended(id),
