--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -36,7 +36,7 @@
 use crate::Watch;
 use crate::budget::CallKind;
 use crate::proto;
-use crate::protocol::write;
+use crate::protocol::encode_json;
 
 /// Time that a call may take: far above the milliseconds in which the platform answers, above the
 /// half second of a slow day, and below the seconds within which news has to be in force.
@@ -391,7 +391,7 @@
     /// Returns [`PlatError`].
     pub async fn watch(&self, prefix: &str, from: i64) -> Result<Watch, PlatError> {
         self.turn(CallKind::Watch).await?;
-        let body = write(&proto::WatchRequest {
+        let body = encode_json(&proto::WatchRequest {
             create_request: proto::WatchCreate {
                 key: prefix.into(),
                 range_end: proto::Bytes(proto::prefix_end(prefix.as_bytes())),
--- a/crates/plat/src/etcd.rs
+++ b/crates/plat/src/etcd.rs
@@ -16,8 +16,8 @@
 use crate::Txn;
 use crate::TxnOutcome;
 use crate::proto;
-use crate::protocol::parse;
-use crate::protocol::write;
+use crate::protocol::decode_json;
+use crate::protocol::encode_json;
 
 /// Milliseconds in the unit of the protocol's leases.
 const SECOND: u64 = 1_000;
@@ -29,17 +29,21 @@
 impl Protocol for Etcd {
     fn encode(&self, call: &Call) -> Result<HttpRequest, PlatError> {
         let (path, body) = match call {
-            Call::Get(key) => ("/v3/kv/range", write(&one(key))?),
-            Call::List { prefix, after, .. } => {
-                ("/v3/kv/range", write(&span(prefix, after.as_deref()))?)
-            }
-            Call::Txn(txn) => ("/v3/kv/txn", write(&request(txn))?),
+            Call::Get(key) => ("/v3/kv/range", encode_json(&one(key))?),
+            Call::List { prefix, after, .. } => (
+                "/v3/kv/range",
+                encode_json(&span(prefix, after.as_deref()))?,
+            ),
+            Call::Txn(txn) => ("/v3/kv/txn", encode_json(&request(txn))?),
             Call::Grant(ttl) => {
                 let ttl = proto::Int(ttl.div_ceil(SECOND) as i64);
-                ("/v3/lease/grant", write(&proto::GrantRequest { ttl })?)
+                (
+                    "/v3/lease/grant",
+                    encode_json(&proto::GrantRequest { ttl })?,
+                )
             }
-            Call::Renew(id) => ("/v3/lease/keepalive", write(&lease(*id))?),
-            Call::Revoke(id) => ("/v3/lease/revoke", write(&lease(*id))?),
+            Call::Renew(id) => ("/v3/lease/keepalive", encode_json(&lease(*id))?),
+            Call::Revoke(id) => ("/v3/lease/revoke", encode_json(&lease(*id))?),
             // This protocol streams its watches; see `Client::watch`.
             Call::Poll { .. } => return Err(PlatError::Unsupported),
         };
@@ -55,23 +59,23 @@
             return Err(refusal(status, body));
         }
         match call {
-            Call::Get(_) | Call::List { .. } => range(parse(body)?),
+            Call::Get(_) | Call::List { .. } => range(decode_json(body)?),
             Call::Txn(_) => {
-                let answer: proto::TxnResponse = parse(body)?;
+                let answer: proto::TxnResponse = decode_json(body)?;
                 Ok(Answer::Done(match answer.succeeded {
                     true => TxnOutcome::At(answer.header.revision.0),
                     false => TxnOutcome::Conflict,
                 }))
             }
             Call::Grant(_) => {
-                let answer: proto::GrantResponse = parse(body)?;
+                let answer: proto::GrantResponse = decode_json(body)?;
                 Ok(Answer::Lease(Lease {
                     id: answer.id.0,
                     ttl: answer.ttl.0.max(0) as u64 * SECOND,
                 }))
             }
             Call::Renew(_) => {
-                let answer: proto::Streamed<proto::GrantResponse> = parse(body)?;
+                let answer: proto::Streamed<proto::GrantResponse> = decode_json(body)?;
                 Ok(Answer::Alive(answer.result.ttl.0 > 0))
             }
             Call::Revoke(_) => Ok(Answer::Alive(false)),
--- a/crates/plat/src/protocol.rs
+++ b/crates/plat/src/protocol.rs
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Returns [`PlatError::Garbled`] when it is something else.
-pub fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatError> {
+pub fn decode_json<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatError> {
     serde_json::from_slice(body).map_err(|_| PlatError::Garbled)
 }
 
@@ -52,7 +52,7 @@
 /// # Errors
 ///
 /// Returns [`PlatError::Garbled`] when the value has no JSON form.
-pub fn write<T: serde::Serialize>(value: &T) -> Result<Bytes, PlatError> {
+pub fn encode_json<T: serde::Serialize>(value: &T) -> Result<Bytes, PlatError> {
     let bytes = serde_json::to_vec(value).map_err(|_| PlatError::Garbled)?;
     Ok(bytes.into())
 }
