--- a/crates/plat/src/keys.rs
+++ b/crates/plat/src/keys.rs
@@ -58,7 +58,7 @@
 }
 
 /// The key of a step's head.
-pub fn step(step: &str) -> String {
+pub fn step_head(step: &str) -> String {
     format!("{STEPS}{step}/head")
 }
 
@@ -68,7 +68,7 @@
 }
 
 /// The prefix of everything of a step.
-pub fn step_all(step: &str) -> String {
+pub fn step_prefix(step: &str) -> String {
     format!("{STEPS}{step}/")
 }
 
@@ -78,7 +78,7 @@
 }
 
 /// The prefix of everything of a journal shard.
-pub fn shard(shard: u32) -> String {
+pub fn shard_prefix(shard: u32) -> String {
     format!("{JOURNAL}{shard:04}/")
 }
 
--- a/crates/serve/src/journal/driver.rs
+++ b/crates/serve/src/journal/driver.rs
@@ -138,7 +138,7 @@
     /// before those of the segments, so the range from the head on holds both. Segments that are
     /// known already come along; they are few, since expired ones are deleted.
     async fn read(&self, from: u64) -> Result<(i64, Vec<Segment>), PlatError> {
-        let range = self.plat.list(&keys::shard(self.at)).await?;
+        let range = self.plat.list(&keys::shard_prefix(self.at)).await?;
         let head_key = keys::shard_head(self.at);
         let first = keys::segment(self.at, from);
         let mut head = 0;
--- a/crates/serve/src/steps/ledger.rs
+++ b/crates/serve/src/steps/ledger.rs
@@ -81,7 +81,7 @@
     head.parts = parts;
     head.spec.prompts = Vec::new();
     let value = serde_json::to_vec(&head).map_err(|_| PlatError::Garbled)?;
-    match app.plat.txn(&put(keys::step(id), value)).await? {
+    match app.plat.txn(&put(keys::step_head(id), value)).await? {
         TxnOutcome::At(_) => Ok(Saved::Whole),
         TxnOutcome::Conflict => Ok(Saved::Ended),
     }
@@ -105,8 +105,8 @@
 
 /// Reads a step; [`None`] when there is none.
 pub(super) async fn load(app: &App, id: &str) -> Result<Option<Head>, PlatError> {
-    let range = app.plat.list(&keys::step_all(id)).await?;
-    let key = keys::step(id);
+    let range = app.plat.list(&keys::step_prefix(id)).await?;
+    let key = keys::step_head(id);
     let Some(item) = range.items.iter().find(|item| item.key == key) else {
         return Ok(None);
     };
@@ -137,7 +137,7 @@
     is_known: bool,
 ) -> Result<bool, PlatError> {
     for _ in 0..TRIES {
-        let rev = match app.plat.get(&keys::step(id)).await? {
+        let rev = match app.plat.get(&keys::step_head(id)).await? {
             Some(item) => {
                 let head: Head =
                     serde_json::from_slice(&item.value).map_err(|_| PlatError::Garbled)?;
@@ -158,7 +158,7 @@
 }
 
 async fn ending(app: &App, id: &str, customer: &Name, rev: i64) -> Result<Txn, PlatError> {
-    let prefix = keys::step_all(id);
+    let prefix = keys::step_prefix(id);
     let behind = String::from_utf8(plat::proto::prefix_end(prefix.as_bytes()));
     let behind = behind.map_err(|_| PlatError::Garbled)?;
     let end = Put {
@@ -167,7 +167,10 @@
         lease: app.plat.grant(TTL).await?.id,
     };
     Ok(Txn {
-        guards: vec![Guard::on(keys::step(id), rev), Guard::Absent(ended(id))],
+        guards: vec![
+            Guard::on(keys::step_head(id), rev),
+            Guard::Absent(ended(id)),
+        ],
         puts: vec![end],
         deletes: vec![Delete::Span(prefix, behind)],
     })
