--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -103,7 +103,7 @@
 async fn attempted(app: &App, call: &Call) -> Result<Answer, PlatError> {
     let limit = Duration::from_millis(TRY);
     let tried = tokio::time::timeout(limit, app.plat.call_direct(call)).await;
-    tried.unwrap_or(Err(PlatError::Silent))
+    tried.unwrap_or(Err(PlatError::NoAnswer))
 }
 
 /// Waits for something that a follower does not have yet.
--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -113,7 +113,7 @@
                 let why = error.to_string();
                 log::info!(target: "claim", id = step, why = why.as_str(); "known step not read");
                 // There is a head, or was: that nothing runs cannot be said any more.
-                return Err(PlatError::Silent);
+                return Err(PlatError::NoAnswer);
             }
         }
     }
--- a/crates/node/src/control/kept.rs
+++ b/crates/node/src/control/kept.rs
@@ -42,6 +42,6 @@
     };
     match app.plat.txn(&txn).await? {
         TxnOutcome::At(rev) => Ok(rev),
-        TxnOutcome::Conflict => Err(PlatError::Silent),
+        TxnOutcome::Conflict => Err(PlatError::NoAnswer),
     }
 }
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -124,7 +124,9 @@
     limit: Duration,
     call: impl Future<Output = Result<Answer, PlatError>>,
 ) -> Result<Answer, PlatError> {
-    timeout(limit, call).await.unwrap_or(Err(PlatError::Silent))
+    timeout(limit, call)
+        .await
+        .unwrap_or(Err(PlatError::NoAnswer))
 }
 
 fn head_of(answer: Answer) -> Came {
--- a/crates/node/src/through.rs
+++ b/crates/node/src/through.rs
@@ -59,7 +59,7 @@
             // Nobody knows whether the other one has sent it.
             None => {
                 app.set_helper(None);
-                return Err(PlatError::Silent);
+                return Err(PlatError::NoAnswer);
             }
         }
     }
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -201,7 +201,7 @@
                 }
                 Err(error) if error.is_unsent() => (),
                 Err(SendError::Garbled | SendError::Long) => return Err(PlatError::Garbled),
-                Err(_) => return Err(PlatError::Silent),
+                Err(_) => return Err(PlatError::NoAnswer),
             }
         }
         Err(PlatError::Unreachable)
@@ -411,7 +411,7 @@
                 }
                 Ok(answer) => return Err(PlatError::TurnedAway(answer.status().as_u16())),
                 Err(error) if error.is_unsent() => (),
-                Err(_) => return Err(PlatError::Silent),
+                Err(_) => return Err(PlatError::NoAnswer),
             }
         }
         Err(PlatError::Unreachable)
--- a/crates/plat/src/error.rs
+++ b/crates/plat/src/error.rs
@@ -15,7 +15,8 @@
     TurnedAway(u16),
     /// No answer came: a write may have taken effect, or may yet.
     #[error("the platform did not answer")]
-    Silent,
+    #[serde(rename = "Silent")]
+    NoAnswer,
     /// The revision that a watch was to begin at is compacted: read everything again.
     #[error("the platform has compacted revision {0}")]
     Compacted(i64),
@@ -27,7 +28,8 @@
     Unsupported,
     /// The lease of a write does not exist any more: nothing was written.
     #[error("the lease has ended")]
-    Lapsed,
+    #[serde(rename = "Lapsed")]
+    LeaseExpired,
     /// The platform refuses the call for good.
     #[error("the platform refused the call: {0}")]
     Refused(Box<str>),
@@ -36,11 +38,14 @@
 impl PlatError {
     /// Tells whether the platform did not serve this instance, and may serve others.
     pub fn is_unavailable(&self) -> bool {
-        matches!(self, Self::Unreachable | Self::Silent | Self::TurnedAway(_))
+        matches!(
+            self,
+            Self::Unreachable | Self::NoAnswer | Self::TurnedAway(_)
+        )
     }
 
     /// Tells whether a write that ended so may have taken effect.
     pub fn is_indeterminate(&self) -> bool {
-        matches!(self, Self::Silent | Self::Garbled)
+        matches!(self, Self::NoAnswer | Self::Garbled)
     }
 }
--- a/crates/plat/src/etcd.rs
+++ b/crates/plat/src/etcd.rs
@@ -181,7 +181,7 @@
             PlatError::TurnedAway(status.as_u16())
         }
         // A gateway's own time limit says nothing about the write behind it.
-        StatusCode::GATEWAY_TIMEOUT | StatusCode::INTERNAL_SERVER_ERROR => PlatError::Silent,
+        StatusCode::GATEWAY_TIMEOUT | StatusCode::INTERNAL_SERVER_ERROR => PlatError::NoAnswer,
         _ => {
             let refusal: proto::Refusal = serde_json::from_slice(body).unwrap_or_default();
             PlatError::Refused(refusal.message.into())
--- a/crates/plat/src/single_writer_key.rs
+++ b/crates/plat/src/single_writer_key.rs
@@ -59,7 +59,7 @@
                 Ok(())
             }
             // An earlier write was carried out late, or the key was old and was deleted.
-            TxnOutcome::Conflict => Err(PlatError::Silent),
+            TxnOutcome::Conflict => Err(PlatError::NoAnswer),
         }
     }
 }
--- a/crates/plat/src/watch.rs
+++ b/crates/plat/src/watch.rs
@@ -54,7 +54,7 @@
                 }
                 Ok(())
             }
-            Ok(Some(Err(_)) | None) | Err(_) => Err(PlatError::Silent),
+            Ok(Some(Err(_)) | None) | Err(_) => Err(PlatError::NoAnswer),
         }
     }
 
@@ -89,7 +89,7 @@
         return Err(PlatError::Compacted(message.compact_revision.0));
     }
     if message.canceled {
-        return Err(PlatError::Silent);
+        return Err(PlatError::NoAnswer);
     }
     if message.events.is_empty() {
         changes.push(Change::Progress(message.header.revision.0));
--- a/crates/plat/tests/relay.rs
+++ b/crates/plat/tests/relay.rs
@@ -51,7 +51,7 @@
 // Cause: the refusal that came first must not hide that the outcome is unknown.
 #[tokio::test]
 async fn a_write_that_another_did_not_answer_is_unclear() {
-    let client = client(Err(PlatError::Silent));
+    let client = client(Err(PlatError::NoAnswer));
 
     let first = client.txn(&txn()).await.unwrap_err();
     let second = client.txn(&txn()).await.unwrap_err();
@@ -62,7 +62,7 @@
 
 #[tokio::test]
 async fn a_read_that_nobody_answers_tells_its_own_failure() {
-    let client = client(Err(PlatError::Silent));
+    let client = client(Err(PlatError::NoAnswer));
 
     let error = client.get("a").await.unwrap_err();
 
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -356,7 +356,7 @@
     if !with_peers {
         return own.await;
     }
-    let mut failed = PlatError::Silent;
+    let mut failed = PlatError::NoAnswer;
     let own = async { own.await.map_err(|error| failed = error) };
     let message = StepEnd {
         step: step.to_owned(),
--- a/crates/serve/src/steps/ledger.rs
+++ b/crates/serve/src/steps/ledger.rs
@@ -154,7 +154,7 @@
             return Ok(true);
         }
     }
-    Err(PlatError::Silent)
+    Err(PlatError::NoAnswer)
 }
 
 async fn ending(app: &App, id: &str, customer: &Name, rev: i64) -> Result<Txn, PlatError> {
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -72,7 +72,7 @@
             Err(error) => return Err(refusal(&error, unclear)),
         }
     }
-    Err(refusal(&PlatError::Silent, unclear))
+    Err(refusal(&PlatError::NoAnswer, unclear))
 }
 
 fn refusal(error: &PlatError, unclear: bool) -> Problem {
