--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -409,7 +409,7 @@
                 Ok(answer) if answer.status() == StatusCode::OK => {
                     return Ok(Watch::new(answer.into_body()));
                 }
-                Ok(answer) => return Err(PlatError::TurnedAway(answer.status().as_u16())),
+                Ok(answer) => return Err(PlatError::Unavailable(answer.status().as_u16())),
                 Err(error) if error.is_unsent() => (),
                 Err(_) => return Err(PlatError::NoAnswer),
             }
--- a/crates/plat/src/error.rs
+++ b/crates/plat/src/error.rs
@@ -12,7 +12,8 @@
     Budget,
     /// The platform turned the call away before it did anything: too many calls, or none now.
     #[error("the platform turned the call away with status {0}")]
-    TurnedAway(u16),
+    #[serde(rename = "TurnedAway")]
+    Unavailable(u16),
     /// No answer came: a write may have taken effect, or may yet.
     #[error("the platform did not answer")]
     #[serde(rename = "Silent")]
@@ -40,7 +41,7 @@
     pub fn is_unavailable(&self) -> bool {
         matches!(
             self,
-            Self::Unreachable | Self::NoAnswer | Self::TurnedAway(_)
+            Self::Unreachable | Self::NoAnswer | Self::Unavailable(_)
         )
     }
 
--- a/crates/plat/src/etcd.rs
+++ b/crates/plat/src/etcd.rs
@@ -178,7 +178,7 @@
 fn refusal(status: StatusCode, body: &[u8]) -> PlatError {
     match status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            PlatError::TurnedAway(status.as_u16())
+            PlatError::Unavailable(status.as_u16())
         }
         // A gateway's own time limit says nothing about the write behind it.
         StatusCode::GATEWAY_TIMEOUT | StatusCode::INTERNAL_SERVER_ERROR => PlatError::NoAnswer,
