--- a/crates/plat/src/budget.rs
+++ b/crates/plat/src/budget.rs
@@ -1,22 +1,22 @@
-//! Bounds on the calls that one instance makes.
+//! Rate limits on the calls that one instance makes to the platform.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use std::time::Instant;
 
-/// What a call is for.
+/// The kind of a call; each has a rate limit of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// A read of the newest state.
     Read,
-    /// A read that may be seconds old, which costs the platform a tenth.
+    /// A read whose result may be seconds old; it costs the platform a tenth of a [`CallKind::Read`].
     Stale,
     /// A write.
     Write,
-    /// A renewal or grant of a lease.
+    /// A grant, renewal or revocation of a lease.
     Lease,
-    /// The start of a watch.
+    /// The start of a watch, or a poll.
     Watch,
 }
 
@@ -30,7 +30,7 @@
         Self::Watch,
     ];
 
-    /// The name in metrics.
+    /// The label of the kind in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -42,93 +42,93 @@
     }
 }
 
-/// Calls a second of each kind, and a few more at once.
+/// A rate limit with a burst allowance for each kind of call.
 ///
-/// The platform is shared and rate-limited, and other instances need it too. A call beyond the
-/// rate waits for its turn, so that what would be written meanwhile goes with the next write; one
-/// that would wait too long fails, which bounds a fault of our own such as a loop without pause.
+/// The platform is shared and rate-limited, and other instances need it too. A call above the rate is delayed, so
+/// that the values that accumulate meanwhile go into the next write. A call that would be delayed too long fails,
+/// which bounds the load from a bug such as a loop without a pause.
 #[derive(Debug)]
 pub struct Budget {
     start: Instant,
-    read: Line,
-    stale: Line,
-    write: Line,
-    lease: Line,
-    watch: Line,
+    read: RateLimit,
+    stale: RateLimit,
+    write: RateLimit,
+    lease: RateLimit,
+    watch: RateLimit,
 }
 
-/// One rate, as the time at which the next call is due (generic cell rate algorithm).
+/// The rate limit of one kind: a generic cell rate algorithm that stores the time at which the next call is due.
 #[derive(Debug)]
-struct Line {
-    due: AtomicU64,
-    each: u64,
-    slack: u64,
+struct RateLimit {
+    due_us: AtomicU64,
+    interval_us: u64,
+    burst_us: u64,
     used: AtomicU64,
 }
 
 /// Microseconds in a second.
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-/// Calls that may come at once.
-const BURST: u64 = 16;
+/// Maximum number of calls of one kind in a burst.
+const BURST_CALLS: u64 = 16;
 
-/// Longest time that a call waits for its turn.
-const PATIENCE: u64 = SECOND / 2;
+/// Longest delay of a call, in microseconds; a call that would wait longer fails.
+const MAX_WAIT_US: u64 = SECOND_US / 2;
 
-impl Line {
+impl RateLimit {
     fn new(rate: u64) -> Self {
-        let each = SECOND / rate.max(1);
+        let interval_us = SECOND_US / rate.max(1);
         Self {
-            due: AtomicU64::new(0),
-            each,
-            slack: each * BURST,
+            due_us: AtomicU64::new(0),
+            interval_us,
+            burst_us: interval_us * BURST_CALLS,
             used: AtomicU64::new(0),
         }
     }
 
-    /// Takes the next turn; gives the wait until it comes, unless that is too long.
+    /// Reserves the next slot; returns the delay until it, or [`None`] if that exceeds [`MAX_WAIT_US`].
     fn reserve(&self, now: u64) -> Option<u64> {
         let next = |due: u64| {
-            let due = due.max(now) + self.each;
-            (due <= now + self.slack + PATIENCE).then_some(due)
+            let due = due.max(now) + self.interval_us;
+            (due <= now + self.burst_us + MAX_WAIT_US).then_some(due)
         };
-        let taken = self
-            .due
+        let previous = self
+            .due_us
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, next)
             .ok()?;
         self.used.fetch_add(1, Ordering::Relaxed);
-        let due = taken.max(now) + self.each;
-        Some(due.saturating_sub(now + self.slack))
+        let due = previous.max(now) + self.interval_us;
+        Some(due.saturating_sub(now + self.burst_us))
     }
 }
 
-/// Reads a second of one instance.
-const READS: u64 = 200;
+/// Maximum rate of reads of one instance; it applies to current and to stale reads separately.
+const READS_PER_SECOND: u64 = 200;
 
-/// Writes a second of one instance.
-const WRITES: u64 = 40;
+/// Maximum rate of writes of one instance.
+const WRITES_PER_SECOND: u64 = 40;
 
-/// Lease calls a second of one instance.
-const LEASES: u64 = 20;
+/// Maximum rate of lease calls of one instance.
+const LEASE_CALLS_PER_SECOND: u64 = 20;
 
-/// Watches that one instance begins a second.
-const WATCHES: u64 = 4;
+/// Maximum rate at which one instance starts watches.
+const WATCHES_PER_SECOND: u64 = 4;
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
             start: Instant::now(),
-            read: Line::new(READS),
-            stale: Line::new(READS),
-            write: Line::new(WRITES),
-            lease: Line::new(LEASES),
-            watch: Line::new(WATCHES),
+            read: RateLimit::new(READS_PER_SECOND),
+            stale: RateLimit::new(READS_PER_SECOND),
+            write: RateLimit::new(WRITES_PER_SECOND),
+            lease: RateLimit::new(LEASE_CALLS_PER_SECOND),
+            watch: RateLimit::new(WATCHES_PER_SECOND),
         }
     }
 }
 
 impl Budget {
-    fn line(&self, kind: CallKind) -> &Line {
+    fn rate_limit(&self, kind: CallKind) -> &RateLimit {
         match kind {
             CallKind::Read => &self.read,
             CallKind::Stale => &self.stale,
@@ -138,15 +138,16 @@
         }
     }
 
-    /// Takes the next turn for a call; gives the wait until it comes, or [`None`] when that would
-    /// be too long.
+    /// Reserves the next slot for a call; returns the delay until it, or [`None`] if that would be too long.
     pub fn reserve(&self, kind: CallKind) -> Option<Duration> {
         let now = self.start.elapsed().as_micros() as u64;
-        self.line(kind).reserve(now).map(Duration::from_micros)
+        self.rate_limit(kind)
+            .reserve(now)
+            .map(Duration::from_micros)
     }
 
-    /// Calls of a kind so far.
+    /// The number of calls of a kind that were admitted so far.
     pub fn used(&self, kind: CallKind) -> u64 {
-        self.line(kind).used.load(Ordering::Relaxed)
+        self.rate_limit(kind).used.load(Ordering::Relaxed)
     }
 }
--- a/crates/plat/src/call.rs
+++ b/crates/plat/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's key-value service, apart from how they are written on the wire.
+//! Calls to the platform's key-value service and their answers, independent of the wire protocol.
 
 use kernel::Millis;
 use serde::Deserialize;
@@ -15,15 +15,15 @@
     /// The value.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
-    /// The revision that changed it last.
+    /// The revision of the last change to the key.
     pub rev: i64,
 }
 
-/// What a read gave.
+/// The result of a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Range {
-    /// The items in the order of their keys.
+    /// The items, sorted by key.
     pub items: Vec<Item>,
     /// The revision of the store at the time of the read.
     pub rev: i64,
@@ -32,35 +32,35 @@
     pub more: bool,
 }
 
-/// A list that was read page by page, which gives no snapshot: what changes between two pages may be in it.
+/// A list that was read page by page. It is no snapshot: it may contain changes made between two pages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The items in the order of their keys.
+    /// The items, sorted by key.
     pub items: Vec<Item>,
-    /// Everything up to this revision is in it, and some of what came later.
+    /// The listing contains every change up to this revision, and possibly later ones.
     pub since: i64,
 }
 
 impl Listing {
-    /// Adds another list.
+    /// Appends another listing.
     pub fn join(&mut self, other: Self) {
         self.items.extend(other.items);
         self.since = self.since.min(other.since);
     }
 }
 
-/// A condition on one key.
+/// A condition of a transaction on one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Guard {
-    /// It does not exist.
+    /// The key does not exist.
     Absent(String),
-    /// It was changed last at this revision.
+    /// The last change to the key was at this revision.
     At(String, i64),
 }
 
 impl Guard {
-    /// The condition that a key is at a revision, which is 0 when the key must not exist.
+    /// The condition that a key is at a revision; 0 means that the key must not exist.
     pub fn on(key: impl Into<String>, rev: i64) -> Self {
         match rev {
             0 => Self::Absent(key.into()),
@@ -78,12 +78,12 @@
     /// The value.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
-    /// The lease that it goes with; 0 for none.
+    /// The lease that the key is attached to; 0 for none.
     pub lease: i64,
 }
 
 impl Put {
-    /// A write without a lease.
+    /// Creates a write without a lease.
     pub fn new(key: impl Into<String>, value: impl Into<Vec<u8>>) -> Self {
         Self {
             key: key.into(),
@@ -99,11 +99,11 @@
 pub enum Delete {
     /// One key.
     Key(String),
-    /// Every key from the first on, up to but without the second.
+    /// Every key from the first, inclusive, to the second, exclusive.
     Span(String, String),
 }
 
-/// A transaction: if every guard holds, all is written and deleted, else nothing.
+/// A transaction: if every guard holds, all writes and deletions are applied, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Txn {
@@ -111,15 +111,15 @@
     pub guards: Vec<Guard>,
     /// The writes.
     pub puts: Vec<Put>,
-    /// What to delete.
+    /// The deletions.
     pub deletes: Vec<Delete>,
 }
 
-/// What came of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum TxnOutcome {
-    /// It took effect at this revision.
+    /// It was applied at this revision.
     At(i64),
     /// A guard did not hold; nothing was written.
     Conflict,
@@ -131,11 +131,11 @@
 pub struct Lease {
     /// Its identifier.
     pub id: i64,
-    /// Milliseconds to live.
+    /// Time to live, in milliseconds.
     pub ttl: Millis,
 }
 
-/// What a watch gives.
+/// An event of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Change {
@@ -143,49 +143,49 @@
     Put(Item),
     /// A key was deleted, at this revision.
     Delete(String, i64),
-    /// Nothing changed up to this revision.
+    /// There are no further changes up to this revision.
     Progress(i64),
 }
 
-/// How fresh a read has to be.
+/// How recent the state that a read returns must be.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Freshness {
-    /// It gives the newest state.
+    /// The read returns the newest state.
     #[default]
     Newest,
-    /// It may give a state that is seconds old, which costs the platform less.
+    /// The read may return a state that is seconds old, which costs the platform less.
     Stale,
 }
 
-/// A call of the platform that has one answer.
+/// A call to the platform that has a single answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Call {
     /// Reads one key.
     Get(String),
-    /// Reads the keys that begin with `prefix` and stand behind `after`.
+    /// Reads one page of the keys that begin with `prefix` and sort after `after`.
     List {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The key to begin behind; absent to begin with the first.
+        /// The key after which the page starts; absent for the first page.
         after: Option<String>,
-        /// How fresh the answer has to be.
+        /// The freshness required of the answer.
         fresh: Freshness,
     },
-    /// Carries out a transaction.
+    /// Runs a transaction.
     Txn(Txn),
-    /// Asks for a lease that lives so many milliseconds unless renewed.
+    /// Requests a lease that expires after this many milliseconds unless renewed.
     Grant(Millis),
     /// Renews a lease.
     Renew(i64),
-    /// Ends a lease.
+    /// Revokes a lease.
     Revoke(i64),
-    /// Waits until a key that begins with `prefix` changes after a revision.
+    /// Waits until a key that begins with `prefix` changes after a revision, or a time limit passes.
     Poll {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The revision after which changes count.
+        /// The revision after which changes are reported.
         after: i64,
         /// Longest time to wait, in milliseconds.
         wait: Millis,
@@ -193,7 +193,7 @@
 }
 
 impl Call {
-    /// What the call counts as.
+    /// The kind as which the call counts against the [`Budget`](crate::Budget).
     pub fn kind(&self) -> CallKind {
         match self {
             Self::List {
@@ -212,14 +212,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Answer {
-    /// The keys that a read found.
+    /// The result of a read.
     Range(Range),
-    /// What came of a transaction.
+    /// The outcome of a transaction.
     Done(TxnOutcome),
     /// The lease that was granted.
     Lease(Lease),
-    /// Whether the platform still had the lease.
+    /// Whether the lease still exists.
     Alive(bool),
-    /// What changed, and the revision to go on from.
+    /// The changes, and the revision from which to continue.
     Changes(Vec<Change>, i64),
 }
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: addresses, turns, time limits, and typed calls.
+//! The client: choice of address, rate limits, timeouts, relaying and typed calls.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -38,19 +38,19 @@
 use crate::proto;
 use crate::protocol::encode_json;
 
-/// Time that a call may take: far above the milliseconds in which the platform answers, above the
-/// half second of a slow day, and below the seconds within which news has to be in force.
-const LIMIT: Duration = Duration::from_millis(1_000);
+/// Timeout of a call. It is far above the milliseconds in which the platform normally answers, above the half second
+/// that it takes when slow, and below the seconds within which changes have to take effect.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time for which calls go through another instance first, once one of our own has failed.
-const DETOUR: Millis = 2_000;
+/// How long each call tries the relay first after a direct call has failed, in milliseconds.
+const RELAY_FIRST_MS: Millis = 2_000;
 
-/// Time for which calls are not sent through others, once that has failed as well, in milliseconds: the
-/// platform is away for all then, and counts each call that it turns away.
-const ALONE: Millis = 1_000;
+/// How long no call uses the relay after a relayed call has failed as well, in milliseconds. The platform is then
+/// unavailable to all instances, and counts even the calls that it rejects.
+const NO_RELAY_MS: Millis = 1_000;
 
-/// Most bytes of an answer: a page of a range is about one megabyte before base64.
-const MOST: usize = 16 << 20;
+/// Maximum size of an answer; a page of a range is about one megabyte before base64 encoding.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// A client of the platform's key-value service.
 #[derive(Clone)]
@@ -61,10 +61,10 @@
     budget: Arc<Budget>,
     relay: Arc<OnceLock<Arc<dyn Relay>>>,
     clock: Clock,
-    /// Until when calls go through another instance first.
-    detour: Arc<AtomicU64>,
-    /// Until when they do not.
-    alone: Arc<AtomicU64>,
+    /// The time until which each call tries the relay first.
+    relay_until: Arc<AtomicU64>,
+    /// The time until which no call uses the relay.
+    direct_until: Arc<AtomicU64>,
 }
 
 impl fmt::Debug for Client {
@@ -76,12 +76,12 @@
 }
 
 impl Client {
-    /// Makes a client that tries the addresses in turn when one cannot be connected to.
+    /// Creates a client that tries the addresses in order until one accepts a connection.
     pub fn new(addrs: impl Into<Arc<[SocketAddr]>>) -> Self {
         Self::with_protocol(addrs, Arc::new(Etcd))
     }
 
-    /// Makes a client that speaks another protocol.
+    /// Creates a client that uses `protocol` instead of [`Etcd`].
     pub fn with_protocol(addrs: impl Into<Arc<[SocketAddr]>>, protocol: Arc<dyn Protocol>) -> Self {
         Self {
             addrs: addrs.into(),
@@ -90,24 +90,24 @@
             budget: Arc::new(Budget::default()),
             relay: Arc::default(),
             clock: Clock::default(),
-            detour: Arc::default(),
-            alone: Arc::default(),
+            relay_until: Arc::default(),
+            direct_until: Arc::default(),
         }
     }
 
-    /// Makes calls through others while the platform turns this instance away.
+    /// Sets the relay through which calls go while the platform does not serve this instance.
     pub fn set_relay(&self, relay: Arc<dyn Relay>) {
-        // The first one stays; an instance has only one way to reach others.
+        // The first relay is kept; an instance has only one way to reach others.
         let _ = self.relay.set(relay);
     }
 
-    /// The calls that were made.
+    /// The budget that limits and counts the calls.
     pub fn budget(&self) -> &Budget {
         &self.budget
     }
 
-    /// Waits for the turn of a call.
-    async fn turn(&self, kind: CallKind) -> Result<(), PlatError> {
+    /// Waits until the budget admits a call.
+    async fn wait_for_slot(&self, kind: CallKind) -> Result<(), PlatError> {
         let wait = self.budget.reserve(kind).ok_or(PlatError::Budget)?;
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
@@ -115,87 +115,95 @@
         Ok(())
     }
 
-    /// Makes a call.
+    /// Makes a call, through the relay if one is set and the platform does not serve this instance.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether a write may have taken
-    /// effect, or may yet.
+    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether a write may have been applied, or may
+    /// still be.
     pub async fn call(&self, call: &Call) -> Result<Answer, PlatError> {
         let Some(relay) = self.relay.get() else {
             return self.call_direct(call).await;
         };
-        // A write that may have taken effect is for the caller to settle, whoever sent it: after
-        // it no later answer may say that nothing was done.
-        let unsettled =
+        // If a write may have been applied, directly or through the relay, the caller has to resolve its outcome: no
+        // later answer may claim that nothing was written.
+        let indeterminate_write =
             |error: &PlatError| error.is_indeterminate() && matches!(call, Call::Txn(_));
-        if self.clock.now() < self.alone.load(Ordering::Relaxed) {
+        if self.clock.now() < self.direct_until.load(Ordering::Relaxed) {
             return self.call_direct(call).await;
         }
-        if self.clock.now() < self.detour.load(Ordering::Relaxed) {
+        if self.clock.now() < self.relay_until.load(Ordering::Relaxed) {
             match relay.relay(call.clone()).await {
-                Err(error) if !unsettled(&error) => (),
-                done => return done,
+                Err(error) if !indeterminate_write(&error) => (),
+                result => return result,
             }
         }
         let error = match self.call_direct(call).await {
             Err(error) if error.is_unavailable() => error,
-            done => return done,
+            result => return result,
         };
-        self.turned_away();
-        if unsettled(&error) {
+        self.note_unserved();
+        if indeterminate_write(&error) {
             return Err(error);
         }
         match relay.relay(call.clone()).await {
-            Err(other) if !unsettled(&other) => {
-                let until = self.clock.now() + ALONE;
-                self.alone.store(until, Ordering::Relaxed);
+            Err(other) if !indeterminate_write(&other) => {
+                let until = self.clock.now() + NO_RELAY_MS;
+                self.direct_until.store(until, Ordering::Relaxed);
                 Err(error)
             }
-            done => done,
+            result => result,
         }
     }
 
-    /// Tells whether the platform did not serve this instance a moment ago. Others need not ask it to
-    /// make calls for them: during an outage each would cost a call that is turned away as well.
+    /// Returns whether the platform recently did not serve this instance. Other instances should then not relay calls
+    /// through it: during an outage, each would cost another rejected call.
     pub fn is_unserved(&self) -> bool {
-        self.clock.now() < self.detour.load(Ordering::Relaxed)
+        self.clock.now() < self.relay_until.load(Ordering::Relaxed)
     }
 
-    /// Notes that the platform did not serve this instance.
-    fn turned_away(&self) {
-        let until = self.clock.now() + DETOUR;
-        self.detour.store(until, Ordering::Relaxed);
+    /// Records that the platform did not serve this instance.
+    fn note_unserved(&self) {
+        let until = self.clock.now() + RELAY_FIRST_MS;
+        self.relay_until.store(until, Ordering::Relaxed);
     }
 
-    /// Makes a call for another instance. One that fails is the last for a while: each of those that are turned away
-    /// would ask several others otherwise, and each of these would ask the platform.
+    /// Makes a call for another instance. After one that fails, [`Client::is_unserved`] is true for a while: otherwise
+    /// each unserved instance would ask several others, and each of these would call the platform.
     ///
     /// # Errors
     ///
     /// Returns [`PlatError`].
     pub async fn call_for_peer(&self, call: &Call) -> Result<Answer, PlatError> {
-        let done = self.call_direct(call).await;
-        if done.as_ref().is_err_and(PlatError::is_unavailable) {
-            self.turned_away();
+        let result = self.call_direct(call).await;
+        if result.as_ref().is_err_and(PlatError::is_unavailable) {
+            self.note_unserved();
         }
-        done
+        result
     }
 
-    /// Makes a call without anybody's help.
+    /// Makes a call without the relay.
     ///
     /// # Errors
     ///
     /// Returns [`PlatError`].
     pub async fn call_direct(&self, call: &Call) -> Result<Answer, PlatError> {
-        let ask = self.protocol.encode(call)?;
-        let limit = match call {
-            Call::Poll { wait, .. } => LIMIT + Duration::from_millis(*wait),
-            _ => LIMIT,
+        let http_request = self.protocol.encode(call)?;
+        let timeout = match call {
+            Call::Poll { wait, .. } => CALL_TIMEOUT + Duration::from_millis(*wait),
+            _ => CALL_TIMEOUT,
         };
-        self.turn(call.kind()).await?;
+        self.wait_for_slot(call.kind()).await?;
         for addr in &*self.addrs {
-            match self.http.fetch(request(*addr, &ask)?, limit, MOST).await {
+            match self
+                .http
+                .fetch(
+                    build_request(*addr, &http_request)?,
+                    timeout,
+                    MAX_ANSWER_BYTES,
+                )
+                .await
+            {
                 Ok(answer) => {
                     return self.protocol.decode(call, answer.status(), answer.body());
                 }
@@ -224,7 +232,7 @@
         Ok(range.items.into_iter().next())
     }
 
-    /// Reads every key with a prefix.
+    /// Reads all keys with a prefix.
     ///
     /// # Errors
     ///
@@ -233,7 +241,7 @@
         self.pages(prefix, None, Freshness::Newest).await
     }
 
-    /// Reads every key with a prefix, perhaps as they were seconds ago.
+    /// Reads all keys with a prefix; the result may be seconds old.
     ///
     /// # Errors
     ///
@@ -242,7 +250,7 @@
         self.pages(prefix, None, Freshness::Stale).await
     }
 
-    /// Reads the keys behind `after` that have a prefix.
+    /// Reads all keys with a prefix that sort after `after`.
     ///
     /// # Errors
     ///
@@ -252,8 +260,8 @@
             .await
     }
 
-    /// Reads the first of the keys that have a prefix, behind `after` if it is given: as many as the
-    /// platform puts into one answer.
+    /// Reads one page of the keys with a prefix, starting after `after` if it is given. The platform chooses the size
+    /// of the page.
     ///
     /// # Errors
     ///
@@ -267,8 +275,7 @@
         .await
     }
 
-    /// Reads some of the keys that have a prefix, behind `after` if it is given, perhaps as they were seconds ago:
-    /// as many as the platform puts into one answer.
+    /// Reads one page like [`Client::page`]; the result may be seconds old.
     ///
     /// # Errors
     ///
@@ -286,8 +293,8 @@
         .await
     }
 
-    /// Reads page after page. The revision is that of the first page, so that whoever watches from
-    /// there on misses nothing that changed between the pages.
+    /// Reads all pages. The revision of the result is that of the first page, so that a watch from there on also
+    /// reports the changes made between the pages.
     async fn pages(
         &self,
         prefix: &str,
@@ -315,19 +322,19 @@
         }
     }
 
-    /// Carries out a transaction.
+    /// Runs a transaction.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether it may have taken effect.
+    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether it may have been applied.
     pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, PlatError> {
         match self.call(&Call::Txn(txn.clone())).await? {
-            Answer::Done(done) => Ok(done),
+            Answer::Done(outcome) => Ok(outcome),
             _ => Err(PlatError::Garbled),
         }
     }
 
-    /// Asks for a lease that lives `ttl` milliseconds unless renewed.
+    /// Requests a lease that expires after `ttl` milliseconds unless renewed.
     ///
     /// # Errors
     ///
@@ -339,7 +346,7 @@
         }
     }
 
-    /// Renews a lease; tells whether the platform still had it.
+    /// Renews a lease; returns whether it still existed.
     ///
     /// # Errors
     ///
@@ -351,7 +358,7 @@
         }
     }
 
-    /// Ends a lease; its keys go with it.
+    /// Revokes a lease and thereby deletes its keys.
     ///
     /// # Errors
     ///
@@ -361,12 +368,12 @@
         Ok(())
     }
 
-    /// Waits until a key with a prefix changes after a revision, or the time is over; gives the
-    /// changes and the revision to go on from.
+    /// Waits until a key with a prefix changes after a revision, at most `wait` milliseconds; returns the changes and
+    /// the revision from which to continue.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`]; after [`PlatError::Compacted`] everything is to be read again.
+    /// Returns [`PlatError`]; after [`PlatError::Compacted`] the caller has to read all keys again.
     pub async fn poll(
         &self,
         prefix: &str,
@@ -384,13 +391,13 @@
         }
     }
 
-    /// Watches every key with a prefix from a revision on, as a stream of the etcd mapping.
+    /// Watches all keys with a prefix from a revision on, over a stream of the etcd JSON mapping.
     ///
     /// # Errors
     ///
     /// Returns [`PlatError`].
     pub async fn watch(&self, prefix: &str, from: i64) -> Result<Watch, PlatError> {
-        self.turn(CallKind::Watch).await?;
+        self.wait_for_slot(CallKind::Watch).await?;
         let body = encode_json(&proto::WatchRequest {
             create_request: proto::WatchCreate {
                 key: prefix.into(),
@@ -399,13 +406,17 @@
                 progress_notify: true,
             },
         })?;
-        let ask = HttpRequest {
+        let http_request = HttpRequest {
             method: http::Method::POST,
             path: "/v3/watch".into(),
             body,
         };
         for addr in &*self.addrs {
-            match self.http.send(request(*addr, &ask)?, LIMIT).await {
+            match self
+                .http
+                .send(build_request(*addr, &http_request)?, CALL_TIMEOUT)
+                .await
+            {
                 Ok(answer) if answer.status() == StatusCode::OK => {
                     return Ok(Watch::new(answer.into_body()));
                 }
@@ -418,11 +429,14 @@
     }
 }
 
-fn request(addr: SocketAddr, ask: &HttpRequest) -> Result<Request<Full<Bytes>>, PlatError> {
+fn build_request(
+    addr: SocketAddr,
+    http_request: &HttpRequest,
+) -> Result<Request<Full<Bytes>>, PlatError> {
     Request::builder()
-        .method(ask.method.clone())
-        .uri(uri(addr, &ask.path))
+        .method(http_request.method.clone())
+        .uri(uri(addr, &http_request.path))
         .header(CONTENT_TYPE, "application/json")
-        .body(Full::new(ask.body.clone()))
+        .body(Full::new(http_request.body.clone()))
         .map_err(|_| PlatError::Garbled)
 }
--- a/crates/plat/src/error.rs
+++ b/crates/plat/src/error.rs
@@ -1,43 +1,44 @@
-//! Why a call of the platform gave nothing.
+//! Errors of platform calls.
 
-/// Why a call of the platform gave nothing.
+/// The error of a platform call.
 #[derive(Clone, Debug)]
 #[derive(serde::Serialize, serde::Deserialize, thiserror::Error)]
 pub enum PlatError {
-    /// No connection was made: a write did not take effect.
+    /// No connection was made: a write was not applied.
     #[error("could not reach the platform")]
     Unreachable,
-    /// This instance's budget for calls is used up: nothing was sent.
+    /// The [`Budget`](crate::Budget) of this instance is used up: nothing was sent.
     #[error("the budget for calls of the platform is used up")]
     Budget,
-    /// The platform turned the call away before it did anything: too many calls, or none now.
+    /// The platform rejected the call before processing it, because of overload or unavailability; holds the HTTP
+    /// status.
     #[error("the platform turned the call away with status {0}")]
     #[serde(rename = "TurnedAway")]
     Unavailable(u16),
-    /// No answer came: a write may have taken effect, or may yet.
+    /// No answer arrived: a write may have been applied, or may still be.
     #[error("the platform did not answer")]
     #[serde(rename = "Silent")]
     NoAnswer,
-    /// The revision that a watch was to begin at is compacted: read everything again.
+    /// The start revision of a watch was compacted: the caller has to read all keys again.
     #[error("the platform has compacted revision {0}")]
     Compacted(i64),
-    /// The answer is not what the protocol says.
+    /// The answer does not follow the protocol.
     #[error("the platform's answer could not be understood")]
     Garbled,
-    /// The protocol has no such call.
+    /// The protocol does not support the call.
     #[error("the platform's protocol has no such call")]
     Unsupported,
-    /// The lease of a write does not exist any more: nothing was written.
+    /// The lease of a write no longer exists: nothing was written.
     #[error("the lease has ended")]
     #[serde(rename = "Lapsed")]
     LeaseExpired,
-    /// The platform refuses the call for good.
+    /// The platform refused the call permanently; holds its message.
     #[error("the platform refused the call: {0}")]
     Refused(Box<str>),
 }
 
 impl PlatError {
-    /// Tells whether the platform did not serve this instance, and may serve others.
+    /// Returns whether the platform did not serve this instance, although it may serve others.
     pub fn is_unavailable(&self) -> bool {
         matches!(
             self,
@@ -45,7 +46,7 @@
         )
     }
 
-    /// Tells whether a write that ended so may have taken effect.
+    /// Returns whether a write that failed with this error may have been applied, or may still be.
     pub fn is_indeterminate(&self) -> bool {
         matches!(self, Self::NoAnswer | Self::Garbled)
     }
--- a/crates/plat/src/etcd.rs
+++ b/crates/plat/src/etcd.rs
@@ -1,4 +1,4 @@
-//! The etcd v3 JSON mapping.
+//! The [`Protocol`] of the etcd v3 JSON mapping.
 
 use http::Method;
 use http::StatusCode;
@@ -19,8 +19,8 @@
 use crate::protocol::decode_json;
 use crate::protocol::encode_json;
 
-/// Milliseconds in the unit of the protocol's leases.
-const SECOND: u64 = 1_000;
+/// Milliseconds in a second, the unit of the time to live of etcd leases.
+const SECOND_MS: u64 = 1_000;
 
 /// The etcd v3 JSON mapping over HTTP.
 #[derive(Clone, Copy, Debug, Default)]
@@ -29,22 +29,22 @@
 impl Protocol for Etcd {
     fn encode(&self, call: &Call) -> Result<HttpRequest, PlatError> {
         let (path, body) = match call {
-            Call::Get(key) => ("/v3/kv/range", encode_json(&one(key))?),
+            Call::Get(key) => ("/v3/kv/range", encode_json(&key_request(key))?),
             Call::List { prefix, after, .. } => (
                 "/v3/kv/range",
-                encode_json(&span(prefix, after.as_deref()))?,
+                encode_json(&prefix_request(prefix, after.as_deref()))?,
             ),
-            Call::Txn(txn) => ("/v3/kv/txn", encode_json(&request(txn))?),
+            Call::Txn(txn) => ("/v3/kv/txn", encode_json(&txn_request(txn))?),
             Call::Grant(ttl) => {
-                let ttl = proto::Int(ttl.div_ceil(SECOND) as i64);
+                let ttl = proto::Int(ttl.div_ceil(SECOND_MS) as i64);
                 (
                     "/v3/lease/grant",
                     encode_json(&proto::GrantRequest { ttl })?,
                 )
             }
-            Call::Renew(id) => ("/v3/lease/keepalive", encode_json(&lease(*id))?),
-            Call::Revoke(id) => ("/v3/lease/revoke", encode_json(&lease(*id))?),
-            // This protocol streams its watches; see `Client::watch`.
+            Call::Renew(id) => ("/v3/lease/keepalive", encode_json(&lease_request(*id))?),
+            Call::Revoke(id) => ("/v3/lease/revoke", encode_json(&lease_request(*id))?),
+            // This protocol streams watches instead; see `Client::watch`.
             Call::Poll { .. } => return Err(PlatError::Unsupported),
         };
         Ok(HttpRequest {
@@ -56,10 +56,10 @@
 
     fn decode(&self, call: &Call, status: StatusCode, body: &[u8]) -> Result<Answer, PlatError> {
         if !status.is_success() {
-            return Err(refusal(status, body));
+            return Err(decode_error(status, body));
         }
         match call {
-            Call::Get(_) | Call::List { .. } => range(decode_json(body)?),
+            Call::Get(_) | Call::List { .. } => range_answer(decode_json(body)?),
             Call::Txn(_) => {
                 let answer: proto::TxnResponse = decode_json(body)?;
                 Ok(Answer::Done(match answer.succeeded {
@@ -71,11 +71,11 @@
                 let answer: proto::GrantResponse = decode_json(body)?;
                 Ok(Answer::Lease(Lease {
                     id: answer.id.0,
-                    ttl: answer.ttl.0.max(0) as u64 * SECOND,
+                    ttl: answer.ttl.0.max(0) as u64 * SECOND_MS,
                 }))
             }
             Call::Renew(_) => {
-                let answer: proto::Streamed<proto::GrantResponse> = decode_json(body)?;
+                let answer: proto::StreamMessage<proto::GrantResponse> = decode_json(body)?;
                 Ok(Answer::Alive(answer.result.ttl.0 > 0))
             }
             Call::Revoke(_) => Ok(Answer::Alive(false)),
@@ -84,15 +84,15 @@
     }
 }
 
-fn one(key: &str) -> proto::RangeRequest {
+fn key_request(key: &str) -> proto::RangeRequest {
     proto::RangeRequest {
         key: key.into(),
         ..Default::default()
     }
 }
 
-fn span(prefix: &str, after: Option<&str>) -> proto::RangeRequest {
-    // The smallest key behind another one is that key with a zero byte at its end.
+fn prefix_request(prefix: &str, after: Option<&str>) -> proto::RangeRequest {
+    // The smallest key greater than `after` is `after` with a zero byte appended.
     let from = after.map_or_else(|| prefix.to_owned(), |after| format!("{after}\0"));
     proto::RangeRequest {
         key: from.as_str().into(),
@@ -101,13 +101,13 @@
     }
 }
 
-fn lease(id: i64) -> proto::LeaseRequest {
+fn lease_request(id: i64) -> proto::LeaseRequest {
     let id = proto::Int(id);
     proto::LeaseRequest { id }
 }
 
-fn range(answer: proto::RangeResponse) -> Result<Answer, PlatError> {
-    let items: Result<_, _> = answer.kvs.into_iter().map(item).collect();
+fn range_answer(answer: proto::RangeResponse) -> Result<Answer, PlatError> {
+    let items: Result<_, _> = answer.kvs.into_iter().map(decode_item).collect();
     Ok(Answer::Range(Range {
         items: items?,
         rev: answer.header.revision.0,
@@ -115,7 +115,7 @@
     }))
 }
 
-pub(crate) fn item(kv: proto::KeyValue) -> Result<Item, PlatError> {
+pub(crate) fn decode_item(kv: proto::KeyValue) -> Result<Item, PlatError> {
     Ok(Item {
         key: String::from_utf8(kv.key.0).map_err(|_| PlatError::Garbled)?,
         value: kv.value.0,
@@ -123,7 +123,7 @@
     })
 }
 
-fn request(txn: &Txn) -> proto::TxnRequest {
+fn txn_request(txn: &Txn) -> proto::TxnRequest {
     let puts = txn.puts.iter().map(|put| proto::Op {
         put: Some(proto::PutRequest {
             key: put.key.as_str().into(),
@@ -133,7 +133,7 @@
         ..Default::default()
     });
     let deletes = txn.deletes.iter().map(|delete| proto::Op {
-        delete: Some(deletion(delete)),
+        delete: Some(delete_request(delete)),
         ..Default::default()
     });
     proto::TxnRequest {
@@ -143,7 +143,7 @@
     }
 }
 
-fn deletion(delete: &Delete) -> proto::DeleteRequest {
+fn delete_request(delete: &Delete) -> proto::DeleteRequest {
     match delete {
         Delete::Key(key) => proto::DeleteRequest {
             key: key.as_str().into(),
@@ -175,16 +175,16 @@
     }
 }
 
-fn refusal(status: StatusCode, body: &[u8]) -> PlatError {
+fn decode_error(status: StatusCode, body: &[u8]) -> PlatError {
     match status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             PlatError::Unavailable(status.as_u16())
         }
-        // A gateway's own time limit says nothing about the write behind it.
+        // A gateway that times out does not tell whether the write was applied.
         StatusCode::GATEWAY_TIMEOUT | StatusCode::INTERNAL_SERVER_ERROR => PlatError::NoAnswer,
         _ => {
-            let refusal: proto::Refusal = serde_json::from_slice(body).unwrap_or_default();
-            PlatError::Refused(refusal.message.into())
+            let error: proto::ErrorBody = serde_json::from_slice(body).unwrap_or_default();
+            PlatError::Refused(error.message.into())
         }
     }
 }
--- a/crates/plat/src/holder.rs
+++ b/crates/plat/src/holder.rs
@@ -1,4 +1,4 @@
-//! Holding a lease at the platform.
+//! Acquires and renews leases at the platform.
 
 use clock::Clock;
 use fleet::Fence;
@@ -14,21 +14,21 @@
 use crate::Txn;
 use crate::TxnOutcome;
 
-/// What came of trying for a lease.
+/// The result of an attempt to acquire a lease.
 #[derive(Debug)]
 pub enum Acquisition {
-    /// It is ours.
+    /// This instance holds the lease.
     Acquired(Lease<Held>),
-    /// Somebody else has it.
+    /// Another instance holds the lease.
     HeldElsewhere,
 }
 
-/// Tries for the lease on a piece of work, which lives `ttl` milliseconds unless renewed and is
-/// held by whoever wrote `key`.
+/// Tries to acquire the lease on a piece of work. It expires after `ttl` milliseconds unless renewed, and belongs to
+/// the instance that wrote `key`; `name` is the value written.
 ///
 /// # Errors
 ///
-/// Returns [`PlatError`]; a lease that was granted without our knowing lapses by itself.
+/// Returns [`PlatError`]; a lease whose grant was not answered expires by itself.
 pub async fn acquire(
     plat: &Client,
     key: &str,
@@ -36,11 +36,11 @@
     ttl: Millis,
     clock: Clock,
 ) -> Result<Acquisition, PlatError> {
-    // Looking first costs a read; a grant for a key that is taken would cost three lease calls.
+    // The check costs one read; a grant for a key that already exists would cost three lease calls.
     if plat.get(key).await?.is_some() {
         return Ok(Acquisition::HeldElsewhere);
     }
-    // Before the request: the time to live may begin as soon as it is sent.
+    // Taken before the request, because the time to live may start as soon as it is sent.
     let sent = clock.now();
     let granted = plat.grant(ttl).await?;
     let txn = Txn {
@@ -57,7 +57,7 @@
             plat.revoke(granted.id).await?;
             Ok(Acquisition::HeldElsewhere)
         }
-        // The platform's revision only rises, so a later holder has a higher number.
+        // The platform's revision only increases, so a later holder gets a higher fencing token.
         TxnOutcome::At(rev) => {
             let lease = Lease::new(granted.ttl);
             Ok(Acquisition::Acquired(lease.taken(
@@ -69,7 +69,7 @@
     }
 }
 
-/// Renews a lease when it is time; tells whether it may still be used.
+/// Renews a lease if a renewal is due; returns whether the lease may still be used.
 pub async fn renew_if_due(plat: &Client, lease: &mut Lease<Held>, clock: Clock) -> bool {
     match lease.next(clock.now()) {
         Next::Work(_) => true,
@@ -82,7 +82,7 @@
                     true
                 }
                 Ok(false) => false,
-                // The platform is away: the lease holds until its margin, and is tried again.
+                // The platform is unavailable: the lease stays valid up to its safety margin, and the next call retries.
                 Err(_) => lease.next(clock.now()) != Next::Lapsed,
             }
         }
--- a/crates/plat/src/keys.rs
+++ b/crates/plat/src/keys.rs
@@ -1,32 +1,33 @@
-//! The keys under which the system keeps things at the platform.
+//! The keys under which the system stores its data at the platform.
 
 use kernel::Name;
 
-/// Every key of the system begins with this.
+/// Prefix of every key that the system writes.
 pub const ROOT: &str = "/snipeway/";
 
-/// Contracts, one a customer.
+/// Prefix of the contracts, one per customer.
 pub const CONTRACTS: &str = "/snipeway/contracts/";
 
-/// The audit trail of contracts.
+/// Prefix of the audit trail of contract changes.
 pub const AUDIT: &str = "/snipeway/audit/";
 
-/// Weight versions that trainers announced, one a model.
+/// Prefix of the weight versions that trainers announced, one per model.
 pub const WEIGHTS: &str = "/snipeway/weights/";
 
-/// Steps that are open.
+/// Prefix of the open steps.
 pub const STEPS: &str = "/snipeway/steps/";
 
-/// Leases for control work.
+/// Prefix of the leases on control work.
 pub const LEASES: &str = "/snipeway/leases/";
 
-/// Shards of the journal of non-idempotent requests.
+/// Prefix of the shards of the journal of non-idempotent requests.
 pub const JOURNAL: &str = "/snipeway/once/";
 
-/// What instances have seen of crashes under requests, one a start of an instance.
+/// Prefix of the crash records, one per start of an instance: the crashes of upstreams that it observed while they
+/// served requests.
 pub const CRASHES: &str = "/snipeway/crashes/";
 
-/// The platform's list of upstreams that are leaving.
+/// Prefix under which the platform lists the upstreams that are leaving.
 pub const LEAVING: &str = "/instances/leaving/";
 
 /// The key of a customer's contract.
@@ -42,7 +43,7 @@
     format!("{CONTRACTS}{customer}")
 }
 
-/// The key of one record of a customer's audit trail; sorts by time.
+/// The key of one record in a customer's audit trail. Keys sort by time.
 pub fn audit(customer: &str, at: u64, change: &str) -> String {
     format!("{AUDIT}{customer}/{at:016x}-{change}")
 }
@@ -52,12 +53,12 @@
     format!("{WEIGHTS}{model}")
 }
 
-/// The key of what one start of an instance has seen of crashes.
+/// The key of the crash record of one start of an instance.
 pub fn crashes(instance: &str, start: u64) -> String {
     format!("{CRASHES}{instance}/{start}")
 }
 
-/// The key of a step's head.
+/// The key of a step's head record.
 pub fn step_head(step: &str) -> String {
     format!("{STEPS}{step}/head")
 }
@@ -67,7 +68,7 @@
     format!("{STEPS}{step}/part/{part:04}")
 }
 
-/// The prefix of everything of a step.
+/// The prefix of all keys of a step.
 pub fn step_prefix(step: &str) -> String {
     format!("{STEPS}{step}/")
 }
@@ -77,17 +78,17 @@
     format!("{LEASES}{work}")
 }
 
-/// The prefix of everything of a journal shard.
+/// The prefix of all keys of a journal shard.
 pub fn shard_prefix(shard: u32) -> String {
     format!("{JOURNAL}{shard:04}/")
 }
 
-/// The key of a journal shard's head.
+/// The key of a journal shard's head record.
 pub fn shard_head(shard: u32) -> String {
     format!("{JOURNAL}{shard:04}/head")
 }
 
-/// The key of one segment of a journal shard; sorts by ordinal.
+/// The key of one segment of a journal shard. Keys sort by sequence number.
 pub fn segment(shard: u32, seq: u64) -> String {
     format!("{JOURNAL}{shard:04}/seg/{seq:016x}")
 }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,8 +1,7 @@
 //! Client of the platform's key-value service: compare-and-swap, leases and watches.
 //!
-//! A [`Call`] says what is wanted and a [`Protocol`] how it is written. The protocol built in is
-//! the etcd v3 JSON mapping over HTTP, as published. Every call is counted against a [`Budget`],
-//! a waiting watch as one.
+//! A [`Call`] describes an operation, and a [`Protocol`] encodes it. The built-in protocol is the published etcd v3
+//! JSON mapping over HTTP. Every call counts against a [`Budget`]; a watch counts as one call, however long it runs.
 
 pub mod budget;
 pub mod call;
--- a/crates/plat/src/paged_list.rs
+++ b/crates/plat/src/paged_list.rs
@@ -1,7 +1,7 @@
-//! Reading a list of many pages, several pages at once.
+//! Concurrent reads of a list that spans many pages.
 //!
-//! Load pattern: a list of thousands takes dozens of pages. Read one after the other they took longer than
-//! news may be late whenever the platform was slow; the time of a read should not grow with the list.
+//! Load pattern: a list of thousands of keys spans dozens of pages. When the platform was slow, reading them one after
+//! the other took longer than a change may go unnoticed. The duration of a read should not grow with the list.
 
 use futures_util::StreamExt;
 use futures_util::TryStreamExt;
@@ -12,44 +12,44 @@
 use crate::PlatError;
 use crate::call::Listing;
 
-/// Calls that one read makes at once.
+/// Maximum number of concurrent calls of one read of a list.
 pub const MAX_CONCURRENT_READS: usize = 16;
 
-/// A list that is read again and again.
+/// A list of keys that is read repeatedly.
 #[derive(Clone, Debug)]
 pub struct PagedList {
     prefix: Box<str>,
-    /// Keys between which the list is read in pieces of about a page: some of those that it had last.
-    marks: Vec<String>,
-    /// Most entries that a page had.
-    page: usize,
+    /// Keys that divide the list into ranges of about one page each, chosen from the keys of the last read.
+    split_keys: Vec<String>,
+    /// Maximum number of items that a page has had so far.
+    page_size: usize,
 }
 
-/// A list to which pages are added.
-fn nothing() -> Listing {
+/// An empty listing to which pages are added.
+fn empty_listing() -> Listing {
     Listing {
         since: i64::MAX,
         ..Listing::default()
     }
 }
 
-/// The keys behind `after`, up to `end`.
-struct Piece {
+/// The keys after `after`, up to and including `end`.
+struct KeyRange {
     after: Option<String>,
     end: Option<String>,
 }
 
 impl PagedList {
-    /// A list of the keys with a prefix.
+    /// Creates a list of the keys with a prefix, without reading it.
     pub fn new(prefix: &str) -> Self {
         Self {
             prefix: prefix.into(),
-            marks: Vec::new(),
-            page: 0,
+            split_keys: Vec::new(),
+            page_size: 0,
         }
     }
 
-    /// Reads the list.
+    /// Reads the whole list, several ranges of it concurrently.
     ///
     /// # Errors
     ///
@@ -57,53 +57,53 @@
     pub async fn read(&mut self, plat: &Client) -> Result<Listing, PlatError> {
         let prefix = &*self.prefix;
         let reads = self
-            .pieces()
+            .key_ranges()
             .into_iter()
-            .map(|piece| piece.read(plat, prefix));
+            .map(|range| range.read(plat, prefix));
         let reads = stream::iter(reads).buffered(MAX_CONCURRENT_READS);
         let parts: Vec<(Listing, usize)> = reads.try_collect().await?;
-        let mut all = nothing();
+        let mut all = empty_listing();
         for (part, page) in parts {
             all.join(part);
-            self.page = self.page.max(page);
+            self.page_size = self.page_size.max(page);
         }
-        self.mark(&all.items);
+        self.choose_splits(&all.items);
         Ok(all)
     }
 
-    fn pieces(&self) -> Vec<Piece> {
-        let begins = std::iter::once(None).chain(self.marks.iter().cloned().map(Some));
-        let ends = self.marks.iter().cloned().map(Some);
+    fn key_ranges(&self) -> Vec<KeyRange> {
+        let begins = std::iter::once(None).chain(self.split_keys.iter().cloned().map(Some));
+        let ends = self.split_keys.iter().cloned().map(Some);
         let ends = ends.chain(std::iter::once(None));
-        let pieces = begins.zip(ends);
-        pieces.map(|(after, end)| Piece { after, end }).collect()
+        let ranges = begins.zip(ends);
+        ranges.map(|(after, end)| KeyRange { after, end }).collect()
     }
 
-    /// Notes where the next read divides the list.
-    fn mark(&mut self, items: &[Item]) {
+    /// Chooses the keys at which the next read divides the list.
+    fn choose_splits(&mut self, items: &[Item]) {
         let last = items.len().saturating_sub(1);
-        let marks = items.iter().take(last).skip(self.page.max(1) - 1);
-        let marks = marks.step_by(self.page.max(1));
-        self.marks = marks.map(|item| item.key.clone()).collect();
+        let splits = items.iter().take(last).skip(self.page_size.max(1) - 1);
+        let splits = splits.step_by(self.page_size.max(1));
+        self.split_keys = splits.map(|item| item.key.clone()).collect();
     }
 }
 
-impl Piece {
-    /// Reads the piece; gives with it the most entries that a page had.
+impl KeyRange {
+    /// Reads the range page by page; returns it with the number of items of its largest page.
     async fn read(self, plat: &Client, prefix: &str) -> Result<(Listing, usize), PlatError> {
-        let mut all = nothing();
-        let (mut after, mut most) = (self.after, 0);
+        let mut all = empty_listing();
+        let (mut after, mut page_size) = (self.after, 0);
         loop {
             let page = plat.page(prefix, after).await?;
             all.since = all.since.min(page.rev);
-            most = most.max(page.items.len());
+            page_size = page_size.max(page.items.len());
             let last = page.items.last().map(|item| item.key.clone());
             let is_in = |item: &Item| self.end.as_ref().is_none_or(|end| item.key <= *end);
             all.items.extend(page.items.into_iter().filter(is_in));
             let ends = last.as_ref().zip(self.end.as_ref());
             let is_over = ends.is_some_and(|(last, end)| last >= end);
             if last.is_none() || !page.more || is_over {
-                return Ok((all, most));
+                return Ok((all, page_size));
             }
             after = last;
         }
--- a/crates/plat/src/proto.rs
+++ b/crates/plat/src/proto.rs
@@ -1,4 +1,4 @@
-//! The messages of the etcd v3 JSON mapping, as far as they are used.
+//! The messages of the etcd v3 JSON mapping that this client uses.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -8,7 +8,7 @@
 use serde::Serializer;
 use serde::de::Error;
 
-/// Bytes as base64.
+/// Bytes, encoded as base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bytes(pub Vec<u8>);
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A 64-bit integer as a string; numbers are read as well.
+/// A 64-bit integer, encoded as a string; JSON numbers are accepted as well.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Int(pub i64);
 
@@ -44,21 +44,21 @@
 
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Loose<'a> {
+enum NumberOrText<'a> {
     Number(i64),
     Text(std::borrow::Cow<'a, str>),
 }
 
 impl<'de> Deserialize<'de> for Int {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        match Loose::deserialize(deserializer)? {
-            Loose::Number(number) => Ok(Self(number)),
-            Loose::Text(text) => text.parse().map(Self).map_err(D::Error::custom),
+        match NumberOrText::deserialize(deserializer)? {
+            NumberOrText::Number(number) => Ok(Self(number)),
+            NumberOrText::Text(text) => text.parse().map(Self).map_err(D::Error::custom),
         }
     }
 }
 
-/// What every answer begins with.
+/// The header of every answer.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Header {
@@ -76,32 +76,32 @@
     /// The value.
     #[serde(default)]
     pub value: Bytes,
-    /// The revision that created it.
+    /// The revision that created the key.
     #[serde(default)]
     pub create_revision: Int,
-    /// The revision that changed it last.
+    /// The revision of the last change to the key.
     #[serde(default)]
     pub mod_revision: Int,
-    /// The lease that it goes with.
+    /// The lease that the key is attached to.
     #[serde(default)]
     pub lease: Int,
 }
 
-/// `/v3/kv/range`.
+/// The request of `/v3/kv/range`.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct RangeRequest {
     /// The first key.
     pub key: Bytes,
-    /// The key after the last; absent for a single key.
+    /// The exclusive end of the range; absent for a single key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub range_end: Option<Bytes>,
-    /// Most keys to return; 0 for all.
+    /// Maximum number of keys to return; 0 for no limit.
     #[serde(default)]
     pub limit: Int,
 }
 
-/// Answer of `/v3/kv/range`.
+/// The answer of `/v3/kv/range`.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct RangeResponse {
@@ -111,7 +111,7 @@
     /// The keys.
     #[serde(default)]
     pub kvs: Vec<KeyValue>,
-    /// Whether there are more.
+    /// Whether there are more keys in the range.
     #[serde(default)]
     pub more: bool,
 }
@@ -124,7 +124,7 @@
     pub key: Bytes,
     /// The value.
     pub value: Bytes,
-    /// The lease that it goes with; 0 for none.
+    /// The lease that the key is attached to; 0 for none.
     #[serde(default)]
     pub lease: Int,
 }
@@ -135,7 +135,7 @@
 pub struct DeleteRequest {
     /// The first key.
     pub key: Bytes,
-    /// The key after the last; absent for a single key.
+    /// The exclusive end of the range; absent for a single key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub range_end: Option<Bytes>,
 }
@@ -164,29 +164,29 @@
 pub struct Compare {
     /// The key.
     pub key: Bytes,
-    /// `EQUAL`.
+    /// The comparison; always `EQUAL`.
     pub result: String,
-    /// `MOD` or `CREATE`.
+    /// The revision to compare: `MOD` or `CREATE`.
     pub target: String,
-    /// The revision for `MOD`.
+    /// The expected revision of the last change, for `MOD`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub mod_revision: Option<Int>,
-    /// The revision for `CREATE`.
+    /// The expected revision of the creation, for `CREATE`; 0 if the key must not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub create_revision: Option<Int>,
 }
 
-/// `/v3/kv/txn`.
+/// The request of `/v3/kv/txn`.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct TxnRequest {
     /// The conditions.
     #[serde(default)]
     pub compare: Vec<Compare>,
-    /// What to do when all hold.
+    /// The operations to run if all conditions hold.
     #[serde(default)]
     pub success: Vec<Op>,
-    /// What to do otherwise.
+    /// The operations to run otherwise.
     #[serde(default)]
     pub failure: Vec<Op>,
 }
@@ -204,7 +204,7 @@
     pub response_range: Option<RangeResponse>,
 }
 
-/// Answer of `/v3/kv/txn`.
+/// The answer of `/v3/kv/txn`.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct TxnResponse {
@@ -214,33 +214,33 @@
     /// Whether all conditions held.
     #[serde(default)]
     pub succeeded: bool,
-    /// The results.
+    /// The results of the operations.
     #[serde(default)]
     pub responses: Vec<OpResponse>,
 }
 
-/// `/v3/lease/grant`.
+/// The request of `/v3/lease/grant`.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// Seconds to live.
+    /// Time to live, in seconds.
     #[serde(rename = "TTL")]
     pub ttl: Int,
 }
 
-/// Answer of `/v3/lease/grant`, and the inner part of that of `/v3/lease/keepalive`.
+/// The answer of `/v3/lease/grant`, and the result in the answer of `/v3/lease/keepalive`.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct GrantResponse {
     /// The lease.
     #[serde(rename = "ID", default)]
     pub id: Int,
-    /// Seconds to live; absent or 0 when there is no such lease.
+    /// Time to live, in seconds; absent or 0 if the lease does not exist.
     #[serde(rename = "TTL", default)]
     pub ttl: Int,
 }
 
-/// `/v3/lease/keepalive` and `/v3/lease/revoke`.
+/// The request of `/v3/lease/keepalive` and of `/v3/lease/revoke`.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRequest {
@@ -249,54 +249,54 @@
     pub id: Int,
 }
 
-/// A message of a stream.
+/// One message of a streamed answer.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
-pub struct Streamed<T> {
+pub struct StreamMessage<T> {
     /// The message.
     pub result: T,
 }
 
-/// `/v3/watch`.
+/// The request of `/v3/watch`.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// The watch to create.
     pub create_request: WatchCreate,
 }
 
-/// What to watch.
+/// The range of keys to watch, and from which revision.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct WatchCreate {
     /// The first key.
     pub key: Bytes,
-    /// The key after the last.
+    /// The exclusive end of the range.
     pub range_end: Bytes,
-    /// The first revision.
+    /// The first revision whose changes are reported.
     pub start_revision: Int,
-    /// Whether to send an empty message now and then when nothing changes.
+    /// Whether to send an empty message periodically while nothing changes.
     #[serde(default)]
     pub progress_notify: bool,
 }
 
-/// One message of a watch.
+/// The result in one message of a watch.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct WatchResponse {
     /// The header.
     #[serde(default)]
     pub header: Header,
-    /// Whether the watch has begun with this message.
+    /// Whether this message confirms the creation of the watch.
     #[serde(default)]
     pub created: bool,
-    /// Whether the watch is over.
+    /// Whether the watch has ended.
     #[serde(default)]
     pub canceled: bool,
-    /// The lowest revision that is left, when the asked one is compacted.
+    /// The lowest available revision, if the requested one was compacted; otherwise 0.
     #[serde(default)]
     pub compact_revision: Int,
-    /// What changed.
+    /// The changes.
     #[serde(default)]
     pub events: Vec<Event>,
 }
@@ -305,26 +305,26 @@
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Event {
-    /// `DELETE`; absent or `PUT` for a write.
+    /// `DELETE` for a deletion; absent or `PUT` for a write.
     #[serde(rename = "type", default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
     /// The key after the change.
     pub kv: KeyValue,
 }
 
-/// A refusal.
+/// The body of an error answer.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
-pub struct Refusal {
-    /// In words.
+pub struct ErrorBody {
+    /// The error text.
     #[serde(default, alias = "error")]
     pub message: String,
-    /// The gRPC code.
+    /// The gRPC status code.
     #[serde(default)]
     pub code: i32,
 }
 
-/// The key after the last one with a prefix.
+/// The exclusive end of the range of keys that have a prefix.
 ///
 /// # Examples
 ///
@@ -342,6 +342,6 @@
             return end;
         }
     }
-    // All keys from the first on.
+    // No byte can be incremented; in etcd, this value means that the range has no end.
     vec![0]
 }
--- a/crates/plat/src/protocol.rs
+++ b/crates/plat/src/protocol.rs
@@ -1,4 +1,4 @@
-//! How calls are written on the wire.
+//! The translation between calls and HTTP requests.
 
 use bytes::Bytes;
 use http::Method;
@@ -13,45 +13,45 @@
 pub struct HttpRequest {
     /// The method.
     pub method: Method,
-    /// The path with its query.
+    /// The path, including the query.
     pub path: String,
-    /// The body, which is JSON; empty for none.
+    /// The JSON body; empty if there is none.
     pub body: Bytes,
 }
 
-/// Translates calls into requests of one platform's protocol, and its answers back.
+/// Encodes calls as requests of one platform's protocol, and decodes its answers.
 ///
-/// A protocol keeps no state and decides nothing: what to retry and when is the caller's.
+/// A protocol keeps no state and makes no decisions; retries are up to the caller.
 pub trait Protocol: Send + Sync {
-    /// Writes a call as a request.
+    /// Encodes a call as a request.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError::Unsupported`] when the protocol has no such call.
+    /// Returns [`PlatError::Unsupported`] if the protocol does not support the call.
     fn encode(&self, call: &Call) -> Result<HttpRequest, PlatError>;
 
-    /// Reads the answer to a call.
+    /// Decodes the answer to a call.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`] when the answer is a refusal or cannot be understood.
+    /// Returns [`PlatError`] if the answer is an error or cannot be decoded.
     fn decode(&self, call: &Call, status: StatusCode, body: &[u8]) -> Result<Answer, PlatError>;
 }
 
-/// Reads the JSON of an answer.
+/// Decodes the JSON body of an answer.
 ///
 /// # Errors
 ///
-/// Returns [`PlatError::Garbled`] when it is something else.
+/// Returns [`PlatError::Garbled`] if the body is not JSON of this type.
 pub fn decode_json<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatError> {
     serde_json::from_slice(body).map_err(|_| PlatError::Garbled)
 }
 
-/// Writes the JSON of a request.
+/// Encodes the JSON body of a request.
 ///
 /// # Errors
 ///
-/// Returns [`PlatError::Garbled`] when the value has no JSON form.
+/// Returns [`PlatError::Garbled`] if the value cannot be encoded as JSON.
 pub fn encode_json<T: serde::Serialize>(value: &T) -> Result<Bytes, PlatError> {
     let bytes = serde_json::to_vec(value).map_err(|_| PlatError::Garbled)?;
     Ok(bytes.into())
--- a/crates/plat/src/relay.rs
+++ b/crates/plat/src/relay.rs
@@ -1,4 +1,4 @@
-//! Calls through somebody else.
+//! Platform calls sent through another instance.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,9 +10,8 @@
 /// The future of a relayed call.
 pub type RelayFuture = Pin<Box<dyn Future<Output = Result<Answer, PlatError>> + Send>>;
 
-/// Makes a call through another instance, which the platform may serve while it turns this one
-/// away.
+/// Sends calls through another instance, which the platform may serve while it does not serve this one.
 pub trait Relay: Send + Sync {
-    /// Makes a call.
+    /// Sends a call through another instance.
     fn relay(&self, call: Call) -> RelayFuture;
 }
--- a/crates/plat/src/single_writer_key.rs
+++ b/crates/plat/src/single_writer_key.rs
@@ -1,4 +1,4 @@
-//! A key that only one start of one instance writes.
+//! A key with a single writer.
 
 use crate::Client;
 use crate::Guard;
@@ -7,46 +7,46 @@
 use crate::Txn;
 use crate::TxnOutcome;
 
-/// A key that only one start of one instance writes. It has no lease, since those may run out while the
-/// platform is away; whoever reads it deletes it when it is old.
+/// A key that is written only by one instance, and only until that instance restarts. It has no lease, because a
+/// lease may expire while the platform is unavailable; readers delete the key once it is old.
 ///
-/// A write whose answer was lost may be carried out seconds later, behind the next one, and would put the
-/// older value back; each write therefore has the revision of the one before as its condition.
+/// A write whose answer was lost may be applied seconds later, after the next write, and would restore the older
+/// value. Each write is therefore conditional on the revision of the one before.
 #[derive(Debug)]
 pub struct SingleWriterKey {
     key: String,
     rev: i64,
-    /// Whether the last write may have taken effect, or may yet.
-    unclear: bool,
+    /// Whether the outcome of the last write is unknown: it may have been applied, or may still be.
+    indeterminate: bool,
 }
 
 impl SingleWriterKey {
-    /// Makes a key that was never written.
+    /// Creates a writer for a key that does not exist yet.
     pub fn new(key: &str) -> Self {
         Self {
             key: key.to_owned(),
             rev: 0,
-            unclear: false,
+            indeterminate: false,
         }
     }
 
-    /// Writes a value in place of the one before.
+    /// Replaces the value.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`]; the same write may be tried again.
+    /// Returns [`PlatError`]; the write may be retried.
     pub async fn write(&mut self, plat: &Client, value: Vec<u8>) -> Result<(), PlatError> {
-        let done = self.try_write(plat, value).await;
-        if let Err(error) = &done {
-            self.unclear |= error.is_indeterminate();
+        let result = self.try_write(plat, value).await;
+        if let Err(error) = &result {
+            self.indeterminate |= error.is_indeterminate();
         }
-        done
+        result
     }
 
     async fn try_write(&mut self, plat: &Client, value: Vec<u8>) -> Result<(), PlatError> {
-        if self.unclear {
+        if self.indeterminate {
             self.rev = plat.get(&self.key).await?.map_or(0, |item| item.rev);
-            self.unclear = false;
+            self.indeterminate = false;
         }
         let txn = Txn {
             guards: vec![Guard::on(&*self.key, self.rev)],
@@ -58,7 +58,7 @@
                 self.rev = rev;
                 Ok(())
             }
-            // An earlier write was carried out late, or the key was old and was deleted.
+            // An earlier write was applied late, or a reader deleted the key because it was old.
             TxnOutcome::Conflict => Err(PlatError::NoAnswer),
         }
     }
--- a/crates/plat/src/watch.rs
+++ b/crates/plat/src/watch.rs
@@ -1,4 +1,4 @@
-//! Changes as they happen.
+//! Streams of changes to keys.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 
 use crate::Change;
 use crate::PlatError;
-use crate::etcd::item;
+use crate::etcd::decode_item;
 use crate::proto;
 
-/// Silence after which a watch is taken for dead. The platform sends progress now and then, by
-/// default every ten minutes; whoever wants to know sooner has to read.
-const SILENCE: Duration = Duration::from_secs(11 * 60);
+/// Time without data after which a watch is considered dead. The platform sends progress messages periodically, by
+/// default every ten minutes; a caller that has to detect a dead watch sooner must read the keys.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(11 * 60);
 
 /// A running watch.
 #[derive(Debug)]
@@ -28,25 +28,25 @@
         Self { body, buffer }
     }
 
-    /// Waits for the next changes.
+    /// Waits for the next batch of changes.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError::Compacted`] when changes were missed for good, and another
-    /// [`PlatError`] when the watch is over; begin one from the revision after the last seen.
+    /// Returns [`PlatError::Compacted`] if changes are permanently lost, and another [`PlatError`] if the watch has
+    /// ended; the caller then starts a new one at the revision after the last one that it received.
     pub async fn next(&mut self) -> Result<Vec<Change>, PlatError> {
         loop {
-            let changes = self.parse()?;
+            let changes = self.drain_messages()?;
             if !changes.is_empty() {
                 return Ok(changes);
             }
-            self.fill().await?;
+            self.read_frame().await?;
         }
     }
 
-    async fn fill(&mut self) -> Result<(), PlatError> {
+    async fn read_frame(&mut self) -> Result<(), PlatError> {
         use http_body_util::BodyExt;
-        let frame = tokio::time::timeout(SILENCE, self.body.frame()).await;
+        let frame = tokio::time::timeout(IDLE_TIMEOUT, self.body.frame()).await;
         match frame {
             Ok(Some(Ok(frame))) => {
                 if let Some(data) = frame.data_ref() {
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Takes the whole messages off the buffer.
-    fn parse(&mut self) -> Result<Vec<Change>, PlatError> {
-        type Message = proto::Streamed<proto::WatchResponse>;
+    /// Removes the complete messages from the buffer and decodes them.
+    fn drain_messages(&mut self) -> Result<Vec<Change>, PlatError> {
+        type Message = proto::StreamMessage<proto::WatchResponse>;
         let mut changes = Vec::new();
         let read = SliceRead::new(&self.buffer);
         let mut stream = StreamDeserializer::<_, Message>::new(read);
@@ -69,7 +69,7 @@
             match stream.next() {
                 Some(Ok(message)) => {
                     used = stream.byte_offset();
-                    take(message.result, &mut changes)?;
+                    append_changes(message.result, &mut changes)?;
                 }
                 Some(Err(error)) if error.is_eof() => break,
                 Some(Err(_)) => return Err(PlatError::Garbled),
@@ -84,7 +84,10 @@
     }
 }
 
-fn take(message: proto::WatchResponse, changes: &mut Vec<Change>) -> Result<(), PlatError> {
+fn append_changes(
+    message: proto::WatchResponse,
+    changes: &mut Vec<Change>,
+) -> Result<(), PlatError> {
     if message.compact_revision.0 > 0 {
         return Err(PlatError::Compacted(message.compact_revision.0));
     }
@@ -95,7 +98,7 @@
         changes.push(Change::Progress(message.header.revision.0));
     }
     for event in message.events {
-        let item = item(event.kv)?;
+        let item = decode_item(event.kv)?;
         let deleted = event.kind.as_deref() == Some("DELETE");
         changes.push(match deleted {
             true => Change::Delete(item.key, item.rev),
--- a/crates/plat/tests/contract.rs
+++ b/crates/plat/tests/etcd_client.rs
@@ -1,4 +1,4 @@
-//! The client against the stand-in, over the published protocol.
+//! Tests of the client against the stand-in platform, over the etcd v3 JSON mapping.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     }
 }
 
-fn block<F: Future>(future: F) -> F::Output {
+fn block_on<F: Future>(future: F) -> F::Output {
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_write_is_conditional_on_the_revision() {
-    block(async {
+    block_on(async {
         let f = fixture().await;
 
         let first = f.client.txn(&put("/a", "1", 0)).await.unwrap();
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn a_transaction_is_whole() {
-    block(async {
+fn a_transaction_is_atomic() {
+    block_on(async {
         let f = fixture().await;
         f.client.txn(&put("/a", "1", 0)).await.unwrap();
         let txn = Txn {
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn a_prefix_holds_its_own_keys_only() {
-    block(async {
+fn a_list_holds_only_keys_with_its_prefix() {
+    block_on(async {
         let f = fixture().await;
         for key in ["/a/1", "/a/2", "/ab", "/b"] {
             f.client.txn(&put(key, "x", 0)).await.unwrap();
@@ -103,12 +103,12 @@
     });
 }
 
-// Symptom: two holders of one lease.
-// Sequence: a holder does not renew; its key has to go, and a renewal to say so.
-// Cause: a lease that outlives its time.
+// Symptom: two instances hold the same lease.
+// Sequence: a holder does not renew its lease in time; the key must be deleted, and a later renewal must fail.
+// Cause: the lease outlives its time to live.
 #[test]
-fn a_lease_takes_its_keys_along() {
-    block(async {
+fn a_lease_that_ends_deletes_its_keys() {
+    block_on(async {
         let f = fixture().await;
         let short = f.client.grant(1_000).await.unwrap();
         let long = f.client.grant(60_000).await.unwrap();
@@ -129,12 +129,12 @@
     });
 }
 
-/// Waits for changes other than progress.
-async fn news(watch: &mut plat::Watch) -> Result<Vec<Change>, PlatError> {
+/// Waits for changes other than progress messages.
+async fn next_changes(watch: &mut plat::Watch) -> Result<Vec<Change>, PlatError> {
     loop {
         let changes = watch.next().await?;
-        let real = |change: &Change| !matches!(change, Change::Progress(_));
-        let changes: Vec<_> = changes.into_iter().filter(real).collect();
+        let is_change = |change: &Change| !matches!(change, Change::Progress(_));
+        let changes: Vec<_> = changes.into_iter().filter(is_change).collect();
         if !changes.is_empty() {
             return Ok(changes);
         }
@@ -142,8 +142,8 @@
 }
 
 #[test]
-fn a_watch_tells_what_changed_since_and_what_changes() {
-    block(async {
+fn a_watch_reports_earlier_and_later_changes() {
+    block_on(async {
         let f = fixture().await;
         let TxnOutcome::At(rev) = f.client.txn(&put("/w/a", "1", 0)).await.unwrap() else {
             panic!("conflict");
@@ -152,9 +152,9 @@
         f.client.txn(&put("/x", "3", 0)).await.unwrap();
 
         let mut watch = f.client.watch("/w/", rev + 1).await.unwrap();
-        let before = news(&mut watch).await.unwrap();
+        let before = next_changes(&mut watch).await.unwrap();
         f.client.txn(&put("/w/a", "4", rev)).await.unwrap();
-        let after = news(&mut watch).await.unwrap();
+        let after = next_changes(&mut watch).await.unwrap();
 
         assert!(
             matches!(&before[..], [Change::Put(item)] if item.key == "/w/b"),
@@ -168,8 +168,8 @@
 }
 
 #[test]
-fn a_watch_tells_of_deletions() {
-    block(async {
+fn a_watch_reports_deletions() {
+    block_on(async {
         let f = fixture().await;
         f.client.txn(&put("/w/a", "1", 0)).await.unwrap();
         let mut watch = f.client.watch("/w/", 2).await.unwrap();
@@ -180,7 +180,7 @@
 
         f.client.txn(&txn).await.unwrap();
 
-        let changes = news(&mut watch).await.unwrap();
+        let changes = next_changes(&mut watch).await.unwrap();
         assert!(
             matches!(&changes[..], [Change::Delete(key, _)] if key == "/w/a"),
             "{changes:?}"
@@ -189,8 +189,8 @@
 }
 
 #[test]
-fn a_compacted_watch_says_so() {
-    block(async {
+fn a_watch_from_a_compacted_revision_fails() {
+    block_on(async {
         let f = fixture().await;
         f.client.txn(&put("/w/a", "1", 0)).await.unwrap();
         f.client.txn(&put("/w/b", "1", 0)).await.unwrap();
@@ -199,15 +199,15 @@
         let mut watch = f.client.watch("/w/", 1).await.unwrap();
 
         assert!(matches!(
-            news(&mut watch).await,
+            next_changes(&mut watch).await,
             Err(PlatError::Compacted(_))
         ));
     });
 }
 
-// Symptom: a write is reported as failed and is there, or the reverse.
-// Sequence: the platform is down, answers nothing, turns calls away, or is gone.
-// Cause: one kind of error for all.
+// Symptom: a write is reported as failed although it was applied, or the reverse.
+// Sequence: the platform is down, does not answer, rejects calls, or is slow.
+// Cause: all of these faults lead to the same error.
 #[parameterized(
     down = { Fault { down: true, ..Fault::default() }, true, false },
     mute = { Fault { mute: true, ..Fault::default() }, true, true },
@@ -215,25 +215,29 @@
     limited = { Fault { limited: true, ..Fault::default() }, false, false },
     slow = { Fault { delay: 3_000, ..Fault::default() }, true, false },
 )]
-fn faults_say_what_they_leave_open(fault: Fault, unclear: bool, written: bool) {
-    block(async {
+fn errors_tell_whether_a_write_may_have_been_applied(
+    fault: Fault,
+    indeterminate: bool,
+    written: bool,
+) {
+    block_on(async {
         let f = fixture().await;
         f.host.faults.set(fault);
 
         let error = f.client.txn(&put("/a", "1", 0)).await.unwrap_err();
 
         f.host.faults.set(Fault::default());
-        assert_eq!(error.is_indeterminate(), unclear, "{error}");
+        assert_eq!(error.is_indeterminate(), indeterminate, "{error}");
         assert_eq!(f.client.get("/a").await.unwrap().is_some(), written);
     });
 }
 
 #[test]
-fn a_platform_that_is_gone_has_written_nothing() {
-    block(async {
-        let gone = Client::new(vec![([127, 0, 0, 1], 1).into()]);
+fn an_unreachable_platform_has_written_nothing() {
+    block_on(async {
+        let unreachable = Client::new(vec![([127, 0, 0, 1], 1).into()]);
 
-        let error = gone.txn(&put("/a", "1", 0)).await.unwrap_err();
+        let error = unreachable.txn(&put("/a", "1", 0)).await.unwrap_err();
 
         assert!(matches!(error, PlatError::Unreachable), "{error}");
         assert!(!error.is_indeterminate());
@@ -242,7 +246,7 @@
 
 #[test]
 fn the_next_address_is_tried_when_one_cannot_be_reached() {
-    block(async {
+    block_on(async {
         let f = fixture().await;
         let client = Client::new(vec![([127, 0, 0, 1], 1).into(), f.host.addr]);
 
@@ -250,12 +254,12 @@
     });
 }
 
-// Symptom: one instance takes the platform away from all others.
-// Sequence: a fault of ours calls it without pause.
-// Cause: no bound on an instance's own calls.
+// Symptom: one instance uses up the capacity of the platform, and all others lose access to it.
+// Sequence: a bug in the instance makes it call the platform without pause.
+// Cause: nothing limits the calls of one instance.
 #[test]
 fn calls_stay_within_the_budget() {
-    block(async {
+    block_on(async {
         let f = fixture().await;
         let calls: Vec<_> = (0..400)
             .map(|_| f.client.clone())
--- a/crates/plat/tests/relay.rs
+++ b/crates/plat/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Calls through another instance.
+//! Tests of calls that are relayed through another instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,9 +13,9 @@
 use plat::TxnOutcome;
 use plat::relay::RelayFuture;
 
-struct Other(Result<Answer, PlatError>);
+struct FixedRelay(Result<Answer, PlatError>);
 
-impl Relay for Other {
+impl Relay for FixedRelay {
     fn relay(&self, _: Call) -> RelayFuture {
         let answer = self.0.clone();
         Box::pin(async move { answer })
@@ -29,15 +29,15 @@
     }
 }
 
-fn client(other: Result<Answer, PlatError>) -> Client {
-    // Nobody listens there: nothing that is sent directly can take effect.
+fn client(relayed: Result<Answer, PlatError>) -> Client {
+    // Nothing listens at this address, so that a direct call cannot be applied.
     let client = Client::new(vec![SocketAddr::from(([127, 0, 0, 1], 1))]);
-    client.set_relay(Arc::new(Other(other)));
+    client.set_relay(Arc::new(FixedRelay(relayed)));
     client
 }
 
 #[tokio::test]
-async fn a_call_that_cannot_be_made_goes_through_another() {
+async fn a_call_that_fails_directly_is_relayed() {
     let client = client(Ok(Answer::Done(TxnOutcome::At(7))));
 
     let done = client.txn(&txn()).await;
@@ -45,12 +45,12 @@
     assert!(matches!(done, Ok(TxnOutcome::At(7))));
 }
 
-// Symptom: a step is refused with the promise that nothing runs, and runs.
-// Sequence: the platform turns this instance away, and the instance that it goes through does not
-// answer: the write may have taken effect there.
-// Cause: the refusal that came first must not hide that the outcome is unknown.
+// Symptom: a step is refused as not started, although it runs.
+// Sequence: the direct call cannot reach the platform, and the instance that relays it does not answer; the write may
+// have been applied through that instance.
+// Cause: the error of the direct call hides that the outcome of the relayed call is unknown.
 #[tokio::test]
-async fn a_write_that_another_did_not_answer_is_unclear() {
+async fn a_relayed_write_without_an_answer_is_indeterminate() {
     let client = client(Err(PlatError::NoAnswer));
 
     let first = client.txn(&txn()).await.unwrap_err();
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn a_read_that_nobody_answers_tells_its_own_failure() {
+async fn a_read_that_fails_both_ways_returns_the_error_of_the_direct_call() {
     let client = client(Err(PlatError::NoAnswer));
 
     let error = client.get("a").await.unwrap_err();
--- a/crates/plat/tests/single_writer_key.rs
+++ b/crates/plat/tests/single_writer_key.rs
@@ -1,4 +1,4 @@
-//! A key that only one start of one instance writes.
+//! Tests of keys with a single writer.
 
 use std::sync::Arc;
 
@@ -49,10 +49,10 @@
     assert_eq!(f.values(), [b"c"]);
 }
 
-// A write is carried out and its answer lost; the next one must find the revision that it left, or nothing is
-// ever written again.
+// A write is applied but its answer is lost. The next write must read the new revision; otherwise every later write
+// would conflict.
 #[tokio::test]
-async fn a_write_that_was_not_answered_stops_no_later_one() {
+async fn a_write_without_an_answer_does_not_block_later_writes() {
     let f = fixture().await;
     let mut single = SingleWriterKey::new(KEY);
     single.write(&f.client, "a".into()).await.unwrap();
@@ -69,10 +69,11 @@
     assert_eq!(f.values(), [b"c"]);
 }
 
-// An older write that was given up is carried out behind the next one, and would put the older value back. The
-// condition on the revision makes it do nothing; the other way round, the next write fails once and reads.
+// A write that the client has given up is applied late. If the next write was applied before it, the condition on
+// the revision turns the late write into a conflict, so that it does not restore the older value. If the late write
+// was applied first, as here, the next write fails once, and its retry reads the new revision.
 #[tokio::test]
-async fn a_value_that_somebody_else_has_changed_is_read_again() {
+async fn a_write_that_was_applied_late_fails_the_next_write_once() {
     let f = fixture().await;
     let mut single = SingleWriterKey::new(KEY);
     single.write(&f.client, "a".into()).await.unwrap();
@@ -90,9 +91,9 @@
     assert_eq!(f.values(), [b"b"]);
 }
 
-// Somebody deletes the key since it looked old; the next write finds another revision than it knows.
+// A reader deletes the key because it looks old, so that the next write has an outdated revision.
 #[tokio::test]
-async fn a_value_is_written_anew_after_its_key_was_deleted() {
+async fn a_value_is_written_again_after_its_key_was_deleted() {
     let f = fixture().await;
     let mut single = SingleWriterKey::new(KEY);
     single.write(&f.client, "a".into()).await.unwrap();
