--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -9,12 +9,12 @@
 use kernel::Millis;
 use plat::Client;
 use plat::Delete;
-use plat::Done;
 use plat::Guard;
 use plat::Item;
 use plat::PlatError;
-use plat::Single;
+use plat::SingleWriterKey;
 use plat::Txn;
+use plat::TxnOutcome;
 use poison::Observations;
 use poison::Report;
 use poison::ledger::CRASH_TTL_MS;
@@ -42,7 +42,7 @@
     key: &str,
     mut on_write: impl FnMut(Result<(), &PlatError>),
 ) {
-    let mut single = Single::new(key);
+    let mut single = SingleWriterKey::new(key);
     let mut written = Observations::default();
     loop {
         tracker.wait_for_changes().await;
@@ -71,7 +71,7 @@
 }
 
 async fn write(
-    single: &mut Single,
+    single: &mut SingleWriterKey,
     plat: &Client,
     observed: &Observations,
 ) -> Result<(), PlatError> {
@@ -90,8 +90,8 @@
         };
         let done = plat.txn(&txn).await;
         let outcome = match done {
-            Ok(Done::At(_)) => "deleted",
-            Ok(Done::Conflict) => "rewritten meanwhile",
+            Ok(TxnOutcome::At(_)) => "deleted",
+            Ok(TxnOutcome::Conflict) => "rewritten meanwhile",
             Err(_) => "failed, retried after the next read",
         };
         log::info!(target: "crash", key = item.key.as_str(), outcome; "delete expired crash record");
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -72,7 +72,7 @@
 
 async fn question(app: &Arc<App>, work: &Work, asked: Millis) {
     // One that was turned away a moment ago has the others ask at once.
-    let patience = match app.plat.is_turned_away() {
+    let patience = match app.plat.is_unserved() {
         true => 0,
         false => app.settings.cancel / PATIENCE,
     };
@@ -98,7 +98,7 @@
     let call = Call::Get(keys::head(&work.step));
     let limit = Duration::from_millis(app.settings.cancel / LIMIT);
     let patience = Duration::from_millis(patience);
-    let direct = pin!(in_time(limit, app.plat.direct(&call)));
+    let direct = pin!(in_time(limit, app.plat.call_direct(&call)));
     let others = pin!(async {
         sleep(patience).await;
         through::any(app, &call, limit - patience).await
@@ -115,7 +115,7 @@
     };
     match said {
         Others::Answer(answer) => head_of(answer),
-        Others::Away if error.is_away() => Came::Outage,
+        Others::Away if error.is_unavailable() => Came::Outage,
         Others::Away | Others::Nobody => Came::Nothing(error),
     }
 }
@@ -124,7 +124,9 @@
     limit: Duration,
     call: impl Future<Output = Result<Answer, PlatError>>,
 ) -> Result<Answer, PlatError> {
-    timeout(limit, call).await.unwrap_or(Err(PlatError::Silent))
+    timeout(limit, call)
+        .await
+        .unwrap_or(Err(PlatError::NoAnswer))
 }
 
 fn head_of(answer: Answer) -> Came {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -16,7 +16,7 @@
 use plat::Client;
 use plat::PlatError;
 use plat::Protocol;
-use plat::budget::Kind;
+use plat::budget::CallKind;
 use tokio::net::TcpListener;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
@@ -107,7 +107,7 @@
         settings.peer = inner.local_addr()?.port();
         let gate = bind_some(&mut settings.ready).await?;
         let callers = bind_some(&mut settings.listen).await?;
-        let plat = Client::speaking(vec![settings.platform], protocol);
+        let plat = Client::with_protocol(vec![settings.platform], protocol);
         let app = App::new(settings, dialect, plat);
         let scrape = meter::begin();
         let drain = Drain::default();
@@ -122,7 +122,7 @@
         }
         let front = Glue::new(&app, front::answer);
         let front = callers.map(|callers| serve(callers, front, &drain));
-        app.plat.relay(Arc::new(Through(Arc::downgrade(&app))));
+        app.plat.set_relay(Arc::new(Through(Arc::downgrade(&app))));
         tokio::spawn(member::keep(app.clone()));
         tokio::spawn(member::follow(app.clone()));
         match app.settings.role {
@@ -250,12 +250,12 @@
     loop {
         sleep(COUNT).await;
         let used = |kind| app.plat.budget().used(kind);
-        for kind in Kind::ALL {
+        for kind in CallKind::ALL {
             metrics::gauge!(meter::PLATFORM, "kind" => kind.name()).set(used(kind) as f64);
         }
-        log::info!(target: "platform", reads = used(Kind::Read), stale = used(Kind::Stale),
-            writes = used(Kind::Write), leases = used(Kind::Lease),
-            watches = used(Kind::Watch); "calls so far");
+        log::info!(target: "platform", reads = used(CallKind::Read), stale = used(CallKind::Stale),
+            writes = used(CallKind::Write), leases = used(CallKind::Lease),
+            watches = used(CallKind::Watch); "calls so far");
     }
 }
 
--- a/crates/node/src/through.rs
+++ b/crates/node/src/through.rs
@@ -10,7 +10,7 @@
 use plat::Call;
 use plat::PlatError;
 use plat::Relay;
-use plat::relay::Relayed;
+use plat::relay::RelayFuture;
 use rand::seq::SliceRandom;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -29,7 +29,7 @@
 pub(crate) struct Through(pub(crate) Weak<App>);
 
 impl Relay for Through {
-    fn relay(&self, call: Call) -> Relayed {
+    fn relay(&self, call: Call) -> RelayFuture {
         let app = self.0.clone();
         Box::pin(async move {
             let app = app.upgrade().ok_or(PlatError::Unreachable)?;
@@ -49,7 +49,9 @@
     let mut failed = PlatError::Unreachable;
     for addr in helpers(app) {
         match peer::relay(app, addr, call.clone(), wait + RELAY).await {
-            Some(Err(error)) if error.is_away() && !error.is_unclear() => failed = error,
+            Some(Err(error)) if error.is_unavailable() && !error.is_indeterminate() => {
+                failed = error
+            }
             Some(answer) => {
                 app.set_helper(Some(addr));
                 return answer;
@@ -57,7 +59,7 @@
             // Nobody knows whether the other one has sent it.
             None => {
                 app.set_helper(None);
-                return Err(PlatError::Silent);
+                return Err(PlatError::NoAnswer);
             }
         }
     }
@@ -92,7 +94,7 @@
     while let Ok(Some(asked)) = timeout_at(end, asks.join_next()).await {
         match asked {
             Ok(Some(Ok(answer))) => return Others::Answer(answer),
-            Ok(Some(Err(error))) if error.is_away() => said = Others::Away,
+            Ok(Some(Err(error))) if error.is_unavailable() => said = Others::Away,
             // It did not answer, or could not ask.
             Ok(_) | Err(_) => (),
         }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,8 +1,7 @@
 //! Client of the platform's key-value service: compare-and-swap, leases and watches.
 //!
-//! A [`Call`] says what is wanted and a [`Protocol`] how it is written. The protocol built in is
-//! the etcd v3 JSON mapping over HTTP, as published. Every call is counted against a [`Budget`],
-//! a waiting watch as one.
+//! A [`Call`] describes an operation, and a [`Protocol`] encodes it. The built-in protocol is the published etcd v3
+//! JSON mapping over HTTP. Every call counts against a [`Budget`]; a watch counts as one call, however long it runs.
 
 pub mod budget;
 pub mod call;
@@ -11,20 +10,19 @@
 pub mod etcd;
 pub mod holder;
 pub mod keys;
+pub mod paged_list;
 pub mod proto;
 pub mod protocol;
 pub mod relay;
-pub mod single;
+pub mod single_writer_key;
 pub mod watch;
-pub mod wide;
 
 pub use budget::Budget;
 pub use call::Answer;
 pub use call::Call;
 pub use call::Change;
 pub use call::Delete;
-pub use call::Done;
-pub use call::Fresh;
+pub use call::Freshness;
 pub use call::Guard;
 pub use call::Item;
 pub use call::Lease;
@@ -32,12 +30,13 @@
 pub use call::Put;
 pub use call::Range;
 pub use call::Txn;
+pub use call::TxnOutcome;
 pub use client::Client;
 pub use error::PlatError;
 pub use etcd::Etcd;
-pub use protocol::Ask;
+pub use paged_list::PagedList;
+pub use protocol::HttpRequest;
 pub use protocol::Protocol;
 pub use relay::Relay;
-pub use single::Single;
+pub use single_writer_key::SingleWriterKey;
 pub use watch::Watch;
-pub use wide::Wide;
--- a/crates/plat/tests/relay.rs
+++ b/crates/plat/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Calls through another instance.
+//! Tests of calls that are relayed through another instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,17 +6,17 @@
 use plat::Answer;
 use plat::Call;
 use plat::Client;
-use plat::Done;
 use plat::PlatError;
 use plat::Put;
 use plat::Relay;
 use plat::Txn;
-use plat::relay::Relayed;
+use plat::TxnOutcome;
+use plat::relay::RelayFuture;
 
-struct Other(Result<Answer, PlatError>);
+struct FixedRelay(Result<Answer, PlatError>);
 
-impl Relay for Other {
-    fn relay(&self, _: Call) -> Relayed {
+impl Relay for FixedRelay {
+    fn relay(&self, _: Call) -> RelayFuture {
         let answer = self.0.clone();
         Box::pin(async move { answer })
     }
@@ -29,40 +29,40 @@
     }
 }
 
-fn client(other: Result<Answer, PlatError>) -> Client {
-    // Nobody listens there: nothing that is sent directly can take effect.
+fn client(relayed: Result<Answer, PlatError>) -> Client {
+    // Nothing listens at this address, so that a direct call cannot be applied.
     let client = Client::new(vec![SocketAddr::from(([127, 0, 0, 1], 1))]);
-    client.relay(Arc::new(Other(other)));
+    client.set_relay(Arc::new(FixedRelay(relayed)));
     client
 }
 
 #[tokio::test]
-async fn a_call_that_cannot_be_made_goes_through_another() {
-    let client = client(Ok(Answer::Done(Done::At(7))));
+async fn a_call_that_fails_directly_is_relayed() {
+    let client = client(Ok(Answer::Done(TxnOutcome::At(7))));
 
     let done = client.txn(&txn()).await;
 
-    assert!(matches!(done, Ok(Done::At(7))));
+    assert!(matches!(done, Ok(TxnOutcome::At(7))));
 }
 
-// Symptom: a step is refused with the promise that nothing runs, and runs.
-// Sequence: the platform turns this instance away, and the instance that it goes through does not
-// answer: the write may have taken effect there.
-// Cause: the refusal that came first must not hide that the outcome is unknown.
+// Symptom: a step is refused as not started, although it runs.
+// Sequence: the direct call cannot reach the platform, and the instance that relays it does not answer; the write may
+// have been applied through that instance.
+// Cause: the error of the direct call hides that the outcome of the relayed call is unknown.
 #[tokio::test]
-async fn a_write_that_another_did_not_answer_is_unclear() {
-    let client = client(Err(PlatError::Silent));
+async fn a_relayed_write_without_an_answer_is_indeterminate() {
+    let client = client(Err(PlatError::NoAnswer));
 
     let first = client.txn(&txn()).await.unwrap_err();
     let second = client.txn(&txn()).await.unwrap_err();
 
-    assert!(first.is_unclear());
-    assert!(second.is_unclear());
+    assert!(first.is_indeterminate());
+    assert!(second.is_indeterminate());
 }
 
 #[tokio::test]
-async fn a_read_that_nobody_answers_tells_its_own_failure() {
-    let client = client(Err(PlatError::Silent));
+async fn a_read_that_fails_both_ways_returns_the_error_of_the_direct_call() {
+    let client = client(Err(PlatError::NoAnswer));
 
     let error = client.get("a").await.unwrap_err();
 
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -7,11 +7,11 @@
 use net::Call;
 use net::Reply;
 use net::body;
-use plat::Done;
 use plat::Guard;
 use plat::PlatError;
 use plat::Put;
 use plat::Txn;
+use plat::TxnOutcome;
 use plat::keys;
 use route::Attempt;
 use route::Ran;
@@ -68,11 +68,11 @@
         match write(app, &model, &new).await {
             Ok(Some(version)) => return Ok(version),
             Ok(None) => (),
-            Err(error) if error.is_unclear() => unclear = true,
+            Err(error) if error.is_indeterminate() => unclear = true,
             Err(error) => return Err(refusal(&error, unclear)),
         }
     }
-    Err(refusal(&PlatError::Silent, unclear))
+    Err(refusal(&PlatError::NoAnswer, unclear))
 }
 
 fn refusal(error: &PlatError, unclear: bool) -> Problem {
@@ -104,8 +104,8 @@
         ..Txn::default()
     };
     match app.plat.txn(&txn).await? {
-        Done::Conflict => Ok(None),
-        Done::At(rev) => {
+        TxnOutcome::Conflict => Ok(None),
+        TxnOutcome::At(rev) => {
             let instance = &app.settings.me.name;
             let (before, after) = (known.to_string(), new.version.to_string());
             let what = format!("weights announced by {}", new.customer);
