--- a/crates/conf/src/doc.rs
+++ b/crates/conf/src/document.rs
@@ -13,15 +13,15 @@
 
 /// One settings file, read section by section.
 #[derive(Debug)]
-pub struct Doc {
+pub struct Document {
     file: Arc<str>,
     sections: Vec<Section>,
     known: Vec<Box<str>>,
     mistakes: Vec<Mistake>,
 }
 
-impl Doc {
-    /// Splits the text of `file` into sections. Mistakes are kept for [`Doc::finish`].
+impl Document {
+    /// Splits the text of `file` into sections. Mistakes are kept for [`Document::finish`].
     pub fn parse(file: &str, text: &str) -> Self {
         let mut doc = Self {
             file: file.into(),
@@ -77,7 +77,7 @@
     }
 
     /// Takes the section `name` out to read it; an empty one when the file has none.
-    pub fn take(&mut self, name: &str) -> Section {
+    pub fn take_section(&mut self, name: &str) -> Section {
         self.known.push(name.into());
         match self.sections.iter().position(|s| s.name() == name) {
             Some(at) => self.sections.remove(at),
@@ -86,7 +86,7 @@
     }
 
     /// Takes out every section `[kind NAME]`, in the order of the file.
-    pub fn take_all(&mut self, kind: &str) -> Vec<Section> {
+    pub fn take_sections(&mut self, kind: &str) -> Vec<Section> {
         self.known.push(format!("{kind} NAME").into());
         let prefix = format!("{kind} ");
         let (taken, rest) = std::mem::take(&mut self.sections)
@@ -97,7 +97,7 @@
     }
 
     /// Gives back a section that has been read; its unread keys become mistakes.
-    pub fn put(&mut self, section: Section) {
+    pub fn finish_section(&mut self, section: Section) {
         self.mistakes.extend(section.finish());
     }
 
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,33 +1,33 @@
 //! Reading and checking of INI settings.
 //!
-//! A [`Doc`] holds the sections of a file. The reader asks it for keys one by one, with what is
-//! expected and what holds when the key is missing; [`Doc::finish`] then reports every mistake at
+//! A [`Document`] holds the sections of a file. The reader asks it for keys one by one, with what is
+//! expected and what holds when the key is missing; [`Document::finish`] then reports every mistake at
 //! once: bad values, missing keys, and keys or sections that nobody asked for, each with file,
 //! line and key and, where one is close, the nearest known name.
 //!
 //! # Examples
 //!
 //! ```
-//! use conf::Doc;
+//! use conf::Document;
 //!
-//! let mut doc = Doc::parse("entry.ini", "[entry]\nlisten = 127.0.0.1:8080\n");
-//! let mut entry = doc.take("entry");
+//! let mut doc = Document::parse("entry.ini", "[entry]\nlisten = 127.0.0.1:8080\n");
+//! let mut entry = doc.take_section("entry");
 //! let listen = entry.need::<std::net::SocketAddr>("listen", "an IP address and a port");
 //! let queue = entry.or("queue", "a number of requests", 64_u32);
-//! doc.put(entry);
+//! doc.finish_section(entry);
 //! doc.finish()?;
 //! assert_eq!(listen.map(|addr| addr.port()), Some(8080));
 //! assert_eq!(queue, 64);
 //! # Ok::<(), conf::Mistakes>(())
 //! ```
 
-mod doc;
+mod document;
 mod load;
 mod mistake;
 mod section;
 mod value;
 
-pub use doc::Doc;
+pub use document::Document;
 pub use load::LoadError;
 pub use load::load;
 pub use mistake::Mistake;
--- a/crates/conf/tests/doc.rs
+++ b/crates/conf/tests/document.rs
@@ -1,21 +1,21 @@
 //! Tests of the settings reader.
 
-use conf::Doc;
+use conf::Document;
 use conf::List;
 use conf::Span;
 use yare::parameterized;
 
 /// Reads the keys of a small program and returns the report.
 fn report(text: &str) -> String {
-    let mut doc = Doc::parse("a.ini", text);
-    let mut entry = doc.take("entry");
+    let mut doc = Document::parse("a.ini", text);
+    let mut entry = doc.take_section("entry");
     entry.need::<std::net::SocketAddr>("listen", "an IP address and a port");
     entry.or("queue", "a number of requests", 64_u32);
     entry.or("patience", "a span of time", Span(5));
-    doc.put(entry);
-    for mut upstream in doc.take_all("upstream") {
+    doc.finish_section(entry);
+    for mut upstream in doc.take_sections("upstream") {
         upstream.need::<u16>("port", "a port");
-        doc.put(upstream);
+        doc.finish_section(upstream);
     }
     doc.finish()
         .err()
--- a/crates/contract/src/ini.rs
+++ b/crates/contract/src/ini.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::str::FromStr;
 
-use conf::Doc;
+use conf::Document;
 use conf::List;
 use conf::Mistakes;
 use conf::Rate;
@@ -79,10 +79,10 @@
 /// assert!(mistakes.to_string().contains("token-sha256"));
 /// ```
 pub fn parse(file: &str, text: &str) -> Result<Contract, Mistakes> {
-    let mut doc = Doc::parse(file, text);
-    let mut section = doc.take("contract");
+    let mut doc = Document::parse(file, text);
+    let mut section = doc.take_section("contract");
     let contract = parse_fields(&mut section);
-    doc.put(section);
+    doc.finish_section(section);
     doc.finish()?;
     // Each missing field has recorded a mistake, so `finish` has returned if there was one.
     contract.ok_or(Mistakes(Vec::new()))
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use conf::Doc;
+use conf::Document;
 use conf::List;
 use conf::Mistakes;
 use conf::Rate;
@@ -28,28 +28,28 @@
 ///
 /// Returns every mistake of the file at once.
 pub fn read(file: &str, text: &str) -> Result<Settings, Mistakes> {
-    let mut doc = Doc::parse(file, text);
-    let mut load = doc.take("load");
+    let mut doc = Document::parse(file, text);
+    let mut load = doc.take_section("load");
     let entries = load.need::<List<SocketAddr>>("entries", "addresses separated by commas");
     if entries.as_ref().is_some_and(|list| list.0.is_empty()) {
         load.refuse("entries", "at least one address");
     }
-    doc.put(load);
+    doc.finish_section(load);
     let entries = entries.map(|list| list.0).unwrap_or_default();
     let mut settings = Settings::default();
-    for mut section in doc.take_all("callers") {
+    for mut section in doc.take_sections("callers") {
         let name = section.label().to_owned();
         let read = callers(&mut section, &entries);
         settings.callers.extend(read.map(|callers| (name, callers)));
-        doc.put(section);
+        doc.finish_section(section);
     }
-    for mut section in doc.take_all("trainer") {
+    for mut section in doc.take_sections("trainer") {
         let name = section.label().to_owned();
         let read = trainer(&mut section, &name, &entries);
         settings
             .trainers
             .extend(read.map(|trainer| (name, trainer)));
-        doc.put(section);
+        doc.finish_section(section);
     }
     doc.finish()?;
     Ok(settings)
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use conf::Doc;
+use conf::Document;
 use conf::Mistakes;
 use kernel::Millis;
 
@@ -111,8 +111,8 @@
 ///
 /// Returns every [`Mistakes`] with file, line and key.
 pub fn read(file: &str, text: &str) -> Result<Settings, Mistakes> {
-    let mut doc = Doc::parse(file, text);
-    let mut one = doc.take("instance");
+    let mut doc = Document::parse(file, text);
+    let mut one = doc.take_section("instance");
     let name = one.need::<String>("name", "a name");
     let domain = one.need::<String>("domain", "a name");
     let role = one.need::<Role>("role", "entry or control");
@@ -121,47 +121,47 @@
     let ready = one.get::<SocketAddr>("ready", "an IP address and a port");
     let peer = one.need::<u16>("peer", "a port");
     let cores = one.or("cores", "a part of a core, as 0.5", 1.0);
-    doc.put(one);
+    doc.finish_section(one);
 
-    let mut plat = doc.take("platform");
+    let mut plat = doc.take_section("platform");
     let platform = plat.need::<SocketAddr>("address", "an IP address and a port");
     let shortest = plat.or("shortest_lease_ms", "milliseconds", 1_000);
-    doc.put(plat);
+    doc.finish_section(plat);
 
-    let mut times = doc.take("times");
+    let mut times = doc.take_section("times");
     let grace = times.or("grace_s", "seconds", 8.0);
     let turn = times.or("turn_ms", "milliseconds", 3_000);
     let keep = times.or("keep_s", "seconds", 120.0);
     let cancel = times.or("cancel_ms", "milliseconds", 3_000);
     let apply = times.or("apply_ms", "milliseconds", 2_000);
-    doc.put(times);
+    doc.finish_section(times);
 
-    let mut keys = doc.take("keys");
+    let mut keys = doc.take_section("keys");
     let closed = keys.or("fail_closed", "true or false", false);
     let revoke = keys.or("revoke_ms", "milliseconds", 5_000);
-    doc.put(keys);
+    doc.finish_section(keys);
 
-    let mut accounts = doc.take("accounts");
+    let mut accounts = doc.take_section("accounts");
     let account = accounts.get::<SocketAddr>("address", "an IP address and a port");
     let window = accounts.or("window_s", "seconds", 5.0);
     let late = accounts.or("late_s", "seconds", 10.0);
-    doc.put(accounts);
+    doc.finish_section(accounts);
 
-    let mut capacity = doc.take("capacity");
+    let mut capacity = doc.take_section("capacity");
     let fill = capacity.or("fill", "a part of the samples, as 0.8", FILL);
-    doc.put(capacity);
+    doc.finish_section(capacity);
 
-    let mut weights = doc.take("weights");
+    let mut weights = doc.take_section("weights");
     let part = weights.or("part", "a part of the engines, as 0.2", PART);
-    doc.put(weights);
+    doc.finish_section(weights);
 
-    let mut log = doc.take("log");
+    let mut log = doc.take_section("log");
     let level = log.or(
         "level",
         "error, warn, info, debug or off",
         log::LevelFilter::Info,
     );
-    doc.put(log);
+    doc.finish_section(log);
     doc.finish()?;
 
     let millis = |seconds: f64| (seconds * SECOND) as Millis;
--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use conf::Doc;
+use conf::Document;
 use conf::Mistakes;
 use serve::settings::Peer;
 use serve::settings::many;
@@ -29,7 +29,7 @@
 ///
 /// Returns every mistake of the file at once.
 pub fn read(file: &str, text: &str) -> Result<Settings, Mistakes> {
-    let mut doc = Doc::parse(file, text);
+    let mut doc = Document::parse(file, text);
     let platform = one(&mut doc, "platform", platform);
     let secret = one(&mut doc, "peers", secret);
     let peers = many(&mut doc, "peer", peer);
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use conf::Doc;
+use conf::Document;
 use conf::List;
 use conf::Mistakes;
 use conf::Section;
@@ -127,7 +127,7 @@
 ///
 /// Returns every mistake of the file at once.
 pub fn read(file: &str, text: &str) -> Result<Settings, Mistakes> {
-    let mut doc = Doc::parse(file, text);
+    let mut doc = Document::parse(file, text);
     let me = one(&mut doc, "instance", me);
     let platform = one(&mut doc, "platform", platform);
     let secret = one(&mut doc, "peers", secret);
@@ -158,19 +158,19 @@
 }
 
 /// Reads one section.
-pub fn one<T>(doc: &mut Doc, name: &str, read: impl FnOnce(&mut Section) -> T) -> T {
-    let mut section = doc.take(name);
+pub fn one<T>(doc: &mut Document, name: &str, read: impl FnOnce(&mut Section) -> T) -> T {
+    let mut section = doc.take_section(name);
     let value = read(&mut section);
-    doc.put(section);
+    doc.finish_section(section);
     value
 }
 
 /// Reads every section `[kind NAME]`.
-pub fn many<T>(doc: &mut Doc, kind: &str, read: impl Fn(&mut Section) -> Option<T>) -> Vec<T> {
+pub fn many<T>(doc: &mut Document, kind: &str, read: impl Fn(&mut Section) -> Option<T>) -> Vec<T> {
     let mut all = Vec::new();
-    for mut section in doc.take_all(kind) {
+    for mut section in doc.take_sections(kind) {
         all.extend(read(&mut section));
-        doc.put(section);
+        doc.finish_section(section);
     }
     all
 }
@@ -260,7 +260,7 @@
     })
 }
 
-fn upstreams(doc: &mut Doc, pools: &[Pool]) -> Vec<Spec> {
+fn upstreams(doc: &mut Document, pools: &[Pool]) -> Vec<Spec> {
     many(doc, "upstream", |s| {
         let name = label(s);
         let addr = s.need("address", ADDRESS);
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use conf::Doc;
+use conf::Document;
 use conf::Mistakes;
 use conf::Rate;
 use conf::Section;
@@ -44,7 +44,7 @@
 ///
 /// Returns every mistake of the file at once.
 pub fn read(file: &str, text: &str) -> Result<Vec<Part>, Mistakes> {
-    let mut doc = Doc::parse(file, text);
+    let mut doc = Document::parse(file, text);
     let mut parts = Vec::new();
     let kinds: [(&str, Read); 4] = [
         ("platform", |_| Role::Platform),
@@ -53,11 +53,11 @@
         ("store", store),
     ];
     for (kind, role) in kinds {
-        for mut section in doc.take_all(kind) {
+        for mut section in doc.take_sections(kind) {
             let listen = section.need("listen", "an IP address and a port");
             let role = role(&mut section);
             let name = section.label().to_owned();
-            doc.put(section);
+            doc.finish_section(section);
             parts.extend(listen.map(|listen| Part { name, listen, role }));
         }
     }
