--- a/crates/args/src/program.rs
+++ b/crates/args/src/program.rs
@@ -3,7 +3,7 @@
 use std::future::Future;
 use std::process::ExitCode;
 
-use conf::Mistakes;
+use conf::SettingsErrors;
 
 use crate::DONE;
 use crate::FAILED;
@@ -56,7 +56,7 @@
 
 fn code(report: &eyre::Report) -> u8 {
     let usage = report.chain().any(|cause| {
-        cause.is::<UsageError>() || cause.is::<Mistakes>() || cause.is::<conf::LoadError>()
+        cause.is::<UsageError>() || cause.is::<SettingsErrors>() || cause.is::<conf::LoadError>()
     });
     if usage { USAGE } else { FAILED }
 }
--- a/crates/conf/src/document.rs
+++ b/crates/conf/src/document.rs
@@ -5,11 +5,11 @@
 use ini_core::Item;
 use ini_core::Parser;
 
-use crate::Mistake;
-use crate::Mistakes;
 use crate::Problem;
 use crate::Section;
-use crate::mistake::nearest;
+use crate::SettingsError;
+use crate::SettingsErrors;
+use crate::error::nearest;
 
 /// One settings file, read section by section.
 #[derive(Debug)]
@@ -17,11 +17,11 @@
     file: Arc<str>,
     sections: Vec<Section>,
     known: Vec<Box<str>>,
-    mistakes: Vec<Mistake>,
+    mistakes: Vec<SettingsError>,
 }
 
 impl Document {
-    /// Splits the text of `file` into sections. Mistakes are kept for [`Document::finish`].
+    /// Splits the text of `file` into sections. Errors are kept for [`Document::finish`].
     pub fn parse(file: &str, text: &str) -> Self {
         let mut doc = Self {
             file: file.into(),
@@ -69,7 +69,7 @@
     }
 
     fn mistake(&mut self, line: u32, problem: Problem) {
-        self.mistakes.push(Mistake {
+        self.mistakes.push(SettingsError {
             file: self.file.clone(),
             line,
             problem,
@@ -105,8 +105,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Mistakes`] when there is at least one.
-    pub fn finish(mut self) -> Result<(), Mistakes> {
+    /// Returns [`SettingsErrors`] when there is at least one.
+    pub fn finish(mut self) -> Result<(), SettingsErrors> {
         for section in std::mem::take(&mut self.sections) {
             if self.known.iter().any(|known| **known == *section.name()) {
                 continue;
@@ -120,6 +120,6 @@
             return Ok(());
         }
         self.mistakes.sort_by_key(|mistake| mistake.line);
-        Err(Mistakes(self.mistakes))
+        Err(SettingsErrors(self.mistakes))
     }
 }
--- a/crates/conf/src/mistake.rs
+++ b/crates/conf/src/error.rs
@@ -5,7 +5,7 @@
 
 /// One mistake in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct SettingsError {
     /// The file.
     pub file: Arc<str>,
     /// The line, counted from 1; 0 when the mistake is an absence.
@@ -14,7 +14,7 @@
     pub problem: Problem,
 }
 
-/// What is wrong at the place that a [`Mistake`] names.
+/// What is wrong at the place that a [`SettingsError`] names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Problem {
@@ -96,7 +96,7 @@
         .unwrap_or_default()
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line == 0 {
             return write!(f, "{}: {}", self.file, self.problem);
@@ -107,9 +107,9 @@
 
 /// Every mistake of one file, in the order of their lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistakes(pub Vec<Mistake>);
+pub struct SettingsErrors(pub Vec<SettingsError>);
 
-impl fmt::Display for Mistakes {
+impl fmt::Display for SettingsErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (at, mistake) in self.0.iter().enumerate() {
             if at > 0 {
@@ -121,7 +121,7 @@
     }
 }
 
-impl std::error::Error for Mistakes {}
+impl std::error::Error for SettingsErrors {}
 
 /// Similarity (Jaro-Winkler) from which a known name is offered as a hint.
 const NEAR: f64 = 0.8;
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -18,21 +18,21 @@
 //! doc.finish()?;
 //! assert_eq!(listen.map(|addr| addr.port()), Some(8080));
 //! assert_eq!(queue, 64);
-//! # Ok::<(), conf::Mistakes>(())
+//! # Ok::<(), conf::SettingsErrors>(())
 //! ```
 
 mod document;
+mod error;
 mod load;
-mod mistake;
 mod section;
 mod value;
 
 pub use document::Document;
+pub use error::Problem;
+pub use error::SettingsError;
+pub use error::SettingsErrors;
 pub use load::LoadError;
 pub use load::load;
-pub use mistake::Mistake;
-pub use mistake::Mistakes;
-pub use mistake::Problem;
 pub use section::Section;
 pub use value::List;
 pub use value::Rate;
--- a/crates/conf/src/section.rs
+++ b/crates/conf/src/section.rs
@@ -3,9 +3,9 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-use crate::Mistake;
 use crate::Problem;
-use crate::mistake::nearest;
+use crate::SettingsError;
+use crate::error::nearest;
 
 /// A key with its value, and whether it has been asked for.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     name: Box<str>,
     entries: Vec<Entry>,
     known: Vec<&'static str>,
-    mistakes: Vec<Mistake>,
+    mistakes: Vec<SettingsError>,
 }
 
 impl Section {
@@ -78,7 +78,7 @@
     }
 
     fn mistake(&mut self, line: u32, problem: Problem) {
-        self.mistakes.push(Mistake {
+        self.mistakes.push(SettingsError {
             file: self.file.clone(),
             line,
             problem,
@@ -145,7 +145,7 @@
         self.mistake(line, problem);
     }
 
-    pub(crate) fn finish(mut self) -> Vec<Mistake> {
+    pub(crate) fn finish(mut self) -> Vec<SettingsError> {
         for entry in std::mem::take(&mut self.entries) {
             if entry.read {
                 continue;
--- a/crates/contract/src/ini.rs
+++ b/crates/contract/src/ini.rs
@@ -6,9 +6,9 @@
 
 use conf::Document;
 use conf::List;
-use conf::Mistakes;
 use conf::Rate;
 use conf::Section;
+use conf::SettingsErrors;
 use conf::Span;
 use kernel::Name;
 
@@ -78,14 +78,14 @@
 /// let mistakes = ini::parse("aarhus.ini", text).unwrap_err();
 /// assert!(mistakes.to_string().contains("token-sha256"));
 /// ```
-pub fn parse(file: &str, text: &str) -> Result<Contract, Mistakes> {
+pub fn parse(file: &str, text: &str) -> Result<Contract, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let mut section = doc.take_section("contract");
     let contract = parse_fields(&mut section);
     doc.finish_section(section);
     doc.finish()?;
     // Each missing field has recorded a mistake, so `finish` has returned if there was one.
-    contract.ok_or(Mistakes(Vec::new()))
+    contract.ok_or(SettingsErrors(Vec::new()))
 }
 
 fn parse_fields(s: &mut Section) -> Option<Contract> {
@@ -213,7 +213,10 @@
 /// # Errors
 ///
 /// Returns all mistakes in the changed contract, including unknown keys.
-pub fn amend(contract: &Contract, changes: &[(String, String)]) -> Result<Contract, Mistakes> {
+pub fn amend(
+    contract: &Contract,
+    changes: &[(String, String)],
+) -> Result<Contract, SettingsErrors> {
     let mut lines: Vec<String> = render(contract).lines().map(str::to_owned).collect();
     for (key, value) in changes {
         let line = format!("{key} = {value}");
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -5,9 +5,9 @@
 
 use conf::Document;
 use conf::List;
-use conf::Mistakes;
 use conf::Rate;
 use conf::Section;
+use conf::SettingsErrors;
 use conf::Span;
 
 use crate::Callers;
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// Returns every mistake of the file at once.
-pub fn read(file: &str, text: &str) -> Result<Settings, Mistakes> {
+pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let mut load = doc.take_section("load");
     let entries = load.need::<List<SocketAddr>>("entries", "addresses separated by commas");
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use conf::Document;
-use conf::Mistakes;
+use conf::SettingsErrors;
 use kernel::Millis;
 
 /// What an instance does.
@@ -109,8 +109,8 @@
 ///
 /// # Errors
 ///
-/// Returns every [`Mistakes`] with file, line and key.
-pub fn read(file: &str, text: &str) -> Result<Settings, Mistakes> {
+/// Returns [`SettingsErrors`], each with file, line and key.
+pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let mut one = doc.take_section("instance");
     let name = one.need::<String>("name", "a name");
--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use conf::Document;
-use conf::Mistakes;
+use conf::SettingsErrors;
 use serve::settings::Peer;
 use serve::settings::many;
 use serve::settings::one;
@@ -28,13 +28,13 @@
 /// # Errors
 ///
 /// Returns every mistake of the file at once.
-pub fn read(file: &str, text: &str) -> Result<Settings, Mistakes> {
+pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let platform = one(&mut doc, "platform", platform);
     let secret = one(&mut doc, "peers", secret);
     let peers = many(&mut doc, "peer", peer);
     doc.finish()?;
-    let absent = || Mistakes(Vec::new());
+    let absent = || SettingsErrors(Vec::new());
     Ok(Settings {
         platform: platform.ok_or_else(absent)?,
         secret: secret.ok_or_else(absent)?,
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -6,8 +6,8 @@
 
 use conf::Document;
 use conf::List;
-use conf::Mistakes;
 use conf::Section;
+use conf::SettingsErrors;
 use conf::Span;
 use kernel::Millis;
 use kernel::Name;
@@ -126,7 +126,7 @@
 /// # Errors
 ///
 /// Returns every mistake of the file at once.
-pub fn read(file: &str, text: &str) -> Result<Settings, Mistakes> {
+pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let me = one(&mut doc, "instance", me);
     let platform = one(&mut doc, "platform", platform);
@@ -141,7 +141,7 @@
     let upstreams = upstreams(&mut doc, &pools);
     doc.finish()?;
     // An absent part has left a mistake, so `finish` has returned by now if there was one.
-    let absent = || Mistakes(Vec::new());
+    let absent = || SettingsErrors(Vec::new());
     Ok(Settings {
         me: me.ok_or_else(absent)?,
         platform: platform.ok_or_else(absent)?,
--- a/crates/snipeway/src/cmd/check.rs
+++ b/crates/snipeway/src/cmd/check.rs
@@ -1,7 +1,7 @@
 //! `snipeway contract check`.
 
 use args::Parsed;
-use conf::Mistakes;
+use conf::SettingsErrors;
 
 /// Checks every file and reports every mistake of all of them.
 pub(crate) fn run(parsed: &Parsed) -> eyre::Result<()> {
@@ -15,5 +15,5 @@
     if mistakes.is_empty() {
         return Ok(());
     }
-    Err(Mistakes(mistakes).into())
+    Err(SettingsErrors(mistakes).into())
 }
--- a/crates/snipeway/src/cmd/settings.rs
+++ b/crates/snipeway/src/cmd/settings.rs
@@ -2,7 +2,7 @@
 
 use args::Parsed;
 use args::UsageError;
-use conf::Mistakes;
+use conf::SettingsErrors;
 
 /// Checks every file and reports every mistake of all of them.
 pub(crate) fn run(parsed: &Parsed) -> eyre::Result<()> {
@@ -17,10 +17,10 @@
     if mistakes.is_empty() {
         return Ok(());
     }
-    Err(Mistakes(mistakes).into())
+    Err(SettingsErrors(mistakes).into())
 }
 
-fn check(kind: &str, file: &str, text: &str) -> Result<Result<(), Mistakes>, UsageError> {
+fn check(kind: &str, file: &str, text: &str) -> Result<Result<(), SettingsErrors>, UsageError> {
     Ok(match kind {
         "entry" => serve::settings::read(file, text).map(drop),
         "operator" => operate::settings::read(file, text).map(drop),
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use conf::Document;
-use conf::Mistakes;
 use conf::Rate;
 use conf::Section;
+use conf::SettingsErrors;
 use conf::Span;
 
 use crate::engine::Make;
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Returns every mistake of the file at once.
-pub fn read(file: &str, text: &str) -> Result<Vec<Part>, Mistakes> {
+pub fn read(file: &str, text: &str) -> Result<Vec<Part>, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let mut parts = Vec::new();
     let kinds: [(&str, Read); 4] = [
