--- a/crates/conf/src/document.rs
+++ b/crates/conf/src/document.rs
@@ -5,9 +5,9 @@
 use ini_core::Item;
 use ini_core::Parser;
 
-use crate::Problem;
 use crate::Section;
 use crate::SettingsError;
+use crate::SettingsErrorKind;
 use crate::SettingsErrors;
 use crate::error::nearest;
 
@@ -44,7 +44,7 @@
             Item::Property(key, _) if key.starts_with('#') => (),
             Item::Property(key, Some(value)) => self.property(line, key, value),
             Item::Property(text, None) | Item::Error(text) => {
-                self.mistake(line, Problem::Syntax { text: text.into() });
+                self.mistake(line, SettingsErrorKind::Syntax { text: text.into() });
             }
             Item::Comment(_) | Item::Blank | Item::SectionEnd => (),
         }
@@ -54,7 +54,7 @@
         if let Some(first) = self.sections.iter().find(|s| s.name() == name) {
             let first = first.line();
             let section = name.into();
-            self.mistake(line, Problem::TwiceSection { section, first });
+            self.mistake(line, SettingsErrorKind::TwiceSection { section, first });
         }
         self.sections
             .push(Section::new(self.file.clone(), line, name));
@@ -62,13 +62,13 @@
 
     fn property(&mut self, line: u32, key: &str, value: &str) {
         let Some(section) = self.sections.last_mut() else {
-            self.mistake(line, Problem::Homeless { key: key.into() });
+            self.mistake(line, SettingsErrorKind::Homeless { key: key.into() });
             return;
         };
         section.add(line, key, value);
     }
 
-    fn mistake(&mut self, line: u32, problem: Problem) {
+    fn mistake(&mut self, line: u32, problem: SettingsErrorKind) {
         self.mistakes.push(SettingsError {
             file: self.file.clone(),
             line,
@@ -114,7 +114,7 @@
             let near = nearest(section.name(), self.known.iter().map(|known| &**known));
             let line = section.line();
             let section = section.name().into();
-            self.mistake(line, Problem::UnknownSection { section, near });
+            self.mistake(line, SettingsErrorKind::UnknownSection { section, near });
         }
         if self.mistakes.is_empty() {
             return Ok(());
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -11,13 +11,13 @@
     /// The line, counted from 1; 0 when the mistake is an absence.
     pub line: u32,
     /// What is wrong.
-    pub problem: Problem,
+    pub problem: SettingsErrorKind,
 }
 
 /// What is wrong at the place that a [`SettingsError`] names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-pub enum Problem {
+pub enum SettingsErrorKind {
     /// The line is no section, key or comment.
     #[error("expected `[section]`, `key = value` or a comment, found {text:?}")]
     Syntax {
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -28,8 +28,8 @@
 mod value;
 
 pub use document::Document;
-pub use error::Problem;
 pub use error::SettingsError;
+pub use error::SettingsErrorKind;
 pub use error::SettingsErrors;
 pub use load::LoadError;
 pub use load::load;
--- a/crates/conf/src/section.rs
+++ b/crates/conf/src/section.rs
@@ -3,8 +3,8 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-use crate::Problem;
 use crate::SettingsError;
+use crate::SettingsErrorKind;
 use crate::error::nearest;
 
 /// A key with its value, and whether it has been asked for.
@@ -61,7 +61,7 @@
 
     pub(crate) fn add(&mut self, line: u32, key: &str, value: &str) {
         if let Some(first) = self.entries.iter().find(|entry| &*entry.key == key) {
-            let problem = Problem::TwiceKey {
+            let problem = SettingsErrorKind::TwiceKey {
                 section: self.name.clone(),
                 key: key.into(),
                 first: first.line,
@@ -77,7 +77,7 @@
         });
     }
 
-    fn mistake(&mut self, line: u32, problem: Problem) {
+    fn mistake(&mut self, line: u32, problem: SettingsErrorKind) {
         self.mistakes.push(SettingsError {
             file: self.file.clone(),
             line,
@@ -127,7 +127,7 @@
     }
 
     fn missing(&mut self, key: &'static str, expected: &'static str) {
-        let problem = Problem::Missing {
+        let problem = SettingsErrorKind::Missing {
             section: self.name.clone(),
             key: key.into(),
             expected,
@@ -136,7 +136,7 @@
     }
 
     fn bad(&mut self, line: u32, key: &str, expected: &'static str, found: Box<str>) {
-        let problem = Problem::Value {
+        let problem = SettingsErrorKind::Value {
             section: self.name.clone(),
             key: key.into(),
             expected,
@@ -150,7 +150,7 @@
             if entry.read {
                 continue;
             }
-            let problem = Problem::UnknownKey {
+            let problem = SettingsErrorKind::UnknownKey {
                 section: self.name.clone(),
                 near: nearest(&entry.key, self.known.iter().copied()),
                 key: entry.key,
--- a/crates/contract/src/ini.rs
+++ b/crates/contract/src/ini.rs
@@ -22,25 +22,25 @@
 const DEFAULT_DEADLINE: Span = Span(30_000);
 
 impl FromStr for CostPreference {
-    type Err = conf::Problem;
+    type Err = conf::SettingsErrorKind;
 
-    fn from_str(text: &str) -> Result<Self, conf::Problem> {
+    fn from_str(text: &str) -> Result<Self, conf::SettingsErrorKind> {
         match text {
             "idle" => Ok(Self::Idle),
             "staleness" => Ok(Self::Staleness),
-            _ => Err(conf::Problem::Syntax { text: text.into() }),
+            _ => Err(conf::SettingsErrorKind::Syntax { text: text.into() }),
         }
     }
 }
 
 impl FromStr for UnscoredPolicy {
-    type Err = conf::Problem;
+    type Err = conf::SettingsErrorKind;
 
-    fn from_str(text: &str) -> Result<Self, conf::Problem> {
+    fn from_str(text: &str) -> Result<Self, conf::SettingsErrorKind> {
         match text {
             "wait" => Ok(Self::Wait),
             "pass" => Ok(Self::Pass),
-            _ => Err(conf::Problem::Syntax { text: text.into() }),
+            _ => Err(conf::SettingsErrorKind::Syntax { text: text.into() }),
         }
     }
 }
