--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -12,8 +12,8 @@
 //!
 //! let mut doc = Document::parse("entry.ini", "[entry]\nlisten = 127.0.0.1:8080\n");
 //! let mut entry = doc.take_section("entry");
-//! let listen = entry.need::<std::net::SocketAddr>("listen", "an IP address and a port");
-//! let queue = entry.or("queue", "a number of requests", 64_u32);
+//! let listen = entry.require::<std::net::SocketAddr>("listen", "an IP address and a port");
+//! let queue = entry.get_or("queue", "a number of requests", 64_u32);
 //! doc.finish_section(entry);
 //! doc.finish()?;
 //! assert_eq!(listen.map(|addr| addr.port()), Some(8080));
--- a/crates/conf/src/section.rs
+++ b/crates/conf/src/section.rs
@@ -103,12 +103,17 @@
     }
 
     /// Reads a key that has a default.
-    pub fn or<T: FromStr>(&mut self, key: &'static str, expected: &'static str, default: T) -> T {
+    pub fn get_or<T: FromStr>(
+        &mut self,
+        key: &'static str,
+        expected: &'static str,
+        default: T,
+    ) -> T {
         self.get(key, expected).unwrap_or(default)
     }
 
     /// Reads a key that must be there.
-    pub fn need<T: FromStr>(&mut self, key: &'static str, expected: &'static str) -> Option<T> {
+    pub fn require<T: FromStr>(&mut self, key: &'static str, expected: &'static str) -> Option<T> {
         if !self.entries.iter().any(|entry| &*entry.key == key) {
             self.known.push(key);
             self.missing(key, expected);
@@ -118,7 +123,7 @@
     }
 
     /// Reports a value that parsed but is not allowed here, or a default that does not do.
-    pub fn refuse(&mut self, key: &'static str, expected: &'static str) {
+    pub fn report_invalid(&mut self, key: &'static str, expected: &'static str) {
         let Some((line, found)) = self.find(key) else {
             self.missing(key, expected);
             return;
--- a/crates/conf/tests/document.rs
+++ b/crates/conf/tests/document.rs
@@ -9,12 +9,12 @@
 fn report(text: &str) -> String {
     let mut doc = Document::parse("a.ini", text);
     let mut entry = doc.take_section("entry");
-    entry.need::<std::net::SocketAddr>("listen", "an IP address and a port");
-    entry.or("queue", "a number of requests", 64_u32);
-    entry.or("patience", "a span of time", Span(5));
+    entry.require::<std::net::SocketAddr>("listen", "an IP address and a port");
+    entry.get_or("queue", "a number of requests", 64_u32);
+    entry.get_or("patience", "a span of time", Span(5));
     doc.finish_section(entry);
     for mut upstream in doc.take_sections("upstream") {
-        upstream.need::<u16>("port", "a port");
+        upstream.require::<u16>("port", "a port");
         doc.finish_section(upstream);
     }
     doc.finish()
--- a/crates/contract/src/ini.rs
+++ b/crates/contract/src/ini.rs
@@ -89,69 +89,69 @@
 }
 
 fn parse_fields(s: &mut Section) -> Option<Contract> {
-    let customer = s.need("customer", "a name");
-    let token = s.need("token-sha256", "64 hexadecimal digits");
-    let models = s.or(
+    let customer = s.require("customer", "a name");
+    let token = s.require("token-sha256", "64 hexadecimal digits");
+    let models = s.get_or(
         "models",
         "names separated by commas",
         List::<Name>(Vec::new()),
     );
-    let services = s.or(
+    let services = s.get_or(
         "services",
         "names separated by commas",
         List::<Name>(Vec::new()),
     );
-    let rate = s.need::<Rate>("rate", "requests a second");
+    let rate = s.require::<Rate>("rate", "requests a second");
     let burst = s.get::<Rate>("burst", "a number of requests");
-    let concurrency = s.need("concurrency", "a number of requests");
-    let tokens = s.or("tokens", "tokens a second", Rate(0.0));
-    let class = s.or("class", "a priority class from 0 to 7", 3);
-    let weight = s.or("weight", "a share of at least 1", 1);
-    let deadline = s.or(
+    let concurrency = s.require("concurrency", "a number of requests");
+    let tokens = s.get_or("tokens", "tokens a second", Rate(0.0));
+    let class = s.get_or("class", "a priority class from 0 to 7", 3);
+    let weight = s.get_or("weight", "a share of at least 1", 1);
+    let deadline = s.get_or(
         "deadline",
         "a span of time such as 800ms or 5s",
         DEFAULT_DEADLINE,
     );
-    let max_staleness = s.or("staleness", "a number of weight versions", 1);
-    let cost_preference = s.or("weighs", "idle or staleness", CostPreference::Idle);
-    let once = s.or(
+    let max_staleness = s.get_or("staleness", "a number of weight versions", 1);
+    let cost_preference = s.get_or("weighs", "idle or staleness", CostPreference::Idle);
+    let once = s.get_or(
         "once",
         "SERVICE:METHOD:/path rules separated by commas",
         List::<NonIdempotentRule>(Vec::new()),
     );
-    let scorer = s.or(
+    let scorer = s.get_or(
         "scorer",
         "the name of a plain service",
         List::<Name>(Vec::new()),
     );
-    let unscored = s.or("unscored", "wait or pass", UnscoredPolicy::Wait);
+    let unscored = s.get_or("unscored", "wait or pass", UnscoredPolicy::Wait);
     if scorer.0.len() > 1 {
-        s.refuse("scorer", "one name at most");
+        s.report_invalid("scorer", "one name at most");
     }
     if class > MAX_CLASS {
-        s.refuse("class", "a priority class from 0 to 7");
+        s.report_invalid("class", "a priority class from 0 to 7");
     }
     if weight == 0 {
-        s.refuse("weight", "a share of at least 1");
+        s.report_invalid("weight", "a share of at least 1");
     }
     if concurrency == Some(0) {
-        s.refuse("concurrency", "at least 1");
+        s.report_invalid("concurrency", "at least 1");
     }
     if rate.is_some_and(|rate| rate.0 == 0.0) {
-        s.refuse("rate", "more than 0 requests a second");
+        s.report_invalid("rate", "more than 0 requests a second");
     }
     if deadline.0 == 0 {
-        s.refuse("deadline", "a span of time above 0");
+        s.report_invalid("deadline", "a span of time above 0");
     }
     if once
         .0
         .iter()
         .any(|rule| !services.0.contains(&rule.service))
     {
-        s.refuse("once", "rules for services of this contract");
+        s.report_invalid("once", "rules for services of this contract");
     }
     if !models.0.is_empty() && tokens.0 == 0.0 {
-        s.refuse(
+        s.report_invalid(
             "tokens",
             "more than 0 tokens a second, as the contract has models",
         );
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -30,9 +30,9 @@
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let mut load = doc.take_section("load");
-    let entries = load.need::<List<SocketAddr>>("entries", "addresses separated by commas");
+    let entries = load.require::<List<SocketAddr>>("entries", "addresses separated by commas");
     if entries.as_ref().is_some_and(|list| list.0.is_empty()) {
-        load.refuse("entries", "at least one address");
+        load.report_invalid("entries", "at least one address");
     }
     doc.finish_section(load);
     let entries = entries.map(|list| list.0).unwrap_or_default();
@@ -56,15 +56,15 @@
 }
 
 fn callers(s: &mut Section, entries: &[SocketAddr]) -> Option<Callers> {
-    let token = s.need("token", "a bearer token");
-    let path = s.need("path", "a path such as /v1/services/portal/size/{n}");
-    let rate = s.or("rate", "calls a second", Rate(10.0)).0;
-    let span = s.or("span", "a span of time", Span(10_000)).0;
-    let once = s.or("once", "true or false", false);
-    let timeout = s.or("timeout", "a span of time", Span(2_000)).0;
-    let seed = s.or("seed", "a number", 1);
+    let token = s.require("token", "a bearer token");
+    let path = s.require("path", "a path such as /v1/services/portal/size/{n}");
+    let rate = s.get_or("rate", "calls a second", Rate(10.0)).0;
+    let span = s.get_or("span", "a span of time", Span(10_000)).0;
+    let once = s.get_or("once", "true or false", false);
+    let timeout = s.get_or("timeout", "a span of time", Span(2_000)).0;
+    let seed = s.get_or("seed", "a number", 1);
     if rate == 0.0 {
-        s.refuse("rate", "more than 0 calls a second");
+        s.report_invalid("rate", "more than 0 calls a second");
     }
     Some(Callers {
         entries: entries.to_vec(),
@@ -79,19 +79,19 @@
 }
 
 fn trainer(s: &mut Section, name: &str, entries: &[SocketAddr]) -> Option<Trainer> {
-    let token = s.need("token", "a bearer token");
-    let model = s.need("model", "a name");
+    let token = s.require("token", "a bearer token");
+    let model = s.require("model", "a name");
     Some(Trainer {
         entries: entries.to_vec(),
         token: token?,
         model: model?,
-        groups: s.or("groups", "a number of groups", 16),
-        samples: s.or("samples", "a number of samples", 4),
-        tokens: s.or("tokens", "a number of tokens", 1_024),
-        steps: s.or("steps", "a number of steps", 3),
-        train: Duration::from_millis(s.or("train", "a span of time", Span(1_000)).0),
-        version: s.or("version", "a weight version", 1),
+        groups: s.get_or("groups", "a number of groups", 16),
+        samples: s.get_or("samples", "a number of samples", 4),
+        tokens: s.get_or("tokens", "a number of tokens", 1_024),
+        steps: s.get_or("steps", "a number of steps", 3),
+        train: Duration::from_millis(s.get_or("train", "a span of time", Span(1_000)).0),
+        version: s.get_or("version", "a weight version", 1),
         label: name.to_owned(),
-        median: s.or("median", "a number of tokens", 0),
+        median: s.get_or("median", "a number of tokens", 0),
     })
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -113,50 +113,50 @@
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let mut one = doc.take_section("instance");
-    let name = one.need::<String>("name", "a name");
-    let domain = one.need::<String>("domain", "a name");
-    let role = one.need::<Role>("role", "entry or control");
-    let address = one.need::<IpAddr>("address", "an IP address");
+    let name = one.require::<String>("name", "a name");
+    let domain = one.require::<String>("domain", "a name");
+    let role = one.require::<Role>("role", "entry or control");
+    let address = one.require::<IpAddr>("address", "an IP address");
     let listen = one.get::<SocketAddr>("listen", "an IP address and a port");
     let ready = one.get::<SocketAddr>("ready", "an IP address and a port");
-    let peer = one.need::<u16>("peer", "a port");
-    let cores = one.or("cores", "a part of a core, as 0.5", 1.0);
+    let peer = one.require::<u16>("peer", "a port");
+    let cores = one.get_or("cores", "a part of a core, as 0.5", 1.0);
     doc.finish_section(one);
 
     let mut plat = doc.take_section("platform");
-    let platform = plat.need::<SocketAddr>("address", "an IP address and a port");
-    let shortest = plat.or("shortest_lease_ms", "milliseconds", 1_000);
+    let platform = plat.require::<SocketAddr>("address", "an IP address and a port");
+    let shortest = plat.get_or("shortest_lease_ms", "milliseconds", 1_000);
     doc.finish_section(plat);
 
     let mut times = doc.take_section("times");
-    let grace = times.or("grace_s", "seconds", 8.0);
-    let turn = times.or("turn_ms", "milliseconds", 3_000);
-    let keep = times.or("keep_s", "seconds", 120.0);
-    let cancel = times.or("cancel_ms", "milliseconds", 3_000);
-    let apply = times.or("apply_ms", "milliseconds", 2_000);
+    let grace = times.get_or("grace_s", "seconds", 8.0);
+    let turn = times.get_or("turn_ms", "milliseconds", 3_000);
+    let keep = times.get_or("keep_s", "seconds", 120.0);
+    let cancel = times.get_or("cancel_ms", "milliseconds", 3_000);
+    let apply = times.get_or("apply_ms", "milliseconds", 2_000);
     doc.finish_section(times);
 
     let mut keys = doc.take_section("keys");
-    let closed = keys.or("fail_closed", "true or false", false);
-    let revoke = keys.or("revoke_ms", "milliseconds", 5_000);
+    let closed = keys.get_or("fail_closed", "true or false", false);
+    let revoke = keys.get_or("revoke_ms", "milliseconds", 5_000);
     doc.finish_section(keys);
 
     let mut accounts = doc.take_section("accounts");
     let account = accounts.get::<SocketAddr>("address", "an IP address and a port");
-    let window = accounts.or("window_s", "seconds", 5.0);
-    let late = accounts.or("late_s", "seconds", 10.0);
+    let window = accounts.get_or("window_s", "seconds", 5.0);
+    let late = accounts.get_or("late_s", "seconds", 10.0);
     doc.finish_section(accounts);
 
     let mut capacity = doc.take_section("capacity");
-    let fill = capacity.or("fill", "a part of the samples, as 0.8", FILL);
+    let fill = capacity.get_or("fill", "a part of the samples, as 0.8", FILL);
     doc.finish_section(capacity);
 
     let mut weights = doc.take_section("weights");
-    let part = weights.or("part", "a part of the engines, as 0.2", PART);
+    let part = weights.get_or("part", "a part of the engines, as 0.2", PART);
     doc.finish_section(weights);
 
     let mut log = doc.take_section("log");
-    let level = log.or(
+    let level = log.get_or(
         "level",
         "error, warn, info, debug or off",
         log::LevelFilter::Info,
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -180,9 +180,9 @@
 const SPAN: &str = "a span of time such as 250ms or 5s";
 
 fn me(s: &mut Section) -> Option<Me> {
-    let name = s.need("name", NAME);
-    let domain = s.need("domain", NAME);
-    let listen = s.need("listen", ADDRESS);
+    let name = s.require("name", NAME);
+    let domain = s.require("domain", NAME);
+    let listen = s.require("listen", ADDRESS);
     let address = s.get("address", ADDRESS).or(listen);
     Some(Me {
         name: name?,
@@ -194,9 +194,9 @@
 
 /// Reads `[platform]`.
 pub fn platform(s: &mut Section) -> Option<Vec<SocketAddr>> {
-    let list = s.need::<List<SocketAddr>>("addresses", "addresses separated by commas")?;
+    let list = s.require::<List<SocketAddr>>("addresses", "addresses separated by commas")?;
     if list.0.is_empty() {
-        s.refuse("addresses", "at least one address");
+        s.report_invalid("addresses", "at least one address");
     }
     Some(list.0)
 }
@@ -206,9 +206,9 @@
 
 /// Reads `[peers]`.
 pub fn secret(s: &mut Section) -> Option<Secret> {
-    let text = s.need::<String>("secret", "a text of at least 16 characters")?;
+    let text = s.require::<String>("secret", "a text of at least 16 characters")?;
     if text.len() < SECRET {
-        s.refuse("secret", "a text of at least 16 characters");
+        s.report_invalid("secret", "a text of at least 16 characters");
     }
     Some(Secret::new(&text))
 }
@@ -216,8 +216,8 @@
 /// Reads a `[peer NAME]`.
 pub fn peer(s: &mut Section) -> Option<Peer> {
     let name = label(s);
-    let domain = s.need("domain", NAME);
-    let address = s.need("address", ADDRESS);
+    let domain = s.require("domain", NAME);
+    let address = s.require("address", ADDRESS);
     Some(Peer {
         name: name?,
         domain: domain?,
@@ -229,17 +229,17 @@
 fn label(s: &mut Section) -> Option<Name> {
     let name = s.label().parse().ok();
     if name.is_none() {
-        s.refuse("[title]", NAME);
+        s.report_invalid("[title]", NAME);
     }
     name
 }
 
 fn plugin_of<P: plugin::Plugin>(s: &mut Section, key: &'static str, default: &str) -> &'static str {
-    let asked: String = s.or(key, "a name", default.to_owned());
+    let asked: String = s.get_or(key, "a name", default.to_owned());
     match plugin::find::<P>(&asked) {
         Ok(found) => found.name(),
         Err(_) => {
-            s.refuse(key, "the name of a policy; see the table in README.md");
+            s.report_invalid(key, "the name of a policy; see the table in README.md");
             ""
         }
     }
@@ -247,10 +247,10 @@
 
 fn pool(s: &mut Section) -> Option<Pool> {
     let name = label(s);
-    let kind = s.need("kind", "engine or service");
+    let kind = s.require("kind", "engine or service");
     let order = plugin_of::<QueueOrder>(s, "order", "fair");
     let chooser = plugin_of::<Chooser>(s, "chooser", "scored");
-    let queue = s.or("queue", "a number of requests", 1_024);
+    let queue = s.get_or("queue", "a number of requests", 1_024);
     Some(Pool {
         name: name?,
         kind: kind?,
@@ -263,17 +263,17 @@
 fn upstreams(doc: &mut Document, pools: &[Pool]) -> Vec<Spec> {
     many(doc, "upstream", |s| {
         let name = label(s);
-        let addr = s.need("address", ADDRESS);
-        let domain = s.need("domain", NAME);
-        let slots = s.or("slots", "a number of requests", 16);
-        let fencing = s.or("fencing", "true or false", false);
-        let pool = s.need::<Name>("pool", "the name of a [pool NAME] section")?;
+        let addr = s.require("address", ADDRESS);
+        let domain = s.require("domain", NAME);
+        let slots = s.get_or("slots", "a number of requests", 16);
+        let fencing = s.get_or("fencing", "true or false", false);
+        let pool = s.require::<Name>("pool", "the name of a [pool NAME] section")?;
         let Some(found) = pools.iter().find(|known| known.name == pool) else {
-            s.refuse("pool", "the name of a [pool NAME] section");
+            s.report_invalid("pool", "the name of a [pool NAME] section");
             return None;
         };
         if slots == 0 {
-            s.refuse("slots", "at least 1");
+            s.report_invalid("slots", "at least 1");
         }
         Some(Spec {
             name: name?,
@@ -290,12 +290,12 @@
 fn bounds(s: &mut Section) -> Bounds {
     let base = Limits::default();
     let span = |span: Span| Duration::from_millis(span.0);
-    let body = s.or("body", "a number of bytes", 1 << 20);
-    let answer = s.or("answer", "a number of bytes", 8 << 20);
-    let patience = s.or("patience", SPAN, Span(10_000));
-    let headers = s.or("headers", SPAN, Span(10_000));
-    let grace = s.or("grace", SPAN, Span(600_000));
-    let connections = s.or("connections", "a number of connections", base.connections);
+    let body = s.get_or("body", "a number of bytes", 1 << 20);
+    let answer = s.get_or("answer", "a number of bytes", 8 << 20);
+    let patience = s.get_or("patience", SPAN, Span(10_000));
+    let headers = s.get_or("headers", SPAN, Span(10_000));
+    let grace = s.get_or("grace", SPAN, Span(600_000));
+    let connections = s.get_or("connections", "a number of connections", base.connections);
     Bounds {
         body,
         answer,
@@ -310,14 +310,14 @@
 }
 
 fn journal(s: &mut Section) -> Journal {
-    let shards = s.or("shards", "a number of shards", 16);
-    let keep = s.or(
+    let shards = s.get_or("shards", "a number of shards", 16);
+    let keep = s.get_or(
         "keep",
         "a span of time such as 10m or 24h",
         Span(86_400_000),
     );
     if shards == 0 {
-        s.refuse("shards", "at least 1");
+        s.report_invalid("shards", "at least 1");
     }
     let keep = keep.0;
     Journal { shards, keep }
@@ -328,16 +328,16 @@
 }
 
 fn weights(s: &mut Section) -> Weights {
-    let poll = s.or("poll", SPAN, Span(1_000));
-    let store = s.or("store", "the URL before /MODEL/VERSION", String::new());
+    let poll = s.get_or("poll", SPAN, Span(1_000));
+    let store = s.get_or("store", "the URL before /MODEL/VERSION", String::new());
     let folder = s.get::<PathBuf>("folder", "a folder");
-    let caches = s.or(
+    let caches = s.get_or(
         "caches",
         "addresses separated by commas",
         List::<SocketAddr>(Vec::new()),
     );
     if folder.is_some() && store.is_empty() {
-        s.refuse(
+        s.report_invalid(
             "store",
             "the URL before /MODEL/VERSION, as there is a cache",
         );
@@ -353,8 +353,8 @@
 fn log(s: &mut Section) -> logs::Settings {
     let base = logs::Settings::default();
     logs::Settings {
-        level: s.or("level", "error, warn, info, debug or off", base.level),
-        form: s.or("form", "pairs or json", base.form),
+        level: s.get_or("level", "error, warn, info, debug or off", base.level),
+        form: s.get_or("form", "pairs or json", base.form),
         audit: s.get::<PathBuf>("audit", "a file"),
         sink: base.sink,
     }
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -54,7 +54,7 @@
     ];
     for (kind, role) in kinds {
         for mut section in doc.take_sections(kind) {
-            let listen = section.need("listen", "an IP address and a port");
+            let listen = section.require("listen", "an IP address and a port");
             let role = role(&mut section);
             let name = section.label().to_owned();
             doc.finish_section(section);
@@ -68,23 +68,23 @@
 fn engine(s: &mut Section) -> Role {
     let make = Make::default();
     Role::Engine(Make {
-        speed: s.or("speed", "tokens a second", Rate(make.speed)).0,
-        slots: s.or("slots", "a number of streams", make.slots),
-        median: s.or("median", "a number of tokens", make.median),
-        version: s.or("version", "a weight version", make.version),
-        fencing: s.or("fencing", "true or false", make.fencing),
-        swap: std::time::Duration::from_millis(s.or("swap", "a span of time", Span(50)).0),
+        speed: s.get_or("speed", "tokens a second", Rate(make.speed)).0,
+        slots: s.get_or("slots", "a number of streams", make.slots),
+        median: s.get_or("median", "a number of tokens", make.median),
+        version: s.get_or("version", "a weight version", make.version),
+        fencing: s.get_or("fencing", "true or false", make.fencing),
+        swap: std::time::Duration::from_millis(s.get_or("swap", "a span of time", Span(50)).0),
     })
 }
 
 fn service(s: &mut Section) -> Role {
-    let work = s.or("work", "a span of time", Span(5)).0;
-    let slots = s.or("slots", "a number of calls", 32);
+    let work = s.get_or("work", "a span of time", Span(5)).0;
+    let slots = s.get_or("slots", "a number of calls", 32);
     Role::Service(work, slots)
 }
 
 fn store(s: &mut Section) -> Role {
-    let size = s.or("size", "a number of bytes", 1 << 20);
-    let rate = s.or("rate", "bytes a second", Rate(100e6)).0;
+    let size = s.get_or("size", "a number of bytes", 1 << 20);
+    let rate = s.get_or("rate", "bytes a second", Rate(100e6)).0;
     Role::Store(size, rate)
 }
