--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -34,6 +34,6 @@
 pub use load::LoadError;
 pub use load::load;
 pub use section::Section;
+pub use value::DurationMs;
 pub use value::List;
 pub use value::Rate;
-pub use value::Span;
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -19,16 +19,16 @@
 /// # Examples
 ///
 /// ```
-/// use conf::Span;
+/// use conf::DurationMs;
 ///
-/// assert_eq!("6s".parse::<Span>()?.0, 6_000);
-/// assert!("6".parse::<Span>().is_err());
+/// assert_eq!("6s".parse::<DurationMs>()?.0, 6_000);
+/// assert!("6".parse::<DurationMs>().is_err());
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Millis);
+pub struct DurationMs(pub Millis);
 
-impl FromStr for Span {
+impl FromStr for DurationMs {
     type Err = FormError;
 
     fn from_str(text: &str) -> Result<Self, FormError> {
@@ -45,7 +45,7 @@
     }
 }
 
-impl fmt::Display for Span {
+impl fmt::Display for DurationMs {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (unit, sign) in [(HOUR, "h"), (MINUTE, "m"), (SECOND, "s")] {
             if self.0 > 0 && self.0.is_multiple_of(unit) {
--- a/crates/conf/tests/document.rs
+++ b/crates/conf/tests/document.rs
@@ -1,8 +1,8 @@
 //! Tests of the settings reader.
 
 use conf::Document;
+use conf::DurationMs;
 use conf::List;
-use conf::Span;
 use yare::parameterized;
 
 /// Reads the keys of a small program and returns the report.
@@ -11,7 +11,7 @@
     let mut entry = doc.take_section("entry");
     entry.require::<std::net::SocketAddr>("listen", "an IP address and a port");
     entry.get_or("queue", "a number of requests", 64_u32);
-    entry.get_or("patience", "a span of time", Span(5));
+    entry.get_or("patience", "a span of time", DurationMs(5));
     doc.finish_section(entry);
     for mut upstream in doc.take_sections("upstream") {
         upstream.require::<u16>("port", "a port");
@@ -58,7 +58,7 @@
     negative = { "-3s", None },
 )]
 fn spans(text: &str, expected: Option<u64>) {
-    assert_eq!(text.parse::<Span>().ok().map(|span| span.0), expected);
+    assert_eq!(text.parse::<DurationMs>().ok().map(|span| span.0), expected);
 }
 
 #[test]
--- a/crates/contract/src/ini.rs
+++ b/crates/contract/src/ini.rs
@@ -5,11 +5,11 @@
 use std::str::FromStr;
 
 use conf::Document;
+use conf::DurationMs;
 use conf::List;
 use conf::Rate;
 use conf::Section;
 use conf::SettingsErrors;
-use conf::Span;
 use kernel::Name;
 
 use crate::Contract;
@@ -19,7 +19,7 @@
 use crate::model::MAX_CLASS;
 
 /// Default maximum duration of a request.
-const DEFAULT_DEADLINE: Span = Span(30_000);
+const DEFAULT_DEADLINE: DurationMs = DurationMs(30_000);
 
 impl FromStr for CostPreference {
     type Err = conf::SettingsErrorKind;
@@ -198,7 +198,7 @@
     line("tokens", &c.token_rate);
     line("class", &c.class);
     line("weight", &c.weight);
-    line("deadline", &Span(c.deadline));
+    line("deadline", &DurationMs(c.deadline));
     line("staleness", &c.max_staleness);
     line("weighs", &c.cost_preference);
     line("once", &join(&c.non_idempotent));
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use conf::Document;
+use conf::DurationMs;
 use conf::List;
 use conf::Rate;
 use conf::Section;
 use conf::SettingsErrors;
-use conf::Span;
 
 use crate::Callers;
 use crate::Trainer;
@@ -59,9 +59,9 @@
     let token = s.require("token", "a bearer token");
     let path = s.require("path", "a path such as /v1/services/portal/size/{n}");
     let rate = s.get_or("rate", "calls a second", Rate(10.0)).0;
-    let span = s.get_or("span", "a span of time", Span(10_000)).0;
+    let span = s.get_or("span", "a span of time", DurationMs(10_000)).0;
     let once = s.get_or("once", "true or false", false);
-    let timeout = s.get_or("timeout", "a span of time", Span(2_000)).0;
+    let timeout = s.get_or("timeout", "a span of time", DurationMs(2_000)).0;
     let seed = s.get_or("seed", "a number", 1);
     if rate == 0.0 {
         s.report_invalid("rate", "more than 0 calls a second");
@@ -89,7 +89,7 @@
         samples: s.get_or("samples", "a number of samples", 4),
         tokens: s.get_or("tokens", "a number of tokens", 1_024),
         steps: s.get_or("steps", "a number of steps", 3),
-        train: Duration::from_millis(s.get_or("train", "a span of time", Span(1_000)).0),
+        train: Duration::from_millis(s.get_or("train", "a span of time", DurationMs(1_000)).0),
         version: s.get_or("version", "a weight version", 1),
         label: name.to_owned(),
         median: s.get_or("median", "a number of tokens", 0),
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use conf::Document;
+use conf::DurationMs;
 use conf::List;
 use conf::Section;
 use conf::SettingsErrors;
-use conf::Span;
 use kernel::Millis;
 use kernel::Name;
 use kernel::plugin;
@@ -289,12 +289,12 @@
 
 fn bounds(s: &mut Section) -> Bounds {
     let base = Limits::default();
-    let span = |span: Span| Duration::from_millis(span.0);
+    let span = |span: DurationMs| Duration::from_millis(span.0);
     let body = s.get_or("body", "a number of bytes", 1 << 20);
     let answer = s.get_or("answer", "a number of bytes", 8 << 20);
-    let patience = s.get_or("patience", SPAN, Span(10_000));
-    let headers = s.get_or("headers", SPAN, Span(10_000));
-    let grace = s.get_or("grace", SPAN, Span(600_000));
+    let patience = s.get_or("patience", SPAN, DurationMs(10_000));
+    let headers = s.get_or("headers", SPAN, DurationMs(10_000));
+    let grace = s.get_or("grace", SPAN, DurationMs(600_000));
     let connections = s.get_or("connections", "a number of connections", base.connections);
     Bounds {
         body,
@@ -314,7 +314,7 @@
     let keep = s.get_or(
         "keep",
         "a span of time such as 10m or 24h",
-        Span(86_400_000),
+        DurationMs(86_400_000),
     );
     if shards == 0 {
         s.report_invalid("shards", "at least 1");
@@ -328,7 +328,7 @@
 }
 
 fn weights(s: &mut Section) -> Weights {
-    let poll = s.get_or("poll", SPAN, Span(1_000));
+    let poll = s.get_or("poll", SPAN, DurationMs(1_000));
     let store = s.get_or("store", "the URL before /MODEL/VERSION", String::new());
     let folder = s.get::<PathBuf>("folder", "a folder");
     let caches = s.get_or(
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use conf::Document;
+use conf::DurationMs;
 use conf::Rate;
 use conf::Section;
 use conf::SettingsErrors;
-use conf::Span;
 
 use crate::engine::Make;
 
@@ -73,12 +73,14 @@
         median: s.get_or("median", "a number of tokens", make.median),
         version: s.get_or("version", "a weight version", make.version),
         fencing: s.get_or("fencing", "true or false", make.fencing),
-        swap: std::time::Duration::from_millis(s.get_or("swap", "a span of time", Span(50)).0),
+        swap: std::time::Duration::from_millis(
+            s.get_or("swap", "a span of time", DurationMs(50)).0,
+        ),
     })
 }
 
 fn service(s: &mut Section) -> Role {
-    let work = s.get_or("work", "a span of time", Span(5)).0;
+    let work = s.get_or("work", "a span of time", DurationMs(5)).0;
     let slots = s.get_or("slots", "a number of calls", 32);
     Role::Service(work, slots)
 }
