--- a/crates/conf/src/document.rs
+++ b/crates/conf/src/document.rs
@@ -1,4 +1,4 @@
-//! The sections of one settings file.
+//! A settings file split into sections.
 
 use std::sync::Arc;
 
@@ -9,85 +9,96 @@
 use crate::SettingsError;
 use crate::SettingsErrorKind;
 use crate::SettingsErrors;
-use crate::error::nearest;
+use crate::error::nearest_name;
 
-/// One settings file, read section by section.
+/// A parsed settings file from which the program takes one section after another.
 #[derive(Debug)]
 pub struct Document {
     file: Arc<str>,
     sections: Vec<Section>,
-    known: Vec<Box<str>>,
-    mistakes: Vec<SettingsError>,
+    /// Section names that the program has asked for, `kind NAME` for those with a label.
+    requested_names: Vec<Box<str>>,
+    errors: Vec<SettingsError>,
 }
 
 impl Document {
-    /// Splits the text of `file` into sections. Errors are kept for [`Document::finish`].
+    /// Splits the text of `file` into sections. [`Document::finish`] returns the errors found.
     pub fn parse(file: &str, text: &str) -> Self {
         let mut doc = Self {
             file: file.into(),
             sections: Vec::new(),
-            known: Vec::new(),
-            mistakes: Vec::new(),
+            requested_names: Vec::new(),
+            errors: Vec::new(),
         };
-        // The parser counts line ends; a last line without one would get the number before its own.
+        // The parser counts line feeds, so a last line without one would be reported with the number
+        // of the line before it.
         let text = format!("{text}\n");
         let mut parser = Parser::new(&text).auto_trim(true);
         while let Some(item) = parser.next() {
-            doc.item(parser.line(), item);
+            doc.handle_item(parser.line(), item);
         }
         doc
     }
 
-    fn item(&mut self, line: u32, item: Item<'_>) {
+    fn handle_item(&mut self, line: u32, item: Item<'_>) {
         match item {
-            Item::Section(name) => self.open(line, name),
+            Item::Section(name) => self.start_section(line, name),
             Item::Property(key, _) if key.starts_with('#') => (),
-            Item::Property(key, Some(value)) => self.property(line, key, value),
+            Item::Property(key, Some(value)) => self.add_property(line, key, value),
             Item::Property(text, None) | Item::Error(text) => {
-                self.mistake(line, SettingsErrorKind::Syntax { text: text.into() });
+                self.record_error(line, SettingsErrorKind::Syntax { text: text.into() });
             }
             Item::Comment(_) | Item::Blank | Item::SectionEnd => (),
         }
     }
 
-    fn open(&mut self, line: u32, name: &str) {
+    fn start_section(&mut self, line: u32, name: &str) {
         if let Some(first) = self.sections.iter().find(|s| s.name() == name) {
-            let first = first.line();
+            let first_line = first.line();
             let section = name.into();
-            self.mistake(line, SettingsErrorKind::TwiceSection { section, first });
+            self.record_error(
+                line,
+                SettingsErrorKind::DuplicateSection {
+                    section,
+                    first_line,
+                },
+            );
         }
         self.sections
             .push(Section::new(self.file.clone(), line, name));
     }
 
-    fn property(&mut self, line: u32, key: &str, value: &str) {
+    fn add_property(&mut self, line: u32, key: &str, value: &str) {
         let Some(section) = self.sections.last_mut() else {
-            self.mistake(line, SettingsErrorKind::Homeless { key: key.into() });
+            self.record_error(
+                line,
+                SettingsErrorKind::KeyOutsideSection { key: key.into() },
+            );
             return;
         };
         section.add(line, key, value);
     }
 
-    fn mistake(&mut self, line: u32, problem: SettingsErrorKind) {
-        self.mistakes.push(SettingsError {
+    fn record_error(&mut self, line: u32, kind: SettingsErrorKind) {
+        self.errors.push(SettingsError {
             file: self.file.clone(),
             line,
-            problem,
+            kind,
         });
     }
 
-    /// Takes the section `name` out to read it; an empty one when the file has none.
+    /// Removes and returns the section `name`; an empty section if the file has none.
     pub fn take_section(&mut self, name: &str) -> Section {
-        self.known.push(name.into());
+        self.requested_names.push(name.into());
         match self.sections.iter().position(|s| s.name() == name) {
-            Some(at) => self.sections.remove(at),
+            Some(index) => self.sections.remove(index),
             None => Section::new(self.file.clone(), 0, name),
         }
     }
 
-    /// Takes out every section `[kind NAME]`, in the order of the file.
+    /// Removes and returns every section `[kind NAME]` in file order.
     pub fn take_sections(&mut self, kind: &str) -> Vec<Section> {
-        self.known.push(format!("{kind} NAME").into());
+        self.requested_names.push(format!("{kind} NAME").into());
         let prefix = format!("{kind} ");
         let (taken, rest) = std::mem::take(&mut self.sections)
             .into_iter()
@@ -96,30 +107,44 @@
         taken
     }
 
-    /// Gives back a section that has been read; its unread keys become mistakes.
+    /// Collects the errors of a section after its keys were read; keys that were not read are
+    /// reported as unknown.
     pub fn finish_section(&mut self, section: Section) {
-        self.mistakes.extend(section.finish());
+        self.errors.extend(section.into_errors());
     }
 
-    /// Reports every mistake of the file.
+    /// Reports every error of the file at once, including sections that were not taken.
     ///
     /// # Errors
     ///
-    /// Returns [`SettingsErrors`] when there is at least one.
+    /// Returns [`SettingsErrors`] if there is at least one, sorted by line.
     pub fn finish(mut self) -> Result<(), SettingsErrors> {
         for section in std::mem::take(&mut self.sections) {
-            if self.known.iter().any(|known| **known == *section.name()) {
+            if self
+                .requested_names
+                .iter()
+                .any(|name| **name == *section.name())
+            {
                 continue;
             }
-            let near = nearest(section.name(), self.known.iter().map(|known| &**known));
+            let suggestion = nearest_name(
+                section.name(),
+                self.requested_names.iter().map(|name| &**name),
+            );
             let line = section.line();
             let section = section.name().into();
-            self.mistake(line, SettingsErrorKind::UnknownSection { section, near });
+            self.record_error(
+                line,
+                SettingsErrorKind::UnknownSection {
+                    section,
+                    suggestion,
+                },
+            );
         }
-        if self.mistakes.is_empty() {
+        if self.errors.is_empty() {
             return Ok(());
         }
-        self.mistakes.sort_by_key(|mistake| mistake.line);
-        Err(SettingsErrors(self.mistakes))
+        self.errors.sort_by_key(|error| error.line);
+        Err(SettingsErrors(self.errors))
     }
 }
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -1,121 +1,125 @@
-//! What can be wrong with a settings file.
+//! Errors in settings files, and suggestions for misspelled names.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// One mistake in a settings file.
+/// An error in a settings file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The file.
+    /// The file name as given to [`Document::parse`](crate::Document::parse).
     pub file: Arc<str>,
-    /// The line, counted from 1; 0 when the mistake is an absence.
+    /// The line, counted from 1. For a missing key it is the line of the section header, or 0 if the
+    /// file has no such section.
     pub line: u32,
-    /// What is wrong.
-    pub problem: SettingsErrorKind,
+    /// The kind of error and its details.
+    pub kind: SettingsErrorKind,
 }
 
-/// What is wrong at the place that a [`SettingsError`] names.
+/// The kind of a [`SettingsError`]. Its [`Display`](fmt::Display) text is the message without the
+/// position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum SettingsErrorKind {
-    /// The line is no section, key or comment.
+    /// The line is neither a section header, a key nor a comment.
     #[error("expected `[section]`, `key = value` or a comment, found {text:?}")]
     Syntax {
-        /// The line's text.
+        /// The text of the line.
         text: Box<str>,
     },
-    /// A key stands before the first section.
+    /// A key precedes the first section header.
     #[error("key {key:?} stands before the first section")]
-    Homeless {
-        /// The key.
+    KeyOutsideSection {
+        /// The key's name.
         key: Box<str>,
     },
-    /// The section is there twice.
-    #[error("section [{section}] is already on line {first}")]
-    TwiceSection {
-        /// The section.
+    /// The file has two sections of the same name.
+    #[error("section [{section}] is already on line {first_line}")]
+    DuplicateSection {
+        /// The section's name.
         section: Box<str>,
-        /// Where it stands first.
-        first: u32,
+        /// The line of the first occurrence.
+        first_line: u32,
     },
-    /// The key is there twice in one section.
-    #[error("key {key:?} of [{section}] is already on line {first}")]
-    TwiceKey {
-        /// The section.
+    /// A section has the same key twice.
+    #[error("key {key:?} of [{section}] is already on line {first_line}")]
+    DuplicateKey {
+        /// The section's name.
         section: Box<str>,
-        /// The key.
+        /// The key's name.
         key: Box<str>,
-        /// Where it stands first.
-        first: u32,
+        /// The line of the first occurrence.
+        first_line: u32,
     },
-    /// Nobody asked for the section.
-    #[error("unknown section [{section}]{}", hint(.near))]
+    /// The program does not read a section of this name.
+    #[error("unknown section [{section}]{}", did_you_mean(.suggestion))]
     UnknownSection {
-        /// The section.
+        /// The section's name.
         section: Box<str>,
-        /// The nearest known name.
-        near: Option<Box<str>>,
+        /// The most similar known name, if one is similar enough.
+        suggestion: Option<Box<str>>,
     },
-    /// Nobody asked for the key.
-    #[error("unknown key {key:?} in [{section}]{}", hint(.near))]
+    /// The program does not read a key of this name in the section.
+    #[error("unknown key {key:?} in [{section}]{}", did_you_mean(.suggestion))]
     UnknownKey {
-        /// The section.
+        /// The section's name.
         section: Box<str>,
-        /// The key.
+        /// The key's name.
         key: Box<str>,
-        /// The nearest known name.
-        near: Option<Box<str>>,
+        /// The most similar known name, if one is similar enough.
+        suggestion: Option<Box<str>>,
     },
-    /// The value does not have the expected form.
+    /// The value does not parse or is not allowed.
     #[error("{key} of [{section}]: expected {expected}, found {found:?}")]
-    Value {
-        /// The section.
+    InvalidValue {
+        /// The section's name.
         section: Box<str>,
-        /// The key.
+        /// The key's name.
         key: Box<str>,
-        /// What would be right.
+        /// A description of valid values.
         expected: &'static str,
-        /// What stands there.
+        /// The value in the file.
         found: Box<str>,
     },
-    /// The key has no default and is not there.
+    /// A required key is absent.
     #[error("[{section}] needs the key {key:?}: {expected}")]
-    Missing {
-        /// The section.
+    MissingKey {
+        /// The section's name.
         section: Box<str>,
-        /// The key.
+        /// The key's name.
         key: Box<str>,
-        /// What would be right.
+        /// A description of valid values.
         expected: &'static str,
     },
 }
 
-fn hint(near: &Option<Box<str>>) -> String {
-    near.as_ref()
-        .map(|near| format!("; did you mean {near:?}?"))
+fn did_you_mean(suggestion: &Option<Box<str>>) -> String {
+    suggestion
+        .as_ref()
+        .map(|name| format!("; did you mean {name:?}?"))
         .unwrap_or_default()
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line == 0 {
-            return write!(f, "{}: {}", self.file, self.problem);
+            return write!(f, "{}: {}", self.file, self.kind);
         }
-        write!(f, "{}:{}: {}", self.file, self.line, self.problem)
+        write!(f, "{}:{}: {}", self.file, self.line, self.kind)
     }
 }
 
-/// Every mistake of one file, in the order of their lines.
+/// The errors of one or more settings files. [`Document::finish`](crate::Document::finish) sorts
+/// them by line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsErrors(pub Vec<SettingsError>);
 
 impl fmt::Display for SettingsErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, mistake) in self.0.iter().enumerate() {
-            if at > 0 {
+        for (index, error) in self.0.iter().enumerate() {
+            if index > 0 {
                 f.write_str("\n")?;
             }
-            write!(f, "{mistake}")?;
+            write!(f, "{error}")?;
         }
         Ok(())
     }
@@ -123,18 +127,18 @@
 
 impl std::error::Error for SettingsErrors {}
 
-/// Similarity (Jaro-Winkler) from which a known name is offered as a hint.
-const NEAR: f64 = 0.8;
+/// Minimum Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested.
+const MIN_SIMILARITY: f64 = 0.8;
 
-/// Finds the known name that `name` was most likely meant to be.
-pub(crate) fn nearest<'a>(
+/// Returns the known name most similar to `name`, if one is similar enough to suggest.
+pub(crate) fn nearest_name<'a>(
     name: &str,
     known: impl IntoIterator<Item = &'a str>,
 ) -> Option<Box<str>> {
     known
         .into_iter()
         .map(|other| (strsim::jaro_winkler(name, other), other))
-        .filter(|(score, _)| *score >= NEAR)
+        .filter(|(score, _)| *score >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, other)| other.into())
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,9 +1,9 @@
-//! Reading and checking of INI settings.
+//! Reads and checks INI settings files.
 //!
-//! A [`Document`] holds the sections of a file. The reader asks it for keys one by one, with what is
-//! expected and what holds when the key is missing; [`Document::finish`] then reports every mistake at
-//! once: bad values, missing keys, and keys or sections that nobody asked for, each with file,
-//! line and key and, where one is close, the nearest known name.
+//! A [`Document`] holds the sections of a file. The program reads each key with a description of
+//! valid values for error messages and, for an optional key, a default. [`Document::finish`] then
+//! reports all errors at once: invalid values, missing keys, and keys or sections that the program
+//! did not read. Each has the file and line, and a similar known name if there is one.
 //!
 //! # Examples
 //!
--- a/crates/conf/src/load.rs
+++ b/crates/conf/src/load.rs
@@ -1,8 +1,8 @@
-//! Reading of settings files.
+//! Loads the text of settings files.
 
 use std::path::Path;
 
-/// A settings file cannot be read.
+/// A settings file could not be read.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 #[error("could not read {file}")]
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`LoadError`], which names the file.
+/// Returns [`LoadError`] with the file's name if reading fails.
 pub fn load(file: impl AsRef<Path>) -> Result<String, LoadError> {
     let file = file.as_ref();
     std::fs::read_to_string(file).map_err(|cause| LoadError {
--- a/crates/conf/src/section.rs
+++ b/crates/conf/src/section.rs
@@ -1,13 +1,13 @@
-//! One section of a settings file.
+//! A section of a settings file and typed access to its keys.
 
 use std::str::FromStr;
 use std::sync::Arc;
 
 use crate::SettingsError;
 use crate::SettingsErrorKind;
-use crate::error::nearest;
+use crate::error::nearest_name;
 
-/// A key with its value, and whether it has been asked for.
+/// A `key = value` line, and whether the program has read it.
 #[derive(Debug)]
 struct Entry {
     line: u32,
@@ -16,15 +16,16 @@
     read: bool,
 }
 
-/// One section of a settings file, which remembers what it was asked for.
+/// A section of a settings file. It tracks which keys the program reads, so that the others can
+/// be reported as unknown.
 #[derive(Debug)]
 pub struct Section {
     file: Arc<str>,
     line: u32,
     name: Box<str>,
     entries: Vec<Entry>,
-    known: Vec<&'static str>,
-    mistakes: Vec<SettingsError>,
+    requested_keys: Vec<&'static str>,
+    errors: Vec<SettingsError>,
 }
 
 impl Section {
@@ -34,39 +35,40 @@
             line,
             name: name.into(),
             entries: Vec::new(),
-            known: Vec::new(),
-            mistakes: Vec::new(),
+            requested_keys: Vec::new(),
+            errors: Vec::new(),
         }
     }
 
-    /// The whole name between the brackets.
+    /// Returns the full text between the brackets.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The name after the first space, as in `[upstream NAME]`.
+    /// Returns the text after the first space of the name, `NAME` in `[upstream NAME]`; empty if
+    /// the name has no space.
     pub fn label(&self) -> &str {
         self.name.split_once(' ').map_or("", |(_, label)| label)
     }
 
-    /// The line of the section, or 0 when the file does not have it.
+    /// Returns the line of the section header, or 0 if the file has no such section.
     pub fn line(&self) -> u32 {
         self.line
     }
 
-    /// Tells whether the file has the section.
+    /// Returns whether the file contains the section.
     pub fn exists(&self) -> bool {
         self.line > 0
     }
 
     pub(crate) fn add(&mut self, line: u32, key: &str, value: &str) {
         if let Some(first) = self.entries.iter().find(|entry| &*entry.key == key) {
-            let problem = SettingsErrorKind::TwiceKey {
+            let kind = SettingsErrorKind::DuplicateKey {
                 section: self.name.clone(),
                 key: key.into(),
-                first: first.line,
+                first_line: first.line,
             };
-            self.mistake(line, problem);
+            self.record_error(line, kind);
             return;
         }
         self.entries.push(Entry {
@@ -77,32 +79,33 @@
         });
     }
 
-    fn mistake(&mut self, line: u32, problem: SettingsErrorKind) {
-        self.mistakes.push(SettingsError {
+    fn record_error(&mut self, line: u32, kind: SettingsErrorKind) {
+        self.errors.push(SettingsError {
             file: self.file.clone(),
             line,
-            problem,
+            kind,
         });
     }
 
-    fn find(&mut self, key: &'static str) -> Option<(u32, Box<str>)> {
-        self.known.push(key);
+    fn read_entry(&mut self, key: &'static str) -> Option<(u32, Box<str>)> {
+        self.requested_keys.push(key);
         let entry = self.entries.iter_mut().find(|entry| &*entry.key == key)?;
         entry.read = true;
         Some((entry.line, entry.value.clone()))
     }
 
-    /// Reads an optional key.
+    /// Reads an optional key. Returns [`None`] if the key is absent, and also if its value does not
+    /// parse, which is recorded as an error; `expected` describes a valid value in the message.
     pub fn get<T: FromStr>(&mut self, key: &'static str, expected: &'static str) -> Option<T> {
-        let (line, found) = self.find(key)?;
+        let (line, found) = self.read_entry(key)?;
         let value = found.parse().ok();
         if value.is_none() {
-            self.bad(line, key, expected, found);
+            self.invalid_value(line, key, expected, found);
         }
         value
     }
 
-    /// Reads a key that has a default.
+    /// Reads an optional key and returns `default` where [`Section::get`] returns [`None`].
     pub fn get_or<T: FromStr>(
         &mut self,
         key: &'static str,
@@ -112,56 +115,57 @@
         self.get(key, expected).unwrap_or(default)
     }
 
-    /// Reads a key that must be there.
+    /// Reads a required key. Returns [`None`] and records an error if it is absent or does not parse.
     pub fn require<T: FromStr>(&mut self, key: &'static str, expected: &'static str) -> Option<T> {
         if !self.entries.iter().any(|entry| &*entry.key == key) {
-            self.known.push(key);
-            self.missing(key, expected);
+            self.requested_keys.push(key);
+            self.missing_key(key, expected);
             return None;
         }
         self.get(key, expected)
     }
 
-    /// Reports a value that parsed but is not allowed here, or a default that does not do.
+    /// Records an error for a value that parses but is not allowed here, or for an absent key whose
+    /// default is not allowed.
     pub fn report_invalid(&mut self, key: &'static str, expected: &'static str) {
-        let Some((line, found)) = self.find(key) else {
-            self.missing(key, expected);
+        let Some((line, found)) = self.read_entry(key) else {
+            self.missing_key(key, expected);
             return;
         };
-        self.bad(line, key, expected, found);
+        self.invalid_value(line, key, expected, found);
     }
 
-    fn missing(&mut self, key: &'static str, expected: &'static str) {
-        let problem = SettingsErrorKind::Missing {
+    fn missing_key(&mut self, key: &'static str, expected: &'static str) {
+        let kind = SettingsErrorKind::MissingKey {
             section: self.name.clone(),
             key: key.into(),
             expected,
         };
-        self.mistake(self.line, problem);
+        self.record_error(self.line, kind);
     }
 
-    fn bad(&mut self, line: u32, key: &str, expected: &'static str, found: Box<str>) {
-        let problem = SettingsErrorKind::Value {
+    fn invalid_value(&mut self, line: u32, key: &str, expected: &'static str, found: Box<str>) {
+        let kind = SettingsErrorKind::InvalidValue {
             section: self.name.clone(),
             key: key.into(),
             expected,
             found,
         };
-        self.mistake(line, problem);
+        self.record_error(line, kind);
     }
 
-    pub(crate) fn finish(mut self) -> Vec<SettingsError> {
+    pub(crate) fn into_errors(mut self) -> Vec<SettingsError> {
         for entry in std::mem::take(&mut self.entries) {
             if entry.read {
                 continue;
             }
-            let problem = SettingsErrorKind::UnknownKey {
+            let kind = SettingsErrorKind::UnknownKey {
                 section: self.name.clone(),
-                near: nearest(&entry.key, self.known.iter().copied()),
+                suggestion: nearest_name(&entry.key, self.requested_keys.iter().copied()),
                 key: entry.key,
             };
-            self.mistake(entry.line, problem);
+            self.record_error(entry.line, kind);
         }
-        self.mistakes
+        self.errors
     }
 }
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -1,4 +1,4 @@
-//! Forms of values that several settings share.
+//! Value types that several settings share.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,13 +8,14 @@
 use kernel::time::MINUTE;
 use kernel::time::SECOND;
 
-/// The text does not have the expected form. The settings reader says which form that is.
+/// The text does not parse. It has no details because the caller's message describes the expected
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("not of the expected form")]
-pub struct FormError;
+pub struct ParseValueError;
 
-/// A span of time such as `250ms`, `6s`, `10m` or `24h`.
+/// A duration in milliseconds, written with a unit such as `250ms`, `6s`, `10m` or `24h`.
 ///
 /// # Examples
 ///
@@ -29,61 +30,61 @@
 pub struct DurationMs(pub Millis);
 
 impl FromStr for DurationMs {
-    type Err = FormError;
+    type Err = ParseValueError;
 
-    fn from_str(text: &str) -> Result<Self, FormError> {
+    fn from_str(text: &str) -> Result<Self, ParseValueError> {
         let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
         let unit = match &text[digits.len()..] {
             "ms" => 1,
             "s" => SECOND,
             "m" => MINUTE,
             "h" => HOUR,
-            _ => return Err(FormError),
+            _ => return Err(ParseValueError),
         };
-        let count: Millis = digits.trim_end().parse().map_err(|_| FormError)?;
-        count.checked_mul(unit).map(Self).ok_or(FormError)
+        let count: Millis = digits.trim_end().parse().map_err(|_| ParseValueError)?;
+        count.checked_mul(unit).map(Self).ok_or(ParseValueError)
     }
 }
 
 impl fmt::Display for DurationMs {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (unit, sign) in [(HOUR, "h"), (MINUTE, "m"), (SECOND, "s")] {
+        for (unit, suffix) in [(HOUR, "h"), (MINUTE, "m"), (SECOND, "s")] {
             if self.0 > 0 && self.0.is_multiple_of(unit) {
-                return write!(f, "{}{sign}", self.0 / unit);
+                return write!(f, "{}{suffix}", self.0 / unit);
             }
         }
         write!(f, "{}ms", self.0)
     }
 }
 
-/// A finite rate per second, at least 0.
+/// A finite, non-negative rate per second.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(pub f64);
 
 impl FromStr for Rate {
-    type Err = FormError;
+    type Err = ParseValueError;
 
-    fn from_str(text: &str) -> Result<Self, FormError> {
-        let rate: f64 = text.parse().map_err(|_| FormError)?;
+    fn from_str(text: &str) -> Result<Self, ParseValueError> {
+        let rate: f64 = text.parse().map_err(|_| ParseValueError)?;
         if !rate.is_finite() || rate < 0.0 {
-            return Err(FormError);
+            return Err(ParseValueError);
         }
         Ok(Self(rate))
     }
 }
 
-/// A list separated by commas; an empty text is an empty list.
+/// A comma-separated list. Blank elements are skipped, so a blank text is an empty list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct List<T>(pub Vec<T>);
 
 impl<T: FromStr> FromStr for List<T> {
-    type Err = FormError;
+    type Err = ParseValueError;
 
-    fn from_str(text: &str) -> Result<Self, FormError> {
+    fn from_str(text: &str) -> Result<Self, ParseValueError> {
         text.split(',')
             .map(str::trim)
-            .filter(|part| !part.is_empty())
-            .map(|part| part.parse().map_err(|_| FormError))
+            .filter(|item| !item.is_empty())
+            .map(|item| item.parse().map_err(|_| ParseValueError))
             .collect::<Result<_, _>>()
             .map(Self)
     }
