--- a/crates/args/src/lib.rs
+++ b/crates/args/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod spec;
 
 pub use parse::Parse;
-pub use parse::Parsed;
+pub use parse::ParsedArgs;
 pub use parse::UsageError;
 pub use spec::Cmd;
 pub use spec::Opt;
--- a/crates/args/src/parse.rs
+++ b/crates/args/src/parse.rs
@@ -14,14 +14,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Parse {
     /// Run.
-    Run(Parsed),
+    Run(ParsedArgs),
     /// Print this text and exit.
     Show(String),
 }
 
 /// The parts of a command line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Parsed {
+pub struct ParsedArgs {
     /// The command, for a program that has several.
     pub cmd: &'static str,
     /// The operands.
@@ -88,7 +88,7 @@
     )
 }
 
-impl Parsed {
+impl ParsedArgs {
     /// Tells whether a switch is set.
     pub fn has(&self, long: &str) -> bool {
         self.values.iter().any(|(name, _)| *name == long)
@@ -128,7 +128,7 @@
     /// # Errors
     ///
     /// Returns [`UsageError`] when it is missing or does not have the form.
-    pub fn need<T: FromStr>(
+    pub fn require<T: FromStr>(
         &self,
         long: &'static str,
         expected: &'static str,
@@ -167,7 +167,7 @@
 {
     let mut parser = Parser::from_args(args);
     let mut words: Vec<String> = Vec::new();
-    let mut parsed = Parsed::default();
+    let mut parsed = ParsedArgs::default();
     let mut show = None;
     while let Some(arg) = parser.next()? {
         match arg {
@@ -198,7 +198,7 @@
     spec: &Spec,
     name: &str,
     parser: &mut Parser,
-    parsed: &mut Parsed,
+    parsed: &mut ParsedArgs,
 ) -> Result<(), UsageError> {
     let of_cmds = spec.cmds.iter().flat_map(|cmd| cmd.opts);
     let mut known = spec.opts.iter().chain(of_cmds);
@@ -228,7 +228,7 @@
     spec: &Spec,
     found: Option<(&Cmd, usize)>,
     mut words: Vec<String>,
-    mut parsed: Parsed,
+    mut parsed: ParsedArgs,
 ) -> Result<Parse, UsageError> {
     let (least, most, usage) = match (found, spec.cmds.is_empty()) {
         (Some((cmd, taken)), _) => {
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -19,14 +19,14 @@
 mod trainer;
 mod weights;
 
-use args::Parsed;
+use args::ParsedArgs;
 
 /// Runs one measurement.
 ///
 /// # Errors
 ///
 /// Returns an error when a fleet cannot start.
-pub fn run(parsed: Parsed) -> eyre::Result<()> {
+pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     args::program::block(async move {
         match parsed.cmd {
             "surge" => surge::run().await,
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use args::Parsed;
+use args::ParsedArgs;
 use eyre::bail;
 use load::Table;
 use load::Trainer;
@@ -106,7 +106,7 @@
 }
 
 /// Runs the measurement.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let fault = parsed.value("fault").unwrap_or("none");
     let mut table = Table::default();
     let policy = part(&make("longest", "scored", "fair"), fault).await?;
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use args::Parsed;
+use args::ParsedArgs;
 use clock::Clock;
 use kernel::Map;
 use kernel::Name;
@@ -33,8 +33,8 @@
 /// # Errors
 ///
 /// Returns an error when the settings are wrong or the process cannot start.
-pub fn run(parsed: Parsed) -> eyre::Result<()> {
-    let file: String = parsed.need("config", "a file")?;
+pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
+    let file: String = parsed.require("config", "a file")?;
     let settings = serve::settings::read(&file, &conf::load(&file)?)?;
     logs::begin(&settings.logs)?;
     args::program::block(async {
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use args::Parsed;
+use args::ParsedArgs;
 use eyre::bail;
 use load::Callers;
 use load::Table;
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// Returns an error when the fleet cannot start or a promise was broken.
-pub fn run(parsed: Parsed) -> eyre::Result<()> {
+pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let steps = parsed.get("steps", "a number of steps")?.unwrap_or(4);
     if parsed.has("verbose") {
         logs::begin(&logs::Settings::default())?;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,6 +1,6 @@
 //! Serves until told to leave.
 
-use args::Parsed;
+use args::ParsedArgs;
 use eyre::bail;
 use serve::Running;
 
@@ -10,8 +10,8 @@
 ///
 /// Returns an error when the settings are wrong, the instance cannot start, or requests were cut
 /// off when it left.
-pub fn run(parsed: Parsed) -> eyre::Result<()> {
-    let file: String = parsed.need("config", "a file")?;
+pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
+    let file: String = parsed.require("config", "a file")?;
     let settings = serve::settings::read(&file, &conf::load(&file)?)?;
     if parsed.has("check") {
         args::say!("{file}: good");
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,6 +1,6 @@
 //! Sends what the settings say.
 
-use args::Parsed;
+use args::ParsedArgs;
 use eyre::bail;
 
 use crate::Table;
@@ -14,8 +14,8 @@
 /// # Errors
 ///
 /// Returns an error when the settings are wrong or a promise was broken.
-pub fn run(parsed: Parsed) -> eyre::Result<()> {
-    let file: String = parsed.need("config", "a file")?;
+pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
+    let file: String = parsed.require("config", "a file")?;
     let settings = settings::read(&file, &conf::load(&file)?)?;
     logs::begin(&logs::Settings::default())?;
     args::program::block(async move {
--- a/crates/snipeway/src/cmd.rs
+++ b/crates/snipeway/src/cmd.rs
@@ -15,7 +15,7 @@
 mod status;
 mod token;
 
-use args::Parsed;
+use args::ParsedArgs;
 use operate::Contracts;
 use operate::Fleet;
 use operate::Settings;
@@ -23,7 +23,7 @@
 pub use generate::SPECS;
 
 /// Runs the command that was parsed.
-pub(crate) async fn run(parsed: Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     match parsed.cmd {
         "contract check" => check::run(&parsed),
         "contract apply" => apply::run(&parsed).await,
@@ -42,8 +42,8 @@
     }
 }
 
-fn load(parsed: &Parsed) -> eyre::Result<Settings> {
-    let file: String = parsed.need("config", "a file")?;
+fn load(parsed: &ParsedArgs) -> eyre::Result<Settings> {
+    let file: String = parsed.require("config", "a file")?;
     Ok(operate::settings::read(&file, &conf::load(&file)?)?)
 }
 
--- a/crates/snipeway/src/cmd/amend.rs
+++ b/crates/snipeway/src/cmd/amend.rs
@@ -1,15 +1,15 @@
 //! `snipeway contract amend`.
 
-use args::Parsed;
+use args::ParsedArgs;
 use args::UsageError;
 use kernel::Name;
 use operate::contracts::ContractError;
 
 /// Changes lines of a contract.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let customer: Name = parsed.operands[0].parse()?;
-    let base = parsed.need::<i64>("rev", "a revision")?;
+    let base = parsed.require::<i64>("rev", "a revision")?;
     let changes = parsed.operands[1..]
         .iter()
         .map(|text| pair(text))
--- a/crates/snipeway/src/cmd/apply.rs
+++ b/crates/snipeway/src/cmd/apply.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use args::Parsed;
+use args::ParsedArgs;
 use contract::Contract;
 use contract::ini::LineDiff;
 use operate::Applied;
@@ -11,7 +11,7 @@
 use crate::error::CommandError;
 
 /// Applies the contract of a file.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let file = &parsed.operands[0];
     let contract = contract::ini::parse(file, &conf::load(file)?)?;
@@ -20,7 +20,7 @@
 
 /// Changes a contract as the options say.
 pub(crate) async fn change(
-    parsed: &Parsed,
+    parsed: &ParsedArgs,
     settings: &Settings,
     base: Option<i64>,
     contract: Contract,
@@ -70,7 +70,7 @@
     }
 }
 
-async fn wait(parsed: &Parsed, settings: &Settings, rev: i64) -> eyre::Result<()> {
+async fn wait(parsed: &ParsedArgs, settings: &Settings, rev: i64) -> eyre::Result<()> {
     let Some(seconds) = parsed.get::<u64>("wait", "a number of seconds")? else {
         return Ok(());
     };
--- a/crates/snipeway/src/cmd/check.rs
+++ b/crates/snipeway/src/cmd/check.rs
@@ -1,10 +1,10 @@
 //! `snipeway contract check`.
 
-use args::Parsed;
+use args::ParsedArgs;
 use conf::SettingsErrors;
 
 /// Checks every file and reports every mistake of all of them.
-pub(crate) fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let mut mistakes = Vec::new();
     for file in &parsed.operands {
         match contract::ini::parse(file, &conf::load(file)?) {
--- a/crates/snipeway/src/cmd/drain.rs
+++ b/crates/snipeway/src/cmd/drain.rs
@@ -1,11 +1,11 @@
 //! `snipeway drain`.
 
-use args::Parsed;
+use args::ParsedArgs;
 
 use crate::error::CommandError;
 
 /// Tells an instance to leave gracefully.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let name = &parsed.operands[0];
     match super::fleet(&settings).drain(name).await {
--- a/crates/snipeway/src/cmd/explain.rs
+++ b/crates/snipeway/src/cmd/explain.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 
-use args::Parsed;
+use args::ParsedArgs;
 use jiff::Timestamp;
 use wire::caller::Note;
 use wire::caller::StepState;
@@ -10,7 +10,7 @@
 use crate::error::CommandError;
 
 /// Tells what the instances know of a request, a step or an upstream.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let about = &parsed.operands[0];
     if let [_, files @ ..] = &*parsed.operands
         && !files.is_empty()
--- a/crates/snipeway/src/cmd/generate.rs
+++ b/crates/snipeway/src/cmd/generate.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use args::Parsed;
+use args::ParsedArgs;
 use args::Spec;
 use eyre::WrapErr;
 
@@ -18,7 +18,7 @@
 ];
 
 /// Writes the shell completions and man pages of every program.
-pub(crate) fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let folder = Path::new(&parsed.operands[0]);
     for spec in SPECS {
         let program = spec.program;
--- a/crates/snipeway/src/cmd/history.rs
+++ b/crates/snipeway/src/cmd/history.rs
@@ -1,12 +1,12 @@
 //! `snipeway contract history`, and what it shares with `audit`.
 
-use args::Parsed;
+use args::ParsedArgs;
 use contract::Audit;
 use jiff::Timestamp;
 use kernel::Name;
 
 /// Shows every change of a contract.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let customer: Name = parsed.operands[0].parse()?;
     let trail = super::contracts(&settings).audit(Some(&customer)).await?;
--- a/crates/snipeway/src/cmd/list.rs
+++ b/crates/snipeway/src/cmd/list.rs
@@ -1,9 +1,9 @@
 //! `snipeway contract list`.
 
-use args::Parsed;
+use args::ParsedArgs;
 
 /// Lists the contracts with their revisions.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     args::say!(
         "{:24} {:>9} {:>9} {:>11} {:>6}",
--- a/crates/snipeway/src/cmd/settings.rs
+++ b/crates/snipeway/src/cmd/settings.rs
@@ -1,11 +1,11 @@
 //! `snipeway settings check`.
 
-use args::Parsed;
+use args::ParsedArgs;
 use args::UsageError;
 use conf::SettingsErrors;
 
 /// Checks every file and reports every mistake of all of them.
-pub(crate) fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let kind = parsed.value("kind").unwrap_or("entry");
     let mut mistakes = Vec::new();
     for file in &parsed.operands {
--- a/crates/snipeway/src/cmd/settle.rs
+++ b/crates/snipeway/src/cmd/settle.rs
@@ -1,13 +1,13 @@
 //! `snipeway contract settle`.
 
-use args::Parsed;
+use args::ParsedArgs;
 use kernel::Name;
 use operate::Applied;
 
 use crate::error::CommandError;
 
 /// Says whether a change took effect.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let customer: Name = parsed.operands[0].parse()?;
     let change = &parsed.operands[1];
--- a/crates/snipeway/src/cmd/show.rs
+++ b/crates/snipeway/src/cmd/show.rs
@@ -1,11 +1,11 @@
 //! `snipeway contract show`.
 
-use args::Parsed;
+use args::ParsedArgs;
 use kernel::Name;
 use operate::contracts::ContractError;
 
 /// Shows a contract in the form in which it is applied.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let customer: Name = parsed.operands[0].parse()?;
     let held = super::contracts(&settings).show(&customer).await?;
--- a/crates/snipeway/src/cmd/status.rs
+++ b/crates/snipeway/src/cmd/status.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use args::Parsed;
+use args::ParsedArgs;
 use kernel::Name;
 use wire::peer::Status;
 use wire::peer::UpstreamState;
@@ -10,7 +10,7 @@
 use crate::error::CommandError;
 
 /// Shows every instance, and every upstream in the eyes of all.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let mut silent = 0;
     let mut upstreams: BTreeMap<Name, Vec<(Name, UpstreamState)>> = BTreeMap::new();
--- a/crates/snipeway/src/lib.rs
+++ b/crates/snipeway/src/lib.rs
@@ -4,7 +4,7 @@
 mod cmd;
 mod error;
 
-use args::Parsed;
+use args::ParsedArgs;
 
 pub use cmd::SPECS;
 
@@ -13,6 +13,6 @@
 /// # Errors
 ///
 /// Returns the command's error.
-pub fn run(parsed: Parsed) -> eyre::Result<()> {
+pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     args::program::block(cmd::run(parsed))
 }
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -9,7 +9,7 @@
 use crate::Store;
 use crate::settings::Part;
 use crate::settings::Role;
-use args::Parsed;
+use args::ParsedArgs;
 use eyre::WrapErr;
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 /// # Errors
 ///
 /// Returns an error when the settings are wrong or an address is taken.
-pub fn run(parsed: Parsed) -> eyre::Result<()> {
-    let file: String = parsed.need("config", "a file")?;
+pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
+    let file: String = parsed.require("config", "a file")?;
     let parts = crate::settings::read(&file, &conf::load(&file)?)?;
     logs::begin(&logs::Settings::default())?;
     args::program::block(serve(parts))
