--- a/crates/args/src/output.rs
+++ b/crates/args/src/output.rs
@@ -15,10 +15,10 @@
 /// # Examples
 ///
 /// ```
-/// args::say!("revision {}", 7);
+/// args::print_line!("revision {}", 7);
 /// ```
 #[macro_export]
-macro_rules! say {
+macro_rules! print_line {
     ($($arg:tt)*) => {
         $crate::output::write(format_args!("{}\n", format_args!($($arg)*)))
     };
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -84,7 +84,7 @@
     if broken > 0 {
         bail!("{broken} promises were broken");
     }
-    args::say!("every promise was kept");
+    args::print_line!("every promise was kept");
     Ok(())
 }
 
@@ -140,22 +140,22 @@
 /// Keeps the fleet up until interrupted.
 async fn stay(rig: Rig) -> eyre::Result<()> {
     let platform = rig.parts.platform.host.addr;
-    args::say!("\nplatform  http://{platform}");
+    args::print_line!("\nplatform  http://{platform}");
     let mut text = format!("[platform]\naddresses = {platform}\n[peers]\nsecret = {SECRET}\n");
     for entry in rig.running() {
         let me = &entry.app.settings.me;
-        args::say!("entry     http://{}  ({})", entry.addr, me.name);
+        args::print_line!("entry     http://{}  ({})", entry.addr, me.name);
         text += &format!(
             "[peer {}]\ndomain = {}\naddress = {}\n",
             me.name, me.domain, entry.addr
         );
     }
-    args::say!("tokens    {} (order portal)", token(PORTAL));
-    args::say!("          {} (tailoring staff)", token(TRAINER));
+    args::print_line!("tokens    {} (order portal)", token(PORTAL));
+    args::print_line!("          {} (tailoring staff)", token(TRAINER));
     let file = std::env::temp_dir().join("snipeway-demo.ini");
     std::fs::write(&file, text)?;
-    args::say!("operators snipeway status --config {}", file.display());
-    args::say!("interrupt to end");
+    args::print_line!("operators snipeway status --config {}", file.display());
+    args::print_line!("interrupt to end");
     serve::server::terminated().await;
     rig.leave().await
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -14,7 +14,7 @@
     let file: String = parsed.require("config", "a file")?;
     let settings = serve::settings::read(&file, &conf::load(&file)?)?;
     if parsed.has("check") {
-        args::say!("{file}: good");
+        args::print_line!("{file}: good");
         return Ok(());
     }
     logs::begin(&settings.logs)?;
--- a/crates/snipeway/src/cmd/apply.rs
+++ b/crates/snipeway/src/cmd/apply.rs
@@ -35,19 +35,21 @@
     let customer = contract.customer.to_string();
     match contracts.apply(who, base, contract).await? {
         Applied::InForce(rev) => {
-            args::say!("in force at the platform at revision {rev}");
+            args::print_line!("in force at the platform at revision {rev}");
             wait(parsed, settings, rev).await
         }
         Applied::Unchanged(rev) => {
-            args::say!("unchanged at revision {rev}");
+            args::print_line!("unchanged at revision {rev}");
             wait(parsed, settings, rev).await
         }
         Applied::Replaced(rev) => {
-            args::say!("took effect, and was replaced since; the contract is at revision {rev}");
+            args::print_line!(
+                "took effect, and was replaced since; the contract is at revision {rev}"
+            );
             Ok(())
         }
         Applied::Conflict { rev, theirs } => {
-            args::say!("another change came first:");
+            args::print_line!("another change came first:");
             print(&theirs);
             Err(CommandError::Conflict(rev).into())
         }
@@ -58,14 +60,14 @@
 /// Prints a difference.
 pub(crate) fn print(diff: &[LineDiff]) {
     if diff.is_empty() {
-        args::say!("no difference");
+        args::print_line!("no difference");
     }
     for line in diff {
         if let Some(before) = &line.before {
-            args::say!("- {before}");
+            args::print_line!("- {before}");
         }
         if let Some(after) = &line.after {
-            args::say!("+ {after}");
+            args::print_line!("+ {after}");
         }
     }
 }
@@ -80,7 +82,7 @@
         let names: Vec<_> = names.iter().map(ToString::to_string).collect();
         names.join(", ")
     };
-    args::say!("in force on: {}", names(&spread.there));
+    args::print_line!("in force on: {}", names(&spread.there));
     if spread.behind.is_empty() && spread.silent.is_empty() {
         return Ok(());
     }
--- a/crates/snipeway/src/cmd/check.rs
+++ b/crates/snipeway/src/cmd/check.rs
@@ -8,7 +8,7 @@
     let mut mistakes = Vec::new();
     for file in &parsed.operands {
         match contract::ini::parse(file, &conf::load(file)?) {
-            Ok(contract) => args::say!("{file}: good, for {}", contract.customer),
+            Ok(contract) => args::print_line!("{file}: good, for {}", contract.customer),
             Err(found) => mistakes.extend(found.0),
         }
     }
--- a/crates/snipeway/src/cmd/drain.rs
+++ b/crates/snipeway/src/cmd/drain.rs
@@ -12,7 +12,7 @@
         None => Err(CommandError::Instance(name.clone()).into()),
         Some(Err(error)) => Err(CommandError::Asked(name.clone(), error).into()),
         Some(Ok(())) => {
-            args::say!("{name} is leaving");
+            args::print_line!("{name} is leaving");
             Ok(())
         }
     }
--- a/crates/snipeway/src/cmd/explain.rs
+++ b/crates/snipeway/src/cmd/explain.rs
@@ -24,7 +24,7 @@
         if let Ok(story) = answer {
             told = true;
             let customer = story.customer.as_deref().unwrap_or("-").to_owned();
-            args::say!("{about} at {name}, contract {customer}:");
+            args::print_line!("{about} at {name}, contract {customer}:");
             notes(&story.notes);
         }
     }
@@ -60,7 +60,7 @@
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
         let (at, process, what) = (line.at, line.process, line.what);
-        args::say!("{at}  {process}  {what}: {}", fields.join(" "));
+        args::print_line!("{at}  {process}  {what}: {}", fields.join(" "));
     }
     Ok(())
 }
@@ -69,18 +69,18 @@
     for note in notes {
         let at = Timestamp::from_millisecond(note.at as i64);
         let at = at.map_or_else(|_| note.at.to_string(), |at| at.to_string());
-        args::say!("  {at}  {}", note.what);
+        args::print_line!("  {at}  {}", note.what);
     }
 }
 
 fn step(state: &StepState) {
-    args::say!(
+    args::print_line!(
         "step {} at {}, contract {}:",
         state.step,
         state.instance,
         state.customer
     );
-    args::say!(
+    args::print_line!(
         "  {} samples: {} with the trainer, {} ready, {} running",
         state.total,
         state.held,
@@ -88,7 +88,7 @@
         state.running
     );
     let c = &state.counts;
-    args::say!(
+    args::print_line!(
         "  {} attempts: {} resumed, {} moved, {} too old and made again, {} given up; {} tokens \
          thrown away",
         c.begun,
--- a/crates/snipeway/src/cmd/history.rs
+++ b/crates/snipeway/src/cmd/history.rs
@@ -18,7 +18,7 @@
 pub(crate) fn print(rev: i64, audit: &Audit) {
     let at = Timestamp::from_millisecond(audit.at as i64);
     let at = at.map_or_else(|_| audit.at.to_string(), |at| at.to_string());
-    args::say!(
+    args::print_line!(
         "revision {rev} on {}: {} by {} at {at} (change {})",
         audit.base_revision,
         audit.after.customer,
@@ -27,10 +27,10 @@
     );
     for line in contract::ini::diff(audit.before.as_ref(), &audit.after) {
         if let Some(before) = line.before {
-            args::say!("  - {before}");
+            args::print_line!("  - {before}");
         }
         if let Some(after) = line.after {
-            args::say!("  + {after}");
+            args::print_line!("  + {after}");
         }
     }
 }
--- a/crates/snipeway/src/cmd/list.rs
+++ b/crates/snipeway/src/cmd/list.rs
@@ -5,7 +5,7 @@
 /// Lists the contracts with their revisions.
 pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
-    args::say!(
+    args::print_line!(
         "{:24} {:>9} {:>9} {:>11} {:>6}",
         "CUSTOMER",
         "REVISION",
@@ -15,7 +15,7 @@
     );
     for held in super::contracts(&settings).list().await? {
         let c = &held.stored.contract;
-        args::say!(
+        args::print_line!(
             "{:24} {:>9} {:>9} {:>11} {:>6}",
             c.customer.to_string(),
             held.rev,
--- a/crates/snipeway/src/cmd/settings.rs
+++ b/crates/snipeway/src/cmd/settings.rs
@@ -10,7 +10,7 @@
     let mut mistakes = Vec::new();
     for file in &parsed.operands {
         match check(kind, file, &conf::load(file)?)? {
-            Ok(()) => args::say!("{file}: good"),
+            Ok(()) => args::print_line!("{file}: good"),
             Err(found) => mistakes.extend(found.0),
         }
     }
--- a/crates/snipeway/src/cmd/settle.rs
+++ b/crates/snipeway/src/cmd/settle.rs
@@ -15,8 +15,10 @@
         .settle(&customer, change)
         .await?
     {
-        Applied::InForce(rev) => args::say!("in force at revision {rev}"),
-        Applied::Replaced(rev) => args::say!("took effect; replaced since, at revision {rev} now"),
+        Applied::InForce(rev) => args::print_line!("in force at revision {rev}"),
+        Applied::Replaced(rev) => {
+            args::print_line!("took effect; replaced since, at revision {rev} now")
+        }
         _ => {
             return Err(
                 CommandError::NotKnown(customer.to_string(), change.as_str().into()).into(),
--- a/crates/snipeway/src/cmd/show.rs
+++ b/crates/snipeway/src/cmd/show.rs
@@ -10,7 +10,7 @@
     let customer: Name = parsed.operands[0].parse()?;
     let held = super::contracts(&settings).show(&customer).await?;
     let held = held.ok_or(ContractError::Missing(customer))?;
-    args::say!("; revision {}, change {}", held.rev, held.stored.change);
+    args::print_line!("; revision {}, change {}", held.rev, held.stored.change);
     args::output::write(format_args!(
         "{}",
         contract::ini::render(&held.stored.contract)
--- a/crates/snipeway/src/cmd/status.rs
+++ b/crates/snipeway/src/cmd/status.rs
@@ -14,7 +14,7 @@
     let settings = super::load(parsed)?;
     let mut silent = 0;
     let mut upstreams: BTreeMap<Name, Vec<(Name, UpstreamState)>> = BTreeMap::new();
-    args::say!(
+    args::print_line!(
         "{:20} {:12} {:9} {:>9} {:>11} {:6} {:>5}",
         "INSTANCE",
         "DOMAIN",
@@ -35,11 +35,11 @@
             }
             Err(error) => {
                 silent += 1;
-                args::say!("{:20} {error}", name.to_string());
+                args::print_line!("{:20} {error}", name.to_string());
             }
         }
     }
-    args::say!(
+    args::print_line!(
         "\n{:20} {:12} {:>8} {:>8} {:>12}  STANDING",
         "UPSTREAM",
         "POOL",
@@ -61,7 +61,7 @@
     let known = status
         .known
         .map_or_else(|| "never".into(), |age| age.to_string());
-    args::say!(
+    args::print_line!(
         "{:20} {:12} {:9} {:>9} {:>11} {:6} {:>5}",
         status.me.name.to_string(),
         status.me.domain.to_string(),
@@ -94,7 +94,7 @@
     } else {
         odd.join(", ")
     };
-    args::say!(
+    args::print_line!(
         "{:20} {:12} {running:>8} {version:>8} {latency:>12.1}  {standing}",
         name.to_string(),
         first.pool.to_string()
--- a/crates/snipeway/src/cmd/token.rs
+++ b/crates/snipeway/src/cmd/token.rs
@@ -11,7 +11,7 @@
     let mut bytes = [0; BYTES];
     rand::rng().fill_bytes(&mut bytes);
     let token = hex::encode(bytes);
-    args::say!("token, for the customer: {token}");
-    args::say!("token-sha256 = {}", TokenDigest::of(&token));
+    args::print_line!("token, for the customer: {token}");
+    args::print_line!("token-sha256 = {}", TokenDigest::of(&token));
     Ok(())
 }
