--- a/crates/args/src/program.rs
+++ b/crates/args/src/program.rs
@@ -41,7 +41,7 @@
 /// # Errors
 ///
 /// Returns the future's error, or that of the runtime's start.
-pub fn block<F: Future<Output = eyre::Result<()>>>(future: F) -> eyre::Result<()> {
+pub fn block_on<F: Future<Output = eyre::Result<()>>>(future: F) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -27,7 +27,7 @@
 ///
 /// Returns an error when a fleet cannot start.
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
-    args::program::block(async move {
+    args::program::block_on(async move {
         match parsed.cmd {
             "surge" => surge::run().await,
             "goodput" => goodput::run().await,
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -37,7 +37,7 @@
     let file: String = parsed.require("config", "a file")?;
     let settings = serve::settings::read(&file, &conf::load(&file)?)?;
     logs::begin(&settings.logs)?;
-    args::program::block(async {
+    args::program::block_on(async {
         let control = Control::start(&settings, settings.me.address);
         serve::server::terminated().await;
         control.stop().await;
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -36,7 +36,7 @@
     if parsed.has("verbose") {
         logs::begin(&logs::Settings::default())?;
     }
-    args::program::block(demo(steps, parsed.has("stay")))
+    args::program::block_on(demo(steps, parsed.has("stay")))
 }
 
 fn make() -> Make {
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -18,7 +18,7 @@
         return Ok(());
     }
     logs::begin(&settings.logs)?;
-    args::program::block(async {
+    args::program::block_on(async {
         let running = Running::start(settings).await?;
         if !running.until_told().await {
             bail!("requests were cut off at the end of the grace period");
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -18,7 +18,7 @@
     let file: String = parsed.require("config", "a file")?;
     let settings = settings::read(&file, &conf::load(&file)?)?;
     logs::begin(&logs::Settings::default())?;
-    args::program::block(async move {
+    args::program::block_on(async move {
         match parsed.cmd {
             "call" => call(&settings).await,
             _ => train(&settings).await,
--- a/crates/snipeway/src/lib.rs
+++ b/crates/snipeway/src/lib.rs
@@ -14,5 +14,5 @@
 ///
 /// Returns the command's error.
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
-    args::program::block(cmd::run(parsed))
+    args::program::block_on(cmd::run(parsed))
 }
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -22,7 +22,7 @@
     let file: String = parsed.require("config", "a file")?;
     let parts = crate::settings::read(&file, &conf::load(&file)?)?;
     logs::begin(&logs::Settings::default())?;
-    args::program::block(serve(parts))
+    args::program::block_on(serve(parts))
 }
 
 async fn serve(parts: Vec<Part>) -> eyre::Result<()> {
