--- a/crates/args/src/complete.rs
+++ b/crates/args/src/complete.rs
@@ -2,10 +2,10 @@
 
 use std::fmt::Write;
 
-use crate::Spec;
+use crate::CliSpec;
 
 /// Every first word and long option that a program takes, with explanations.
-fn words(spec: &Spec) -> Vec<(String, &'static str)> {
+fn words(spec: &CliSpec) -> Vec<(String, &'static str)> {
     let mut words = Vec::new();
     for cmd in spec.cmds {
         let first = cmd.name.split(' ').next().unwrap_or("").to_owned();
@@ -25,7 +25,7 @@
 }
 
 /// Second words of the commands that have two.
-fn seconds(spec: &Spec) -> Vec<(&'static str, &'static str, &'static str)> {
+fn seconds(spec: &CliSpec) -> Vec<(&'static str, &'static str, &'static str)> {
     let pairs = spec.cmds.iter().filter_map(|cmd| {
         let (first, second) = cmd.name.split_once(' ')?;
         Some((first, second, cmd.help))
@@ -34,7 +34,7 @@
 }
 
 /// Writes the completions for bash.
-pub fn bash(spec: &Spec) -> String {
+pub fn bash(spec: &CliSpec) -> String {
     let name = spec.program.replace('-', "_");
     let all: Vec<_> = words(spec).into_iter().map(|(word, _)| word).collect();
     let mut out = String::new();
@@ -66,7 +66,7 @@
 }
 
 /// Writes the completions for zsh.
-pub fn zsh(spec: &Spec) -> String {
+pub fn zsh(spec: &CliSpec) -> String {
     let mut out = format!("#compdef {}\n\nlocal -a words=(\n", spec.program);
     for (word, help) in words(spec) {
         let help = help.replace('\'', "'\\''").replace(':', "\\:");
@@ -77,7 +77,7 @@
 }
 
 /// Writes the completions for fish.
-pub fn fish(spec: &Spec) -> String {
+pub fn fish(spec: &CliSpec) -> String {
     let mut out = String::new();
     let quote = |help: &str| help.replace('\'', "\\'");
     for (word, help) in words(spec) {
--- a/crates/args/src/help.rs
+++ b/crates/args/src/help.rs
@@ -2,9 +2,9 @@
 
 use std::fmt::Write;
 
+use crate::CliSpec;
 use crate::Cmd;
 use crate::Opt;
-use crate::Spec;
 
 /// Column at which explanations begin.
 const COLUMN: usize = 30;
@@ -13,7 +13,7 @@
 const WIDTH: usize = 80;
 
 /// Writes the help of a program, or of one of its commands.
-pub fn help(spec: &Spec, cmd: Option<&Cmd>) -> String {
+pub fn help(spec: &CliSpec, cmd: Option<&Cmd>) -> String {
     let mut out = String::new();
     match cmd {
         Some(cmd) => {
@@ -32,13 +32,13 @@
     for opt in spec.all(cmd) {
         line(&mut out, &name(&opt), opt.help);
     }
-    if cmd.is_none() && !spec.more.is_empty() {
-        let _ = writeln!(out, "\n{}", textwrap::fill(spec.more, WIDTH));
+    if cmd.is_none() && !spec.description.is_empty() {
+        let _ = writeln!(out, "\n{}", textwrap::fill(spec.description, WIDTH));
     }
     out
 }
 
-fn commands(out: &mut String, spec: &Spec) {
+fn commands(out: &mut String, spec: &CliSpec) {
     if spec.cmds.is_empty() {
         return;
     }
--- a/crates/args/src/lib.rs
+++ b/crates/args/src/lib.rs
@@ -1,6 +1,6 @@
 //! Command lines as tables.
 //!
-//! A program declares its options and commands once, in a [`Spec`]. Parsing, `--help`, the man
+//! A program declares its options and commands once, in a [`CliSpec`]. Parsing, `--help`, the man
 //! page and the shell completions all follow from it.
 
 pub mod complete;
@@ -14,9 +14,9 @@
 pub use parse::Parse;
 pub use parse::ParsedArgs;
 pub use parse::UsageError;
+pub use spec::CliSpec;
 pub use spec::Cmd;
 pub use spec::Opt;
-pub use spec::Spec;
 
 /// Exit code of a command that did what it was asked.
 pub const DONE: u8 = 0;
--- a/crates/args/src/man.rs
+++ b/crates/args/src/man.rs
@@ -5,11 +5,11 @@
 use roff::italic;
 use roff::roman;
 
+use crate::CliSpec;
 use crate::Opt;
-use crate::Spec;
 
 /// Writes the man page of a program.
-pub fn man(spec: &Spec) -> String {
+pub fn man(spec: &CliSpec) -> String {
     let mut page = Roff::new();
     let version = concat!("snipeway ", env!("CARGO_PKG_VERSION"));
     page.control("TH", [spec.program, "1", "", version, "snipeway"]);
@@ -24,9 +24,9 @@
         italic("OPTION"),
         roman("]..."),
     ]);
-    if !spec.more.is_empty() {
+    if !spec.description.is_empty() {
         page.control("SH", ["DESCRIPTION"]);
-        page.text([roman(spec.more)]);
+        page.text([roman(spec.description)]);
     }
     if !spec.cmds.is_empty() {
         page.control("SH", ["COMMANDS"]);
--- a/crates/args/src/parse.rs
+++ b/crates/args/src/parse.rs
@@ -6,8 +6,8 @@
 use lexopt::Arg;
 use lexopt::Parser;
 
+use crate::CliSpec;
 use crate::Cmd;
-use crate::Spec;
 use crate::help::help;
 
 /// What a command line asks for.
@@ -146,12 +146,12 @@
 /// # Examples
 ///
 /// ```
-/// use args::{Opt, Parse, Spec};
+/// use args::{Opt, Parse, CliSpec};
 ///
-/// const SPEC: Spec = Spec {
+/// const SPEC: CliSpec = CliSpec {
 ///     program: "snipeway-entry",
 ///     about: "Serves callers",
-///     more: "",
+///     description: "",
 ///     opts: &[Opt { long: "config", value: Some("FILE"), help: "Settings" }],
 ///     cmds: &[],
 /// };
@@ -160,7 +160,7 @@
 /// assert_eq!(parsed.value("config"), Some("a.ini"));
 /// # Ok::<(), args::UsageError>(())
 /// ```
-pub fn parse<I>(spec: &Spec, args: I) -> Result<Parse, UsageError>
+pub fn parse<I>(spec: &CliSpec, args: I) -> Result<Parse, UsageError>
 where
     I: IntoIterator,
     I::Item: Into<OsString>,
@@ -195,7 +195,7 @@
 }
 
 fn option(
-    spec: &Spec,
+    spec: &CliSpec,
     name: &str,
     parser: &mut Parser,
     parsed: &mut ParsedArgs,
@@ -216,7 +216,7 @@
 }
 
 /// Finds the command that the first words name, and how many words that takes.
-fn find<'a>(spec: &'a Spec, words: &[String]) -> Option<(&'a Cmd, usize)> {
+fn find<'a>(spec: &'a CliSpec, words: &[String]) -> Option<(&'a Cmd, usize)> {
     spec.cmds.iter().find_map(|cmd| {
         let name: Vec<_> = cmd.name.split(' ').collect();
         let same = words.len() >= name.len() && name.iter().zip(words).all(|(a, b)| a == b);
@@ -225,7 +225,7 @@
 }
 
 fn finish(
-    spec: &Spec,
+    spec: &CliSpec,
     found: Option<(&Cmd, usize)>,
     mut words: Vec<String>,
     mut parsed: ParsedArgs,
@@ -257,7 +257,7 @@
     Ok(Parse::Run(parsed))
 }
 
-fn unknown(spec: &Spec, words: &[String]) -> UsageError {
+fn unknown(spec: &CliSpec, words: &[String]) -> UsageError {
     if words.is_empty() {
         return UsageError::NoCommand;
     }
--- a/crates/args/src/program.rs
+++ b/crates/args/src/program.rs
@@ -5,17 +5,17 @@
 
 use conf::SettingsErrors;
 
+use crate::CliSpec;
 use crate::DONE;
 use crate::FAILED;
 use crate::Parse;
 use crate::ParsedArgs;
-use crate::Spec;
 use crate::USAGE;
 use crate::UsageError;
 use crate::parse::parse;
 
 /// Parses the command line, runs the program and turns its result into an exit code.
-pub fn main(spec: &Spec, run: impl FnOnce(ParsedArgs) -> eyre::Result<()>) -> ExitCode {
+pub fn main(spec: &CliSpec, run: impl FnOnce(ParsedArgs) -> eyre::Result<()>) -> ExitCode {
     let parsed = match parse(spec, std::env::args_os().skip(1)) {
         Ok(Parse::Run(parsed)) => parsed,
         Ok(Parse::Show(text)) => {
--- a/crates/args/src/spec.rs
+++ b/crates/args/src/spec.rs
@@ -30,13 +30,13 @@
 
 /// A program's command line.
 #[derive(Clone, Copy, Debug)]
-pub struct Spec {
+pub struct CliSpec {
     /// The program.
     pub program: &'static str,
     /// What it is for, in one line.
     pub about: &'static str,
     /// More about it, for the help and the man page.
-    pub more: &'static str,
+    pub description: &'static str,
     /// Options of the program and of each of its commands.
     pub opts: &'static [Opt],
     /// Its commands; none when it does one thing.
@@ -57,7 +57,7 @@
     },
 ];
 
-impl Spec {
+impl CliSpec {
     /// The options of a command, those of the program and those that every program has.
     pub fn all(&self, cmd: Option<&Cmd>) -> Vec<Opt> {
         let own = cmd.map_or(&[][..], |cmd| cmd.opts);
--- a/crates/args/tests/parse.rs
+++ b/crates/args/tests/parse.rs
@@ -1,16 +1,16 @@
 //! Tests of command lines.
 
+use args::CliSpec;
 use args::Cmd;
 use args::Opt;
 use args::Parse;
-use args::Spec;
 use args::parse::parse;
 use yare::parameterized;
 
-const SPEC: Spec = Spec {
+const SPEC: CliSpec = CliSpec {
     program: "snipeway",
     about: "Operates the fleet",
-    more: "",
+    description: "",
     opts: &[Opt {
         long: "config",
         value: Some("FILE"),
--- a/crates/bench/src/cli.rs
+++ b/crates/bench/src/cli.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
+use args::CliSpec;
 use args::Cmd;
 use args::Opt;
-use args::Spec;
 
 const fn cmd(name: &'static str, help: &'static str, opts: &'static [Opt]) -> Cmd {
     Cmd {
@@ -16,11 +16,11 @@
 }
 
 /// The command line of the program.
-pub const SPEC: Spec = Spec {
+pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-bench",
     about: "Measures what is promised, against stand-ins",
-    more: "Build with --release. Each command takes up to a minute and prints a table; the \
-           baseline is measured in the same run.",
+    description: "Build with --release. Each command takes up to a minute and prints a table; the \
+                  baseline is measured in the same run.",
     opts: &[],
     cmds: &[
         cmd(
--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -1,14 +1,14 @@
 //! The command line.
 
+use args::CliSpec;
 use args::Opt;
-use args::Spec;
 
 /// The command line of the program.
-pub const SPEC: Spec = Spec {
+pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-control",
     about: "Takes leases on control work and gives orders to upstreams",
-    more: "It reads the same settings as the entry beside it. SIGTERM makes it give its leases \
-           back.",
+    description: "It reads the same settings as the entry beside it. SIGTERM makes it give its \
+                  leases back.",
     opts: &[Opt {
         long: "config",
         value: Some("FILE"),
--- a/crates/demo/src/cli.rs
+++ b/crates/demo/src/cli.rs
@@ -1,15 +1,15 @@
 //! The command line.
 
+use args::CliSpec;
 use args::Opt;
-use args::Spec;
 
 /// The command line of the program.
-pub const SPEC: Spec = Spec {
+pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-demo",
     about: "Runs a whole fleet with stand-ins in one process",
-    more: "Two failure domains with two entries, their control, engines, a plain service, a \
-           weight store and the platform's stand-in; a trainer and callers work against them. It \
-           ends with a table, and with exit code 1 if any promise was broken.",
+    description: "Two failure domains with two entries, their control, engines, a plain service, a \
+                  weight store and the platform's stand-in; a trainer and callers work against \
+                  them. It ends with a table, and with exit code 1 if any promise was broken.",
     opts: &[
         Opt {
             long: "steps",
--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -1,14 +1,14 @@
 //! The command line.
 
+use args::CliSpec;
 use args::Opt;
-use args::Spec;
 
 /// The command line of the program.
-pub const SPEC: Spec = Spec {
+pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-entry",
     about: "Serves callers, peers and operators on an entry instance",
-    more: "SIGTERM or `snipeway drain` makes it leave gracefully: readiness falls first, then \
-           nothing more is accepted, and running requests end whole.",
+    description: "SIGTERM or `snipeway drain` makes it leave gracefully: readiness falls first, \
+                  then nothing more is accepted, and running requests end whole.",
     opts: &[
         Opt {
             long: "config",
--- a/crates/load/src/cli.rs
+++ b/crates/load/src/cli.rs
@@ -1,16 +1,16 @@
 //! The command line.
 
+use args::CliSpec;
 use args::Cmd;
 use args::Opt;
-use args::Spec;
 
 /// The command line of the program.
-pub const SPEC: Spec = Spec {
+pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-load",
     about: "Sends load as callers and trainers do, and reports what they saw",
-    more: "The settings name the entries, the tokens and the load. A trainer checks each sample: \
-           delivered once, whole, its versions named, within the bound. The exit code is 1 when a \
-           promise was broken.",
+    description: "The settings name the entries, the tokens and the load. A trainer checks each \
+                  sample: delivered once, whole, its versions named, within the bound. The exit \
+                  code is 1 when a promise was broken.",
     opts: &[Opt {
         long: "config",
         value: Some("FILE"),
--- a/crates/snipeway/src/cli.rs
+++ b/crates/snipeway/src/cli.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
+use args::CliSpec;
 use args::Cmd;
 use args::Opt;
-use args::Spec;
 
 const WHO: Opt = Opt {
     long: "who",
@@ -43,13 +43,14 @@
 const ANY: usize = usize::MAX;
 
 /// The command line of the program.
-pub const SPEC: Spec = Spec {
+pub const SPEC: CliSpec = CliSpec {
     program: "snipeway",
     about: "Operates a fleet: contracts, audit trail, status, explanations",
-    more: "A contract is changed at the platform, and every instance puts it in force within \
-           seconds. A change states the revision that it is based on, so of two operators who \
-           change the same contract one is told of the conflict. A change whose answer is lost is \
-           settled by reading back: the command says in force, not applied, or not known yet.",
+    description: "A contract is changed at the platform, and every instance puts it in force \
+                  within seconds. A change states the revision that it is based on, so of two \
+                  operators who change the same contract one is told of the conflict. A change \
+                  whose answer is lost is settled by reading back: the command says in force, not \
+                  applied, or not known yet.",
     opts: &[Opt {
         long: "config",
         value: Some("FILE"),
--- a/crates/snipeway/src/cmd/generate.rs
+++ b/crates/snipeway/src/cmd/generate.rs
@@ -2,12 +2,12 @@
 
 use std::path::Path;
 
+use args::CliSpec;
 use args::ParsedArgs;
-use args::Spec;
 use eyre::WrapErr;
 
 /// Every program's command line.
-pub const SPECS: [&Spec; 7] = [
+pub const SPECS: [&CliSpec; 7] = [
     &crate::cli::SPEC,
     &entry::cli::SPEC,
     &control::cli::SPEC,
