--- a/crates/args/src/parse.rs
+++ b/crates/args/src/parse.rs
@@ -245,7 +245,7 @@
                 let text = format!("--{name} of {}", cmd.name);
                 return Err(UsageError::Option(text, Hint(None)));
             }
-            (cmd.least, cmd.most, usage)
+            (cmd.min_operands, cmd.max_operands, usage)
         }
         (None, true) => (0, 0, format!("{} [OPTION]...", spec.program)),
         (None, false) => return Err(unknown(spec, &words)),
--- a/crates/args/src/spec.rs
+++ b/crates/args/src/spec.rs
@@ -19,9 +19,9 @@
     /// Its operands as the help shows them.
     pub operands: &'static str,
     /// Fewest operands.
-    pub least: usize,
+    pub min_operands: usize,
     /// Most operands.
-    pub most: usize,
+    pub max_operands: usize,
     /// What it does, in one line.
     pub help: &'static str,
     /// Its options, on top of the program's.
--- a/crates/args/tests/parse.rs
+++ b/crates/args/tests/parse.rs
@@ -20,16 +20,16 @@
         Cmd {
             name: "contract show",
             operands: "CUSTOMER",
-            least: 1,
-            most: 1,
+            min_operands: 1,
+            max_operands: 1,
             help: "Show a contract",
             opts: &[],
         },
         Cmd {
             name: "audit",
             operands: "",
-            least: 0,
-            most: 0,
+            min_operands: 0,
+            max_operands: 0,
             help: "Show changes",
             opts: &[Opt {
                 long: "last",
--- a/crates/bench/src/cli.rs
+++ b/crates/bench/src/cli.rs
@@ -8,8 +8,8 @@
     Cmd {
         name,
         operands: "",
-        least: 0,
-        most: 0,
+        min_operands: 0,
+        max_operands: 0,
         help,
         opts,
     }
--- a/crates/snipeway/src/cli.rs
+++ b/crates/snipeway/src/cli.rs
@@ -25,15 +25,15 @@
 const fn cmd(
     name: &'static str,
     operands: &'static str,
-    (least, most): (usize, usize),
+    (min_operands, max_operands): (usize, usize),
     help: &'static str,
     opts: &'static [Opt],
 ) -> Cmd {
     Cmd {
         name,
         operands,
-        least,
-        most,
+        min_operands,
+        max_operands,
         help,
         opts,
     }
