--- a/crates/args/src/parse.rs
+++ b/crates/args/src/parse.rs
@@ -44,13 +44,13 @@
     NoCommand,
     /// Too few or too many operands.
     #[error("usage: {0}")]
-    Operands(String),
+    InvalidOperands(String),
     /// An option without its value, or with one that it does not take.
     #[error(transparent)]
     Value(#[from] lexopt::Error),
     /// A value that does not have the expected form.
     #[error("--{option}: expected {expected}, found {found:?}")]
-    Form {
+    InvalidValue {
         /// The option.
         option: &'static str,
         /// What would be right.
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`UsageError::Form`] when the value does not have it.
+    /// Returns [`UsageError::InvalidValue`] when the value does not have it.
     pub fn get<T: FromStr>(
         &self,
         long: &'static str,
@@ -115,7 +115,7 @@
         };
         match found.parse() {
             Ok(value) => Ok(Some(value)),
-            Err(_) => Err(UsageError::Form {
+            Err(_) => Err(UsageError::InvalidValue {
                 option: long,
                 expected,
                 found: found.into(),
@@ -251,7 +251,7 @@
         (None, false) => return Err(unknown(spec, &words)),
     };
     if words.len() < least || words.len() > most {
-        return Err(UsageError::Operands(usage.trim_end().to_owned()));
+        return Err(UsageError::InvalidOperands(usage.trim_end().to_owned()));
     }
     parsed.operands = words;
     Ok(Parse::Run(parsed))
--- a/crates/snipeway/src/cmd/amend.rs
+++ b/crates/snipeway/src/cmd/amend.rs
@@ -23,6 +23,8 @@
 fn pair(text: &str) -> Result<(String, String), UsageError> {
     match text.split_once('=') {
         Some((key, value)) => Ok((key.trim().into(), value.trim().into())),
-        None => Err(UsageError::Operands(format!("KEY=VALUE, found {text:?}"))),
+        None => Err(UsageError::InvalidOperands(format!(
+            "KEY=VALUE, found {text:?}"
+        ))),
     }
 }
--- a/crates/snipeway/src/cmd/settings.rs
+++ b/crates/snipeway/src/cmd/settings.rs
@@ -28,7 +28,7 @@
         "load" => load::settings::read(file, text).map(drop),
         "node" => node::settings::read(file, text).map(drop),
         other => {
-            return Err(UsageError::Form {
+            return Err(UsageError::InvalidValue {
                 option: "kind",
                 expected: "entry, operator, standin, load or node",
                 found: other.into(),
