--- a/crates/args/src/complete.rs
+++ b/crates/args/src/complete.rs
@@ -1,11 +1,11 @@
-//! Shell completions.
+//! Generates shell completions.
 
 use std::fmt::Write;
 
 use crate::CliSpec;
 
-/// Every first word and long option that a program takes, with explanations.
-fn words(spec: &CliSpec) -> Vec<(String, &'static str)> {
+/// Returns the first word of each command and every long option, each with its help text.
+fn top_level_words(spec: &CliSpec) -> Vec<(String, &'static str)> {
     let mut words = Vec::new();
     for cmd in spec.cmds {
         let first = cmd.name.split(' ').next().unwrap_or("").to_owned();
@@ -13,7 +13,7 @@
             words.push((first, cmd.help));
         }
     }
-    let mut opts = spec.all(None);
+    let mut opts = spec.options_for(None);
     opts.extend(spec.cmds.iter().flat_map(|cmd| cmd.opts));
     for opt in opts {
         let long = format!("--{}", opt.long);
@@ -24,19 +24,22 @@
     words
 }
 
-/// Second words of the commands that have two.
-fn seconds(spec: &CliSpec) -> Vec<(&'static str, &'static str, &'static str)> {
-    let pairs = spec.cmds.iter().filter_map(|cmd| {
+/// Returns the first word, second word and help text of each command with a two-word name.
+fn subcommands(spec: &CliSpec) -> Vec<(&'static str, &'static str, &'static str)> {
+    let subcommands = spec.cmds.iter().filter_map(|cmd| {
         let (first, second) = cmd.name.split_once(' ')?;
         Some((first, second, cmd.help))
     });
-    pairs.collect()
+    subcommands.collect()
 }
 
-/// Writes the completions for bash.
+/// Returns the completion script for bash.
 pub fn bash(spec: &CliSpec) -> String {
     let name = spec.program.replace('-', "_");
-    let all: Vec<_> = words(spec).into_iter().map(|(word, _)| word).collect();
+    let words: Vec<_> = top_level_words(spec)
+        .into_iter()
+        .map(|(word, _)| word)
+        .collect();
     let mut out = String::new();
     let _ = writeln!(out, "_{name}() {{");
     let _ = writeln!(out, "    local cur=\"${{COMP_WORDS[COMP_CWORD]}}\"");
@@ -46,12 +49,12 @@
         out,
         "        --config) COMPREPLY=($(compgen -f -- \"$cur\")); return ;;"
     );
-    let pairs = seconds(spec);
-    let mut firsts: Vec<_> = pairs.iter().map(|(first, _, _)| *first).collect();
-    firsts.dedup();
-    for first in firsts {
-        let of_first = pairs.iter().filter(|(other, _, _)| *other == first);
-        let seconds: Vec<_> = of_first.map(|(_, second, _)| *second).collect();
+    let subcommands = subcommands(spec);
+    let mut groups: Vec<_> = subcommands.iter().map(|(first, _, _)| *first).collect();
+    groups.dedup();
+    for first in groups {
+        let of_group = subcommands.iter().filter(|(other, _, _)| *other == first);
+        let seconds: Vec<_> = of_group.map(|(_, second, _)| *second).collect();
         let list = seconds.join(" ");
         let _ = writeln!(
             out,
@@ -59,16 +62,16 @@
         );
     }
     let _ = writeln!(out, "    esac");
-    let list = all.join(" ");
+    let list = words.join(" ");
     let _ = writeln!(out, "    COMPREPLY=($(compgen -W \"{list}\" -- \"$cur\"))");
     let _ = writeln!(out, "}}\ncomplete -F _{name} {}", spec.program);
     out
 }
 
-/// Writes the completions for zsh.
+/// Returns the completion script for zsh.
 pub fn zsh(spec: &CliSpec) -> String {
     let mut out = format!("#compdef {}\n\nlocal -a words=(\n", spec.program);
-    for (word, help) in words(spec) {
+    for (word, help) in top_level_words(spec) {
         let help = help.replace('\'', "'\\''").replace(':', "\\:");
         let _ = writeln!(out, "    '{word}:{help}'");
     }
@@ -76,11 +79,11 @@
     out
 }
 
-/// Writes the completions for fish.
+/// Returns the completion script for fish.
 pub fn fish(spec: &CliSpec) -> String {
     let mut out = String::new();
     let quote = |help: &str| help.replace('\'', "\\'");
-    for (word, help) in words(spec) {
+    for (word, help) in top_level_words(spec) {
         let help = quote(help);
         match word.strip_prefix("--") {
             Some(long) => {
@@ -95,7 +98,7 @@
             }
         }
     }
-    for (first, second, help) in seconds(spec) {
+    for (first, second, help) in subcommands(spec) {
         let help = quote(help);
         let _ = writeln!(
             out,
--- a/crates/args/src/help.rs
+++ b/crates/args/src/help.rs
@@ -1,4 +1,4 @@
-//! The text of `--help`.
+//! Generates the text of `--help`.
 
 use std::fmt::Write;
 
@@ -6,13 +6,13 @@
 use crate::Cmd;
 use crate::Opt;
 
-/// Column at which explanations begin.
-const COLUMN: usize = 30;
+/// Column at which the descriptions of options and commands begin.
+const DESCRIPTION_COLUMN: usize = 30;
 
-/// Columns of running text.
-const WIDTH: usize = 80;
+/// Number of columns at which paragraphs are wrapped.
+const TEXT_COLUMNS: usize = 80;
 
-/// Writes the help of a program, or of one of its commands.
+/// Returns the help of a program, or of one of its commands.
 pub fn help(spec: &CliSpec, cmd: Option<&Cmd>) -> String {
     let mut out = String::new();
     match cmd {
@@ -25,41 +25,41 @@
             let _ = writeln!(out, "{}\n", spec.about);
             let command = if spec.cmds.is_empty() { "" } else { " COMMAND" };
             let _ = writeln!(out, "Usage: {}{command} [OPTION]...", spec.program);
-            commands(&mut out, spec);
+            write_commands(&mut out, spec);
         }
     }
     let _ = writeln!(out, "\nOptions:");
-    for opt in spec.all(cmd) {
-        line(&mut out, &name(&opt), opt.help);
+    for opt in spec.options_for(cmd) {
+        write_entry(&mut out, &option_label(&opt), opt.help);
     }
     if cmd.is_none() && !spec.description.is_empty() {
-        let _ = writeln!(out, "\n{}", textwrap::fill(spec.description, WIDTH));
+        let _ = writeln!(out, "\n{}", textwrap::fill(spec.description, TEXT_COLUMNS));
     }
     out
 }
 
-fn commands(out: &mut String, spec: &CliSpec) {
+fn write_commands(out: &mut String, spec: &CliSpec) {
     if spec.cmds.is_empty() {
         return;
     }
     let _ = writeln!(out, "\nCommands:");
     for cmd in spec.cmds {
         let text = format!("{} {}", cmd.name, cmd.operands);
-        line(out, text.trim_end(), cmd.help);
+        write_entry(out, text.trim_end(), cmd.help);
     }
 }
 
-fn line(out: &mut String, name: &str, help: &str) {
-    if name.len() + 4 > COLUMN {
-        let _ = writeln!(out, "  {name}\n{:COLUMN$}{help}", "");
+fn write_entry(out: &mut String, name: &str, help: &str) {
+    if name.len() + 4 > DESCRIPTION_COLUMN {
+        let _ = writeln!(out, "  {name}\n{:DESCRIPTION_COLUMN$}{help}", "");
         return;
     }
-    let width = COLUMN - 2;
+    let width = DESCRIPTION_COLUMN - 2;
     let _ = writeln!(out, "  {name:width$}{help}");
 }
 
-/// The name of an option with that of its value.
-pub(crate) fn name(opt: &Opt) -> String {
+/// Returns an option as the help shows it, such as `--config FILE`.
+pub(crate) fn option_label(opt: &Opt) -> String {
     match opt.value {
         Some(value) => format!("--{} {value}", opt.long),
         None => format!("--{}", opt.long),
--- a/crates/args/src/lib.rs
+++ b/crates/args/src/lib.rs
@@ -1,7 +1,7 @@
-//! Command lines as tables.
+//! Declarative command lines.
 //!
 //! A program declares its options and commands once, in a [`CliSpec`]. Parsing, `--help`, the man
-//! page and the shell completions all follow from it.
+//! page and the shell completions are all derived from it.
 
 pub mod complete;
 pub mod help;
@@ -11,18 +11,18 @@
 pub mod program;
 pub mod spec;
 
-pub use parse::Parse;
+pub use parse::ParseOutcome;
 pub use parse::ParsedArgs;
 pub use parse::UsageError;
 pub use spec::CliSpec;
 pub use spec::Cmd;
 pub use spec::Opt;
 
-/// Exit code of a command that did what it was asked.
-pub const DONE: u8 = 0;
+/// Exit code of a command that succeeded.
+pub const EXIT_SUCCESS: u8 = 0;
 
 /// Exit code of a command that failed.
-pub const FAILED: u8 = 1;
+pub const EXIT_FAILURE: u8 = 1;
 
-/// Exit code of a wrong command line or wrong settings.
-pub const USAGE: u8 = 2;
+/// Exit code for an invalid command line or invalid settings.
+pub const EXIT_USAGE: u8 = 2;
--- a/crates/args/src/man.rs
+++ b/crates/args/src/man.rs
@@ -1,4 +1,4 @@
-//! Man pages.
+//! Generates man pages.
 
 use roff::Roff;
 use roff::bold;
@@ -8,7 +8,7 @@
 use crate::CliSpec;
 use crate::Opt;
 
-/// Writes the man page of a program.
+/// Returns the man page of a program in roff.
 pub fn man(spec: &CliSpec) -> String {
     let mut page = Roff::new();
     let version = concat!("snipeway ", env!("CARGO_PKG_VERSION"));
@@ -34,11 +34,11 @@
             page.control("TP", []);
             page.text([bold(cmd.name), roman(" "), italic(cmd.operands)]);
             page.text([roman(cmd.help)]);
-            options(&mut page, cmd.opts);
+            write_options(&mut page, cmd.opts);
         }
     }
     page.control("SH", ["OPTIONS"]);
-    options(&mut page, &spec.all(None));
+    write_options(&mut page, &spec.options_for(None));
     page.control("SH", ["EXIT STATUS"]);
     for (code, text) in [
         ("0", "Done."),
@@ -52,7 +52,7 @@
     page.to_roff()
 }
 
-fn options(page: &mut Roff, opts: &[Opt]) {
+fn write_options(page: &mut Roff, opts: &[Opt]) {
     for opt in opts {
         page.control("TP", []);
         let name = bold(format!("--{}", opt.long));
--- a/crates/args/src/output.rs
+++ b/crates/args/src/output.rs
@@ -1,16 +1,17 @@
-//! Writing to standard output.
+//! Writes to standard output.
 
 use std::fmt;
 use std::io;
 use std::io::Write;
 
-/// Writes to standard output. Whoever reads may stop before the end, as `head` does; then nobody
-/// misses the rest, and it is no failure of ours.
+/// Writes to standard output and ignores errors: a reader such as `head` may close the pipe early,
+/// which is not a failure of the program.
 pub fn write(text: fmt::Arguments<'_>) {
     let _ = io::stdout().lock().write_fmt(text);
 }
 
-/// Writes a line to standard output, like `println!`, and stays calm when nobody reads it.
+/// Writes a line to standard output like `println!`, but does not panic if the write fails, for
+/// example because the reader closed the pipe.
 ///
 /// # Examples
 ///
--- a/crates/args/src/parse.rs
+++ b/crates/args/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of a command line.
+//! Command line parsing.
 
 use std::ffi::OsString;
 use std::str::FromStr;
@@ -10,101 +10,102 @@
 use crate::Cmd;
 use crate::help::help;
 
-/// What a command line asks for.
+/// What the program does after parsing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Parse {
-    /// Run.
+pub enum ParseOutcome {
+    /// Run with these arguments.
     Run(ParsedArgs),
-    /// Print this text and exit.
-    Show(String),
+    /// Print this text, the help or the version, and exit.
+    Print(String),
 }
 
-/// The parts of a command line.
+/// The command, operands and option values of a command line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ParsedArgs {
-    /// The command, for a program that has several.
+    /// The command's name; empty for a program without commands.
     pub cmd: &'static str,
     /// The operands.
     pub operands: Vec<String>,
     values: Vec<(&'static str, String)>,
 }
 
-/// What is wrong with a command line.
+/// An error in a command line.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum UsageError {
-    /// No such option.
+    /// An option that the program or the command does not accept.
     #[error("unknown option {0}{1}")]
-    Option(String, Hint),
-    /// No such command.
+    UnknownOption(String, Suggestion),
+    /// A command that the program does not have.
     #[error("unknown command {0:?}{1}")]
-    Command(String, Hint),
+    UnknownCommand(String, Suggestion),
     /// The command is missing.
     #[error("a command is missing; see --help")]
-    NoCommand,
+    MissingCommand,
     /// Too few or too many operands.
     #[error("usage: {0}")]
     InvalidOperands(String),
-    /// An option without its value, or with one that it does not take.
+    /// An option without its value, or a value for an option that takes none.
     #[error(transparent)]
-    Value(#[from] lexopt::Error),
-    /// A value that does not have the expected form.
+    Syntax(#[from] lexopt::Error),
+    /// A value that does not parse as the expected type or is not allowed.
     #[error("--{option}: expected {expected}, found {found:?}")]
     InvalidValue {
-        /// The option.
+        /// The option's long name.
         option: &'static str,
-        /// What would be right.
+        /// A description of valid values.
         expected: &'static str,
-        /// What stands there.
+        /// The value that was given.
         found: String,
     },
-    /// An option that must be there is not.
+    /// A required option is missing.
     #[error("--{0} is missing")]
-    Missing(&'static str),
+    MissingOption(&'static str),
 }
 
-/// The nearest known name, if one is close.
+/// The most similar known name, if one is similar enough to suggest.
 #[derive(Debug)]
-pub struct Hint(Option<&'static str>);
+pub struct Suggestion(Option<&'static str>);
 
-impl std::fmt::Display for Hint {
+impl std::fmt::Display for Suggestion {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0 {
-            Some(near) => write!(f, "; did you mean {near}?"),
+            Some(name) => write!(f, "; did you mean {name}?"),
             None => Ok(()),
         }
     }
 }
 
-/// Similarity from which a known name is offered.
-const NEAR: f64 = 0.8;
+/// Minimum Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested.
+const MIN_SIMILARITY: f64 = 0.8;
 
-fn hint(name: &str, known: impl Iterator<Item = &'static str>) -> Hint {
+fn suggest(name: &str, known: impl Iterator<Item = &'static str>) -> Suggestion {
     let scored = known.map(|other| (strsim::jaro_winkler(name, other), other));
-    let near = scored.filter(|(score, _)| *score >= NEAR);
-    Hint(
-        near.max_by(|a, b| a.0.total_cmp(&b.0))
+    let similar = scored.filter(|(score, _)| *score >= MIN_SIMILARITY);
+    Suggestion(
+        similar
+            .max_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, name)| name),
     )
 }
 
 impl ParsedArgs {
-    /// Tells whether a switch is set.
+    /// Returns whether an option was given.
     pub fn has(&self, long: &str) -> bool {
         self.values.iter().any(|(name, _)| *name == long)
     }
 
-    /// The value of an option; the last one when it is given more than once.
+    /// Returns the value of an option; the last one if it was given more than once.
     pub fn value(&self, long: &str) -> Option<&str> {
         let found = self.values.iter().rev().find(|(name, _)| *name == long);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The value of an option in a given form.
+    /// Parses the value of an option. `expected` describes a valid value in the error message.
     ///
     /// # Errors
     ///
-    /// Returns [`UsageError::InvalidValue`] when the value does not have it.
+    /// Returns [`UsageError::InvalidValue`] if the value does not parse.
     pub fn get<T: FromStr>(
         &self,
         long: &'static str,
@@ -123,30 +124,32 @@
         }
     }
 
-    /// The value of an option that must be there.
+    /// Parses the value of a required option.
     ///
     /// # Errors
     ///
-    /// Returns [`UsageError`] when it is missing or does not have the form.
+    /// Returns [`UsageError`] if the option is missing or its value does not parse.
     pub fn require<T: FromStr>(
         &self,
         long: &'static str,
         expected: &'static str,
     ) -> Result<T, UsageError> {
-        self.get(long, expected)?.ok_or(UsageError::Missing(long))
+        self.get(long, expected)?
+            .ok_or(UsageError::MissingOption(long))
     }
 }
 
-/// Parses the arguments after the program's name.
+/// Parses `args`, which start after the program's name. `--help` and `--version` take precedence
+/// over a missing or unknown command.
 ///
 /// # Errors
 ///
-/// Returns [`UsageError`], which names what is wrong.
+/// Returns [`UsageError`] if an option, the command or the number of operands is invalid.
 ///
 /// # Examples
 ///
 /// ```
-/// use args::{Opt, Parse, CliSpec};
+/// use args::{CliSpec, Opt, ParseOutcome};
 ///
 /// const SPEC: CliSpec = CliSpec {
 ///     program: "snipeway-entry",
@@ -155,57 +158,63 @@
 ///     opts: &[Opt { long: "config", value: Some("FILE"), help: "Settings" }],
 ///     cmds: &[],
 /// };
-/// let parsed = args::parse::parse(&SPEC, ["--config", "a.ini"])?;
-/// let Parse::Run(parsed) = parsed else { panic!("no help was asked for") };
+/// let outcome = args::parse::parse(&SPEC, ["--config", "a.ini"])?;
+/// let ParseOutcome::Run(parsed) = outcome else { panic!("expected arguments to run with") };
 /// assert_eq!(parsed.value("config"), Some("a.ini"));
 /// # Ok::<(), args::UsageError>(())
 /// ```
-pub fn parse<I>(spec: &CliSpec, args: I) -> Result<Parse, UsageError>
+pub fn parse<I>(spec: &CliSpec, args: I) -> Result<ParseOutcome, UsageError>
 where
     I: IntoIterator,
     I::Item: Into<OsString>,
 {
     let mut parser = Parser::from_args(args);
-    let mut words: Vec<String> = Vec::new();
+    let mut positionals: Vec<String> = Vec::new();
     let mut parsed = ParsedArgs::default();
-    let mut show = None;
+    let mut info_request = None;
     while let Some(arg) = parser.next()? {
         match arg {
-            Arg::Value(word) => words.push(word.to_string_lossy().into_owned()),
-            Arg::Long("help") | Arg::Short('h') => show = Some("help"),
-            Arg::Long("version") | Arg::Short('V') => show = Some("version"),
+            Arg::Value(value) => positionals.push(value.to_string_lossy().into_owned()),
+            Arg::Long("help") | Arg::Short('h') => info_request = Some("help"),
+            Arg::Long("version") | Arg::Short('V') => info_request = Some("version"),
             Arg::Long(name) => {
                 let name = name.to_owned();
-                option(spec, &name, &mut parser, &mut parsed)?;
+                parse_option(spec, &name, &mut parser, &mut parsed)?;
             }
             Arg::Short(letter) => {
-                return Err(UsageError::Option(format!("-{letter}"), Hint(None)));
+                return Err(UsageError::UnknownOption(
+                    format!("-{letter}"),
+                    Suggestion(None),
+                ));
             }
         }
     }
-    if show == Some("version") {
+    if info_request == Some("version") {
         let version = env!("CARGO_PKG_VERSION");
-        return Ok(Parse::Show(format!("{} {version}\n", spec.program)));
+        return Ok(ParseOutcome::Print(format!("{} {version}\n", spec.program)));
     }
-    let found = find(spec, &words);
-    if show == Some("help") {
-        return Ok(Parse::Show(help(spec, found.map(|(cmd, _)| cmd))));
+    let command = find_command(spec, &positionals);
+    if info_request == Some("help") {
+        return Ok(ParseOutcome::Print(help(spec, command.map(|(cmd, _)| cmd))));
     }
-    finish(spec, found, words, parsed)
+    build_outcome(spec, command, positionals, parsed)
 }
 
-fn option(
+fn parse_option(
     spec: &CliSpec,
     name: &str,
     parser: &mut Parser,
     parsed: &mut ParsedArgs,
 ) -> Result<(), UsageError> {
-    let of_cmds = spec.cmds.iter().flat_map(|cmd| cmd.opts);
-    let mut known = spec.opts.iter().chain(of_cmds);
+    let command_opts = spec.cmds.iter().flat_map(|cmd| cmd.opts);
+    let mut known = spec.opts.iter().chain(command_opts);
     let Some(opt) = known.find(|opt| opt.long == name) else {
-        let of_cmds = spec.cmds.iter().flat_map(|cmd| cmd.opts);
-        let names = spec.opts.iter().chain(of_cmds).map(|opt| opt.long);
-        return Err(UsageError::Option(format!("--{name}"), hint(name, names)));
+        let command_opts = spec.cmds.iter().flat_map(|cmd| cmd.opts);
+        let names = spec.opts.iter().chain(command_opts).map(|opt| opt.long);
+        return Err(UsageError::UnknownOption(
+            format!("--{name}"),
+            suggest(name, names),
+        ));
     };
     let value = match opt.value {
         Some(_) => parser.value()?.to_string_lossy().into_owned(),
@@ -215,54 +224,57 @@
     Ok(())
 }
 
-/// Finds the command that the first words name, and how many words that takes.
-fn find<'a>(spec: &'a CliSpec, words: &[String]) -> Option<(&'a Cmd, usize)> {
+/// Finds the command whose name the positional arguments start with, and the number of words in
+/// that name.
+fn find_command<'a>(spec: &'a CliSpec, positionals: &[String]) -> Option<(&'a Cmd, usize)> {
     spec.cmds.iter().find_map(|cmd| {
         let name: Vec<_> = cmd.name.split(' ').collect();
-        let same = words.len() >= name.len() && name.iter().zip(words).all(|(a, b)| a == b);
-        same.then_some((cmd, name.len()))
+        let matches =
+            positionals.len() >= name.len() && name.iter().zip(positionals).all(|(a, b)| a == b);
+        matches.then_some((cmd, name.len()))
     })
 }
 
-fn finish(
+/// Checks that the command accepts the given options and the number of operands.
+fn build_outcome(
     spec: &CliSpec,
-    found: Option<(&Cmd, usize)>,
-    mut words: Vec<String>,
+    command: Option<(&Cmd, usize)>,
+    mut positionals: Vec<String>,
     mut parsed: ParsedArgs,
-) -> Result<Parse, UsageError> {
-    let (least, most, usage) = match (found, spec.cmds.is_empty()) {
-        (Some((cmd, taken)), _) => {
-            words.drain(..taken);
+) -> Result<ParseOutcome, UsageError> {
+    let (min_operands, max_operands, usage) = match (command, spec.cmds.is_empty()) {
+        (Some((cmd, name_words)), _) => {
+            positionals.drain(..name_words);
             parsed.cmd = cmd.name;
             let usage = format!("{} {} {}", spec.program, cmd.name, cmd.operands);
-            // An option of another command would be passed over without a word.
-            let all = spec.all(Some(cmd));
-            let foreign = parsed
+            // Without this check an option of another command would be ignored silently.
+            let accepted = spec.options_for(Some(cmd));
+            let unaccepted = parsed
                 .values
                 .iter()
-                .find(|(name, _)| !all.iter().any(|opt| opt.long == *name));
-            if let Some((name, _)) = foreign {
+                .find(|(name, _)| !accepted.iter().any(|opt| opt.long == *name));
+            if let Some((name, _)) = unaccepted {
                 let text = format!("--{name} of {}", cmd.name);
-                return Err(UsageError::Option(text, Hint(None)));
+                return Err(UsageError::UnknownOption(text, Suggestion(None)));
             }
             (cmd.min_operands, cmd.max_operands, usage)
         }
         (None, true) => (0, 0, format!("{} [OPTION]...", spec.program)),
-        (None, false) => return Err(unknown(spec, &words)),
+        (None, false) => return Err(command_error(spec, &positionals)),
     };
-    if words.len() < least || words.len() > most {
+    if positionals.len() < min_operands || positionals.len() > max_operands {
         return Err(UsageError::InvalidOperands(usage.trim_end().to_owned()));
     }
-    parsed.operands = words;
-    Ok(Parse::Run(parsed))
+    parsed.operands = positionals;
+    Ok(ParseOutcome::Run(parsed))
 }
 
-fn unknown(spec: &CliSpec, words: &[String]) -> UsageError {
-    if words.is_empty() {
-        return UsageError::NoCommand;
+fn command_error(spec: &CliSpec, positionals: &[String]) -> UsageError {
+    if positionals.is_empty() {
+        return UsageError::MissingCommand;
     }
-    let two = words[..words.len().min(2)].join(" ");
+    let name = positionals[..positionals.len().min(2)].join(" ");
     let names = || spec.cmds.iter().map(|cmd| cmd.name);
-    let near = hint(&two, names());
-    UsageError::Command(two, near)
+    let suggestion = suggest(&name, names());
+    UsageError::UnknownCommand(name, suggestion)
 }
--- a/crates/args/src/spec.rs
+++ b/crates/args/src/spec.rs
@@ -1,50 +1,50 @@
-//! What a command line may hold.
+//! Declaration of a program's options and commands.
 
-/// An option.
+/// A command line option.
 #[derive(Clone, Copy, Debug)]
 pub struct Opt {
     /// The long name, without dashes.
     pub long: &'static str,
-    /// What its value is called in the help; [`None`] for a switch.
+    /// The placeholder of its value in the help, such as `FILE`; [`None`] for a switch.
     pub value: Option<&'static str>,
-    /// What it does, in one line.
+    /// A one-line description for the help.
     pub help: &'static str,
 }
 
-/// A command of a program that has several.
+/// A command of a program that has more than one.
 #[derive(Clone, Copy, Debug)]
 pub struct Cmd {
-    /// Its name; two words for a command of a group.
+    /// The name; two words for a command of a group, such as `contract show`.
     pub name: &'static str,
-    /// Its operands as the help shows them.
+    /// The operands as shown in the help, such as `FILE...`.
     pub operands: &'static str,
-    /// Fewest operands.
+    /// Minimum number of operands.
     pub min_operands: usize,
-    /// Most operands.
+    /// Maximum number of operands.
     pub max_operands: usize,
-    /// What it does, in one line.
+    /// A one-line description for the help.
     pub help: &'static str,
-    /// Its options, on top of the program's.
+    /// Options that only this command accepts, in addition to those of the program.
     pub opts: &'static [Opt],
 }
 
-/// A program's command line.
+/// The options and commands of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct CliSpec {
-    /// The program.
+    /// The name of the program.
     pub program: &'static str,
-    /// What it is for, in one line.
+    /// A one-line summary.
     pub about: &'static str,
-    /// More about it, for the help and the man page.
+    /// A paragraph for the help and the man page; may be empty.
     pub description: &'static str,
-    /// Options of the program and of each of its commands.
+    /// Options that the program and each of its commands accept.
     pub opts: &'static [Opt],
-    /// Its commands; none when it does one thing.
+    /// The commands; empty for a program without commands.
     pub cmds: &'static [Cmd],
 }
 
-/// Options that every program has.
-pub const COMMON: &[Opt] = &[
+/// Options that every program accepts.
+pub const COMMON_OPTS: &[Opt] = &[
     Opt {
         long: "help",
         value: None,
@@ -58,9 +58,14 @@
 ];
 
 impl CliSpec {
-    /// The options of a command, those of the program and those that every program has.
-    pub fn all(&self, cmd: Option<&Cmd>) -> Vec<Opt> {
-        let own = cmd.map_or(&[][..], |cmd| cmd.opts);
-        own.iter().chain(self.opts).chain(COMMON).copied().collect()
+    /// Returns the options of the command if one is given, of the program, and of every program.
+    pub fn options_for(&self, cmd: Option<&Cmd>) -> Vec<Opt> {
+        let command_opts = cmd.map_or(&[][..], |cmd| cmd.opts);
+        command_opts
+            .iter()
+            .chain(self.opts)
+            .chain(COMMON_OPTS)
+            .copied()
+            .collect()
     }
 }
--- a/crates/args/tests/parse.rs
+++ b/crates/args/tests/parse.rs
@@ -1,9 +1,9 @@
-//! Tests of command lines.
+//! Tests of command line parsing, the help, man pages and completions.
 
 use args::CliSpec;
 use args::Cmd;
 use args::Opt;
-use args::Parse;
+use args::ParseOutcome;
 use args::parse::parse;
 use yare::parameterized;
 
@@ -40,7 +40,7 @@
     ],
 };
 
-fn error(line: &str) -> String {
+fn parse_error(line: &str) -> String {
     match parse(&SPEC, line.split_whitespace()) {
         Ok(parsed) => panic!("accepted {parsed:?}"),
         Err(error) => error.to_string(),
@@ -48,25 +48,25 @@
 }
 
 #[parameterized(
-    option = { "audit --lasst 3", "unknown option --lasst; did you mean last?" },
-    short = { "audit -x", "unknown option -x" },
-    command = { "contract shw a", "unknown command \"contract shw\"; did you mean contract show?" },
-    none = { "", "a command is missing; see --help" },
-    few = { "contract show", "usage: snipeway contract show CUSTOMER" },
-    many = { "audit x", "usage: snipeway audit" },
-    foreign = { "contract show a --last 3", "unknown option --last of contract show" },
+    unknown_option = { "audit --lasst 3", "unknown option --lasst; did you mean last?" },
+    unknown_short_option = { "audit -x", "unknown option -x" },
+    unknown_command = { "contract shw a", "unknown command \"contract shw\"; did you mean contract show?" },
+    no_command = { "", "a command is missing; see --help" },
+    too_few_operands = { "contract show", "usage: snipeway contract show CUSTOMER" },
+    too_many_operands = { "audit x", "usage: snipeway audit" },
+    option_of_other_command = { "contract show a --last 3", "unknown option --last of contract show" },
     no_value = { "audit --last", "missing argument for option '--last'" },
 )]
-fn a_wrong_line_is_explained(line: &str, expected: &str) {
-    assert_eq!(error(line), expected);
+fn invalid_command_lines_are_explained(line: &str, expected: &str) {
+    assert_eq!(parse_error(line), expected);
 }
 
 #[test]
-fn a_right_line_is_taken_apart() {
-    let parsed = parse(&SPEC, ["contract", "show", "aarhus", "--config", "x"]).unwrap();
+fn a_valid_command_line_is_parsed() {
+    let outcome = parse(&SPEC, ["contract", "show", "aarhus", "--config", "x"]).unwrap();
 
-    let Parse::Run(parsed) = parsed else {
-        panic!("no help was asked for");
+    let ParseOutcome::Run(parsed) = outcome else {
+        panic!("expected arguments to run with");
     };
     assert_eq!(parsed.cmd, "contract show");
     assert_eq!(parsed.operands, ["aarhus"]);
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn a_value_of_the_wrong_form_is_explained() {
-    let Ok(Parse::Run(parsed)) = parse(&SPEC, ["audit", "--last", "few"]) else {
-        panic!("not parsed");
+fn an_invalid_option_value_is_explained() {
+    let Ok(ParseOutcome::Run(parsed)) = parse(&SPEC, ["audit", "--last", "few"]) else {
+        panic!("expected arguments to run with");
     };
 
     let error = parsed.get::<u32>("last", "a number").unwrap_err();
@@ -92,16 +92,16 @@
     command = { "contract show --help", "CUSTOMER" },
     version = { "--version", "snipeway 0." },
 )]
-fn texts_are_shown(line: &str, part: &str) {
-    let Ok(Parse::Show(text)) = parse(&SPEC, line.split_whitespace()) else {
-        panic!("not shown");
+fn help_and_version_are_printed(line: &str, part: &str) {
+    let Ok(ParseOutcome::Print(text)) = parse(&SPEC, line.split_whitespace()) else {
+        panic!("expected a text to print");
     };
 
     assert!(text.contains(part), "{text}");
 }
 
 #[test]
-fn generated_files_name_every_command() {
+fn generated_files_contain_every_command() {
     let texts = [
         args::man::man(&SPEC),
         args::complete::bash(&SPEC),
