--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -36,7 +36,7 @@
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let file: String = parsed.require("config", "a file")?;
     let settings = serve::settings::read(&file, &conf::load(&file)?)?;
-    logs::begin(&settings.logs)?;
+    logs::init(&settings.logs)?;
     args::program::block_on(async {
         let control = Control::start(&settings, settings.me.address);
         serve::server::terminated().await;
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -34,7 +34,7 @@
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let steps = parsed.get("steps", "a number of steps")?.unwrap_or(4);
     if parsed.has("verbose") {
-        logs::begin(&logs::Settings::default())?;
+        logs::init(&logs::Settings::default())?;
     }
     args::program::block_on(demo(steps, parsed.has("stay")))
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -17,7 +17,7 @@
         args::print_line!("{file}: good");
         return Ok(());
     }
-    logs::begin(&settings.logs)?;
+    logs::init(&settings.logs)?;
     args::program::block_on(async {
         let running = Running::start(settings).await?;
         if !running.until_told().await {
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -17,7 +17,7 @@
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let file: String = parsed.require("config", "a file")?;
     let settings = settings::read(&file, &conf::load(&file)?)?;
-    logs::begin(&logs::Settings::default())?;
+    logs::init(&logs::Settings::default())?;
     args::program::block_on(async move {
         match parsed.cmd {
             "call" => call(&settings).await,
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -129,7 +129,7 @@
 /// # Errors
 ///
 /// Returns [`LogError`].
-pub fn begin(settings: &Settings) -> Result<(), LogError> {
+pub fn init(settings: &Settings) -> Result<(), LogError> {
     let form = settings.form;
     let dispatch = fern::Dispatch::new().format(move |out, _, record| {
         let line = match form {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -82,7 +82,7 @@
     protocol: Arc<dyn Protocol>,
 ) -> eyre::Result<()> {
     let settings = settings::read(file, &conf::load(file)?)?;
-    logs::begin(&settings.logs)?;
+    logs::init(&settings.logs)?;
     let mut term = signal(SignalKind::terminate())?;
     let running = Running::start(settings, dialect, protocol).await?;
     tokio::spawn(reload(file.to_owned(), running.app.settings.clone()));
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -21,7 +21,7 @@
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let file: String = parsed.require("config", "a file")?;
     let parts = crate::settings::read(&file, &conf::load(&file)?)?;
-    logs::begin(&logs::Settings::default())?;
+    logs::init(&logs::Settings::default())?;
     args::program::block_on(serve(parts))
 }
 
