--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -23,7 +23,7 @@
 
 /// The form of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
     /// `key=value` pairs.
     #[default]
     Pairs,
@@ -35,16 +35,16 @@
 #[derive(Clone, Copy, Debug)]
 #[derive(thiserror::Error)]
 #[error("expected pairs or json")]
-pub struct FormError;
+pub struct ParseFormatError;
 
-impl FromStr for Form {
-    type Err = FormError;
+impl FromStr for Format {
+    type Err = ParseFormatError;
 
-    fn from_str(text: &str) -> Result<Self, FormError> {
+    fn from_str(text: &str) -> Result<Self, ParseFormatError> {
         match text {
             "pairs" => Ok(Self::Pairs),
             "json" => Ok(Self::Json),
-            _ => Err(FormError),
+            _ => Err(ParseFormatError),
         }
     }
 }
@@ -65,7 +65,7 @@
     /// Lowest level that is written.
     pub level: log::LevelFilter,
     /// The form of a line.
-    pub form: Form,
+    pub format: Format,
     /// Where lines go.
     pub sink: Sink,
     /// File of the audit trail's lines; standard error when absent.
@@ -76,7 +76,7 @@
     fn default() -> Self {
         Self {
             level: log::LevelFilter::Info,
-            form: Form::Pairs,
+            format: Format::Pairs,
             sink: Sink::Stderr,
             audit: None,
         }
@@ -130,11 +130,11 @@
 ///
 /// Returns [`LogError`].
 pub fn init(settings: &Settings) -> Result<(), LogError> {
-    let form = settings.form;
+    let form = settings.format;
     let dispatch = fern::Dispatch::new().format(move |out, _, record| {
         let line = match form {
-            Form::Pairs => pairs(record),
-            Form::Json => json(record),
+            Format::Pairs => pairs(record),
+            Format::Json => json(record),
         };
         out.finish(format_args!("{line}"));
     });
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -194,7 +194,7 @@
         fill: fill.max(0.0),
         logs: logs::Settings {
             level,
-            form: logs::Form::Json,
+            format: logs::Format::Json,
             sink: logs::Sink::Queue,
             audit: None,
         },
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -354,7 +354,7 @@
     let base = logs::Settings::default();
     logs::Settings {
         level: s.get_or("level", "error, warn, info, debug or off", base.level),
-        form: s.get_or("form", "pairs or json", base.form),
+        format: s.get_or("form", "pairs or json", base.format),
         audit: s.get::<PathBuf>("audit", "a file"),
         sink: base.sink,
     }
