--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -19,7 +19,7 @@
 pub use queue::dropped;
 
 /// Target of the audit trail's lines: changes that somebody or something made.
-pub const AUDIT: &str = "audit";
+pub const AUDIT_TARGET: &str = "audit";
 
 /// The form of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -141,7 +141,7 @@
     let level = settings.level;
     let plain = fern::Dispatch::new()
         .level(level)
-        .level_for(AUDIT, log::LevelFilter::Info)
+        .level_for(AUDIT_TARGET, log::LevelFilter::Info)
         // gotham reports each request and hyper each frame; ours say more in fewer lines.
         .level_for("gotham", level.min(log::LevelFilter::Warn))
         .level_for("hyper", level.min(log::LevelFilter::Warn))
@@ -152,9 +152,9 @@
         Some(file) => {
             let file = fern::log_file(file).map_err(LogError::Audit)?;
             let audit = fern::Dispatch::new()
-                .filter(|metadata| metadata.target() == AUDIT)
+                .filter(|metadata| metadata.target() == AUDIT_TARGET)
                 .chain(file);
-            let rest = plain.filter(|metadata| metadata.target() != AUDIT);
+            let rest = plain.filter(|metadata| metadata.target() != AUDIT_TARGET);
             dispatch.chain(audit).chain(rest)
         }
     };
--- a/crates/serve/src/audit.rs
+++ b/crates/serve/src/audit.rs
@@ -3,7 +3,7 @@
 /// Writes a line of the audit trail.
 pub fn line(instance: &str, what: &str, subject: &str, before: &str, after: &str, rev: i64) {
     log::info!(
-        target: logs::AUDIT,
+        target: logs::AUDIT_TARGET,
         instance = instance,
         subject = subject,
         before = before,
