--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -12,7 +12,7 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-pub use line::COMMON;
+pub use line::COMMON_FIELDS;
 pub use line::json;
 pub use line::pairs;
 pub use queue::Queue;
--- a/crates/logs/src/line.rs
+++ b/crates/logs/src/line.rs
@@ -12,7 +12,7 @@
 use serde_json::Value as Json;
 
 /// The fields that every line has; no event may have one of its own of such a name.
-pub const COMMON: [&str; 4] = ["at", "level", "from", "what"];
+pub const COMMON_FIELDS: [&str; 4] = ["at", "level", "from", "what"];
 
 /// The fields of an event in the order in which they were given.
 #[derive(Default)]
@@ -50,7 +50,7 @@
         record.target().to_owned(),
         record.args().to_string(),
     ];
-    let common = COMMON.iter().zip(common);
+    let common = COMMON_FIELDS.iter().zip(common);
     let common = common.map(|(name, text)| ((*name).to_owned(), Json::String(text)));
     common.chain(fields.0).collect()
 }
--- a/crates/node/tests/fields.rs
+++ b/crates/node/tests/fields.rs
@@ -53,7 +53,7 @@
         .collect();
 
     // Such a field hid which part of the program wrote 2,652 lines of a day.
-    for common in logs::COMMON {
+    for common in logs::COMMON_FIELDS {
         assert!(
             !written.contains(common),
             "{common} is a field of every line"
