--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -16,7 +16,7 @@
 pub use line::json;
 pub use line::pairs;
 pub use queue::Queue;
-pub use queue::dropped;
+pub use queue::dropped_lines;
 
 /// Target of the audit trail's lines: changes that somebody or something made.
 pub const AUDIT_TARGET: &str = "audit";
--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -26,7 +26,7 @@
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// Lines that were dropped because their reader was too slow.
-pub fn dropped() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
@@ -91,7 +91,7 @@
                 Message::Flush(done) => flushes.push(done),
             }
         }
-        let dropped = dropped();
+        let dropped = dropped_lines();
         if dropped > told {
             text.push_str(&format!(
                 "{{\"level\":\"warn\",\"from\":\"logs\",\"what\":\"lines dropped\",\
--- a/crates/logs/tests/queue.rs
+++ b/crates/logs/tests/queue.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use logs::Queue;
-use logs::dropped;
+use logs::dropped_lines;
 
 /// A reader that takes nothing until it is told to.
 struct Stalled {
@@ -48,7 +48,7 @@
     }
 
     assert!(begun.elapsed() < Duration::from_secs(2));
-    assert!(dropped() >= 20_000 - 4_096 - 1_000);
+    assert!(dropped_lines() >= 20_000 - 4_096 - 1_000);
     drop(go);
     let mut text = Vec::new();
     while let Ok(bytes) = taken.recv_timeout(Duration::from_millis(300)) {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -208,7 +208,7 @@
     if call.method == Method::POST {
         return answer::answer(&inner.app, call).await;
     }
-    metrics::gauge!(meter::DROPPED).set(logs::dropped() as f64);
+    metrics::gauge!(meter::DROPPED).set(logs::dropped_lines() as f64);
     let text = inner.scrape.as_ref().map(PrometheusHandle::render);
     net::body::reply(StatusCode::OK, "text/plain", text.unwrap_or_default())
 }
