--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,7 +1,7 @@
-//! Log lines by log and fern: one line an event, as `key=value` pairs or as JSON.
+//! Logging with `log` and `fern`: one line per event, as `key=value` pairs or as JSON.
 //!
-//! What an event is about stands in fields, not in its text. Tokens, keys and bodies are never
-//! fields.
+//! The data of an event goes into fields, not into the message text. Tokens, keys and bodies are
+//! never logged as fields.
 
 mod line;
 pub mod queue;
@@ -18,10 +18,10 @@
 pub use queue::Queue;
 pub use queue::dropped_lines;
 
-/// Target of the audit trail's lines: changes that somebody or something made.
+/// Log target of the audit trail, which records changes and who or what made them.
 pub const AUDIT_TARGET: &str = "audit";
 
-/// The form of a line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
     /// `key=value` pairs.
@@ -31,7 +31,7 @@
     Json,
 }
 
-/// The text names no form.
+/// The text is not the name of a [`Format`].
 #[derive(Clone, Copy, Debug)]
 #[derive(thiserror::Error)]
 #[error("expected pairs or json")]
@@ -49,26 +49,26 @@
     }
 }
 
-/// Where lines go.
+/// The destination of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Sink {
-    /// To standard error, line by line.
+    /// Standard error; each line is written synchronously.
     #[default]
     Stderr,
-    /// To standard output, through a bounded queue that never blocks.
+    /// Standard output through a bounded [`Queue`]; logging never blocks.
     Queue,
 }
 
-/// Where lines go and what they look like.
+/// Level, format and destinations of log lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Lowest level that is written.
+    /// The most verbose level that is logged.
     pub level: log::LevelFilter,
-    /// The form of a line.
+    /// The format of all lines.
     pub format: Format,
-    /// Where lines go.
+    /// The destination of the lines.
     pub sink: Sink,
-    /// File of the audit trail's lines; standard error when absent.
+    /// The file of the audit trail; if absent, its lines go to `sink` with the others.
     pub audit: Option<PathBuf>,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Logging cannot begin.
+/// Logging could not be initialized.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum LogError {
@@ -93,69 +93,73 @@
     /// The thread that writes lines cannot be started.
     #[error("could not start the writer of the log")]
     Writer(#[source] io::Error),
-    /// Something else logs already.
+    /// A logger is already installed.
     #[error("could not begin to log")]
     Logger(#[from] log::SetLoggerError),
 }
 
-fn output(sink: Sink) -> Result<fern::Output, LogError> {
+fn fern_output(sink: Sink) -> Result<fern::Output, LogError> {
     match sink {
         Sink::Stderr => Ok(io::stderr().into()),
         Sink::Queue => {
-            let queue = Queue::begin(io::stdout()).map_err(LogError::Writer)?;
+            let queue = Queue::spawn(io::stdout()).map_err(LogError::Writer)?;
             let queue = QUEUE.get_or_init(|| queue).clone();
-            let call = move |record: &log::Record<'_>| queue.line(record.args().to_string());
+            let call = move |record: &log::Record<'_>| queue.push(record.args().to_string());
             Ok(fern::Output::call(call))
         }
     }
 }
 
-/// The queue of a process that logs through one.
+/// The queue of this process, set if it logs to [`Sink::Queue`].
 static QUEUE: OnceLock<Queue> = OnceLock::new();
 
-/// Time that a process waits at its end for its last lines to be written.
-const LAST: Duration = Duration::from_millis(250);
+/// Maximum time that [`flush`] waits for the last lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Waits a moment until the lines so far are written; a process calls it before it ends.
+/// Waits for a short time until all lines logged so far are written. A process calls it before it
+/// exits.
 pub fn flush() {
     if let Some(queue) = QUEUE.get() {
-        // Nobody is left who could be told that lines were lost.
-        let _ = queue.flush(LAST);
+        // At this point there is no way left to report that lines were lost.
+        let _ = queue.flush(FLUSH_TIMEOUT);
     }
 }
 
-/// Begins to log where the settings say, and the audit trail to its own file if there is one.
+/// Installs the global logger according to the settings. Audit lines go to their own file if one is
+/// set.
 ///
 /// # Errors
 ///
-/// Returns [`LogError`].
+/// Returns [`LogError`] if the audit file cannot be opened, the writer thread cannot be started or
+/// a logger is already installed.
 pub fn init(settings: &Settings) -> Result<(), LogError> {
-    let form = settings.format;
+    let format = settings.format;
     let dispatch = fern::Dispatch::new().format(move |out, _, record| {
-        let line = match form {
+        let line = match format {
             Format::Pairs => pairs(record),
             Format::Json => json(record),
         };
         out.finish(format_args!("{line}"));
     });
     let level = settings.level;
-    let plain = fern::Dispatch::new()
+    let general = fern::Dispatch::new()
         .level(level)
         .level_for(AUDIT_TARGET, log::LevelFilter::Info)
-        // gotham reports each request and hyper each frame; ours say more in fewer lines.
+        // gotham logs every request and hyper every frame; the lines of this service say more with
+        // fewer lines.
         .level_for("gotham", level.min(log::LevelFilter::Warn))
         .level_for("hyper", level.min(log::LevelFilter::Warn))
         .level_for("hyper_util", level.min(log::LevelFilter::Warn))
-        .chain(output(settings.sink)?);
+        .chain(fern_output(settings.sink)?);
     let dispatch = match &settings.audit {
-        None => dispatch.chain(plain),
+        None => dispatch.chain(general),
         Some(file) => {
             let file = fern::log_file(file).map_err(LogError::Audit)?;
             let audit = fern::Dispatch::new()
                 .filter(|metadata| metadata.target() == AUDIT_TARGET)
                 .chain(file);
-            let rest = plain.filter(|metadata| metadata.target() != AUDIT_TARGET);
-            dispatch.chain(audit).chain(rest)
+            let general = general.filter(|metadata| metadata.target() != AUDIT_TARGET);
+            dispatch.chain(audit).chain(general)
         }
     };
     dispatch.apply()?;
--- a/crates/logs/src/line.rs
+++ b/crates/logs/src/line.rs
@@ -1,4 +1,4 @@
-//! The forms of a line.
+//! Formats an event as one line.
 
 use std::fmt::Write;
 
@@ -11,15 +11,16 @@
 
 use serde_json::Value as Json;
 
-/// The fields that every line has; no event may have one of its own of such a name.
+/// The fields of every line: time, level, target and message. An event's own fields must not use
+/// these names.
 pub const COMMON_FIELDS: [&str; 4] = ["at", "level", "from", "what"];
 
-/// The fields of an event in the order in which they were given.
+/// The own fields of an event, in the order in which they were given.
 #[derive(Default)]
 struct Fields(Vec<(String, Json)>);
 
-/// Keeps numbers as numbers, so that a tool can sort and add them up.
-fn typed(value: &Value<'_>) -> Json {
+/// Converts a value to JSON, with numbers as numbers so that tools can sort and sum them.
+fn to_json(value: &Value<'_>) -> Json {
     if let Some(number) = value.to_u64() {
         return number.into();
     }
@@ -28,19 +29,19 @@
     }
     match (value.to_f64(), value.to_bool()) {
         (Some(number), _) => number.into(),
-        (None, Some(truth)) => truth.into(),
+        (None, Some(boolean)) => boolean.into(),
         (None, None) => value.to_string().into(),
     }
 }
 
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        self.0.push((key.to_string(), typed(&value)));
+        self.0.push((key.to_string(), to_json(&value)));
         Ok(())
     }
 }
 
-fn fields(record: &Record<'_>) -> Vec<(String, Json)> {
+fn collect_fields(record: &Record<'_>) -> Vec<(String, Json)> {
     let mut fields = Fields::default();
     // `visit_pair` never fails.
     let _ = record.key_values().visit(&mut fields);
@@ -55,16 +56,18 @@
     common.chain(fields.0).collect()
 }
 
+/// Returns whether `pairs` can write the value without quotes.
 fn is_plain(value: &str) -> bool {
     let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=' && c != '\\';
     !value.is_empty() && value.chars().all(plain)
 }
 
-/// Writes an event as `key=value` pairs; a value with blanks, quotes or controls is quoted, so
-/// that no value can pass for another field or another line.
+/// Formats an event as `key=value` pairs. A value is quoted and escaped if it is empty or contains
+/// blanks, quotes, `=`, backslashes, control or non-ASCII characters, so that no value can be
+/// mistaken for another field or another line.
 pub fn pairs(record: &Record<'_>) -> String {
     let mut line = String::new();
-    for (key, value) in fields(record) {
+    for (key, value) in collect_fields(record) {
         let value = match value {
             Json::String(text) => text,
             other => other.to_string(),
@@ -78,7 +81,7 @@
     line
 }
 
-/// Writes an event as one JSON object.
+/// Formats an event as one JSON object.
 pub fn json(record: &Record<'_>) -> String {
-    Json::Object(fields(record).into_iter().collect()).to_string()
+    Json::Object(collect_fields(record).into_iter().collect()).to_string()
 }
--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -1,8 +1,8 @@
-//! A bounded queue of lines before a slow reader.
+//! A bounded queue of log lines with a dedicated writer thread.
 //!
-//! A reader of standard output that stalls would block whoever writes to it, and with it the
-//! request that the line is about. So lines go to a thread of their own; when it falls behind,
-//! lines are dropped and counted, and the count is itself a line once there is room again.
+//! If the reader of standard output stalls, a direct write blocks, and with it the request that the
+//! line is about. So a separate thread writes the lines. When it falls behind and the queue is
+//! full, lines are dropped and counted; the writer logs the count once it can write again.
 
 use std::io;
 use std::io::Write;
@@ -14,74 +14,77 @@
 use std::thread::Builder;
 use std::time::Duration;
 
-/// Lines that wait at most: a second of an instance under full load, in about one megabyte.
-const LINES: usize = 4_096;
+/// Capacity of the queue: the lines of one second of an instance under full load, about one
+/// megabyte.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Lines that are written at once.
-const BATCH: usize = 256;
+/// Maximum number of further messages that are written together with the first one.
+const MAX_BATCH_MESSAGES: usize = 256;
 
-/// Stack of the writing thread in bytes; it only copies lines.
-const STACK: usize = 128 << 10;
+/// Stack size of the writer thread; it is small because the thread only copies lines.
+const STACK_BYTES: usize = 128 << 10;
 
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were dropped because their reader was too slow.
+/// Returns the number of lines dropped in this process because the reader was too slow or gone.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// What goes to the writing thread.
+/// A message to the writer thread.
 #[derive(Debug)]
 enum Message {
     Line(String),
-    /// All lines before it are to be written, and then this is to be told so.
+    /// Requests a signal on this channel once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// The sending end of a queue.
+/// The sending end of a queue of log lines.
 #[derive(Clone, Debug)]
 pub struct Queue {
     sender: SyncSender<Message>,
 }
 
 impl Queue {
-    /// Begins to write lines to `out` from a thread of their own.
+    /// Starts a writer thread that writes queued lines to `out`.
     ///
     /// # Errors
     ///
-    /// Returns the error of the thread's start.
-    pub fn begin(out: impl Write + Send + 'static) -> io::Result<Self> {
-        let (sender, receiver) = sync_channel(LINES);
-        let thread = Builder::new().name("log".into()).stack_size(STACK);
-        thread.spawn(move || write(&receiver, out))?;
+    /// Returns an error if the thread cannot be started.
+    pub fn spawn(out: impl Write + Send + 'static) -> io::Result<Self> {
+        let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
+        let thread = Builder::new().name("log".into()).stack_size(STACK_BYTES);
+        thread.spawn(move || write_lines(&receiver, out))?;
         Ok(Self { sender })
     }
 
-    /// Hands over a line; never waits.
-    pub fn line(&self, line: String) {
+    /// Queues a line without blocking; drops and counts it if the queue is full or the writer
+    /// thread has ended.
+    pub fn push(&self, line: String) {
         if self.sender.try_send(Message::Line(line)).is_err() {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Waits until the lines so far are written, at most for `limit`; tells whether they are.
+    /// Waits at most `timeout` until all lines queued so far are written, and returns whether they
+    /// are.
     ///
-    /// A process that ended without it lost its last lines when the writing thread had no processor
-    /// before the end, so that nothing said whether it had left whole.
-    pub fn flush(&self, limit: Duration) -> bool {
+    /// A process that exits without it loses its last lines if the writer thread is not scheduled
+    /// before the exit; the log then does not show whether the process shut down cleanly.
+    pub fn flush(&self, timeout: Duration) -> bool {
         let (done, written) = sync_channel(1);
-        // A full queue has a reader that is too slow, and its lines are lost in any case.
+        // If the queue is full, the reader is too slow and lines are lost with or without a flush.
         let sent = self.sender.try_send(Message::Flush(done)).is_ok();
-        sent && written.recv_timeout(limit).is_ok()
+        sent && written.recv_timeout(timeout).is_ok()
     }
 }
 
-fn write(receiver: &Receiver<Message>, mut out: impl Write) {
-    let mut told = 0;
+fn write_lines(receiver: &Receiver<Message>, mut out: impl Write) {
+    let mut reported = 0;
     while let Ok(first) = receiver.recv() {
         let mut text = String::new();
         let mut flushes = Vec::new();
-        let rest = receiver.try_iter().take(BATCH);
+        let rest = receiver.try_iter().take(MAX_BATCH_MESSAGES);
         for message in std::iter::once(first).chain(rest) {
             match message {
                 Message::Line(line) => {
@@ -92,19 +95,19 @@
             }
         }
         let dropped = dropped_lines();
-        if dropped > told {
+        if dropped > reported {
             text.push_str(&format!(
                 "{{\"level\":\"warn\",\"from\":\"logs\",\"what\":\"lines dropped\",\
                  \"total\":{dropped}}}\n"
             ));
-            told = dropped;
+            reported = dropped;
         }
-        // Nobody reads any more, and there is nowhere else to say so.
+        // The reader is gone, and there is no other place to report that.
         if out.write_all(text.as_bytes()).is_err() {
             return;
         }
         for done in flushes {
-            // Whoever asked may have waited long enough.
+            // The caller of `flush` may have timed out and dropped the receiver.
             let _ = done.send(());
         }
     }
--- a/crates/logs/tests/flush.rs
+++ b/crates/logs/tests/flush.rs
@@ -1,5 +1,5 @@
-//! The last lines of a process. These tests have a process of their own, since the count of dropped lines is one
-//! for the whole process.
+//! Tests that the last lines of a process are written. They run in a process of their own because
+//! the count of dropped lines is global to the process.
 
 use std::io;
 use std::io::Write;
@@ -10,17 +10,17 @@
 
 use logs::Queue;
 
-/// A reader that takes nothing until it is told to.
-struct Stalled {
-    go: Receiver<()>,
-    taken: std::sync::mpsc::Sender<Vec<u8>>,
+/// A writer that blocks in each write until it receives a signal.
+struct StalledWriter {
+    resume: Receiver<()>,
+    written: std::sync::mpsc::Sender<Vec<u8>>,
 }
 
-impl Write for Stalled {
+impl Write for StalledWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Told once to go on, or let go for good when the test ends.
-        let _ = self.go.recv();
-        let _ = self.taken.send(bytes.to_vec());
+        // Returns on a signal, or once the test has dropped the sender.
+        let _ = self.resume.recv();
+        let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
     }
 
@@ -29,10 +29,10 @@
     }
 }
 
-/// A reader that takes its time.
-struct Slow(std::sync::mpsc::Sender<Vec<u8>>);
+/// A writer that takes 100 ms for each write.
+struct SlowWriter(std::sync::mpsc::Sender<Vec<u8>>);
 
-impl Write for Slow {
+impl Write for SlowWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         std::thread::sleep(Duration::from_millis(100));
         let _ = self.0.send(bytes.to_vec());
@@ -44,37 +44,36 @@
     }
 }
 
-// Symptom: the log of a process that left gracefully does not say so.
-// Sequence: it writes its last line and ends, on a machine whose processors are busy.
-// Cause: lines are written by a thread of their own, which ends with the process.
+// Guards against a missing last line in the log of a process that shut down gracefully: on a busy
+// machine the process exits before its writer thread, which ends with it, has written the line.
 #[test]
-fn the_last_lines_are_written_before_the_end() {
-    let (sender, taken) = channel();
-    let queue = Queue::begin(Slow(sender)).unwrap();
-    queue.line("first".into());
-    queue.line("last".into());
+fn flush_writes_the_last_lines_before_exit() {
+    let (sender, received) = channel();
+    let queue = Queue::spawn(SlowWriter(sender)).unwrap();
+    queue.push("first".into());
+    queue.push("last".into());
 
-    let written = queue.flush(Duration::from_secs(5));
+    let flushed = queue.flush(Duration::from_secs(5));
 
-    let text: Vec<u8> = taken.try_iter().flatten().collect();
-    assert!(written);
+    let text: Vec<u8> = received.try_iter().flatten().collect();
+    assert!(flushed);
     assert_eq!(String::from_utf8(text).unwrap(), "first\nlast\n");
 }
 
 #[test]
-fn a_reader_that_is_gone_holds_nobody_up_at_the_end() {
-    let (_go, told) = channel();
-    let (sender, _taken) = channel();
-    let queue = Queue::begin(Stalled {
-        go: told,
-        taken: sender,
+fn flush_times_out_if_the_reader_stalls() {
+    let (_resume, resume_signal) = channel();
+    let (sender, _received) = channel();
+    let queue = Queue::spawn(StalledWriter {
+        resume: resume_signal,
+        written: sender,
     })
     .unwrap();
-    queue.line("first".into());
-    let begun = Instant::now();
+    queue.push("first".into());
+    let start = Instant::now();
 
-    let written = queue.flush(Duration::from_millis(100));
+    let flushed = queue.flush(Duration::from_millis(100));
 
-    assert!(!written);
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    assert!(!flushed);
+    assert!(start.elapsed() < Duration::from_secs(2));
 }
--- a/crates/logs/tests/line.rs
+++ b/crates/logs/tests/line.rs
@@ -1,10 +1,11 @@
-//! Tests of log lines.
+//! Tests of the formats of log lines.
 
 use log::Level;
 use log::Record;
 use yare::parameterized;
 
-fn with(value: &str, f: impl FnOnce(&Record<'_>) -> String) -> String {
+/// Formats a record whose field `contract` has the given value.
+fn format_record(value: &str, format: impl FnOnce(&Record<'_>) -> String) -> String {
     let pairs = [("contract", value)];
     let record = Record::builder()
         .level(Level::Info)
@@ -12,12 +13,11 @@
         .args(format_args!("request served"))
         .key_values(&pairs)
         .build();
-    f(&record)
+    format(&record)
 }
 
-// Symptom: a line in the log that nobody wrote.
-// Sequence: a caller sends a value with a line break and the text of another event.
-// Cause: values written as they come.
+// Guards against forged log lines: a caller sends a value that contains a line break and the text
+// of another event, and it is written without escaping.
 #[parameterized(
     plain = { "aarhus", "contract=aarhus" },
     blank = { "a b", "contract=\"a b\"" },
@@ -25,15 +25,15 @@
     forged = { "a\nlevel=error", "contract=\"a\\nlevel=error\"" },
 )]
 fn values_cannot_forge_lines(value: &str, expected: &str) {
-    let line = with(value, logs::pairs);
+    let line = format_record(value, logs::pairs);
 
     assert!(line.ends_with(expected), "{line}");
     assert_eq!(line.lines().count(), 1);
 }
 
 #[test]
-fn json_is_one_object_a_line() {
-    let line = with("a\n\"b\"", logs::json);
+fn json_is_one_object_per_line() {
+    let line = format_record("a\n\"b\"", logs::json);
 
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(value["contract"], "a\n\"b\"");
@@ -41,9 +41,8 @@
     assert_eq!(line.lines().count(), 1);
 }
 
-// Symptom: the times of requests cannot be sorted or added up.
-// Sequence: a line has numbers, and a reader takes them for text.
-// Cause: every value was written as text.
+// Guards against numbers written as text, such as request times, which tools then cannot sort or
+// sum.
 #[test]
 fn numbers_stay_numbers() {
     let pairs = [
--- a/crates/logs/tests/queue.rs
+++ b/crates/logs/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue before a slow reader.
+//! Tests of the log queue with a stalled reader.
 
 use std::io;
 use std::io::Write;
@@ -10,17 +10,17 @@
 use logs::Queue;
 use logs::dropped_lines;
 
-/// A reader that takes nothing until it is told to.
-struct Stalled {
-    go: Receiver<()>,
-    taken: std::sync::mpsc::Sender<Vec<u8>>,
+/// A writer that blocks in each write until it receives a signal.
+struct StalledWriter {
+    resume: Receiver<()>,
+    written: std::sync::mpsc::Sender<Vec<u8>>,
 }
 
-impl Write for Stalled {
+impl Write for StalledWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Told once to go on, or let go for good when the test ends.
-        let _ = self.go.recv();
-        let _ = self.taken.send(bytes.to_vec());
+        // Returns on a signal, or once the test has dropped the sender.
+        let _ = self.resume.recv();
+        let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
     }
 
@@ -29,29 +29,28 @@
     }
 }
 
-// Symptom: requests stand still, and nothing shows why.
-// Sequence: whoever reads the log stalls; the pipe is full.
-// Cause: lines wait in a bounded queue; beyond it they are dropped and counted, never waited for.
+// Guards against requests that hang without a trace because the reader of the log stalls and the
+// pipe is full. Lines wait in a bounded queue; if it is full, they are dropped and counted.
 #[test]
-fn a_stalled_reader_blocks_nobody() {
-    let (go, told) = channel();
-    let (sender, taken) = channel();
-    let out = Stalled {
-        go: told,
-        taken: sender,
+fn a_stalled_reader_does_not_block_logging() {
+    let (resume, resume_signal) = channel();
+    let (sender, received) = channel();
+    let out = StalledWriter {
+        resume: resume_signal,
+        written: sender,
     };
-    let queue = Queue::begin(out).unwrap();
-    let begun = Instant::now();
+    let queue = Queue::spawn(out).unwrap();
+    let start = Instant::now();
 
-    for at in 0..20_000 {
-        queue.line(format!("line {at}"));
+    for index in 0..20_000 {
+        queue.push(format!("line {index}"));
     }
 
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    assert!(start.elapsed() < Duration::from_secs(2));
     assert!(dropped_lines() >= 20_000 - 4_096 - 1_000);
-    drop(go);
+    drop(resume);
     let mut text = Vec::new();
-    while let Ok(bytes) = taken.recv_timeout(Duration::from_millis(300)) {
+    while let Ok(bytes) = received.recv_timeout(Duration::from_millis(300)) {
         text.extend(bytes);
     }
     let text = String::from_utf8(text).unwrap();
