--- a/crates/args/src/man.rs
+++ b/crates/args/src/man.rs
@@ -1,15 +1,15 @@
-//! Man pages.
+//! Generates man pages.
 
 use roff::Roff;
 use roff::bold;
 use roff::italic;
 use roff::roman;
 
+use crate::CliSpec;
 use crate::Opt;
-use crate::Spec;
 
-/// Writes the man page of a program.
-pub fn man(spec: &Spec) -> String {
+/// Returns the man page of a program in roff.
+pub fn man(spec: &CliSpec) -> String {
     let mut page = Roff::new();
     let version = concat!("snipeway ", env!("CARGO_PKG_VERSION"));
     page.control("TH", [spec.program, "1", "", version, "snipeway"]);
@@ -24,9 +24,9 @@
         italic("OPTION"),
         roman("]..."),
     ]);
-    if !spec.more.is_empty() {
+    if !spec.description.is_empty() {
         page.control("SH", ["DESCRIPTION"]);
-        page.text([roman(spec.more)]);
+        page.text([roman(spec.description)]);
     }
     if !spec.cmds.is_empty() {
         page.control("SH", ["COMMANDS"]);
@@ -34,11 +34,11 @@
             page.control("TP", []);
             page.text([bold(cmd.name), roman(" "), italic(cmd.operands)]);
             page.text([roman(cmd.help)]);
-            options(&mut page, cmd.opts);
+            write_options(&mut page, cmd.opts);
         }
     }
     page.control("SH", ["OPTIONS"]);
-    options(&mut page, &spec.all(None));
+    write_options(&mut page, &spec.options_for(None));
     page.control("SH", ["EXIT STATUS"]);
     for (code, text) in [
         ("0", "Done."),
@@ -52,7 +52,7 @@
     page.to_roff()
 }
 
-fn options(page: &mut Roff, opts: &[Opt]) {
+fn write_options(page: &mut Roff, opts: &[Opt]) {
     for opt in opts {
         page.control("TP", []);
         let name = bold(format!("--{}", opt.long));
--- a/crates/bench/src/cli.rs
+++ b/crates/bench/src/cli.rs
@@ -1,26 +1,26 @@
 //! The command line.
 
+use args::CliSpec;
 use args::Cmd;
 use args::Opt;
-use args::Spec;
 
 const fn cmd(name: &'static str, help: &'static str, opts: &'static [Opt]) -> Cmd {
     Cmd {
         name,
         operands: "",
-        least: 0,
-        most: 0,
+        min_operands: 0,
+        max_operands: 0,
         help,
         opts,
     }
 }
 
 /// The command line of the program.
-pub const SPEC: Spec = Spec {
+pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-bench",
     about: "Measures what is promised, against stand-ins",
-    more: "Build with --release. Each command takes up to a minute and prints a table; the \
-           baseline is measured in the same run.",
+    description: "Build with --release. Each command takes up to a minute and prints a table; the \
+                  baseline is measured in the same run.",
     opts: &[],
     cmds: &[
         cmd(
--- a/crates/contract/src/ini.rs
+++ b/crates/contract/src/ini.rs
@@ -4,12 +4,12 @@
 use std::fmt::Write;
 use std::str::FromStr;
 
-use conf::Doc;
+use conf::Document;
+use conf::DurationMs;
 use conf::List;
-use conf::Mistakes;
 use conf::Rate;
 use conf::Section;
-use conf::Span;
+use conf::SettingsErrors;
 use kernel::Name;
 
 use crate::Contract;
@@ -19,28 +19,28 @@
 use crate::model::MAX_CLASS;
 
 /// Default maximum duration of a request.
-const DEFAULT_DEADLINE: Span = Span(30_000);
+const DEFAULT_DEADLINE: DurationMs = DurationMs(30_000);
 
 impl FromStr for CostPreference {
-    type Err = conf::Problem;
+    type Err = conf::SettingsErrorKind;
 
-    fn from_str(text: &str) -> Result<Self, conf::Problem> {
+    fn from_str(text: &str) -> Result<Self, conf::SettingsErrorKind> {
         match text {
             "idle" => Ok(Self::Idle),
             "staleness" => Ok(Self::Staleness),
-            _ => Err(conf::Problem::Syntax { text: text.into() }),
+            _ => Err(conf::SettingsErrorKind::Syntax { text: text.into() }),
         }
     }
 }
 
 impl FromStr for UnscoredPolicy {
-    type Err = conf::Problem;
+    type Err = conf::SettingsErrorKind;
 
-    fn from_str(text: &str) -> Result<Self, conf::Problem> {
+    fn from_str(text: &str) -> Result<Self, conf::SettingsErrorKind> {
         match text {
             "wait" => Ok(Self::Wait),
             "pass" => Ok(Self::Pass),
-            _ => Err(conf::Problem::Syntax { text: text.into() }),
+            _ => Err(conf::SettingsErrorKind::Syntax { text: text.into() }),
         }
     }
 }
@@ -78,80 +78,80 @@
 /// let mistakes = ini::parse("aarhus.ini", text).unwrap_err();
 /// assert!(mistakes.to_string().contains("token-sha256"));
 /// ```
-pub fn parse(file: &str, text: &str) -> Result<Contract, Mistakes> {
-    let mut doc = Doc::parse(file, text);
-    let mut section = doc.take("contract");
+pub fn parse(file: &str, text: &str) -> Result<Contract, SettingsErrors> {
+    let mut doc = Document::parse(file, text);
+    let mut section = doc.take_section("contract");
     let contract = parse_fields(&mut section);
-    doc.put(section);
+    doc.finish_section(section);
     doc.finish()?;
     // Each missing field has recorded a mistake, so `finish` has returned if there was one.
-    contract.ok_or(Mistakes(Vec::new()))
+    contract.ok_or(SettingsErrors(Vec::new()))
 }
 
 fn parse_fields(s: &mut Section) -> Option<Contract> {
-    let customer = s.need("customer", "a name");
-    let token = s.need("token-sha256", "64 hexadecimal digits");
-    let models = s.or(
+    let customer = s.require("customer", "a name");
+    let token = s.require("token-sha256", "64 hexadecimal digits");
+    let models = s.get_or(
         "models",
         "names separated by commas",
         List::<Name>(Vec::new()),
     );
-    let services = s.or(
+    let services = s.get_or(
         "services",
         "names separated by commas",
         List::<Name>(Vec::new()),
     );
-    let rate = s.need::<Rate>("rate", "requests a second");
+    let rate = s.require::<Rate>("rate", "requests a second");
     let burst = s.get::<Rate>("burst", "a number of requests");
-    let concurrency = s.need("concurrency", "a number of requests");
-    let tokens = s.or("tokens", "tokens a second", Rate(0.0));
-    let class = s.or("class", "a priority class from 0 to 7", 3);
-    let weight = s.or("weight", "a share of at least 1", 1);
-    let deadline = s.or(
+    let concurrency = s.require("concurrency", "a number of requests");
+    let tokens = s.get_or("tokens", "tokens a second", Rate(0.0));
+    let class = s.get_or("class", "a priority class from 0 to 7", 3);
+    let weight = s.get_or("weight", "a share of at least 1", 1);
+    let deadline = s.get_or(
         "deadline",
         "a span of time such as 800ms or 5s",
         DEFAULT_DEADLINE,
     );
-    let max_staleness = s.or("staleness", "a number of weight versions", 1);
-    let cost_preference = s.or("weighs", "idle or staleness", CostPreference::Idle);
-    let once = s.or(
+    let max_staleness = s.get_or("staleness", "a number of weight versions", 1);
+    let cost_preference = s.get_or("weighs", "idle or staleness", CostPreference::Idle);
+    let once = s.get_or(
         "once",
         "SERVICE:METHOD:/path rules separated by commas",
         List::<NonIdempotentRule>(Vec::new()),
     );
-    let scorer = s.or(
+    let scorer = s.get_or(
         "scorer",
         "the name of a plain service",
         List::<Name>(Vec::new()),
     );
-    let unscored = s.or("unscored", "wait or pass", UnscoredPolicy::Wait);
+    let unscored = s.get_or("unscored", "wait or pass", UnscoredPolicy::Wait);
     if scorer.0.len() > 1 {
-        s.refuse("scorer", "one name at most");
+        s.report_invalid("scorer", "one name at most");
     }
     if class > MAX_CLASS {
-        s.refuse("class", "a priority class from 0 to 7");
+        s.report_invalid("class", "a priority class from 0 to 7");
     }
     if weight == 0 {
-        s.refuse("weight", "a share of at least 1");
+        s.report_invalid("weight", "a share of at least 1");
     }
     if concurrency == Some(0) {
-        s.refuse("concurrency", "at least 1");
+        s.report_invalid("concurrency", "at least 1");
     }
     if rate.is_some_and(|rate| rate.0 == 0.0) {
-        s.refuse("rate", "more than 0 requests a second");
+        s.report_invalid("rate", "more than 0 requests a second");
     }
     if deadline.0 == 0 {
-        s.refuse("deadline", "a span of time above 0");
+        s.report_invalid("deadline", "a span of time above 0");
     }
     if once
         .0
         .iter()
         .any(|rule| !services.0.contains(&rule.service))
     {
-        s.refuse("once", "rules for services of this contract");
+        s.report_invalid("once", "rules for services of this contract");
     }
     if !models.0.is_empty() && tokens.0 == 0.0 {
-        s.refuse(
+        s.report_invalid(
             "tokens",
             "more than 0 tokens a second, as the contract has models",
         );
@@ -198,7 +198,7 @@
     line("tokens", &c.token_rate);
     line("class", &c.class);
     line("weight", &c.weight);
-    line("deadline", &Span(c.deadline));
+    line("deadline", &DurationMs(c.deadline));
     line("staleness", &c.max_staleness);
     line("weighs", &c.cost_preference);
     line("once", &join(&c.non_idempotent));
@@ -213,7 +213,10 @@
 /// # Errors
 ///
 /// Returns all mistakes in the changed contract, including unknown keys.
-pub fn amend(contract: &Contract, changes: &[(String, String)]) -> Result<Contract, Mistakes> {
+pub fn amend(
+    contract: &Contract,
+    changes: &[(String, String)],
+) -> Result<Contract, SettingsErrors> {
     let mut lines: Vec<String> = render(contract).lines().map(str::to_owned).collect();
     for (key, value) in changes {
         let line = format!("{key} = {value}");
--- a/crates/snipeway/src/cmd/apply.rs
+++ b/crates/snipeway/src/cmd/apply.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use args::Parsed;
+use args::ParsedArgs;
 use contract::Contract;
 use contract::ini::LineDiff;
 use operate::Applied;
@@ -11,7 +11,7 @@
 use crate::error::CommandError;
 
 /// Applies the contract of a file.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let file = &parsed.operands[0];
     let contract = contract::ini::parse(file, &conf::load(file)?)?;
@@ -20,7 +20,7 @@
 
 /// Changes a contract as the options say.
 pub(crate) async fn change(
-    parsed: &Parsed,
+    parsed: &ParsedArgs,
     settings: &Settings,
     base: Option<i64>,
     contract: Contract,
@@ -35,19 +35,21 @@
     let customer = contract.customer.to_string();
     match contracts.apply(who, base, contract).await? {
         Applied::InForce(rev) => {
-            args::say!("in force at the platform at revision {rev}");
+            args::print_line!("in force at the platform at revision {rev}");
             wait(parsed, settings, rev).await
         }
         Applied::Unchanged(rev) => {
-            args::say!("unchanged at revision {rev}");
+            args::print_line!("unchanged at revision {rev}");
             wait(parsed, settings, rev).await
         }
         Applied::Replaced(rev) => {
-            args::say!("took effect, and was replaced since; the contract is at revision {rev}");
+            args::print_line!(
+                "took effect, and was replaced since; the contract is at revision {rev}"
+            );
             Ok(())
         }
         Applied::Conflict { rev, theirs } => {
-            args::say!("another change came first:");
+            args::print_line!("another change came first:");
             print(&theirs);
             Err(CommandError::Conflict(rev).into())
         }
@@ -58,19 +60,19 @@
 /// Prints a difference.
 pub(crate) fn print(diff: &[LineDiff]) {
     if diff.is_empty() {
-        args::say!("no difference");
+        args::print_line!("no difference");
     }
     for line in diff {
         if let Some(before) = &line.before {
-            args::say!("- {before}");
+            args::print_line!("- {before}");
         }
         if let Some(after) = &line.after {
-            args::say!("+ {after}");
+            args::print_line!("+ {after}");
         }
     }
 }
 
-async fn wait(parsed: &Parsed, settings: &Settings, rev: i64) -> eyre::Result<()> {
+async fn wait(parsed: &ParsedArgs, settings: &Settings, rev: i64) -> eyre::Result<()> {
     let Some(seconds) = parsed.get::<u64>("wait", "a number of seconds")? else {
         return Ok(());
     };
@@ -80,7 +82,7 @@
         let names: Vec<_> = names.iter().map(ToString::to_string).collect();
         names.join(", ")
     };
-    args::say!("in force on: {}", names(&spread.there));
+    args::print_line!("in force on: {}", names(&spread.there));
     if spread.behind.is_empty() && spread.silent.is_empty() {
         return Ok(());
     }
--- a/crates/snipeway/src/cmd/generate.rs
+++ b/crates/snipeway/src/cmd/generate.rs
@@ -2,12 +2,12 @@
 
 use std::path::Path;
 
-use args::Parsed;
-use args::Spec;
+use args::CliSpec;
+use args::ParsedArgs;
 use eyre::WrapErr;
 
 /// Every program's command line.
-pub const SPECS: [&Spec; 7] = [
+pub const SPECS: [&CliSpec; 7] = [
     &crate::cli::SPEC,
     &entry::cli::SPEC,
     &control::cli::SPEC,
@@ -18,7 +18,7 @@
 ];
 
 /// Writes the shell completions and man pages of every program.
-pub(crate) fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let folder = Path::new(&parsed.operands[0]);
     for spec in SPECS {
         let program = spec.program;
--- a/crates/snipeway/src/cmd/settings.rs
+++ b/crates/snipeway/src/cmd/settings.rs
@@ -1,26 +1,26 @@
 //! `snipeway settings check`.
 
-use args::Parsed;
+use args::ParsedArgs;
 use args::UsageError;
-use conf::Mistakes;
+use conf::SettingsErrors;
 
 /// Checks every file and reports every mistake of all of them.
-pub(crate) fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let kind = parsed.value("kind").unwrap_or("entry");
     let mut mistakes = Vec::new();
     for file in &parsed.operands {
         match check(kind, file, &conf::load(file)?)? {
-            Ok(()) => args::say!("{file}: good"),
+            Ok(()) => args::print_line!("{file}: good"),
             Err(found) => mistakes.extend(found.0),
         }
     }
     if mistakes.is_empty() {
         return Ok(());
     }
-    Err(Mistakes(mistakes).into())
+    Err(SettingsErrors(mistakes).into())
 }
 
-fn check(kind: &str, file: &str, text: &str) -> Result<Result<(), Mistakes>, UsageError> {
+fn check(kind: &str, file: &str, text: &str) -> Result<Result<(), SettingsErrors>, UsageError> {
     Ok(match kind {
         "entry" => serve::settings::read(file, text).map(drop),
         "operator" => operate::settings::read(file, text).map(drop),
@@ -28,7 +28,7 @@
         "load" => load::settings::read(file, text).map(drop),
         "node" => node::settings::read(file, text).map(drop),
         other => {
-            return Err(UsageError::Form {
+            return Err(UsageError::InvalidValue {
                 option: "kind",
                 expected: "entry, operator, standin, load or node",
                 found: other.into(),
--- a/crates/snipeway/src/cmd/settle.rs
+++ b/crates/snipeway/src/cmd/settle.rs
@@ -1,13 +1,13 @@
 //! `snipeway contract settle`.
 
-use args::Parsed;
+use args::ParsedArgs;
 use kernel::Name;
 use operate::Applied;
 
 use crate::error::CommandError;
 
 /// Says whether a change took effect.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let customer: Name = parsed.operands[0].parse()?;
     let change = &parsed.operands[1];
@@ -15,8 +15,10 @@
         .settle(&customer, change)
         .await?
     {
-        Applied::InForce(rev) => args::say!("in force at revision {rev}"),
-        Applied::Replaced(rev) => args::say!("took effect; replaced since, at revision {rev} now"),
+        Applied::InForce(rev) => args::print_line!("in force at revision {rev}"),
+        Applied::Replaced(rev) => {
+            args::print_line!("took effect; replaced since, at revision {rev} now")
+        }
         _ => {
             return Err(
                 CommandError::NotKnown(customer.to_string(), change.as_str().into()).into(),
--- a/crates/snipeway/src/cmd/status.rs
+++ b/crates/snipeway/src/cmd/status.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use args::Parsed;
+use args::ParsedArgs;
 use kernel::Name;
 use wire::peer::Status;
 use wire::peer::UpstreamState;
@@ -10,11 +10,11 @@
 use crate::error::CommandError;
 
 /// Shows every instance, and every upstream in the eyes of all.
-pub(crate) async fn run(parsed: &Parsed) -> eyre::Result<()> {
+pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let settings = super::load(parsed)?;
     let mut silent = 0;
     let mut upstreams: BTreeMap<Name, Vec<(Name, UpstreamState)>> = BTreeMap::new();
-    args::say!(
+    args::print_line!(
         "{:20} {:12} {:9} {:>9} {:>11} {:6} {:>5}",
         "INSTANCE",
         "DOMAIN",
@@ -35,11 +35,11 @@
             }
             Err(error) => {
                 silent += 1;
-                args::say!("{:20} {error}", name.to_string());
+                args::print_line!("{:20} {error}", name.to_string());
             }
         }
     }
-    args::say!(
+    args::print_line!(
         "\n{:20} {:12} {:>8} {:>8} {:>12}  STANDING",
         "UPSTREAM",
         "POOL",
@@ -64,7 +64,7 @@
     let known = status
         .known
         .map_or_else(|| "never".into(), |age| age.to_string());
-    args::say!(
+    args::print_line!(
         "{:20} {:12} {:9} {:>9} {:>11} {:6} {:>5}",
         status.me.name.to_string(),
         status.me.domain.to_string(),
@@ -97,7 +97,7 @@
     } else {
         odd.join(", ")
     };
-    args::say!(
+    args::print_line!(
         "{:20} {:12} {running:>8} {version:>8} {latency:>12.1}  {standing}",
         name.to_string(),
         first.pool.to_string()
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use conf::Doc;
-use conf::Mistakes;
+use conf::Document;
+use conf::DurationMs;
 use conf::Rate;
 use conf::Section;
-use conf::Span;
+use conf::SettingsErrors;
 
 use crate::engine::Make;
 
@@ -43,8 +43,8 @@
 /// # Errors
 ///
 /// Returns every mistake of the file at once.
-pub fn read(file: &str, text: &str) -> Result<Vec<Part>, Mistakes> {
-    let mut doc = Doc::parse(file, text);
+pub fn read(file: &str, text: &str) -> Result<Vec<Part>, SettingsErrors> {
+    let mut doc = Document::parse(file, text);
     let mut parts = Vec::new();
     let kinds: [(&str, Read); 4] = [
         ("platform", |_| Role::Platform),
@@ -53,11 +53,11 @@
         ("store", store),
     ];
     for (kind, role) in kinds {
-        for mut section in doc.take_all(kind) {
-            let listen = section.need("listen", "an IP address and a port");
+        for mut section in doc.take_sections(kind) {
+            let listen = section.require("listen", "an IP address and a port");
             let role = role(&mut section);
             let name = section.label().to_owned();
-            doc.put(section);
+            doc.finish_section(section);
             parts.extend(listen.map(|listen| Part { name, listen, role }));
         }
     }
@@ -68,23 +68,25 @@
 fn engine(s: &mut Section) -> Role {
     let make = Make::default();
     Role::Engine(Make {
-        speed: s.or("speed", "tokens a second", Rate(make.speed)).0,
-        slots: s.or("slots", "a number of streams", make.slots),
-        median: s.or("median", "a number of tokens", make.median),
-        version: s.or("version", "a weight version", make.version),
-        fencing: s.or("fencing", "true or false", make.fencing),
-        swap: std::time::Duration::from_millis(s.or("swap", "a span of time", Span(50)).0),
+        speed: s.get_or("speed", "tokens a second", Rate(make.speed)).0,
+        slots: s.get_or("slots", "a number of streams", make.slots),
+        median: s.get_or("median", "a number of tokens", make.median),
+        version: s.get_or("version", "a weight version", make.version),
+        fencing: s.get_or("fencing", "true or false", make.fencing),
+        swap: std::time::Duration::from_millis(
+            s.get_or("swap", "a span of time", DurationMs(50)).0,
+        ),
     })
 }
 
 fn service(s: &mut Section) -> Role {
-    let work = s.or("work", "a span of time", Span(5)).0;
-    let slots = s.or("slots", "a number of calls", 32);
+    let work = s.get_or("work", "a span of time", DurationMs(5)).0;
+    let slots = s.get_or("slots", "a number of calls", 32);
     Role::Service(work, slots)
 }
 
 fn store(s: &mut Section) -> Role {
-    let size = s.or("size", "a number of bytes", 1 << 20);
-    let rate = s.or("rate", "bytes a second", Rate(100e6)).0;
+    let size = s.get_or("size", "a number of bytes", 1 << 20);
+    let rate = s.get_or("rate", "bytes a second", Rate(100e6)).0;
     Role::Store(size, rate)
 }
