--- a/crates/crash/src/lib.rs
+++ b/crates/crash/src/lib.rs
@@ -5,9 +5,9 @@
 
 mod ledgers;
 pub mod report;
-mod watch;
+mod tracker;
 
-pub use watch::CRASHES_METRIC;
-pub use watch::CrashTracker;
-pub use watch::QUARANTINED_METRIC;
-pub use watch::SuspectGuard;
+pub use tracker::CRASHES_METRIC;
+pub use tracker::CrashTracker;
+pub use tracker::QUARANTINED_METRIC;
+pub use tracker::SuspectGuard;
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -3,8 +3,8 @@
 //! Nothing here reads a socket or a clock; callers pass in each change.
 
 pub mod config;
-pub mod roster;
-pub mod starts;
+pub mod incarnation;
+pub mod upstreams;
 
 pub use config::Config;
 pub use config::EngineSpec;
@@ -12,8 +12,8 @@
 pub use config::RouteKind;
 pub use config::Service;
 pub use config::WeightedService;
-pub use roster::Upstream;
-pub use roster::UpstreamChange;
-pub use roster::UpstreamList;
-pub use starts::Incarnation;
-pub use starts::Incarnations;
+pub use incarnation::Incarnation;
+pub use incarnation::Incarnations;
+pub use upstreams::Upstream;
+pub use upstreams::UpstreamChange;
+pub use upstreams::UpstreamList;
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -16,7 +16,7 @@
 use crate::Counts;
 use crate::WindowCounts;
 use crate::Windows;
-use crate::keeper::Source;
+use crate::snapshot_store::Source;
 
 /// Number of reports that are kept: one or two minutes of the shortest windows, longer than any report may be late.
 const KEPT_REPORTS: usize = 24;
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -5,19 +5,19 @@
 //! up the stored counts, persists the sums and sends them ([`Ledger`]). Nothing in this crate reads a socket or a
 //! clock.
 
-pub mod keeper;
 pub mod ledger;
 pub mod meter;
+pub mod snapshot_store;
 pub mod window;
 
-pub use keeper::SnapshotStore;
-pub use keeper::WindowCounts;
 pub use ledger::Ledger;
 pub use ledger::NextAction;
 pub use ledger::Report;
 pub use meter::Meter;
 pub use meter::RequestAttempts;
 pub use meter::Snapshot;
+pub use snapshot_store::SnapshotStore;
+pub use snapshot_store::WindowCounts;
 pub use window::Windows;
 
 use std::sync::Arc;
