--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// RoundRobin robin, as a baseline.
+/// Round robin, as a baseline.
 #[derive(Debug, Default)]
 struct RoundRobin {
     next: usize,
