--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -30,8 +30,8 @@
     Ejected,
     /// It may not: it is leaving, or has left.
     Leaving,
-    /// It may not until an operator or the control service releases it, because it reported
-    /// contradictory state.
+    /// It may not until a load report, read by this instance or passed on by a peer, states a single
+    /// weight version: it stated none or several, or contradicted itself in a response.
     Quarantined,
 }
 
