--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -170,7 +170,6 @@
     Leader(Leader),
 }
 
-/// One process.
 struct Process {
     machine: usize,
     start: u64,
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/ledger.rs
@@ -47,7 +47,6 @@
 /// take all processor time during a burst.
 const EVICTION_DIVISOR: usize = 8;
 
-/// Maximum number of crashes stored per request.
 const MAX_CRASHES_PER_REQUEST: usize = 16;
 
 /// Time in milliseconds for which a success is kept if no other instance has reported crashes of the request. An older
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -9,7 +9,6 @@
 /// within [`MAX_EJECTION_MS`] after the end of the last.
 const FIRST_EJECTION_MS: Millis = 1_000;
 
-/// Longest duration of an ejection in milliseconds.
 const MAX_EJECTION_MS: Millis = 30_000;
 
 /// Doublings after which an ejection lasts [`MAX_EJECTION_MS`].
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -10,7 +10,6 @@
 use kernel::Map;
 use kernel::Name;
 
-/// Length of a prompt block in bytes.
 const BLOCK_BYTES: usize = 64;
 
 /// Most leading blocks of a prompt that are hashed.
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -13,7 +13,6 @@
 /// Backoff before the first retry in milliseconds; it doubles with each further one.
 const FIRST_BACKOFF_MS: Millis = 10;
 
-/// Longest backoff before a retry in milliseconds.
 const MAX_BACKOFF_MS: Millis = 1_000;
 
 /// Most attempts at one request, including the first.
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -27,7 +27,8 @@
 use crate::SyncState;
 use crate::Update;
 
-/// Removed entries that are remembered.
+/// Number of removed entries that are remembered. A follower whose edition is older than these gets digests of all
+/// existing entries instead.
 const MAX_REMEMBERED_REMOVALS: usize = 1_024;
 
 /// Editions that are remembered: those of the last minute. An instance that is further behind has restarted.
--- a/crates/spread/tests/list.rs
+++ b/crates/spread/tests/list.rs
@@ -7,7 +7,6 @@
 use proptest::prelude::*;
 use spread::List;
 
-/// An operation on a list.
 #[derive(Clone, Debug)]
 enum Operation {
     Insert(u8, i64),
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -209,7 +209,6 @@
 /// Number of instances that read the platform.
 const READERS: usize = 2;
 
-/// Number of all instances.
 const INSTANCES: usize = 5;
 
 /// Number of keys that change together, so that a list has several parts.
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -9,7 +9,6 @@
 use spread::tree::order;
 use spread::tree::position;
 
-/// Number of failure domains.
 const DOMAINS: usize = 5;
 
 /// Number of instances with many cores in each failure domain.
--- a/crates/team/src/teams.rs
+++ b/crates/team/src/teams.rs
@@ -11,7 +11,7 @@
 pub struct Team {
     /// Unique name.
     pub name: Arc<str>,
-    /// Rank of its requests, 0 for the first; it takes precedence over the rank of the route.
+    /// Priority of its requests, 0 for the first; it takes precedence over the priority of the route.
     pub priority: Option<u32>,
 }
 
--- a/crates/usage/src/snapshot_store.rs
+++ b/crates/usage/src/snapshot_store.rs
@@ -16,7 +16,7 @@
 /// Age in windows from which the snapshot of an entry instance that has sent no newer one is ignored.
 const MAX_SNAPSHOT_AGE: u64 = 24;
 
-/// Windows before one within which an instance that is taken to be alive has closed one.
+/// Windows by which the last closed window of an instance that is taken to be alive may precede the reported one.
 const RECENT_WINDOWS: u64 = 2;
 
 /// Snapshots that are stored before old ones are pruned; each takes some kilobytes.
--- a/crates/weight/src/scheduler.rs
+++ b/crates/weight/src/scheduler.rs
@@ -135,7 +135,6 @@
         });
     }
 
-    /// Assigns an engine to a model.
     fn assign(&mut self, id: &Arc<str>, model: Arc<str>) {
         *self.counts.entry(model.clone()).or_default() += 1;
         if let Some(former) = self.assigned.insert(id.clone(), model)
