--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -9,7 +9,6 @@
 /// within [`MAX_EJECTION_MS`] after the end of the last.
 const FIRST_EJECTION_MS: Millis = 1_000;
 
-/// Longest duration of an ejection in milliseconds.
 const MAX_EJECTION_MS: Millis = 30_000;
 
 /// Doublings after which an ejection lasts [`MAX_EJECTION_MS`].
@@ -30,8 +29,8 @@
     Ejected,
     /// It may not: it is leaving, or has left.
     Leaving,
-    /// It may not until an operator or the control service releases it, because it reported
-    /// contradictory state.
+    /// It may not until a load report, read by this instance or passed on by a peer, states a single
+    /// weight version: it stated none or several, or contradicted itself in a response.
     Quarantined,
 }
 
