--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -11,5 +11,5 @@
 mod sources;
 mod work;
 
-pub use run::Control;
+pub use run::Controller;
 pub use run::run;
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -38,7 +38,7 @@
     let settings = serve::settings::read(&file, &conf::load(&file)?)?;
     logs::begin(&settings.logs)?;
     args::program::block(async {
-        let control = Control::start(&settings, settings.me.address);
+        let control = Controller::start(&settings, settings.me.address);
         serve::server::terminated().await;
         control.stop().await;
         Ok(())
@@ -46,14 +46,14 @@
 }
 
 /// The control of one instance.
-pub struct Control {
+pub struct Controller {
     tasks: Vec<JoinHandle<()>>,
 }
 
 /// Time that leases have to be given back.
 const GIVE_BACK: Duration = Duration::from_millis(300);
 
-impl Control {
+impl Controller {
     /// Starts the control beside the entry at `entry`.
     pub fn start(settings: &Settings, entry: SocketAddr) -> Self {
         let plat = Client::new(settings.platform.clone());
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use control::Control;
+use control::Controller;
 use http::Method;
 use http::StatusCode;
 use rig::Asked;
@@ -110,7 +110,7 @@
     pub(crate) parts: Parts,
     pub(crate) entries: Vec<Entry>,
     /// Beside the entries, in this process.
-    _controls: Vec<Control>,
+    _controls: Vec<Controller>,
 }
 
 fn free() -> SocketAddr {
@@ -143,7 +143,7 @@
             let settings = format!("{text}{me}");
             std::fs::write(&file, &settings).unwrap();
             let settings = serve::settings::read(&name, &settings).unwrap();
-            controls.push(Control::start(&settings, addr));
+            controls.push(Controller::start(&settings, addr));
             entries.push(Entry::spawn(file, addr));
         }
         let fleet = Self {
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use contract::ini;
-use control::Control;
+use control::Controller;
 use eyre::bail;
 use operate::Applied;
 use operate::Contracts;
@@ -57,7 +57,7 @@
     /// The entries; one that was killed is [`None`].
     pub entries: Vec<Option<Running>>,
     /// The entries' control.
-    pub controls: Vec<Control>,
+    pub controls: Vec<Controller>,
     /// Settings and address of each entry, in their order.
     pub files: Vec<(String, SocketAddr)>,
 }
@@ -98,7 +98,7 @@
             let settings = serve::settings::read(&name, &file)?;
             let entry = Running::start_on(listener, settings)?;
             if make.control {
-                let control = Control::start(&entry.app.settings, entry.addr);
+                let control = Controller::start(&entry.app.settings, entry.addr);
                 rig.controls.push(control);
             }
             rig.entries.push(Some(entry));
