--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line.
+//! Command-line options.
 
 use args::Opt;
 use args::Spec;
 
-/// The command line of the program.
+/// The command line of `snipeway-control`.
 pub const SPEC: Spec = Spec {
     program: "snipeway-control",
     about: "Takes leases on control work and gives orders to upstreams",
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,15 +1,16 @@
-//! `snipeway-control`: runs beside every entry, takes leases on pieces of control work and gives
-//! orders to upstreams. Any instance may hold any lease; none is set aside.
+//! `snipeway-control` runs beside every entry, acquires leases on control tasks and sends load
+//! orders to engines. Any instance may hold any lease; no instance is dedicated to control.
 //!
-//! A piece of work is one model in one failure domain. To keep the platform's calls from growing
-//! with instances, only the instance that reads the platform for its failure domain tries for
-//! the leases of that domain; it asks the entry beside it whether that is itself.
+//! A control task rolls out the weights of one model in one failure domain. Only the instance that
+//! reads the platform for its failure domain competes for the leases of that domain, so that the
+//! number of platform calls does not grow with the number of instances. The controller asks the
+//! entry beside it whether that entry is the reader.
 
 pub mod cli;
 mod orders;
+mod rollout;
 mod run;
 mod sources;
-mod work;
 
 pub use run::Controller;
 pub use run::run;
--- a/crates/control/src/main.rs
+++ b/crates/control/src/main.rs
@@ -1,4 +1,4 @@
-//! `snipeway-control`: leases and orders.
+//! Entry point of `snipeway-control`.
 
 use std::process::ExitCode;
 
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and what engines state.
+//! Load orders and state queries sent to engines.
 
 use std::time::Duration;
 
@@ -18,47 +18,51 @@
 use wire::engine::Order;
 use wire::engine::Ordered;
 
-/// Time that an engine has to answer.
-const LIMIT: Duration = Duration::from_millis(800);
+/// Timeout of a request to an engine.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What became of an order.
+/// The result of sending an order. The audit log contains the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Given {
-    /// The engine took it.
+pub(crate) enum Outcome {
+    /// The engine accepted the order.
     Taken,
-    /// The engine has seen a higher fencing number.
+    /// The engine rejected the order because it has seen a higher fencing token.
     Fenced,
-    /// The lease may have lapsed; the order was not sent.
+    /// The lease may have expired, so the order was not sent.
     Lapsed,
-    /// The engine did not answer; what it states will show what it did.
+    /// The engine sent no usable response; its next reported state shows whether it acted.
     Unclear,
 }
 
-/// Asks an engine what it states.
-pub(crate) async fn stated(http: &net::Client, engine: &Spec) -> Option<Stated> {
+/// Fetches the weight versions that an engine reports.
+pub(crate) async fn fetch_stated(http: &net::Client, engine: &Spec) -> Option<Stated> {
     let uri = net::client::uri(engine.addr, LOAD);
-    let load: Result<Load, _> = http.json(Method::GET, &uri, &(), LIMIT).await;
+    let load: Result<Load, _> = http.json(Method::GET, &uri, &(), REQUEST_TIMEOUT).await;
     load.ok().map(|load| load.stated)
 }
 
-/// Gives an order, if the lease allows it at this moment.
-pub(crate) async fn give(
+/// Sends an order if the lease is still valid.
+pub(crate) async fn send(
     http: &net::Client,
     engine: &Spec,
     lease: &Lease<Held>,
     clock: Clock,
     order: impl FnOnce(Fence) -> Order,
-) -> Given {
-    // Asked for each order, right before it: the process may have been stopped since the last.
+) -> Outcome {
+    // The lease is checked right before each order, as the process may have been paused since the
+    // last one.
     let fence = match lease.next(clock.now()) {
         Next::Work(fence) | Next::Renew(fence) => fence,
-        Next::Lapsed => return Given::Lapsed,
+        Next::Lapsed => return Outcome::Lapsed,
     };
     let uri = net::client::uri(engine.addr, ORDER);
-    match http.json(Method::POST, &uri, &order(fence), LIMIT).await {
-        Ok(Ordered::Accepted) => Given::Taken,
-        Ok(Ordered::Fenced) => Given::Fenced,
-        Err(JsonError::Status { status, .. }) if status == StatusCode::CONFLICT => Given::Fenced,
-        Err(_) => Given::Unclear,
+    match http
+        .json(Method::POST, &uri, &order(fence), REQUEST_TIMEOUT)
+        .await
+    {
+        Ok(Ordered::Accepted) => Outcome::Taken,
+        Ok(Ordered::Fenced) => Outcome::Fenced,
+        Err(JsonError::Status { status, .. }) if status == StatusCode::CONFLICT => Outcome::Fenced,
+        Err(_) => Outcome::Unclear,
     }
 }
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -1,4 +1,4 @@
-//! Works until told to stop.
+//! Starts the controller of one instance and runs it until SIGTERM.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,47 +16,48 @@
 use wire::peer;
 use wire::peer::Status;
 
-use crate::sources::Sources;
-use crate::work::Work;
+use crate::rollout::WeightRollout;
+use crate::sources::WeightSources;
 
-/// Time between two questions to the entry.
-const ASK: Duration = Duration::from_millis(500);
+/// Time between two checks of whether the local entry has become the reader.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time that the entry has to answer.
-const LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of a status request to the local entry.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Path of the entry's status.
-const STATUS: &str = "/operator/status";
+const STATUS_PATH: &str = "/operator/status";
 
 /// Runs the program.
 ///
 /// # Errors
 ///
-/// Returns an error when the settings are wrong or the process cannot start.
+/// Returns an error when the settings are invalid or the process cannot start.
 pub fn run(parsed: Parsed) -> eyre::Result<()> {
     let file: String = parsed.need("config", "a file")?;
     let settings = serve::settings::read(&file, &conf::load(&file)?)?;
     logs::begin(&settings.logs)?;
     args::program::block(async {
-        let control = Controller::start(&settings, settings.me.address);
+        let controller = Controller::start(&settings, settings.me.address);
         serve::server::terminated().await;
-        control.stop().await;
+        controller.stop().await;
         Ok(())
     })
 }
 
-/// The control of one instance.
+/// The control tasks of one instance.
 pub struct Controller {
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Time that leases have to be given back.
-const GIVE_BACK: Duration = Duration::from_millis(300);
+/// Time that [`Controller::stop`] waits for leases to be revoked.
+const REVOKE_WAIT: Duration = Duration::from_millis(300);
 
 impl Controller {
-    /// Starts the control beside the entry at `entry`.
-    pub fn start(settings: &Settings, entry: SocketAddr) -> Self {
-        let plat = Client::new(settings.platform.clone());
+    /// Starts a control task for each model that has engines in this instance's failure domain;
+    /// `entry_addr` is the address of the local entry.
+    pub fn start(settings: &Settings, entry_addr: SocketAddr) -> Self {
+        let platform = Client::new(settings.platform.clone());
         let http = net::Client::new();
         let clock = Clock::default();
         let mut engines: Map<Name, Vec<Spec>> = Map::default();
@@ -68,65 +69,70 @@
                     .push(spec.clone());
             }
         }
-        let beside = Arc::new(Beside {
-            entry,
+        let local_entry = Arc::new(LocalEntry {
+            entry_addr,
             http: http.clone(),
             secret: settings.secret.clone(),
         });
-        let works = engines.into_iter().map(|(model, engines)| Work {
+        let rollouts = engines.into_iter().map(|(model, engines)| WeightRollout {
             model,
             domain: settings.me.domain.clone(),
             instance: settings.me.name.clone(),
             engines,
-            sources: Sources::new(&settings.weights),
-            plat: plat.clone(),
+            sources: WeightSources::new(&settings.weights),
+            platform: platform.clone(),
             http: http.clone(),
             clock,
         });
-        let tasks = works
-            .map(|work| tokio::spawn(turns(work, beside.clone())))
+        let tasks = rollouts
+            .map(|rollout| tokio::spawn(run_while_reader(rollout, local_entry.clone())))
             .collect();
         Self { tasks }
     }
 
-    /// Stops, and gives leases back.
+    /// Aborts the control tasks and revokes their leases.
     pub async fn stop(self) {
         self.tasks.iter().for_each(JoinHandle::abort);
-        tokio::time::sleep(GIVE_BACK).await;
+        tokio::time::sleep(REVOKE_WAIT).await;
     }
 }
 
-async fn turns(work: Work, beside: Arc<Beside>) {
+/// Runs the rollout whenever the local entry is the reader of its failure domain.
+async fn run_while_reader(rollout: WeightRollout, local_entry: Arc<LocalEntry>) {
     loop {
-        if beside.is_reader().await {
-            work.turn().await;
+        if local_entry.is_reader().await {
+            rollout.acquire_and_run().await;
         } else {
-            tokio::time::sleep(ASK).await;
+            tokio::time::sleep(READER_CHECK_INTERVAL).await;
         }
     }
 }
 
 /// The entry on the same instance.
-struct Beside {
-    entry: SocketAddr,
+struct LocalEntry {
+    entry_addr: SocketAddr,
     http: net::Client,
     secret: peer::Secret,
 }
 
-impl Beside {
-    /// Tells whether the entry reads the platform for its failure domain.
+impl LocalEntry {
+    /// Whether the entry reads the platform for its failure domain; false if it does not respond.
     async fn is_reader(&self) -> bool {
         self.status().await.is_some_and(|status| status.reader)
     }
 
     async fn status(&self) -> Option<Status> {
         let bytes = serde_json::to_vec(&()).ok()?;
-        let request = http::Request::post(net::client::uri(self.entry, STATUS))
+        let request = http::Request::post(net::client::uri(self.entry_addr, STATUS_PATH))
             .header(peer::VERSION_HEADER, peer::VERSION)
-            .header(peer::MAC_HEADER, self.secret.sign(STATUS, &bytes))
+            .header(peer::MAC_HEADER, self.secret.sign(STATUS_PATH, &bytes))
             .body(bytes.into())
             .ok()?;
-        let answer = self.http.fetch(request, LIMIT, 1 << 20).await.ok()?;
-        serde_json::from_slice(answer.body()).ok()
+        let response = self
+            .http
+            .fetch(request, STATUS_TIMEOUT, 1 << 20)
+            .await
+            .ok()?;
+        serde_json::from_slice(response.body()).ok()
     }
 }
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -1,4 +1,5 @@
-//! Control under faults: weights reach every engine, and no order of a former holder counts.
+//! Weight rollout under faults: every engine reaches the announced version, and orders from former
+//! lease holders have no lasting effect.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 use wire::engine::ORDER;
 use wire::engine::Order;
 
-fn make() -> Make {
+fn config() -> Make {
     Make {
         entries: 2,
         engines: 3,
@@ -27,7 +28,7 @@
     }
 }
 
-fn block<F: Future>(future: F) -> F::Output {
+fn run_async<F: Future>(future: F) -> F::Output {
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
@@ -42,13 +43,13 @@
     asked.send().await.unwrap().status
 }
 
-async fn load(addr: std::net::SocketAddr) -> Option<Load> {
+async fn fetch_load(addr: std::net::SocketAddr) -> Option<Load> {
     let asked = Asked::new(addr, "-", Method::GET, LOAD);
     asked.send().await.ok()?.json().ok()
 }
 
-/// An order of a holder whose lease was taken before any other.
-fn late() -> Order {
+/// An order whose fencing token is lower than that of any lease.
+fn stale_order() -> Order {
     Order {
         version: 1,
         source: String::new(),
@@ -57,12 +58,12 @@
     }
 }
 
-/// Waits until every engine states one version.
-async fn reach(rig: &Rig, version: u64) {
+/// Waits until every engine reports exactly this version.
+async fn wait_for_version(rig: &Rig, version: u64) {
     for _ in 0..1_500 {
         let mut all = true;
         for engine in &rig.parts.engines {
-            let load = load(engine.host.addr).await;
+            let load = fetch_load(engine.host.addr).await;
             all &= load.is_some_and(|load| load.stated.single() == Some(version));
         }
         if all {
@@ -70,48 +71,46 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("version {version} is not on every engine");
+    panic!("not every engine reports version {version}");
 }
 
 #[test]
 fn an_announced_version_reaches_every_engine() {
-    block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+    run_async(async {
+        let rig = Rig::start(&config()).await.unwrap();
 
         assert_eq!(announce(&rig, 2).await, StatusCode::OK);
 
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
         let store = rig.parts.store.as_ref().unwrap();
         assert_eq!(store.part.sent(), 6 * 100_000);
     });
 }
 
-// Symptom: an older version replaces a newer one.
-// Sequence: a trainer that was paused announces its old version late.
-// Cause: the last announcement wins.
+// Guards against an older version replacing a newer one when a trainer that was paused announces
+// its old version late and the last announcement wins.
 #[test]
 fn an_older_announcement_changes_nothing() {
-    block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+    run_async(async {
+        let rig = Rig::start(&config()).await.unwrap();
         announce(&rig, 5).await;
-        reach(&rig, 5).await;
+        wait_for_version(&rig, 5).await;
 
         assert_eq!(announce(&rig, 3).await, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(1_500)).await;
 
-        reach(&rig, 5).await;
+        wait_for_version(&rig, 5).await;
         let orders = rig.parts.engines.iter().flat_map(|e| e.part.orders());
         assert!(orders.into_iter().all(|(_, version)| version == 5));
     });
 }
 
-// Symptom: an engine answers with a mixture of two versions for good.
-// Sequence: a swap fails partway; the engine states both versions.
-// Cause: an order that is not verified afterwards.
+// Guards against an engine that serves a mixture of two versions permanently: a swap fails partway,
+// and nothing verifies the result of the order.
 #[test]
 fn a_swap_that_fails_partway_is_repaired() {
-    block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+    run_async(async {
+        let rig = Rig::start(&config()).await.unwrap();
         rig.parts.engines[1]
             .host
             .faults
@@ -119,15 +118,15 @@
 
         announce(&rig, 2).await;
 
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
         assert!(rig.parts.engines[1].part.orders().len() > 1);
     });
 }
 
 #[test]
-fn an_engine_that_was_away_is_brought_up() {
-    block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+fn an_engine_that_was_down_gets_the_announced_version() {
+    run_async(async {
+        let rig = Rig::start(&config()).await.unwrap();
         let down = Fault {
             down: true,
             ..Fault::default()
@@ -138,30 +137,29 @@
 
         rig.parts.engines[0].host.faults.set(Fault::default());
 
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
     });
 }
 
-// Symptom: weights stop moving after an instance died.
-// Sequence: the holder of the lease is killed; its lease has to lapse, and another take over.
-// Cause: control that is bound to one instance.
+// Guards against control that depends on one instance: when the lease holder is killed, its lease
+// has to expire and another instance has to take over, or new weights reach no engine.
 #[test]
-fn another_instance_takes_over() {
-    block(async {
-        let mut rig = Rig::start(&make()).await.unwrap();
+fn another_instance_takes_over_the_lease() {
+    run_async(async {
+        let mut rig = Rig::start(&config()).await.unwrap();
         announce(&rig, 2).await;
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
 
-        // The first of each failure domain reads, and so holds.
+        // The first instance of each failure domain is the reader and so holds the lease.
         for at in [2, 0] {
             rig.kill(at);
-            // Stopped without giving the lease back would be a crash; `stop` gives it back, so
-            // the lease is taken away here as the platform does when it lapses.
+            // A crashed holder would not revoke its lease. `stop` revokes it, which stands in for
+            // the expiry of the lease at the platform.
             rig.controls.remove(at).stop().await;
         }
         announce(&rig, 3).await;
 
-        reach(&rig, 3).await;
+        wait_for_version(&rig, 3).await;
         let fences = |at: usize| rig.parts.engines[at].part.orders();
         let first = fences(0);
         assert!(
@@ -172,60 +170,57 @@
     });
 }
 
-// Symptom: a paused holder resumes and takes engines back to older weights.
-// Sequence: it was stopped between its check and its order; another holder has ordered since.
-// Cause: orders without a fencing number.
+// Guards against orders without a fencing token: a holder that was paused between its lease check
+// and its order resumes after another holder has sent orders, and reverts engines to older weights.
 #[test]
-fn an_order_of_a_former_holder_is_refused() {
-    block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+fn an_order_of_a_former_lease_holder_is_rejected() {
+    run_async(async {
+        let rig = Rig::start(&config()).await.unwrap();
         announce(&rig, 2).await;
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
         let engine = &rig.parts.engines[0];
-        let answer = Asked::json(engine.host.addr, "-", ORDER, &late())
+        let answer = Asked::json(engine.host.addr, "-", ORDER, &stale_order())
             .send()
             .await
             .unwrap();
 
         assert_eq!(answer.status, StatusCode::CONFLICT);
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
     });
 }
 
-// Symptom: an engine that ignores fencing stays at old weights after a late order.
-// Sequence: a former holder's order reaches an engine that does not check.
-// Cause: trusting the fence where there is none.
+// Guards against relying on fencing where an engine does not check it: an order of a former holder
+// arrives late, and the engine stays at the old weights.
 #[test]
-fn an_engine_that_ignores_fencing_is_brought_forward_again() {
-    block(async {
-        let mut make = make();
-        make.engine.fencing = false;
-        let rig = Rig::start(&make).await.unwrap();
+fn an_engine_that_ignores_fencing_returns_to_the_announced_version() {
+    run_async(async {
+        let mut config = config();
+        config.engine.fencing = false;
+        let rig = Rig::start(&config).await.unwrap();
         announce(&rig, 2).await;
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
         let engine = &rig.parts.engines[0];
-        let answer = Asked::json(engine.host.addr, "-", ORDER, &late())
+        let answer = Asked::json(engine.host.addr, "-", ORDER, &stale_order())
             .send()
             .await
             .unwrap();
         assert_eq!(answer.status, StatusCode::OK);
-        while load(engine.host.addr).await.unwrap().stated.single() != Some(1) {
+        while fetch_load(engine.host.addr).await.unwrap().stated.single() != Some(1) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
 
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
     });
 }
 
-// Symptom: engines go back, or stand still for good, after an outage of the platform.
-// Sequence: the platform goes away for longer than a lease; then it returns.
-// Cause: a holder that goes on without its lease, or one that never tries again.
+// Guards against engines that revert or are never updated again after a platform outage that
+// outlasts the lease: the holder must stop sending orders without it, and must acquire it again.
 #[test]
-fn an_outage_of_the_platform_stops_orders_and_nothing_else() {
-    block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+fn rollout_resumes_after_a_platform_outage() {
+    run_async(async {
+        let rig = Rig::start(&config()).await.unwrap();
         announce(&rig, 2).await;
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
         let faults = rig.parts.platform.host.faults.clone();
         faults.change(|fault| fault.down = true);
         assert_eq!(announce(&rig, 3).await, StatusCode::SERVICE_UNAVAILABLE);
@@ -236,51 +231,50 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
 
-        reach(&rig, 3).await;
+        wait_for_version(&rig, 3).await;
     });
 }
 
-fn cached() -> Make {
+fn config_with_cache() -> Make {
     Make {
         cache: true,
-        ..make()
+        ..config()
     }
 }
 
-// Symptom: new weights take minutes, though each engine's own network is idle.
-// Sequence: every engine of a failure domain fetches the same version from the rate-limited store.
-// Cause: one download an engine.
+// Guards against one download per engine: if every engine of a failure domain fetches the same
+// version from the rate-limited store, a rollout takes minutes while the engines' own networks are
+// idle.
 #[test]
 fn a_cache_fetches_each_version_once() {
-    block(async {
-        let rig = Rig::start(&cached()).await.unwrap();
+    run_async(async {
+        let rig = Rig::start(&config_with_cache()).await.unwrap();
 
         announce(&rig, 2).await;
 
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
         let store = rig.parts.store.as_ref().unwrap();
         assert_eq!(
             store.part.sent(),
             2 * 100_000,
-            "once for each failure domain"
+            "one download per failure domain"
         );
     });
 }
 
-// Symptom: engines stay at old weights while a cache is broken.
-// Sequence: the instance with the cache is killed before the version is announced.
-// Cause: a cache without which nothing goes.
+// Guards against depending on the cache: the instance with the cache is killed before a version is
+// announced, and engines stay at old weights.
 #[test]
-fn without_its_cache_a_domain_fetches_from_the_store() {
-    block(async {
-        let mut rig = Rig::start(&cached()).await.unwrap();
+fn without_its_cache_a_failure_domain_fetches_from_the_store() {
+    run_async(async {
+        let mut rig = Rig::start(&config_with_cache()).await.unwrap();
         announce(&rig, 2).await;
-        reach(&rig, 2).await;
+        wait_for_version(&rig, 2).await;
         rig.kill(0);
         rig.controls.remove(0).stop().await;
 
         announce(&rig, 3).await;
 
-        reach(&rig, 3).await;
+        wait_for_version(&rig, 3).await;
     });
 }
