--- a/crates/capacity/src/ledger.rs
+++ b/crates/capacity/src/ledger.rs
@@ -26,29 +26,29 @@
 /// # Examples
 ///
 /// ```
-/// use capacity::{Ledger, Order, Subject};
+/// use capacity::{DesiredCapacity, Order, Subject};
 ///
 /// let subject = Subject { service: "fit".into(), domain: "nord".into(), spot: false };
-/// let mut ledger = Ledger::default();
-/// assert!(ledger.enter(Order { subject: subject.clone(), count: 3 }));
+/// let mut ledger = DesiredCapacity::default();
+/// assert!(ledger.raise(Order { subject: subject.clone(), count: 3 }));
 /// // A lower number never takes the place of a higher one.
-/// assert!(!ledger.enter(Order { subject, count: 2 }));
+/// assert!(!ledger.raise(Order { subject, count: 2 }));
 /// assert_eq!(ledger.orders()[0].count, 3);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Ledger {
+pub struct DesiredCapacity {
     orders: Vec<Order>,
 }
 
-impl Ledger {
+impl DesiredCapacity {
     /// The orders.
     pub fn orders(&self) -> &[Order] {
         &self.orders
     }
 
     /// Takes an order in, which is then to be written before it is given; tells whether it changes anything.
-    pub fn enter(&mut self, order: Order) -> bool {
+    pub fn raise(&mut self, order: Order) -> bool {
         match self
             .orders
             .iter_mut()
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,12 +1,12 @@
 //! How many upstreams of a service are wanted in each failure domain, and what was asked for.
 //!
-//! [`need`] decides how many are wanted, and nothing else does; [`Ledger`] keeps what was asked for, so that a
+//! [`need`] decides how many are wanted, and nothing else does; [`DesiredCapacity`] keeps what was asked for, so that a
 //! successor asks for the same. Nothing here reads a socket or a clock.
 
 pub mod ledger;
 pub mod need;
 
-pub use ledger::Ledger;
+pub use ledger::DesiredCapacity;
 pub use ledger::Tries;
 pub use need::Bounds;
 pub use need::Present;
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! How many upstreams are asked for, and that what is asked for never falls.
 
 use capacity::Bounds;
-use capacity::Ledger;
+use capacity::DesiredCapacity;
 use capacity::Order;
 use capacity::Present;
 use capacity::Subject;
@@ -110,9 +110,9 @@
         requests in 0_u64..2_000,
         fill in 0.0_f64..3.0,
     ) {
-        let mut ledger = Ledger::default();
+        let mut ledger = DesiredCapacity::default();
         for (domain, count) in ["nord", "syd", "vest"].into_iter().zip(before) {
-            ledger.enter(order(domain, count));
+            ledger.raise(order(domain, count));
         }
         let there = present(counts);
 
@@ -123,7 +123,7 @@
             prop_assert!(one.count > at.kept);
             prop_assert!(one.count <= 32);
             let held = ledger.orders().iter().find(|held| held.subject == one.subject).unwrap().count;
-            ledger.enter(one.clone());
+            ledger.raise(one.clone());
             let now = ledger.orders().iter().find(|now| now.subject == one.subject).unwrap().count;
             prop_assert!(now >= held && now >= one.count);
         }
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use capacity::Bounds;
-use capacity::Ledger;
+use capacity::DesiredCapacity;
 use capacity::Order;
 use capacity::Present;
 use capacity::Tries;
@@ -50,7 +50,7 @@
     app: &'a Arc<App>,
     office: &'a Office,
     to: Accounts,
-    held: Option<Kept<Ledger>>,
+    held: Option<Kept<DesiredCapacity>>,
     tries: Tries,
 }
 
@@ -93,7 +93,7 @@
         };
         let mut changed = false;
         for order in self.wanted(&plan, &ledger, targets) {
-            changed |= ledger.enter(order);
+            changed |= ledger.raise(order);
         }
         let rev = match changed {
             true => kept::write(self.app, KEY, &ledger, rev).await?,
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    fn wanted(&self, plan: &Config, ledger: &Ledger, targets: &Targets) -> Vec<Order> {
+    fn wanted(&self, plan: &Config, ledger: &DesiredCapacity, targets: &Targets) -> Vec<Order> {
         let aims = targets.aims(self.app.clock.now());
         let mut orders = Vec::new();
         for service in plan.services() {
