--- a/crates/capacity/src/ledger.rs
+++ b/crates/capacity/src/ledger.rs
@@ -70,11 +70,11 @@
 
 /// When orders are given again, as far as their holder knows.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct RetrySchedule {
     next: Map<Subject, Millis>,
 }
 
-impl Tries {
+impl RetrySchedule {
     /// Tells whether an order is due: `present` upstreams of its subject are there.
     pub fn is_due(&self, order: &Order, present: u32, now: Millis) -> bool {
         let next = self.next.get(&order.subject).copied().unwrap_or(0);
@@ -82,12 +82,12 @@
     }
 
     /// Notes that an order was taken: its upstreams are there within `boot` milliseconds, or were lost since.
-    pub fn taken(&mut self, subject: &Subject, boot: Millis, now: Millis) {
+    pub fn accepted(&mut self, subject: &Subject, boot: Millis, now: Millis) {
         self.next.insert(subject.clone(), now + boot + LISTED);
     }
 
     /// Notes that there was nothing to be had.
-    pub fn scarce(&mut self, subject: &Subject, now: Millis) {
+    pub fn unavailable(&mut self, subject: &Subject, now: Millis) {
         self.next.insert(subject.clone(), now + SCARCE);
     }
 
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod need;
 
 pub use ledger::DesiredCapacity;
-pub use ledger::Tries;
+pub use ledger::RetrySchedule;
 pub use need::Bounds;
 pub use need::Present;
 pub use need::Wish;
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -4,8 +4,8 @@
 use capacity::DesiredCapacity;
 use capacity::Order;
 use capacity::Present;
+use capacity::RetrySchedule;
 use capacity::Subject;
-use capacity::Tries;
 use capacity::Wish;
 use capacity::wishes;
 use proptest::prelude::*;
@@ -87,14 +87,14 @@
 
 #[test]
 fn an_order_is_given_again_when_its_upstreams_did_not_come() {
-    let (one, mut tries) = (order("syd", 20), Tries::default());
+    let (one, mut tries) = (order("syd", 20), RetrySchedule::default());
 
     assert!(tries.is_due(&one, 16, 0));
-    tries.taken(&one.subject, 4_000, 0);
+    tries.accepted(&one.subject, 4_000, 0);
     assert!(!tries.is_due(&one, 16, 6_000));
     assert!(tries.is_due(&one, 16, 7_100));
     assert!(!tries.is_due(&one, 20, 7_100));
-    tries.scarce(&one.subject, 7_100);
+    tries.unavailable(&one.subject, 7_100);
     assert!(!tries.is_due(&one, 16, 9_000) && tries.is_due(&one, 16, 9_700));
     tries.unanswered(&one.subject, 10_000);
     assert!(tries.is_due(&one, 16, 10_900));
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -10,7 +10,7 @@
 use capacity::DesiredCapacity;
 use capacity::Order;
 use capacity::Present;
-use capacity::Tries;
+use capacity::RetrySchedule;
 use capacity::Wish;
 use capacity::wishes;
 use kernel::Millis;
@@ -51,7 +51,7 @@
     office: &'a Office,
     to: Accounts,
     held: Option<Kept<DesiredCapacity>>,
-    tries: Tries,
+    tries: RetrySchedule,
 }
 
 impl<'a> Supplies<'a> {
@@ -63,7 +63,7 @@
             office,
             to,
             held: None,
-            tries: Tries::default(),
+            tries: RetrySchedule::default(),
         })
     }
 
@@ -181,8 +181,8 @@
             None => "unanswered",
         };
         match granted {
-            Some(Granted::Taken) => self.tries.taken(subject, bounds.boot, now),
-            Some(Granted::Scarce | Granted::Refused) => self.tries.scarce(subject, now),
+            Some(Granted::Taken) => self.tries.accepted(subject, bounds.boot, now),
+            Some(Granted::Scarce | Granted::Refused) => self.tries.unavailable(subject, now),
             Some(Granted::Busy | Granted::Fenced) | None => self.tries.unanswered(subject, now),
         }
         metrics::counter!(meter::SUPPLIES, "result" => outcome).increment(1);
