--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -8,8 +8,8 @@
 
 pub use ledger::DesiredCapacity;
 pub use ledger::RetrySchedule;
-pub use need::Bounds;
 pub use need::Present;
+pub use need::ScalingBounds;
 pub use need::Wish;
 pub use need::wishes;
 
--- a/crates/capacity/src/need.rs
+++ b/crates/capacity/src/need.rs
@@ -14,18 +14,18 @@
 
 /// What the operator allows of a service, in each failure domain.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
+pub struct ScalingBounds {
     /// Fewest upstreams, of both kinds together.
-    pub least: u32,
+    pub min_upstreams: u32,
     /// Most upstreams, of both kinds together.
-    pub most: u32,
+    pub max_upstreams: u32,
     /// Time that a new one takes to start, in milliseconds.
-    pub boot: Millis,
+    pub startup_ms: Millis,
     /// What a second of one costs in each failure domain, against others.
     pub prices: Vec<(Arc<str>, f64)>,
 }
 
-impl Bounds {
+impl ScalingBounds {
     fn price(&self, domain: &str) -> f64 {
         let found = self.prices.iter().find(|(name, _)| &**name == domain);
         found.map_or(1.0, |(_, price)| *price)
@@ -63,9 +63,9 @@
 /// # Examples
 ///
 /// ```
-/// use capacity::{Bounds, Present, Wish, wishes};
+/// use capacity::{ScalingBounds, Present, Wish, wishes};
 ///
-/// let bounds = Bounds { least: 1, most: 4, boot: 4_000, prices: vec![("syd".into(), 0.8)] };
+/// let bounds = ScalingBounds { min_upstreams: 1, max_upstreams: 4, startup_ms: 4_000, prices: vec![("syd".into(), 0.8)] };
 /// let present = |domain: &str, kept| Present { domain: domain.into(), kept, spot: 0 };
 /// let all = [present("nord", 2), present("syd", 2)];
 /// let wish = Wish { requests: 40, slots: 8, fill: 1.0 };
@@ -75,7 +75,7 @@
 /// ```
 pub fn wishes(
     service: &str,
-    bounds: &Bounds,
+    bounds: &ScalingBounds,
     present: &[Present],
     asked: &[Order],
     wish: Wish,
@@ -102,7 +102,7 @@
     };
     while total(&counts) < need {
         let open = counts.iter_mut();
-        let open = open.filter(|(one, kept)| kept + one.spot < bounds.most);
+        let open = open.filter(|(one, kept)| kept + one.spot < bounds.max_upstreams);
         let next = open.min_by(|(one, kept), (other, others)| {
             let (here, there) = (kept + one.spot, *others + other.spot);
             let price = bounds.price(&one.domain);
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,22 +1,22 @@
 //! How many upstreams are asked for, and that what is asked for never falls.
 
-use capacity::Bounds;
 use capacity::DesiredCapacity;
 use capacity::Order;
 use capacity::Present;
 use capacity::RetrySchedule;
+use capacity::ScalingBounds;
 use capacity::Subject;
 use capacity::Wish;
 use capacity::wishes;
 use proptest::prelude::*;
 use yare::parameterized;
 
-fn bounds(most: u32) -> Bounds {
+fn bounds(max_upstreams: u32) -> ScalingBounds {
     let price = |name: &str, price| (name.into(), price);
-    Bounds {
-        least: 1,
-        most,
-        boot: 4_000,
+    ScalingBounds {
+        min_upstreams: 1,
+        max_upstreams,
+        startup_ms: 4_000,
         prices: vec![price("nord", 1.0), price("syd", 0.8), price("vest", 1.25)],
     }
 }
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use capacity::Bounds;
 use capacity::DesiredCapacity;
 use capacity::Order;
 use capacity::Present;
 use capacity::RetrySchedule;
+use capacity::ScalingBounds;
 use capacity::Wish;
 use capacity::wishes;
 use kernel::Millis;
@@ -132,7 +132,7 @@
     }
 
     /// The upstreams of a service in each failure domain in which there may be some.
-    fn present(&self, service: &str, bounds: &Bounds) -> Vec<Present> {
+    fn present(&self, service: &str, bounds: &ScalingBounds) -> Vec<Present> {
         let roster = self.app.roster.lock();
         let mut all: Vec<_> = bounds
             .prices
@@ -181,7 +181,7 @@
             None => "unanswered",
         };
         match granted {
-            Some(Granted::Taken) => self.tries.accepted(subject, bounds.boot, now),
+            Some(Granted::Taken) => self.tries.accepted(subject, bounds.startup_ms, now),
             Some(Granted::Scarce | Granted::Refused) => self.tries.unavailable(subject, now),
             Some(Granted::Busy | Granted::Fenced) | None => self.tries.unanswered(subject, now),
         }
--- a/crates/table/src/config.rs
+++ b/crates/table/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use capacity::Bounds;
+use capacity::ScalingBounds;
 use kernel::Map;
 use kernel::Millis;
 use team::Teams;
@@ -77,7 +77,7 @@
     /// Properties of its upstreams if they are model engines.
     pub engine: Option<EngineSpec>,
     /// Bounds for ordering upstreams from the platform; [`None`] if none may be ordered.
-    pub scaling: Option<Bounds>,
+    pub scaling: Option<ScalingBounds>,
 }
 
 /// One version of the configuration.
