--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub use ledger::DesiredCapacity;
 pub use ledger::RetrySchedule;
-pub use need::Present;
+pub use need::DomainUpstreams;
 pub use need::ScalingBounds;
 pub use need::Wish;
 pub use need::wishes;
--- a/crates/capacity/src/need.rs
+++ b/crates/capacity/src/need.rs
@@ -34,11 +34,11 @@
 
 /// The upstreams of a service in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Present {
+pub struct DomainUpstreams {
     /// The failure domain.
     pub domain: Arc<str>,
     /// Upstreams that stay.
-    pub kept: u32,
+    pub regular: u32,
     /// Upstreams that may be taken away at any moment.
     pub spot: u32,
 }
@@ -63,10 +63,10 @@
 /// # Examples
 ///
 /// ```
-/// use capacity::{ScalingBounds, Present, Wish, wishes};
+/// use capacity::{ScalingBounds, DomainUpstreams, Wish, wishes};
 ///
 /// let bounds = ScalingBounds { min_upstreams: 1, max_upstreams: 4, startup_ms: 4_000, prices: vec![("syd".into(), 0.8)] };
-/// let present = |domain: &str, kept| Present { domain: domain.into(), kept, spot: 0 };
+/// let present = |domain: &str, regular| DomainUpstreams { domain: domain.into(), regular, spot: 0 };
 /// let all = [present("nord", 2), present("syd", 2)];
 /// let wish = Wish { requests: 40, slots: 8, fill: 1.0 };
 /// let orders = wishes("fit", &bounds, &all, &[], wish);
@@ -76,7 +76,7 @@
 pub fn wishes(
     service: &str,
     bounds: &ScalingBounds,
-    present: &[Present],
+    present: &[DomainUpstreams],
     asked: &[Order],
     wish: Wish,
 ) -> Vec<Order> {
@@ -85,7 +85,7 @@
     if need == 0 {
         return Vec::new();
     }
-    let asked = |one: &Present| {
+    let asked = |one: &DomainUpstreams| {
         let about = |order: &&Order| {
             let subject = &order.subject;
             !subject.spot && *subject.service == *service && subject.domain == one.domain
@@ -95,9 +95,9 @@
     // What was asked for and is not there yet counts as there.
     let mut counts: Vec<_> = present
         .iter()
-        .map(|one| (one, one.kept.max(asked(one))))
+        .map(|one| (one, one.regular.max(asked(one))))
         .collect();
-    let total = |counts: &[(&Present, u32)]| -> u32 {
+    let total = |counts: &[(&DomainUpstreams, u32)]| -> u32 {
         counts.iter().map(|(one, kept)| kept + one.spot).sum()
     };
     while total(&counts) < need {
@@ -112,8 +112,8 @@
         let Some((_, kept)) = next else { break };
         *kept += 1;
     }
-    let more = counts.into_iter().filter(|(one, kept)| *kept > one.kept);
-    let order = |(one, count): (&Present, u32)| Order {
+    let more = counts.into_iter().filter(|(one, kept)| *kept > one.regular);
+    let order = |(one, count): (&DomainUpstreams, u32)| Order {
         subject: Subject {
             service: service.into(),
             domain: one.domain.clone(),
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,8 +1,8 @@
 //! How many upstreams are asked for, and that what is asked for never falls.
 
 use capacity::DesiredCapacity;
+use capacity::DomainUpstreams;
 use capacity::Order;
-use capacity::Present;
 use capacity::RetrySchedule;
 use capacity::ScalingBounds;
 use capacity::Subject;
@@ -21,11 +21,11 @@
     }
 }
 
-fn present(counts: [u32; 3]) -> Vec<Present> {
+fn present(counts: [u32; 3]) -> Vec<DomainUpstreams> {
     let all = ["nord", "syd", "vest"].into_iter().zip(counts);
-    let one = |(domain, kept): (&str, u32)| Present {
+    let one = |(domain, regular): (&str, u32)| DomainUpstreams {
         domain: domain.into(),
-        kept,
+        regular,
         spot: 0,
     };
     all.map(one).collect()
@@ -120,7 +120,7 @@
 
         for one in orders {
             let at = there.iter().find(|at| at.domain == one.subject.domain).unwrap();
-            prop_assert!(one.count > at.kept);
+            prop_assert!(one.count > at.regular);
             prop_assert!(one.count <= 32);
             let held = ledger.orders().iter().find(|held| held.subject == one.subject).unwrap().count;
             ledger.raise(one.clone());
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use capacity::DesiredCapacity;
+use capacity::DomainUpstreams;
 use capacity::Order;
-use capacity::Present;
 use capacity::RetrySchedule;
 use capacity::ScalingBounds;
 use capacity::Wish;
@@ -132,14 +132,14 @@
     }
 
     /// The upstreams of a service in each failure domain in which there may be some.
-    fn present(&self, service: &str, bounds: &ScalingBounds) -> Vec<Present> {
+    fn present(&self, service: &str, bounds: &ScalingBounds) -> Vec<DomainUpstreams> {
         let roster = self.app.roster.lock();
         let mut all: Vec<_> = bounds
             .prices
             .iter()
-            .map(|(domain, _)| Present {
+            .map(|(domain, _)| DomainUpstreams {
                 domain: domain.clone(),
-                kept: 0,
+                regular: 0,
                 spot: 0,
             })
             .collect();
@@ -149,7 +149,7 @@
             };
             match one.spot {
                 true => at.spot += 1,
-                false => at.kept += 1,
+                false => at.regular += 1,
             }
         }
         all
@@ -165,7 +165,7 @@
         };
         let present = self.present(&subject.service, bounds);
         let here = present.iter().find(|one| one.domain == subject.domain);
-        let count = here.map_or(0, |one| if subject.spot { one.spot } else { one.kept });
+        let count = here.map_or(0, |one| if subject.spot { one.spot } else { one.regular });
         // Asked right before each order: the process may have been paused since the last renewal.
         if !self.tries.is_due(order, count, now) || !self.office.may_order(now) {
             return;
