--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -8,9 +8,9 @@
 
 pub use ledger::DesiredCapacity;
 pub use ledger::RetrySchedule;
+pub use need::CapacityDemand;
 pub use need::DomainUpstreams;
 pub use need::ScalingBounds;
-pub use need::Wish;
 pub use need::wishes;
 
 use std::sync::Arc;
--- a/crates/capacity/src/need.rs
+++ b/crates/capacity/src/need.rs
@@ -45,7 +45,7 @@
 
 /// What a service's work asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wish {
+pub struct CapacityDemand {
     /// Requests that may have to run at the same time.
     pub requests: u64,
     /// Requests that an upstream works on at the same time.
@@ -63,12 +63,12 @@
 /// # Examples
 ///
 /// ```
-/// use capacity::{ScalingBounds, DomainUpstreams, Wish, wishes};
+/// use capacity::{ScalingBounds, DomainUpstreams, CapacityDemand, wishes};
 ///
 /// let bounds = ScalingBounds { min_upstreams: 1, max_upstreams: 4, startup_ms: 4_000, prices: vec![("syd".into(), 0.8)] };
 /// let present = |domain: &str, regular| DomainUpstreams { domain: domain.into(), regular, spot: 0 };
 /// let all = [present("nord", 2), present("syd", 2)];
-/// let wish = Wish { requests: 40, slots: 8, fill: 1.0 };
+/// let wish = CapacityDemand { requests: 40, slots: 8, fill: 1.0 };
 /// let orders = wishes("fit", &bounds, &all, &[], wish);
 /// assert_eq!(orders.len(), 1);
 /// assert_eq!((&*orders[0].subject.domain, orders[0].count), ("syd", 3));
@@ -78,7 +78,7 @@
     bounds: &ScalingBounds,
     present: &[DomainUpstreams],
     asked: &[Order],
-    wish: Wish,
+    wish: CapacityDemand,
 ) -> Vec<Order> {
     let places = wish.requests as f64 * wish.fill;
     let need = (places / f64::from(wish.slots.max(1))).ceil() as u32;
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,12 +1,12 @@
 //! How many upstreams are asked for, and that what is asked for never falls.
 
+use capacity::CapacityDemand;
 use capacity::DesiredCapacity;
 use capacity::DomainUpstreams;
 use capacity::Order;
 use capacity::RetrySchedule;
 use capacity::ScalingBounds;
 use capacity::Subject;
-use capacity::Wish;
 use capacity::wishes;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -31,8 +31,8 @@
     all.map(one).collect()
 }
 
-fn wish(requests: u64, fill: f64) -> Wish {
-    Wish {
+fn wish(requests: u64, fill: f64) -> CapacityDemand {
+    CapacityDemand {
         requests,
         slots: 8,
         fill,
@@ -59,7 +59,7 @@
     no_more_than_allowed = { wish(9_000, 1.0), [16, 16, 16], &[("nord", 32), ("syd", 32), ("vest", 32)] },
     a_part = { wish(784, 0.5), [16, 16, 16], &[("syd", 17)] },
 )]
-fn upstreams_are_asked_for(wish: Wish, counts: [u32; 3], expected: &[(&str, u32)]) {
+fn upstreams_are_asked_for(wish: CapacityDemand, counts: [u32; 3], expected: &[(&str, u32)]) {
     let orders = wishes("fit", &bounds(32), &present(counts), &[], wish);
 
     let expected: Vec<_> = expected
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use capacity::CapacityDemand;
 use capacity::DesiredCapacity;
 use capacity::DomainUpstreams;
 use capacity::Order;
 use capacity::RetrySchedule;
 use capacity::ScalingBounds;
-use capacity::Wish;
 use capacity::wishes;
 use kernel::Millis;
 use plat::PlatError;
@@ -114,7 +114,7 @@
                 continue;
             };
             let models = engine.models.iter().filter_map(|model| aims.get(model));
-            let wish = Wish {
+            let wish = CapacityDemand {
                 requests: models.map(|aim| aim.samples / STEPS).sum(),
                 slots: engine.slots,
                 fill: self.app.settings.fill,
