--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -11,7 +11,7 @@
 pub use need::CapacityDemand;
 pub use need::DomainUpstreams;
 pub use need::ScalingBounds;
-pub use need::wishes;
+pub use need::plan_orders;
 
 use std::sync::Arc;
 
--- a/crates/capacity/src/need.rs
+++ b/crates/capacity/src/need.rs
@@ -63,17 +63,17 @@
 /// # Examples
 ///
 /// ```
-/// use capacity::{ScalingBounds, DomainUpstreams, CapacityDemand, wishes};
+/// use capacity::{ScalingBounds, DomainUpstreams, CapacityDemand, plan_orders};
 ///
 /// let bounds = ScalingBounds { min_upstreams: 1, max_upstreams: 4, startup_ms: 4_000, prices: vec![("syd".into(), 0.8)] };
 /// let present = |domain: &str, regular| DomainUpstreams { domain: domain.into(), regular, spot: 0 };
 /// let all = [present("nord", 2), present("syd", 2)];
 /// let wish = CapacityDemand { requests: 40, slots: 8, fill: 1.0 };
-/// let orders = wishes("fit", &bounds, &all, &[], wish);
+/// let orders = plan_orders("fit", &bounds, &all, &[], wish);
 /// assert_eq!(orders.len(), 1);
 /// assert_eq!((&*orders[0].subject.domain, orders[0].count), ("syd", 3));
 /// ```
-pub fn wishes(
+pub fn plan_orders(
     service: &str,
     bounds: &ScalingBounds,
     present: &[DomainUpstreams],
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -7,7 +7,7 @@
 use capacity::RetrySchedule;
 use capacity::ScalingBounds;
 use capacity::Subject;
-use capacity::wishes;
+use capacity::plan_orders;
 use proptest::prelude::*;
 use yare::parameterized;
 
@@ -60,7 +60,7 @@
     a_part = { wish(784, 0.5), [16, 16, 16], &[("syd", 17)] },
 )]
 fn upstreams_are_asked_for(wish: CapacityDemand, counts: [u32; 3], expected: &[(&str, u32)]) {
-    let orders = wishes("fit", &bounds(32), &present(counts), &[], wish);
+    let orders = plan_orders("fit", &bounds(32), &present(counts), &[], wish);
 
     let expected: Vec<_> = expected
         .iter()
@@ -74,7 +74,7 @@
 fn what_was_asked_for_counts_as_there() {
     let asked = [order("syd", 20)];
 
-    let orders = wishes(
+    let orders = plan_orders(
         "fit",
         &bounds(32),
         &present([16, 16, 16]),
@@ -116,7 +116,7 @@
         }
         let there = present(counts);
 
-        let orders = wishes("fit", &bounds(32), &there, ledger.orders(), wish(requests, fill));
+        let orders = plan_orders("fit", &bounds(32), &there, ledger.orders(), wish(requests, fill));
 
         for one in orders {
             let at = there.iter().find(|at| at.domain == one.subject.domain).unwrap();
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -1,6 +1,6 @@
 //! Ordering upstreams.
 //!
-//! How many are wanted is [`capacity::wishes`]'s matter. What is wanted is written down first, and a successor goes
+//! [`capacity::plan_orders`] decides how many are wanted. What is wanted is written down first, and a successor goes
 //! on from what is written.
 
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use capacity::Order;
 use capacity::RetrySchedule;
 use capacity::ScalingBounds;
-use capacity::wishes;
+use capacity::plan_orders;
 use kernel::Millis;
 use plat::PlatError;
 use table::Config;
@@ -120,7 +120,7 @@
                 fill: self.app.settings.fill,
             };
             let present = self.present(&service.name, bounds);
-            orders.extend(wishes(
+            orders.extend(plan_orders(
                 &service.name,
                 bounds,
                 &present,
