--- a/crates/capacity/src/ledger.rs
+++ b/crates/capacity/src/ledger.rs
@@ -1,8 +1,8 @@
-//! What was asked for, as it is kept at the platform, and when it is asked for again.
+//! Persisted orders for upstreams, and when an order is sent again.
 //!
-//! What goes wrong without it: an order whose answer was lost is carried out late, after a successor that knows
-//! nothing of it has asked for another number. What is wanted is therefore written down before it is asked for, and
-//! an exact repeat changes nothing.
+//! Orders are stored before they are sent. Otherwise an order whose response was lost might be carried out late,
+//! after a new leader that does not know of it has ordered a different number. Sending an identical order again has no
+//! effect.
 
 use kernel::Map;
 use kernel::Millis;
@@ -10,30 +10,30 @@
 use serde::Serialize;
 
 use crate::Order;
-use crate::Subject;
+use crate::OrderSubject;
 
-/// Pause after an order that was not answered, in milliseconds.
-const AGAIN: Millis = 800;
+/// Delay before an order without a response is sent again.
+const UNANSWERED_RETRY_MS: Millis = 800;
 
-/// Pause after an order for which there was nothing to be had, in milliseconds: others may be given back meanwhile.
-const SCARCE: Millis = 2_500;
+/// Delay before an order is sent again when no upstreams were available; others may be released meanwhile.
+const UNAVAILABLE_RETRY_MS: Millis = 2_500;
 
-/// Time beyond their start that upstreams have to be listed, in milliseconds.
-const LISTED: Millis = 3_000;
+/// Time that upstreams may take to appear in the list after they have started.
+const LISTING_TIMEOUT_MS: Millis = 3_000;
 
-/// What was asked for, in the order of the subjects.
+/// The desired number of upstreams per subject, sorted by subject.
 ///
 /// # Examples
 ///
 /// ```
-/// use capacity::{DesiredCapacity, Order, Subject};
+/// use capacity::{DesiredCapacity, Order, OrderSubject};
 ///
-/// let subject = Subject { service: "fit".into(), domain: "nord".into(), spot: false };
-/// let mut ledger = DesiredCapacity::default();
-/// assert!(ledger.raise(Order { subject: subject.clone(), count: 3 }));
-/// // A lower number never takes the place of a higher one.
-/// assert!(!ledger.raise(Order { subject, count: 2 }));
-/// assert_eq!(ledger.orders()[0].count, 3);
+/// let subject = OrderSubject { service: "fit".into(), domain: "nord".into(), spot: false };
+/// let mut desired = DesiredCapacity::default();
+/// assert!(desired.raise(Order { subject: subject.clone(), count: 3 }));
+/// // A lower count never replaces a higher one.
+/// assert!(!desired.raise(Order { subject, count: 2 }));
+/// assert_eq!(desired.orders()[0].count, 3);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
@@ -42,21 +42,22 @@
 }
 
 impl DesiredCapacity {
-    /// The orders.
+    /// The orders, sorted by subject.
     pub fn orders(&self) -> &[Order] {
         &self.orders
     }
 
-    /// Takes an order in, which is then to be written before it is given; tells whether it changes anything.
+    /// Adds an order or raises the count of an existing one; returns whether anything changed. The caller must
+    /// store a change before it sends the order.
     pub fn raise(&mut self, order: Order) -> bool {
         match self
             .orders
             .iter_mut()
-            .find(|held| held.subject == order.subject)
+            .find(|known| known.subject == order.subject)
         {
-            Some(held) if held.count >= order.count => false,
-            Some(held) => {
-                held.count = order.count;
+            Some(known) if known.count >= order.count => false,
+            Some(known) => {
+                known.count = order.count;
                 true
             }
             None => {
@@ -68,31 +69,35 @@
     }
 }
 
-/// When orders are given again, as far as their holder knows.
+/// When each order may be sent again. Kept in memory by the current leader only.
 #[derive(Debug, Default)]
 pub struct RetrySchedule {
-    next: Map<Subject, Millis>,
+    next_at: Map<OrderSubject, Millis>,
 }
 
 impl RetrySchedule {
-    /// Tells whether an order is due: `present` upstreams of its subject are there.
+    /// Whether to send an order now, given that `present` upstreams of its subject exist.
     pub fn is_due(&self, order: &Order, present: u32, now: Millis) -> bool {
-        let next = self.next.get(&order.subject).copied().unwrap_or(0);
-        present < order.count && now >= next
+        let next_at = self.next_at.get(&order.subject).copied().unwrap_or(0);
+        present < order.count && now >= next_at
     }
 
-    /// Notes that an order was taken: its upstreams are there within `boot` milliseconds, or were lost since.
-    pub fn accepted(&mut self, subject: &Subject, boot: Millis, now: Millis) {
-        self.next.insert(subject.clone(), now + boot + LISTED);
+    /// Records that an order was accepted. Upstreams that are still missing `startup_ms` milliseconds and the listing
+    /// timeout later were lost and are ordered again.
+    pub fn accepted(&mut self, subject: &OrderSubject, startup_ms: Millis, now: Millis) {
+        self.next_at
+            .insert(subject.clone(), now + startup_ms + LISTING_TIMEOUT_MS);
     }
 
-    /// Notes that there was nothing to be had.
-    pub fn unavailable(&mut self, subject: &Subject, now: Millis) {
-        self.next.insert(subject.clone(), now + SCARCE);
+    /// Records that no upstreams were available.
+    pub fn unavailable(&mut self, subject: &OrderSubject, now: Millis) {
+        self.next_at
+            .insert(subject.clone(), now + UNAVAILABLE_RETRY_MS);
     }
 
-    /// Notes that nothing was heard of an order.
-    pub fn unanswered(&mut self, subject: &Subject, now: Millis) {
-        self.next.insert(subject.clone(), now + AGAIN);
+    /// Records that an order got no usable response.
+    pub fn unanswered(&mut self, subject: &OrderSubject, now: Millis) {
+        self.next_at
+            .insert(subject.clone(), now + UNANSWERED_RETRY_MS);
     }
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,7 +1,7 @@
-//! How many upstreams of a service are wanted in each failure domain, and what was asked for.
+//! Capacity planning: how many upstreams of a service to order in each failure domain.
 //!
-//! [`need`] decides how many are wanted, and nothing else does; [`DesiredCapacity`] keeps what was asked for, so that a
-//! successor asks for the same. Nothing here reads a socket or a clock.
+//! [`plan_orders`] alone decides how many upstreams are wanted. [`DesiredCapacity`] keeps the orders, so that a
+//! new leader continues with the same numbers. This crate does no I/O and reads no clock.
 
 pub mod ledger;
 pub mod need;
@@ -18,15 +18,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an order is about: a later order for the same takes the place of an earlier one.
+/// Identifies the upstreams that an order is for. A later order with the same subject replaces an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct Subject {
+pub struct OrderSubject {
     /// The service.
     pub service: Arc<str>,
     /// The failure domain.
     pub domain: Arc<str>,
-    /// Whether it is about upstreams that cost less and may be taken away at any moment.
+    /// Whether the order is for spot upstreams, which cost less and may be reclaimed at any time.
     pub spot: bool,
 }
 
@@ -34,8 +34,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Order {
-    /// What it is about.
-    pub subject: Subject,
-    /// How many there shall be.
+    /// The upstreams that it is for.
+    pub subject: OrderSubject,
+    /// Total number of upstreams wanted, including those already present.
     pub count: u32,
 }
--- a/crates/capacity/src/need.rs
+++ b/crates/capacity/src/need.rs
@@ -1,27 +1,27 @@
-//! How many upstreams a service needs beyond those that it has.
+//! Computes how many upstreams a service needs in addition to those that it has.
 //!
-//! Load pattern: the trainers' steps come every few seconds with some hundred samples each, all at once. With fewer
-//! places than samples, the later ones begin when the first have ended, and the longest of them makes the step late.
-//! An upstream takes seconds to start, far longer than a step waits, so those that a step of each model fills
-//! are there before it comes, and stay.
+//! Load pattern: trainers request a step every few seconds, each with several hundred samples at once. If there are
+//! fewer slots than samples, the remaining samples start only when the first ones finish, and the longest of them
+//! delays the step. An upstream takes seconds to start, far longer than a step can wait. Therefore the upstreams for
+//! one step of each model are started in advance and kept.
 
 use std::sync::Arc;
 
 use kernel::Millis;
 
 use crate::Order;
-use crate::Subject;
+use crate::OrderSubject;
 
-/// What the operator allows of a service, in each failure domain.
+/// The operator's scaling limits for a service in each failure domain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingBounds {
-    /// Fewest upstreams, of both kinds together.
+    /// Minimum number of upstreams, regular and spot together.
     pub min_upstreams: u32,
-    /// Most upstreams, of both kinds together.
+    /// Maximum number of upstreams, regular and spot together.
     pub max_upstreams: u32,
-    /// Time that a new one takes to start, in milliseconds.
+    /// Time that a new upstream takes to start.
     pub startup_ms: Millis,
-    /// What a second of one costs in each failure domain, against others.
+    /// Relative price of an upstream in each failure domain.
     pub prices: Vec<(Arc<str>, f64)>,
 }
 
@@ -37,39 +37,41 @@
 pub struct DomainUpstreams {
     /// The failure domain.
     pub domain: Arc<str>,
-    /// Upstreams that stay.
+    /// Upstreams that are not reclaimed.
     pub regular: u32,
-    /// Upstreams that may be taken away at any moment.
+    /// Upstreams that may be reclaimed at any time.
     pub spot: u32,
 }
 
-/// What a service's work asks for.
+/// The demand for a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityDemand {
-    /// Requests that may have to run at the same time.
+    /// Requests that may have to run concurrently.
     pub requests: u64,
-    /// Requests that an upstream works on at the same time.
+    /// Requests that one upstream handles concurrently.
     pub slots: u32,
-    /// Part of those requests that shall have a place at once; 0 asks for nothing.
+    /// Fraction of the requests for which slots are provided in advance; 0 orders nothing.
     pub fill: f64,
 }
 
-/// The orders that give a service the upstreams that it needs beyond those that it has, if any; never for fewer than
-/// there are, and never for more than is allowed. `asked` are the counts that were asked for before and are kept.
+/// Computes the orders for the additional upstreams that a service needs. An order never asks for fewer upstreams than
+/// are present. Counts are raised only up to the allowed maximum. `previous` holds the orders made so far, whose counts
+/// are not lowered.
 ///
-/// They are spread so that each failure domain has about as many: one that is cut off, or whose upstreams go at
-/// once, then takes no more than its part. Among equals the cheapest comes first.
+/// Upstreams are spread evenly over the failure domains, so that losing a domain costs no more than its share. Among
+/// domains with equally many upstreams, the cheapest is chosen first.
 ///
 /// # Examples
 ///
 /// ```
-/// use capacity::{ScalingBounds, DomainUpstreams, CapacityDemand, plan_orders};
+/// use capacity::{CapacityDemand, DomainUpstreams, ScalingBounds, plan_orders};
 ///
-/// let bounds = ScalingBounds { min_upstreams: 1, max_upstreams: 4, startup_ms: 4_000, prices: vec![("syd".into(), 0.8)] };
+/// let prices = vec![("syd".into(), 0.8)];
+/// let bounds = ScalingBounds { min_upstreams: 1, max_upstreams: 4, startup_ms: 4_000, prices };
 /// let present = |domain: &str, regular| DomainUpstreams { domain: domain.into(), regular, spot: 0 };
 /// let all = [present("nord", 2), present("syd", 2)];
-/// let wish = CapacityDemand { requests: 40, slots: 8, fill: 1.0 };
-/// let orders = plan_orders("fit", &bounds, &all, &[], wish);
+/// let demand = CapacityDemand { requests: 40, slots: 8, fill: 1.0 };
+/// let orders = plan_orders("fit", &bounds, &all, &[], demand);
 /// assert_eq!(orders.len(), 1);
 /// assert_eq!((&*orders[0].subject.domain, orders[0].count), ("syd", 3));
 /// ```
@@ -77,49 +79,55 @@
     service: &str,
     bounds: &ScalingBounds,
     present: &[DomainUpstreams],
-    asked: &[Order],
-    wish: CapacityDemand,
+    previous: &[Order],
+    demand: CapacityDemand,
 ) -> Vec<Order> {
-    let places = wish.requests as f64 * wish.fill;
-    let need = (places / f64::from(wish.slots.max(1))).ceil() as u32;
-    if need == 0 {
+    let required_slots = demand.requests as f64 * demand.fill;
+    let required = (required_slots / f64::from(demand.slots.max(1))).ceil() as u32;
+    if required == 0 {
         return Vec::new();
     }
-    let asked = |one: &DomainUpstreams| {
-        let about = |order: &&Order| {
+    let ordered = |domain: &DomainUpstreams| {
+        let matches = |order: &&Order| {
             let subject = &order.subject;
-            !subject.spot && *subject.service == *service && subject.domain == one.domain
+            !subject.spot && *subject.service == *service && subject.domain == domain.domain
         };
-        asked.iter().find(about).map_or(0, |order| order.count)
+        previous.iter().find(matches).map_or(0, |order| order.count)
     };
-    // What was asked for and is not there yet counts as there.
+    // Upstreams that were ordered and have not started yet count as present.
     let mut counts: Vec<_> = present
         .iter()
-        .map(|one| (one, one.regular.max(asked(one))))
+        .map(|domain| (domain, domain.regular.max(ordered(domain))))
         .collect();
     let total = |counts: &[(&DomainUpstreams, u32)]| -> u32 {
-        counts.iter().map(|(one, kept)| kept + one.spot).sum()
+        counts
+            .iter()
+            .map(|(domain, regular)| regular + domain.spot)
+            .sum()
     };
-    while total(&counts) < need {
-        let open = counts.iter_mut();
-        let open = open.filter(|(one, kept)| kept + one.spot < bounds.max_upstreams);
-        let next = open.min_by(|(one, kept), (other, others)| {
-            let (here, there) = (kept + one.spot, *others + other.spot);
-            let price = bounds.price(&one.domain);
+    while total(&counts) < required {
+        let candidates = counts.iter_mut();
+        let candidates =
+            candidates.filter(|(domain, regular)| regular + domain.spot < bounds.max_upstreams);
+        let next = candidates.min_by(|(domain, regular), (other, other_regular)| {
+            let (count, other_count) = (regular + domain.spot, *other_regular + other.spot);
+            let price = bounds.price(&domain.domain);
             let by_price = price.total_cmp(&bounds.price(&other.domain));
-            here.cmp(&there).then(by_price)
+            count.cmp(&other_count).then(by_price)
         });
-        let Some((_, kept)) = next else { break };
-        *kept += 1;
+        let Some((_, regular)) = next else { break };
+        *regular += 1;
     }
-    let more = counts.into_iter().filter(|(one, kept)| *kept > one.regular);
-    let order = |(one, count): (&DomainUpstreams, u32)| Order {
-        subject: Subject {
+    let raised = counts
+        .into_iter()
+        .filter(|(domain, regular)| *regular > domain.regular);
+    let order = |(domain, count): (&DomainUpstreams, u32)| Order {
+        subject: OrderSubject {
             service: service.into(),
-            domain: one.domain.clone(),
+            domain: domain.domain.clone(),
             spot: false,
         },
         count,
     };
-    more.map(order).collect()
+    raised.map(order).collect()
 }
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,12 +1,12 @@
-//! How many upstreams are asked for, and that what is asked for never falls.
+//! Tests of how many upstreams are ordered, and that the ordered count never decreases.
 
 use capacity::CapacityDemand;
 use capacity::DesiredCapacity;
 use capacity::DomainUpstreams;
 use capacity::Order;
+use capacity::OrderSubject;
 use capacity::RetrySchedule;
 use capacity::ScalingBounds;
-use capacity::Subject;
 use capacity::plan_orders;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -22,16 +22,16 @@
 }
 
 fn present(counts: [u32; 3]) -> Vec<DomainUpstreams> {
-    let all = ["nord", "syd", "vest"].into_iter().zip(counts);
-    let one = |(domain, regular): (&str, u32)| DomainUpstreams {
+    let domains = ["nord", "syd", "vest"].into_iter().zip(counts);
+    let upstreams = |(domain, regular): (&str, u32)| DomainUpstreams {
         domain: domain.into(),
         regular,
         spot: 0,
     };
-    all.map(one).collect()
+    domains.map(upstreams).collect()
 }
 
-fn wish(requests: u64, fill: f64) -> CapacityDemand {
+fn demand(requests: u64, fill: f64) -> CapacityDemand {
     CapacityDemand {
         requests,
         slots: 8,
@@ -40,7 +40,7 @@
 }
 
 fn order(domain: &str, count: u32) -> Order {
-    let subject = Subject {
+    let subject = OrderSubject {
         service: "fit".into(),
         domain: domain.into(),
         spot: false,
@@ -49,18 +49,22 @@
 }
 
 #[parameterized(
-    nothing_is_wanted = { wish(648, 0.0), [16, 16, 16], &[] },
-    nobody_asks = { wish(0, 1.0), [16, 16, 16], &[] },
-    enough_are_there = { wish(384, 1.0), [16, 16, 16], &[] },
-    too_many_are_there = { wish(8, 1.0), [16, 16, 16], &[] },
-    evenly_and_the_cheapest_first = { wish(392, 1.0), [16, 16, 16], &[("syd", 17)] },
-    the_emptiest_first = { wish(384, 1.0), [16, 4, 16], &[("syd", 16)] },
-    a_domain_that_has_lost_all = { wish(384, 1.0), [16, 16, 0], &[("vest", 16)] },
-    no_more_than_allowed = { wish(9_000, 1.0), [16, 16, 16], &[("nord", 32), ("syd", 32), ("vest", 32)] },
-    a_part = { wish(784, 0.5), [16, 16, 16], &[("syd", 17)] },
+    zero_fill = { demand(648, 0.0), [16, 16, 16], &[] },
+    no_requests = { demand(0, 1.0), [16, 16, 16], &[] },
+    exactly_enough_are_present = { demand(384, 1.0), [16, 16, 16], &[] },
+    more_than_enough_are_present = { demand(8, 1.0), [16, 16, 16], &[] },
+    equal_domains_cheapest_first = { demand(392, 1.0), [16, 16, 16], &[("syd", 17)] },
+    domain_with_fewest_first = { demand(384, 1.0), [16, 4, 16], &[("syd", 16)] },
+    domain_without_upstreams = { demand(384, 1.0), [16, 16, 0], &[("vest", 16)] },
+    capped_at_the_maximum = { demand(9_000, 1.0), [16, 16, 16], &[("nord", 32), ("syd", 32), ("vest", 32)] },
+    partial_fill = { demand(784, 0.5), [16, 16, 16], &[("syd", 17)] },
 )]
-fn upstreams_are_asked_for(wish: CapacityDemand, counts: [u32; 3], expected: &[(&str, u32)]) {
-    let orders = plan_orders("fit", &bounds(32), &present(counts), &[], wish);
+fn plan_orders_covers_the_demand(
+    demand: CapacityDemand,
+    counts: [u32; 3],
+    expected: &[(&str, u32)],
+) {
+    let orders = plan_orders("fit", &bounds(32), &present(counts), &[], demand);
 
     let expected: Vec<_> = expected
         .iter()
@@ -69,63 +73,63 @@
     assert_eq!(orders, expected);
 }
 
-// Upstreams that had been asked for and were still starting were asked for once more, in another failure domain.
+// Guards against ordering upstreams that are still starting a second time, in another failure domain.
 #[test]
-fn what_was_asked_for_counts_as_there() {
-    let asked = [order("syd", 20)];
+fn ordered_upstreams_count_as_present() {
+    let previous = [order("syd", 20)];
 
     let orders = plan_orders(
         "fit",
         &bounds(32),
         &present([16, 16, 16]),
-        &asked,
-        wish(416, 1.0),
+        &previous,
+        demand(416, 1.0),
     );
 
     assert_eq!(orders, [order("syd", 20)]);
 }
 
 #[test]
-fn an_order_is_given_again_when_its_upstreams_did_not_come() {
-    let (one, mut tries) = (order("syd", 20), RetrySchedule::default());
+fn an_order_is_sent_again_when_its_upstreams_do_not_appear() {
+    let (order, mut schedule) = (order("syd", 20), RetrySchedule::default());
 
-    assert!(tries.is_due(&one, 16, 0));
-    tries.accepted(&one.subject, 4_000, 0);
-    assert!(!tries.is_due(&one, 16, 6_000));
-    assert!(tries.is_due(&one, 16, 7_100));
-    assert!(!tries.is_due(&one, 20, 7_100));
-    tries.unavailable(&one.subject, 7_100);
-    assert!(!tries.is_due(&one, 16, 9_000) && tries.is_due(&one, 16, 9_700));
-    tries.unanswered(&one.subject, 10_000);
-    assert!(tries.is_due(&one, 16, 10_900));
+    assert!(schedule.is_due(&order, 16, 0));
+    schedule.accepted(&order.subject, 4_000, 0);
+    assert!(!schedule.is_due(&order, 16, 6_000));
+    assert!(schedule.is_due(&order, 16, 7_100));
+    assert!(!schedule.is_due(&order, 20, 7_100));
+    schedule.unavailable(&order.subject, 7_100);
+    assert!(!schedule.is_due(&order, 16, 9_000) && schedule.is_due(&order, 16, 9_700));
+    schedule.unanswered(&order.subject, 10_000);
+    assert!(schedule.is_due(&order, 16, 10_900));
 }
 
 proptest! {
-    // Whatever is there and was asked for, nothing is asked below what runs or above what is allowed, and what was
-    // asked for never falls.
+    // For any present and previously ordered upstreams, an order is above the present count and at most the maximum,
+    // and the ordered count never decreases.
     #[test]
-    fn orders_keep_to_their_bounds(
+    fn orders_stay_within_bounds(
         counts in [0_u32..40, 0..40, 0..40],
-        before in [0_u32..33, 0..33, 0..33],
+        previous in [0_u32..33, 0..33, 0..33],
         requests in 0_u64..2_000,
         fill in 0.0_f64..3.0,
     ) {
-        let mut ledger = DesiredCapacity::default();
-        for (domain, count) in ["nord", "syd", "vest"].into_iter().zip(before) {
-            ledger.raise(order(domain, count));
+        let mut desired = DesiredCapacity::default();
+        for (domain, count) in ["nord", "syd", "vest"].into_iter().zip(previous) {
+            desired.raise(order(domain, count));
         }
-        let there = present(counts);
+        let present = present(counts);
 
-        let orders = plan_orders("fit", &bounds(32), &there, ledger.orders(), wish(requests, fill));
+        let orders = plan_orders("fit", &bounds(32), &present, desired.orders(), demand(requests, fill));
 
-        for one in orders {
-            let at = there.iter().find(|at| at.domain == one.subject.domain).unwrap();
-            prop_assert!(one.count > at.regular);
-            prop_assert!(one.count <= 32);
-            let held = ledger.orders().iter().find(|held| held.subject == one.subject).unwrap().count;
-            ledger.raise(one.clone());
-            let now = ledger.orders().iter().find(|now| now.subject == one.subject).unwrap().count;
-            prop_assert!(now >= held && now >= one.count);
+        for order in orders {
+            let domain = present.iter().find(|domain| domain.domain == order.subject.domain).unwrap();
+            prop_assert!(order.count > domain.regular);
+            prop_assert!(order.count <= 32);
+            let before = desired.orders().iter().find(|known| known.subject == order.subject).unwrap().count;
+            desired.raise(order.clone());
+            let after = desired.orders().iter().find(|known| known.subject == order.subject).unwrap().count;
+            prop_assert!(after >= before && after >= order.count);
         }
     }
 }
