--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -16,7 +16,7 @@
 use wire::engine::Load;
 use wire::engine::ORDER;
 use wire::engine::Order;
-use wire::engine::Ordered;
+use wire::engine::OrderReply;
 
 /// Timeout of a request to an engine.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
@@ -60,8 +60,8 @@
         .json(Method::POST, &uri, &order(fence), REQUEST_TIMEOUT)
         .await
     {
-        Ok(Ordered::Accepted) => Outcome::Taken,
-        Ok(Ordered::Fenced) => Outcome::Fenced,
+        Ok(OrderReply::Accepted) => Outcome::Taken,
+        Ok(OrderReply::Fenced) => Outcome::Fenced,
         Err(JsonError::Status { status, .. }) if status == StatusCode::CONFLICT => Outcome::Fenced,
         Err(_) => Outcome::Unclear,
     }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -25,7 +25,7 @@
 use wire::engine::Load;
 use wire::engine::ORDER;
 use wire::engine::Order;
-use wire::engine::Ordered;
+use wire::engine::OrderReply;
 use wire::engine::RUNNING;
 
 use crate::Faults;
@@ -129,11 +129,11 @@
 
     fn order(self: &Arc<Self>, order: Order) -> Reply {
         if !self.weights.accept(&order) {
-            return body::json(StatusCode::CONFLICT, &Ordered::Fenced);
+            return body::json(StatusCode::CONFLICT, &OrderReply::Fenced);
         }
         let engine = self.clone();
         tokio::spawn(async move { engine.weights.swap(order, &engine.faults).await });
-        body::json(StatusCode::OK, &Ordered::Accepted)
+        body::json(StatusCode::OK, &OrderReply::Accepted)
     }
 
     fn generate(self: &Arc<Self>, request: Generate) -> Reply {
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ordered {
+pub enum OrderReply {
     /// It begins to load.
     Accepted,
     /// It has seen a higher fencing number.
