--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -25,7 +25,7 @@
 use plat::Client;
 use tokio::sync::Notify;
 use wire::peer;
-use wire::peer::Journaled;
+use wire::peer::JournalReply;
 
 use crate::App;
 use crate::gossip;
@@ -144,7 +144,8 @@
                 attempt,
                 left: left / 2,
             };
-            if let Some(Journaled::Answer(verdict)) = relay(app, &writer, &question, left).await {
+            if let Some(JournalReply::Answer(verdict)) = relay(app, &writer, &question, left).await
+            {
                 return verdict.into();
             }
             // The peer may have written the intent all the same. It carries this attempt's
@@ -291,7 +292,7 @@
     writer: &Member,
     question: &peer::Journal,
     left: Millis,
-) -> Option<Journaled> {
+) -> Option<JournalReply> {
     let limit = Duration::from_millis(left);
     gossip::exchange(app, writer.addr, peer::JOURNAL, question, limit)
         .await
--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 use wire::peer;
 use wire::peer::Journal;
-use wire::peer::Journaled;
+use wire::peer::JournalReply;
 use wire::peer::PeerError;
 
 use crate::App;
@@ -96,11 +96,11 @@
                 .journal
                 .ask_here(key, print, attempt, deadline, own)
                 .await;
-            Journaled::Answer(answer.into())
+            JournalReply::Answer(answer.into())
         }
         Ok(Journal::Note(record)) => {
             app.journal.note_here(record);
-            Journaled::Noted
+            JournalReply::Noted
         }
         Err(reply) => return *reply,
     };
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -114,7 +114,7 @@
 /// The answer to a [`Journal`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Journaled {
+pub enum JournalReply {
     /// To [`Journal::Ask`].
     Answer(Verdict),
     /// To [`Journal::Note`].
