--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -138,7 +138,7 @@
         let (at, _) = self.cell(key);
         let left = deadline.saturating_sub(self.clock.now()).min(WAIT);
         if let Some(writer) = writer(app, at) {
-            let question = peer::Journal::Ask {
+            let question = peer::JournalRequest::Ask {
                 key,
                 print,
                 attempt,
@@ -217,7 +217,7 @@
     async fn note(&self, app: &App, record: Record) {
         let (at, _) = self.cell(record.key());
         if let Some(writer) = writer(app, at) {
-            let note = peer::Journal::Note(record.clone());
+            let note = peer::JournalRequest::Note(record.clone());
             if relay(app, &writer, &note, WAIT).await.is_some() {
                 return;
             }
@@ -290,7 +290,7 @@
 async fn relay(
     app: &App,
     writer: &Member,
-    question: &peer::Journal,
+    question: &peer::JournalRequest,
     left: Millis,
 ) -> Option<JournalReply> {
     let limit = Duration::from_millis(left);
--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -10,8 +10,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use wire::peer;
-use wire::peer::Journal;
 use wire::peer::JournalReply;
+use wire::peer::JournalRequest;
 use wire::peer::PeerError;
 
 use crate::App;
@@ -84,7 +84,7 @@
 /// Serves questions to the journal.
 pub async fn journal(app: Arc<App>, call: Call) -> Reply {
     let journaled = match message(&app, call).await {
-        Ok(Journal::Ask {
+        Ok(JournalRequest::Ask {
             key,
             print,
             attempt,
@@ -98,7 +98,7 @@
                 .await;
             JournalReply::Answer(answer.into())
         }
-        Ok(Journal::Note(record)) => {
+        Ok(JournalRequest::Note(record)) => {
             app.journal.note_here(record);
             JournalReply::Noted
         }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -95,7 +95,7 @@
 /// Something for the journal, sent to the instance that writes a shard for others.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub enum Journal {
+pub enum JournalRequest {
     /// Ask for the right to run.
     Ask {
         /// The key.
@@ -111,13 +111,13 @@
     Note(Record),
 }
 
-/// The answer to a [`Journal`].
+/// The answer to a [`JournalRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum JournalReply {
-    /// To [`Journal::Ask`].
+    /// To [`JournalRequest::Ask`].
     Answer(Verdict),
-    /// To [`Journal::Note`].
+    /// To [`JournalRequest::Note`].
     Noted,
 }
 
