--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -20,7 +20,7 @@
 use wire::caller::Announce;
 use wire::caller::Announced;
 use wire::caller::Batch;
-use wire::caller::Open;
+use wire::caller::OpenStep;
 use wire::caller::Opened;
 use wire::caller::Pull;
 
@@ -180,7 +180,7 @@
     async fn open(&self, caller: &mut Caller, number: u32, version: u64) -> Step {
         let prompt = |group| format!("{} step {number} case {group}", self.label);
         let prompts: Vec<String> = (0..self.groups).map(prompt).collect();
-        let open = Open {
+        let open = OpenStep {
             model: self.model.clone(),
             groups: prompts
                 .iter()
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -34,7 +34,7 @@
 use uuid::Uuid;
 use wire::Problem;
 use wire::caller::Batch;
-use wire::caller::Open;
+use wire::caller::OpenStep;
 use wire::caller::Opened;
 use wire::caller::Pull;
 use wire::caller::StepState;
@@ -118,7 +118,7 @@
 
 async fn opened(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Opened, Problem> {
     let held = auth::contract(app, &call, trace)?;
-    let open: Open = complete::parse(app, call.body).await?;
+    let open: OpenStep = complete::parse(app, call.body).await?;
     complete::model(app, &held, &open.model)?;
     let contract = &held.stored.contract;
     let spec = Spec {
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Open {
+pub struct OpenStep {
     /// The model.
     pub model: Name,
     /// One prompt a group.
