--- a/crates/serve/src/history.rs
+++ b/crates/serve/src/history.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use serde::Deserialize;
 use serde::Serialize;
-use wire::caller::Note;
+use wire::caller::HistoryEntry;
 
 /// Entries that are kept.
 const ROOM: usize = 4_096;
@@ -23,7 +23,7 @@
     /// The customer, when there is one.
     pub customer: Option<Name>,
     /// What happened, in order.
-    pub notes: Vec<Note>,
+    pub notes: Vec<HistoryEntry>,
 }
 
 #[derive(Debug, Default)]
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -18,7 +18,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::history::Story;
 use kernel::rendezvous_rank;
-use wire::caller::Note;
+use wire::caller::HistoryEntry;
 
 /// Time that a report may take.
 const LIMIT: Duration = Duration::from_millis(800);
@@ -117,7 +117,7 @@
         about: spec.name.to_string(),
         instance: app.settings.me.name.clone(),
         customer: None,
-        notes: vec![Note {
+        notes: vec![HistoryEntry {
             at: app.clock.wall(),
             what: what.into(),
         }],
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -23,7 +23,7 @@
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use wire::caller::Batch;
-use wire::caller::Note;
+use wire::caller::HistoryEntry;
 use wire::caller::Pull;
 use wire::caller::StepState;
 
@@ -86,7 +86,7 @@
     /// Until when samples may be begun.
     sure: AtomicU64,
     over: watch::Sender<bool>,
-    notes: Mutex<Vec<Note>>,
+    notes: Mutex<Vec<HistoryEntry>>,
 }
 
 impl Work {
@@ -134,7 +134,7 @@
     pub(super) fn note(&self, what: String) {
         log::info!(target: "step", step = self.id.as_str(), contract = &*self.customer; "{what}");
         let mut notes = self.notes.lock();
-        notes.push(Note {
+        notes.push(HistoryEntry {
             at: self.clock.wall(),
             what: what.into(),
         });
--- a/crates/serve/src/trace.rs
+++ b/crates/serve/src/trace.rs
@@ -3,7 +3,7 @@
 use kernel::Millis;
 use kernel::Name;
 use kernel::RequestId;
-use wire::caller::Note;
+use wire::caller::HistoryEntry;
 
 use clock::Clock;
 
@@ -22,7 +22,7 @@
     /// Attempts that were made.
     pub attempts: u32,
     /// What happened, in order.
-    pub notes: Vec<Note>,
+    pub notes: Vec<HistoryEntry>,
     began: Millis,
     clock: Clock,
 }
@@ -44,7 +44,7 @@
 
     /// Notes what happened.
     pub fn note(&mut self, what: impl Into<Box<str>>) {
-        self.notes.push(Note {
+        self.notes.push(HistoryEntry {
             at: self.clock.wall(),
             what: what.into(),
         });
--- a/crates/snipeway/src/cmd/explain.rs
+++ b/crates/snipeway/src/cmd/explain.rs
@@ -4,7 +4,7 @@
 
 use args::Parsed;
 use jiff::Timestamp;
-use wire::caller::Note;
+use wire::caller::HistoryEntry;
 use wire::caller::StepState;
 
 use crate::error::CommandError;
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-fn notes(notes: &[Note]) {
+fn notes(notes: &[HistoryEntry]) {
     for note in notes {
         let at = Timestamp::from_millisecond(note.at as i64);
         let at = at.map_or_else(|_| note.at.to_string(), |at| at.to_string());
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -199,13 +199,13 @@
     /// What happened.
     pub counts: Counts,
     /// What happened, in words and in order.
-    pub events: Vec<Note>,
+    pub events: Vec<HistoryEntry>,
 }
 
 /// One line of a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Note {
+pub struct HistoryEntry {
     /// Milliseconds since 1970.
     pub at: u64,
     /// What happened.
