--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -22,7 +22,7 @@
 use tokio::task::JoinSet;
 use uuid::Uuid;
 use wire::Problem;
-use wire::caller::KEY;
+use wire::caller::IDEMPOTENCY_KEY;
 use wire::caller::TIMEOUT;
 
 use crate::report::histogram;
@@ -165,7 +165,7 @@
             .header(AUTHORIZATION, format!("Bearer {}", self.token))
             .header(TIMEOUT, self.timeout);
         let request = match key {
-            Some(key) => request.header(KEY, key),
+            Some(key) => request.header(IDEMPOTENCY_KEY, key),
             None => request,
         };
         let Ok(request) = request.body(Full::new(Bytes::new())) else {
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -21,7 +21,7 @@
 use once::record::MAX_BODY_BYTES;
 use route::Ran;
 use wire::Problem;
-use wire::caller::KEY;
+use wire::caller::IDEMPOTENCY_KEY;
 use wire::caller::REPLAYED;
 use wire::problem::Type;
 
@@ -46,17 +46,20 @@
     service: &str,
     once: bool,
 ) -> Result<Option<Key>, Problem> {
-    let Some(text) = call.header(KEY).filter(|_| once) else {
+    let Some(text) = call.header(IDEMPOTENCY_KEY).filter(|_| once) else {
         return Ok(None);
     };
     let key = Key::new(&contract.customer, service, text);
-    let key = key.map_err(|error| no(Type::BadRequest).because(format!("{KEY}: {error}")))?;
+    let key =
+        key.map_err(|error| no(Type::BadRequest).because(format!("{IDEMPOTENCY_KEY}: {error}")))?;
     Ok(Some(key))
 }
 
 /// Refuses a key so old that the journal may have forgotten it.
 fn horizon(app: &App, headers: &HeaderMap) -> Result<(), Problem> {
-    let text = headers.get(KEY).and_then(|value| value.to_str().ok());
+    let text = headers
+        .get(IDEMPOTENCY_KEY)
+        .and_then(|value| value.to_str().ok());
     let Some(created) = text.and_then(once::key::creation_time) else {
         return Ok(());
     };
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -10,7 +10,7 @@
 use step::run::Counts;
 
 /// Header with the caller's name for a non-idempotent request.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Header with the caller's deadline in milliseconds.
 pub const TIMEOUT: &str = "x-request-timeout-ms";
