--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -309,7 +309,7 @@
     let kind = HeaderValue::from_static("text/event-stream");
     reply.headers_mut().insert(CONTENT_TYPE, kind);
     if let Ok(id) = HeaderValue::from_str(&trace.id.to_string()) {
-        reply.headers_mut().insert(wire::caller::REQUEST, id);
+        reply.headers_mut().insert(wire::caller::REQUEST_ID, id);
     }
     tokio::spawn(async move {
         let mut events = Events {
--- a/crates/serve/src/refuse.rs
+++ b/crates/serve/src/refuse.rs
@@ -9,7 +9,7 @@
 use net::Reply;
 use net::body;
 use wire::Problem;
-use wire::caller::REQUEST;
+use wire::caller::REQUEST_ID;
 use wire::problem;
 use wire::problem::Type;
 
@@ -54,7 +54,7 @@
     let mut reply = result.unwrap_or_else(|problem| self::reply(&problem));
     let id = trace.id.to_string();
     if let Ok(value) = HeaderValue::from_str(&id) {
-        reply.headers_mut().insert(REQUEST, value);
+        reply.headers_mut().insert(REQUEST_ID, value);
     }
     app.history.keep(Story {
         about: id,
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -16,7 +16,7 @@
 pub const TIMEOUT: &str = "x-request-timeout-ms";
 
 /// Header with the identifier of a request, on every answer.
-pub const REQUEST: &str = "x-request-id";
+pub const REQUEST_ID: &str = "x-request-id";
 
 /// Header on an answer that comes from the journal.
 pub const REPLAYED: &str = "idempotent-replayed";
