--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -21,7 +21,7 @@
 use wire::caller::Announced;
 use wire::caller::Batch;
 use wire::caller::OpenStep;
-use wire::caller::Opened;
+use wire::caller::OpenedStep;
 use wire::caller::Pull;
 
 use crate::report::histogram;
@@ -131,7 +131,7 @@
 
 /// An open step.
 struct Step {
-    opened: Opened,
+    opened: OpenedStep,
     at: Instant,
     cursor: String,
     prompts: Vec<String>,
@@ -191,7 +191,7 @@
             version,
         };
         let at = Instant::now();
-        let opened: Opened = caller.call("/v1/steps", &open, LIMIT).await;
+        let opened: OpenedStep = caller.call("/v1/steps", &open, LIMIT).await;
         Step {
             have: vec![false; opened.total as usize],
             opened,
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -35,7 +35,7 @@
 use wire::Problem;
 use wire::caller::Batch;
 use wire::caller::OpenStep;
-use wire::caller::Opened;
+use wire::caller::OpenedStep;
 use wire::caller::Pull;
 use wire::caller::StepState;
 use wire::peer;
@@ -116,7 +116,7 @@
     refuse::finish(&app, trace, reply)
 }
 
-async fn opened(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Opened, Problem> {
+async fn opened(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
     let held = auth::contract(app, &call, trace)?;
     let open: OpenStep = complete::parse(app, call.body).await?;
     complete::model(app, &held, &open.model)?;
@@ -144,7 +144,7 @@
         work.note(format!("not saved at the platform: {error}"));
         ledger::save_later(app, &id, head, &work);
     }
-    Ok(Opened {
+    Ok(OpenedStep {
         step: id,
         total: work.total(),
         bound: contract.max_staleness,
--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -20,7 +20,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 use tokio::task::JoinSet;
-use wire::caller::Opened;
+use wire::caller::OpenedStep;
 use wire::problem::Type;
 use yare::parameterized;
 
@@ -65,7 +65,7 @@
         "model": "fitting", "groups": prompts, "samples": 2, "max_tokens": 300, "version": 1,
     });
     let answer = Asked::json(to, "staff", "/v1/steps", &open).send().await;
-    let opened: Opened = answer.unwrap().json().unwrap();
+    let opened: OpenedStep = answer.unwrap().json().unwrap();
     opened.step
 }
 
--- a/crates/serve/tests/poison.rs
+++ b/crates/serve/tests/poison.rs
@@ -13,7 +13,7 @@
 use standin::fault::FATAL;
 use wire::Problem;
 use wire::caller::Batch;
-use wire::caller::Opened;
+use wire::caller::OpenedStep;
 use wire::problem::Type;
 use yare::parameterized;
 
@@ -155,7 +155,7 @@
             "max_tokens": 40, "version": 1,
         });
         let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
-        let opened: Opened = opened.send().await.unwrap().json().unwrap();
+        let opened: OpenedStep = opened.send().await.unwrap().json().unwrap();
 
         let (mut cursor, mut got) = (String::new(), Vec::new());
         for _ in 0..16 {
--- a/crates/serve/tests/refusals.rs
+++ b/crates/serve/tests/refusals.rs
@@ -203,7 +203,7 @@
             .send()
             .await
             .unwrap();
-        let opened: wire::caller::Opened = opened.json().unwrap();
+        let opened: wire::caller::OpenedStep = opened.json().unwrap();
         let path = format!("/v1/steps/{}/pull", opened.step);
 
         let pull = Asked::new(to, "other", Method::POST, &path).body(r#"{"version":1}"#);
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -15,7 +15,7 @@
 use standin::text;
 use step::Sample;
 use wire::caller::Batch;
-use wire::caller::Opened;
+use wire::caller::OpenedStep;
 use wire::caller::StepState;
 use wire::problem::Type;
 use yare::parameterized;
@@ -64,7 +64,7 @@
             .send()
             .await
             .unwrap();
-        let opened: Opened = answer.json().unwrap();
+        let opened: OpenedStep = answer.json().unwrap();
         Self {
             to,
             at: 0,
@@ -344,7 +344,7 @@
         let opened = Asked::json(rig.addrs()[0], "staff", "/v1/steps", &open)
             .send()
             .await;
-        let opened: Opened = opened.unwrap().json().unwrap();
+        let opened: OpenedStep = opened.unwrap().json().unwrap();
 
         rig.kill(0);
 
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -118,7 +118,7 @@
 /// An opened step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Opened {
+pub struct OpenedStep {
     /// Its identifier.
     pub step: String,
     /// Samples in it.
