--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -22,7 +22,7 @@
 use wire::caller::Batch;
 use wire::caller::OpenStep;
 use wire::caller::OpenedStep;
-use wire::caller::Pull;
+use wire::caller::PullRequest;
 
 use crate::report::histogram;
 
@@ -206,7 +206,7 @@
     async fn pull(&self, caller: &mut Caller, step: &mut Step, version: u64, seen: &mut Seen) {
         let path = format!("/v1/steps/{}/pull", step.opened.step);
         loop {
-            let pull = Pull {
+            let pull = PullRequest {
                 version,
                 cursor: step.cursor.clone(),
                 limit: 256,
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -36,7 +36,7 @@
 use wire::caller::Batch;
 use wire::caller::OpenStep;
 use wire::caller::OpenedStep;
-use wire::caller::Pull;
+use wire::caller::PullRequest;
 use wire::caller::StepState;
 use wire::peer;
 use wire::peer::StepEnd;
@@ -195,7 +195,7 @@
 async fn pulled(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
     let held = auth::contract(app, &call, trace)?;
     let step = call.segment(2).to_owned();
-    let pull: Pull = complete::parse(app, call.body).await?;
+    let pull: PullRequest = complete::parse(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
     let mut message = StepPull {
         step,
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -24,7 +24,7 @@
 use tokio::sync::watch;
 use wire::caller::Batch;
 use wire::caller::HistoryEntry;
-use wire::caller::Pull;
+use wire::caller::PullRequest;
 use wire::caller::StepState;
 
 use super::sample;
@@ -286,7 +286,7 @@
     }
 
     /// Answers a pull; waits for a sample for as long as the pull says.
-    pub(super) async fn pull(&self, cursor: &Cursor, pull: &Pull) -> Batch {
+    pub(super) async fn pull(&self, cursor: &Cursor, pull: &PullRequest) -> Batch {
         let end = self.clock.now() + pull.wait_ms;
         let mut first = true;
         loop {
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -131,7 +131,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pull {
+pub struct PullRequest {
     /// The version that the trainer trains on now.
     pub version: u64,
     /// What the trainer holds: the cursor of the batch that it took last; empty at the start.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -22,7 +22,7 @@
 
 use crate::Problem;
 use crate::caller::Batch;
-use crate::caller::Pull;
+use crate::caller::PullRequest;
 
 /// Version of the messages between instances.
 pub const VERSION: u16 = 1;
@@ -170,7 +170,7 @@
     /// The customer who pulls.
     pub customer: Name,
     /// What it asks.
-    pub pull: Pull,
+    pub pull: PullRequest,
 }
 
 /// The answer to a [`StepPull`].
