--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -17,7 +17,7 @@
 use serde::de::DeserializeOwned;
 use standin::text;
 use step::Sample;
-use wire::caller::Announce;
+use wire::caller::AnnounceVersion;
 use wire::caller::Announced;
 use wire::caller::Batch;
 use wire::caller::OpenStep;
@@ -166,7 +166,9 @@
             tokio::time::sleep(self.train).await;
             version += 1;
             let path = format!("/v1/weights/{}", self.model);
-            let _: Announced = caller.call(&path, &Announce { version }, LIMIT).await;
+            let _: Announced = caller
+                .call(&path, &AnnounceVersion { version }, LIMIT)
+                .await;
             match next {
                 Some(next) => step = next,
                 None => break,
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -18,7 +18,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 use wire::Problem;
-use wire::caller::Announce;
+use wire::caller::AnnounceVersion;
 use wire::caller::Announced;
 use wire::problem::Type;
 
@@ -57,7 +57,7 @@
     let held = auth::contract(app, &call, trace)?;
     let model = call.segment(2).to_owned();
     complete::model(app, &held, &model)?;
-    let asked: Announce = complete::parse(app, call.body).await?;
+    let asked: AnnounceVersion = complete::parse(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
     let new = Version {
         version: asked.version,
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -165,7 +165,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Announce {
+pub struct AnnounceVersion {
     /// The version; higher than any before.
     pub version: u64,
 }
