--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -18,7 +18,7 @@
 use standin::text;
 use step::Sample;
 use wire::caller::AnnounceVersion;
-use wire::caller::Announced;
+use wire::caller::AnnouncedVersion;
 use wire::caller::Batch;
 use wire::caller::OpenStep;
 use wire::caller::OpenedStep;
@@ -166,7 +166,7 @@
             tokio::time::sleep(self.train).await;
             version += 1;
             let path = format!("/v1/weights/{}", self.model);
-            let _: Announced = caller
+            let _: AnnouncedVersion = caller
                 .call(&path, &AnnounceVersion { version }, LIMIT)
                 .await;
             match next {
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -19,7 +19,7 @@
 use serde::Serialize;
 use wire::Problem;
 use wire::caller::AnnounceVersion;
-use wire::caller::Announced;
+use wire::caller::AnnouncedVersion;
 use wire::problem::Type;
 
 use crate::App;
@@ -49,7 +49,7 @@
 pub async fn announce(app: Arc<App>, call: Call) -> Reply {
     let mut trace = Trace::begin("weights", app.clock);
     let result = announced(&app, call, &mut trace).await;
-    let reply = result.map(|version| body::json(StatusCode::OK, &Announced { version }));
+    let reply = result.map(|version| body::json(StatusCode::OK, &AnnouncedVersion { version }));
     refuse::finish(&app, trace, reply)
 }
 
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -173,7 +173,7 @@
 /// What became of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Announced {
+pub struct AnnouncedVersion {
     /// The newest version that is announced now.
     pub version: u64,
 }
