--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -30,7 +30,7 @@
 use wire::Problem;
 use wire::caller::Choice;
 use wire::caller::Completed;
-use wire::caller::Completion;
+use wire::caller::CompletionRequest;
 use wire::caller::Usage;
 use wire::engine::GENERATE;
 use wire::engine::Generate;
@@ -66,7 +66,7 @@
 
 /// A completion that passed its contract's limits.
 struct Job {
-    asked: Completion,
+    asked: CompletionRequest,
     dispatcher: Arc<Dispatcher>,
     entry: QueueEntry,
     class: u8,
@@ -111,7 +111,7 @@
     let held = auth::contract(app, &call, trace)?;
     let contract = &held.stored.contract;
     let deadline = app.clock.now() + forward::timeout(&call, contract)?;
-    let asked: Completion = parse(app, call.body).await?;
+    let asked: CompletionRequest = parse(app, call.body).await?;
     if asked.max_tokens == 0 || asked.max_tokens > MAX_TOKENS {
         let detail = format!("max_tokens: expected 1 to {MAX_TOKENS}");
         return Err(no(Type::BadRequest).because(detail));
@@ -198,7 +198,7 @@
 
 /// What a completion asks for: the same for each attempt of a customer.
 fn sent(job: &Job, trace: &Trace) -> Sent {
-    let Completion {
+    let CompletionRequest {
         model,
         prompt,
         max_tokens,
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Completion {
+pub struct CompletionRequest {
     /// The model.
     pub model: Name,
     /// The prompt.
@@ -77,7 +77,7 @@
     pub completion_tokens: u32,
 }
 
-/// An answer to a [`Completion`], or one event of it.
+/// An answer to a [`CompletionRequest`], or one event of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Completed {
