--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -29,8 +29,8 @@
 use step::spec::MAX_TOKENS;
 use wire::Problem;
 use wire::caller::Choice;
-use wire::caller::Completed;
 use wire::caller::CompletionRequest;
+use wire::caller::CompletionResponse;
 use wire::caller::Usage;
 use wire::engine::GENERATE;
 use wire::engine::Generate;
@@ -247,8 +247,8 @@
     }
 }
 
-fn piece(job: &Job, id: RequestId, text: String, finish: Option<String>) -> Completed {
-    Completed {
+fn piece(job: &Job, id: RequestId, text: String, finish: Option<String>) -> CompletionResponse {
+    CompletionResponse {
         id: id.to_string(),
         object: "text_completion".into(),
         model: job.asked.model.clone(),
@@ -262,11 +262,11 @@
     }
 }
 
-fn whole(job: &Job, id: RequestId, sample: Sample) -> Completed {
+fn whole(job: &Job, id: RequestId, sample: Sample) -> CompletionResponse {
     let usage = Usage {
         completion_tokens: sample.tokens,
     };
-    Completed {
+    CompletionResponse {
         usage: Some(usage),
         versions: sample.spans,
         ..piece(job, id, sample.text, Some(sample.finish))
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -14,7 +14,7 @@
 use standin::engine;
 use standin::text;
 use step::Span;
-use wire::caller::Completed;
+use wire::caller::CompletionResponse;
 use wire::problem::Type;
 use yare::parameterized;
 
@@ -67,7 +67,7 @@
 
         let answer = ask(&rig, &prompt, false).send().await.unwrap();
 
-        let done: Completed = answer.json().unwrap();
+        let done: CompletionResponse = answer.json().unwrap();
         assert_eq!(done.choices[0].text, right(&prompt));
         let tokens = done.usage.unwrap().completion_tokens;
         let span = Span {
@@ -109,7 +109,8 @@
     assert_eq!(answer.header("content-type"), Some("text/event-stream"));
     assert_eq!(events.last().map(String::as_str), Some(DONE));
     let pieces = events[..events.len() - 1].iter();
-    let pieces: Vec<Completed> = pieces.map(|e| serde_json::from_str(e).unwrap()).collect();
+    let pieces: Vec<CompletionResponse> =
+        pieces.map(|e| serde_json::from_str(e).unwrap()).collect();
     let text: String = pieces.iter().map(|p| p.choices[0].text.as_str()).collect();
     assert_eq!(text, right(&prompt));
     assert!(pieces.len() > 2);
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -80,7 +80,7 @@
 /// An answer to a [`CompletionRequest`], or one event of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Completed {
+pub struct CompletionResponse {
     /// The identifier of the request.
     pub id: String,
     /// Always `text_completion`.
