--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -15,7 +15,7 @@
 use route::pool::Ask;
 use step::Sample;
 use wire::scorer::SCORE;
-use wire::scorer::Score;
+use wire::scorer::ScoreRequest;
 use wire::scorer::Scored;
 
 use super::work::Work;
@@ -121,7 +121,7 @@
     let permit = dispatcher.acquire(&entry, apart, deadline).await;
     let permit = permit.map_err(|_| ScoreError::Busy)?;
     work.sure().await;
-    let asked = Score {
+    let asked = ScoreRequest {
         prompt: prompt.into(),
         text: text.to_owned(),
     };
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -19,7 +19,7 @@
 use serde_json::json;
 use tokio::sync::Semaphore;
 use wire::scorer::SCORE;
-use wire::scorer::Score;
+use wire::scorer::ScoreRequest;
 use wire::scorer::Scored;
 
 use crate::Faults;
@@ -128,7 +128,7 @@
 
 /// Scores a sample by the length of its text.
 fn score(bytes: &[u8]) -> Reply {
-    match serde_json::from_slice::<Score>(bytes) {
+    match serde_json::from_slice::<ScoreRequest>(bytes) {
         Ok(asked) => {
             let score = asked.text.len() as f64;
             body::json(StatusCode::OK, &Scored { score })
--- a/crates/wire/src/scorer.rs
+++ b/crates/wire/src/scorer.rs
@@ -11,7 +11,7 @@
 /// Asks for the score of a sample.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Score {
+pub struct ScoreRequest {
     /// The prompt.
     pub prompt: Arc<str>,
     /// The text.
