--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -16,7 +16,7 @@
 use step::Sample;
 use wire::scorer::SCORE;
 use wire::scorer::ScoreRequest;
-use wire::scorer::Scored;
+use wire::scorer::ScoreResponse;
 
 use super::work::Work;
 use crate::App;
@@ -129,7 +129,7 @@
     let limit = Duration::from_millis(LIMIT);
     let spec = permit.spec.clone();
     let stay = sent.stay(app, &spec);
-    let scored: Result<Scored, _> = app.http.json(Method::POST, &uri, &asked, limit).await;
+    let scored: Result<ScoreResponse, _> = app.http.json(Method::POST, &uri, &asked, limit).await;
     permit.end(scored.is_ok());
     match &scored {
         Ok(_) => sent.whole(app),
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Semaphore;
 use wire::scorer::SCORE;
 use wire::scorer::ScoreRequest;
-use wire::scorer::Scored;
+use wire::scorer::ScoreResponse;
 
 use crate::Faults;
 use crate::Host;
@@ -131,7 +131,7 @@
     match serde_json::from_slice::<ScoreRequest>(bytes) {
         Ok(asked) => {
             let score = asked.text.len() as f64;
-            body::json(StatusCode::OK, &Scored { score })
+            body::json(StatusCode::OK, &ScoreResponse { score })
         }
         Err(error) => body::reply(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
     }
--- a/crates/wire/src/scorer.rs
+++ b/crates/wire/src/scorer.rs
@@ -21,7 +21,7 @@
 /// The score of a sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Scored {
+pub struct ScoreResponse {
     /// The score; higher is better.
     pub score: f64,
 }
