--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -33,7 +33,7 @@
 use wire::caller::CompletionResponse;
 use wire::caller::Usage;
 use wire::engine::GENERATE;
-use wire::engine::Generate;
+use wire::engine::GenerateRequest;
 use wire::problem::Type;
 
 use crate::App;
@@ -221,7 +221,7 @@
     generate::Order {
         attempt,
         sent: sent.clone(),
-        generate: Generate {
+        generate: GenerateRequest {
             attempt,
             prompt: job.asked.prompt.clone(),
             resume: String::new(),
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -20,7 +20,7 @@
 use step::assembly::Contradiction;
 use step::assembly::Placement;
 use wire::engine::GENERATE;
-use wire::engine::Generate;
+use wire::engine::GenerateRequest;
 use wire::engine::RUNNING;
 
 use crate::App;
@@ -85,7 +85,7 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// The request, without what is there already.
-    pub generate: Generate,
+    pub generate: GenerateRequest,
     /// What is sent, for what upstreams do under it.
     pub(crate) sent: Sent,
     /// Lowest weight version that will do.
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -14,7 +14,7 @@
 use step::run::Assignment;
 use step::run::FinishResult;
 use wire::engine::GENERATE;
-use wire::engine::Generate;
+use wire::engine::GenerateRequest;
 
 use super::score;
 use super::work::Work;
@@ -148,7 +148,7 @@
     let order = generate::Order {
         attempt,
         sent,
-        generate: Generate {
+        generate: GenerateRequest {
             attempt,
             prompt: begin.prompt.clone(),
             resume: String::new(),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -20,7 +20,7 @@
 use net::events;
 use step::Chunk;
 use wire::engine::GENERATE;
-use wire::engine::Generate;
+use wire::engine::GenerateRequest;
 use wire::engine::LOAD;
 use wire::engine::Load;
 use wire::engine::ORDER;
@@ -136,7 +136,7 @@
         body::json(StatusCode::OK, &OrderReply::Accepted)
     }
 
-    fn generate(self: &Arc<Self>, request: Generate) -> Reply {
+    fn generate(self: &Arc<Self>, request: GenerateRequest) -> Reply {
         let running = self.running.fetch_add(1, Ordering::Relaxed);
         let (sender, stream) = body::stream();
         let engine = self.clone();
@@ -152,7 +152,7 @@
         reply
     }
 
-    async fn run(&self, request: &Generate, sender: &body::Sender) {
+    async fn run(&self, request: &GenerateRequest, sender: &body::Sender) {
         let turn = tokio::select! {
             turn = self.turns.take(request.priority) => turn,
             () = sender.closed() => return,
@@ -164,7 +164,7 @@
         drop(turn);
     }
 
-    async fn chunks(&self, request: &Generate, sender: &body::Sender) -> io::Result<()> {
+    async fn chunks(&self, request: &GenerateRequest, sender: &body::Sender) -> io::Result<()> {
         let cut = || io::Error::new(io::ErrorKind::ConnectionAborted, "cut");
         let seed = request.seed.unwrap_or(0);
         let total = text::length(&request.prompt, seed, self.make.median, request.max_tokens);
@@ -204,7 +204,14 @@
         }
     }
 
-    fn chunk(&self, request: &Generate, seed: u64, at: u32, count: u32, over: bool) -> Bytes {
+    fn chunk(
+        &self,
+        request: &GenerateRequest,
+        seed: u64,
+        at: u32,
+        count: u32,
+        over: bool,
+    ) -> Bytes {
         let tokens = at..at + count;
         let chunk = Chunk {
             offset: at,
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -24,7 +24,7 @@
 /// Asks an engine to generate.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Generate {
+pub struct GenerateRequest {
     /// The attempt; cancelling is closing the connection.
     pub attempt: AttemptId,
     /// The prompt.
