--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -13,7 +13,7 @@
 use route::Spec;
 use weight::Stated;
 use wire::engine::LOAD;
-use wire::engine::Load;
+use wire::engine::LoadReport;
 use wire::engine::ORDER;
 use wire::engine::Order;
 use wire::engine::OrderReply;
@@ -37,7 +37,7 @@
 /// Fetches the weight versions that an engine reports.
 pub(crate) async fn fetch_stated(http: &net::Client, engine: &Spec) -> Option<Stated> {
     let uri = net::client::uri(engine.addr, LOAD);
-    let load: Result<Load, _> = http.json(Method::GET, &uri, &(), REQUEST_TIMEOUT).await;
+    let load: Result<LoadReport, _> = http.json(Method::GET, &uri, &(), REQUEST_TIMEOUT).await;
     load.ok().map(|load| load.stated)
 }
 
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 use standin::Fault;
 use wire::engine::LOAD;
-use wire::engine::Load;
+use wire::engine::LoadReport;
 use wire::engine::ORDER;
 use wire::engine::Order;
 
@@ -43,7 +43,7 @@
     asked.send().await.unwrap().status
 }
 
-async fn fetch_load(addr: std::net::SocketAddr) -> Option<Load> {
+async fn fetch_load(addr: std::net::SocketAddr) -> Option<LoadReport> {
     let asked = Asked::new(addr, "-", Method::GET, LOAD);
     asked.send().await.ok()?.json().ok()
 }
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -12,7 +12,7 @@
 use route::Sign;
 use route::Spec;
 use wire::engine::LOAD;
-use wire::engine::Load;
+use wire::engine::LoadReport;
 
 use crate::App;
 use crate::dispatcher::Dispatcher;
@@ -77,7 +77,7 @@
 
 async fn ask(app: &Arc<App>, dispatcher: &Arc<Dispatcher>, spec: &Spec) {
     let uri = net::client::uri(spec.addr, LOAD);
-    let answer: Result<Load, _> = app.http.json(Method::GET, &uri, &(), LIMIT).await;
+    let answer: Result<LoadReport, _> = app.http.json(Method::GET, &uri, &(), LIMIT).await;
     let Ok(load) = answer else {
         // Its requests will show whether it is dead; a lost report alone says little.
         return;
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -170,7 +170,7 @@
     for addr in load {
         let free = async || {
             let load = Asked::new(addr, "-", Method::GET, wire::engine::LOAD);
-            let load: wire::engine::Load = load.send().await.unwrap().json().unwrap();
+            let load: wire::engine::LoadReport = load.send().await.unwrap().json().unwrap();
             load.running == 0
         };
         while !free().await {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -22,7 +22,7 @@
 use wire::engine::GENERATE;
 use wire::engine::GenerateRequest;
 use wire::engine::LOAD;
-use wire::engine::Load;
+use wire::engine::LoadReport;
 use wire::engine::ORDER;
 use wire::engine::Order;
 use wire::engine::OrderReply;
@@ -118,7 +118,7 @@
     }
 
     fn load(&self) -> Reply {
-        let load = Load {
+        let load = LoadReport {
             running: self.running.load(Ordering::Relaxed),
             slots: self.make.slots,
             stated: self.weights.stated(),
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -57,7 +57,7 @@
 /// A load report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests that it is working on or holds back.
     pub running: u32,
     /// Requests that it can work on at once.
