--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -13,9 +13,9 @@
 use route::Spec;
 use weight::Stated;
 use wire::engine::LOAD;
+use wire::engine::LoadOrder;
 use wire::engine::LoadReport;
 use wire::engine::ORDER;
-use wire::engine::Order;
 use wire::engine::OrderReply;
 
 /// Timeout of a request to an engine.
@@ -47,7 +47,7 @@
     engine: &Spec,
     lease: &Lease<Held>,
     clock: Clock,
-    order: impl FnOnce(Fence) -> Order,
+    order: impl FnOnce(Fence) -> LoadOrder,
 ) -> Outcome {
     // The lease is checked right before each order, as the process may have been paused since the
     // last one.
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 use weight::Act;
 use weight::Plan;
-use wire::engine::Order;
+use wire::engine::LoadOrder;
 
 use crate::orders;
 use crate::orders::Outcome;
@@ -206,7 +206,7 @@
             return true;
         };
         let source = self.sources.next_url(name, &self.model, version);
-        let order = |fence: fleet::Fence| Order {
+        let order = |fence: fleet::Fence| LoadOrder {
             version,
             source,
             fence: fence.0,
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -12,9 +12,9 @@
 use serde_json::json;
 use standin::Fault;
 use wire::engine::LOAD;
+use wire::engine::LoadOrder;
 use wire::engine::LoadReport;
 use wire::engine::ORDER;
-use wire::engine::Order;
 
 fn config() -> Make {
     Make {
@@ -49,8 +49,8 @@
 }
 
 /// An order whose fencing token is lower than that of any lease.
-fn stale_order() -> Order {
-    Order {
+fn stale_order() -> LoadOrder {
+    LoadOrder {
         version: 1,
         source: String::new(),
         fence: 0,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -22,9 +22,9 @@
 use wire::engine::GENERATE;
 use wire::engine::GenerateRequest;
 use wire::engine::LOAD;
+use wire::engine::LoadOrder;
 use wire::engine::LoadReport;
 use wire::engine::ORDER;
-use wire::engine::Order;
 use wire::engine::OrderReply;
 use wire::engine::RUNNING;
 
@@ -127,7 +127,7 @@
         body::json(StatusCode::OK, &load)
     }
 
-    fn order(self: &Arc<Self>, order: Order) -> Reply {
+    fn order(self: &Arc<Self>, order: LoadOrder) -> Reply {
         if !self.weights.accept(&order) {
             return body::json(StatusCode::CONFLICT, &OrderReply::Fenced);
         }
--- a/crates/standin/src/engine/weights.rs
+++ b/crates/standin/src/engine/weights.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use parking_lot::Mutex;
 use weight::Stated;
-use wire::engine::Order;
+use wire::engine::LoadOrder;
 
 use crate::Faults;
 
@@ -74,7 +74,7 @@
     }
 
     /// Tells whether an order is taken.
-    pub(crate) fn accept(&self, order: &Order) -> bool {
+    pub(crate) fn accept(&self, order: &LoadOrder) -> bool {
         let mut state = self.state.lock();
         if self.fencing && order.fence < state.fence {
             return false;
@@ -85,7 +85,7 @@
         true
     }
 
-    pub(crate) async fn swap(&self, order: Order, faults: &Faults) {
+    pub(crate) async fn swap(&self, order: LoadOrder, faults: &Faults) {
         let fetched = self.fetch(&order.source).await;
         tokio::time::sleep(self.time.mul_f64(faults.get().factor())).await;
         let mut state = self.state.lock();
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -72,7 +72,7 @@
 /// An order to load a weight version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Order {
+pub struct LoadOrder {
     /// The version.
     pub version: u64,
     /// Where to fetch it.
