--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -78,7 +78,7 @@
     let sign = app.settings.secret.sign(path, &bytes);
     count(app, "out", bytes.len());
     let request = Request::post(net::client::uri(addr, path))
-        .header(CONTENT_TYPE, peer::KIND)
+        .header(CONTENT_TYPE, peer::MEDIA_TYPE)
         .header(peer::VERSION_HEADER, peer::VERSION)
         .header(peer::MAC_HEADER, sign)
         .body(Full::new(Bytes::from(bytes)))
--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -61,7 +61,7 @@
     match peer::encode(value) {
         Ok(bytes) => {
             gossip::count(app, "out", bytes.len());
-            body::reply(StatusCode::OK, peer::KIND, bytes)
+            body::reply(StatusCode::OK, peer::MEDIA_TYPE, bytes)
         }
         Err(error) => {
             let status = StatusCode::INTERNAL_SERVER_ERROR;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -34,7 +34,7 @@
 pub const MAC_HEADER: &str = "x-snipeway-mac";
 
 /// Media type.
-pub const KIND: &str = "application/msgpack";
+pub const MEDIA_TYPE: &str = "application/msgpack";
 
 /// Path for probes.
 pub const PING: &str = "/peer/ping";
