--- a/crates/serve/src/refuse.rs
+++ b/crates/serve/src/refuse.rs
@@ -24,7 +24,7 @@
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut reply = body::json(status, problem);
     let headers = reply.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(problem::KIND));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(problem::MEDIA_TYPE));
     if let Some(after) = problem.retry_after_ms {
         // Whole seconds, rounded up: coming back early would only be refused again.
         headers.insert(RETRY_AFTER, HeaderValue::from(after.div_ceil(1_000)));
--- a/crates/wire/src/problem.rs
+++ b/crates/wire/src/problem.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 /// Media type of a problem document.
-pub const KIND: &str = "application/problem+json";
+pub const MEDIA_TYPE: &str = "application/problem+json";
 
 /// What kind of refusal it is; the `type` of the document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
