--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,4 +1,4 @@
-//! Messages with callers and trainers.
+//! Messages exchanged with callers and trainers.
 
 use std::sync::Arc;
 
@@ -9,19 +9,19 @@
 use step::Span;
 use step::run::Counts;
 
-/// Header with the caller's name for a non-idempotent request.
+/// Request header with the caller's idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Header with the caller's deadline in milliseconds.
+/// Request header with the caller's timeout in milliseconds.
 pub const TIMEOUT: &str = "x-request-timeout-ms";
 
-/// Header with the identifier of a request, on every answer.
+/// Response header with the request identifier, set on every response.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Header on an answer that comes from the journal.
+/// Header on a response that is replayed from the journal.
 pub const REPLAYED: &str = "idempotent-replayed";
 
-/// A request for a completion, in the usual form.
+/// Completion request in the format common to inference APIs.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -30,25 +30,25 @@
     pub model: Name,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// Tokens at most.
+    /// Maximum number of tokens.
     #[serde(default = "default_tokens")]
     pub max_tokens: u32,
-    /// Whether to send the answer as server-sent events while it is made.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Sampling temperature, passed on.
+    /// Sampling temperature, passed to the engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub temperature: Option<f64>,
-    /// Nucleus sampling, passed on.
+    /// Nucleus sampling probability, passed to the engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub top_p: Option<f64>,
-    /// Seed of the sampling, passed on.
+    /// Sampling seed, passed to the engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
-    /// Texts at which to stop, passed on.
+    /// Strings that end the generation, passed to the engine.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<String>,
-    /// The caller's own name for its user; kept out of logs.
+    /// The caller's identifier of its end user; never logged.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub user: Option<String>,
 }
@@ -57,90 +57,90 @@
     256
 }
 
-/// One choice of an answer.
+/// One choice in a completion response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Choice {
-    /// Always 0: one choice a request.
+    /// Always 0, as each request has one choice.
     pub index: u32,
-    /// The text, or the next piece of it in a stream.
+    /// The text, or the next part of it in a stream.
     pub text: String,
-    /// Why it ended; absent in a stream until the last piece.
+    /// Why generation ended; in a stream, set only on the last event.
     pub finish_reason: Option<String>,
 }
 
-/// Tokens of an answer.
+/// Token counts of a completion response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens that were generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
 }
 
-/// An answer to a [`CompletionRequest`], or one event of it.
+/// Response to a [`CompletionRequest`], or one event of a streamed response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CompletionResponse {
-    /// The identifier of the request.
+    /// The request identifier.
     pub id: String,
     /// Always `text_completion`.
     pub object: String,
     /// The model.
     pub model: Name,
-    /// The choice.
+    /// The choices; always one.
     pub choices: Vec<Choice>,
-    /// On a whole answer and on a stream's last event: the tokens.
+    /// Token counts; set on an unstreamed response and on the last event of a stream.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
-    /// With `usage`: which weight versions produced which tokens.
+    /// The weight versions that produced each range of tokens; set together with `usage`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub versions: Vec<Span>,
 }
 
-/// Opens a step.
+/// Request to open a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OpenStep {
     /// The model.
     pub model: Name,
-    /// One prompt a group.
+    /// One prompt per group.
     pub groups: Vec<Arc<str>>,
-    /// Samples in each group.
+    /// Number of samples per group.
     pub samples: u32,
-    /// Tokens at most in a sample.
+    /// Maximum number of tokens per sample.
     #[serde(default = "default_tokens")]
     pub max_tokens: u32,
-    /// The version that the trainer trains on now.
+    /// The weight version that the trainer currently trains.
     pub version: u64,
 }
 
-/// An opened step.
+/// Response to [`OpenStep`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OpenedStep {
-    /// Its identifier.
+    /// The step identifier.
     pub step: String,
-    /// Samples in it.
+    /// Number of samples in the step.
     pub total: u32,
     /// The staleness bound, from the contract.
     pub bound: u64,
 }
 
-/// Takes finished samples of a step.
+/// Request for finished samples of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PullRequest {
-    /// The version that the trainer trains on now.
+    /// The weight version that the trainer currently trains.
     pub version: u64,
-    /// What the trainer holds: the cursor of the batch that it took last; empty at the start.
+    /// Cursor of the last batch that the trainer received; empty at the start.
     #[serde(default)]
     pub cursor: String,
-    /// Samples at most.
+    /// Maximum number of samples to return.
     #[serde(default = "default_limit")]
     pub limit: usize,
-    /// Milliseconds to wait for a sample when none is ready.
+    /// How long to wait, in milliseconds, if no sample is ready.
     #[serde(default)]
     pub wait_ms: u64,
 }
@@ -149,65 +149,65 @@
     256
 }
 
-/// A batch of samples.
+/// A batch of finished samples.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Batch {
     /// The samples.
     pub samples: Vec<Arc<Sample>>,
-    /// What the trainer holds with them; send it with the next pull.
+    /// Identifies the samples received so far; sent back in the next [`PullRequest`].
     pub cursor: String,
-    /// Whether the trainer then holds every sample.
+    /// Whether the trainer has every sample of the step after this batch.
     pub done: bool,
 }
 
-/// Announces a weight version of a model.
+/// Request to announce a weight version of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnnounceVersion {
-    /// The version; higher than any before.
+    /// The version; must be higher than all earlier ones to have an effect.
     pub version: u64,
 }
 
-/// What became of an announcement.
+/// Response to [`AnnounceVersion`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AnnouncedVersion {
-    /// The newest version that is announced now.
+    /// The newest announced version.
     pub version: u64,
 }
 
-/// How a step stands, for `explain`.
+/// State of a step, shown by the `explain` command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StepState {
-    /// Its identifier.
+    /// The step identifier.
     pub step: String,
-    /// The instance that works on it.
+    /// The instance that runs the step.
     pub instance: Name,
     /// The customer.
     pub customer: Name,
-    /// Samples in it.
+    /// Number of samples in the step.
     pub total: u32,
-    /// Samples that the trainer holds.
+    /// Samples that the trainer has received.
     pub held: u32,
-    /// Samples that are finished and wait for the trainer.
+    /// Finished samples that the trainer has not pulled yet.
     pub ready: u32,
-    /// Samples that run.
+    /// Samples in progress.
     pub running: u32,
-    /// What happened.
+    /// Event counters.
     pub counts: Counts,
-    /// What happened, in words and in order.
+    /// Event history in chronological order.
     pub events: Vec<HistoryEntry>,
 }
 
-/// One line of a history.
+/// One entry of an event history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// Milliseconds since 1970.
+    /// Unix time in milliseconds, counted from 1970.
     pub at: u64,
-    /// What happened.
+    /// Description of the event.
     pub what: Box<str>,
 }
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,4 +1,4 @@
-//! Messages with model engines.
+//! Messages exchanged with model engines.
 
 use std::sync::Arc;
 
@@ -9,62 +9,62 @@
 
 pub use step::Chunk;
 
-/// Path for generation; the answer is a stream of [`Chunk`]s.
+/// Path for generation; the response is a stream of [`Chunk`]s.
 pub const GENERATE: &str = "/v1/generate";
 
-/// Path for the load report.
+/// Path of the load report.
 pub const LOAD: &str = "/v1/load";
 
-/// Path for orders.
+/// Path for load orders.
 pub const ORDER: &str = "/v1/order";
 
-/// Header with the requests that an upstream is working on, on any of its answers.
+/// Response header with the number of requests that an upstream is processing.
 pub const RUNNING: &str = "x-running";
 
-/// Asks an engine to generate.
+/// Request to generate text.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// The attempt; cancelling is closing the connection.
+    /// The attempt; closing the connection cancels it.
     pub attempt: AttemptId,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// Text that is there already, to go on from.
+    /// Text that has already been generated and is to be continued.
     #[serde(default)]
     pub resume: String,
-    /// Tokens in `resume`; the first chunk has this offset.
+    /// Number of tokens in `resume`; the first chunk has this offset.
     #[serde(default)]
     pub offset: u32,
-    /// Tokens at most, those in `resume` among them.
+    /// Maximum number of tokens, including those in `resume`.
     pub max_tokens: u32,
-    /// Priority; higher goes first.
+    /// Priority; higher values are served first.
     #[serde(default)]
     pub priority: u8,
-    /// Seed of the sampling.
+    /// Sampling seed.
     #[serde(default)]
     pub seed: Option<u64>,
     /// Sampling temperature.
     #[serde(default)]
     pub temperature: Option<f64>,
-    /// Nucleus sampling.
+    /// Nucleus sampling probability.
     #[serde(default)]
     pub top_p: Option<f64>,
-    /// Texts at which to stop.
+    /// Strings that end the generation.
     #[serde(default)]
     pub stop: Vec<String>,
 }
 
-/// A load report.
+/// An engine's report of its load and weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that it is working on or holds back.
+    /// Requests that are being processed or queued.
     pub running: u32,
-    /// Requests that it can work on at once.
+    /// Requests that the engine can process concurrently.
     pub slots: u32,
-    /// The weights.
+    /// The weight versions that the engine reports.
     pub stated: Stated,
-    /// Whether it is leaving.
+    /// Whether the engine is shutting down.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -75,21 +75,22 @@
 pub struct LoadOrder {
     /// The version.
     pub version: u64,
-    /// Where to fetch it.
+    /// URL to download it from; empty if the engine uses its own store.
     pub source: String,
-    /// The fencing number.
+    /// The fencing token.
     pub fence: i64,
-    /// Whether running streams go on over the swap; else they are ended for others to resume.
+    /// Whether running streams continue across the swap; otherwise they end and are resumed on
+    /// other engines.
     pub keep: bool,
 }
 
-/// What an engine says to an order.
+/// An engine's reply to a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderReply {
-    /// It begins to load.
+    /// The engine starts to load the version.
     Accepted,
-    /// It has seen a higher fencing number.
+    /// The engine rejects the order because it has seen a higher fencing token.
     Fenced,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages: JSON with callers and upstreams, MessagePack between instances.
+//! Message types: JSON for callers and upstreams, MessagePack between instances.
 
 pub mod caller;
 pub mod engine;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,7 +1,8 @@
 //! Messages between instances: MessagePack with field names over HTTP, signed with a shared key.
 //!
-//! Field names travel along, unknown fields are passed over and new ones have defaults, so two
-//! releases run side by side. [`VERSION`] rises only when that does not do.
+//! Messages include field names, unknown fields are ignored and new fields have defaults, so that
+//! two releases can run side by side. [`VERSION`] increases only for changes that this does not
+//! cover.
 
 use contract::Revision;
 use contract::registry::ActiveContract;
@@ -24,122 +25,122 @@
 use crate::caller::Batch;
 use crate::caller::PullRequest;
 
-/// Version of the messages between instances.
+/// Protocol version of messages between instances.
 pub const VERSION: u16 = 1;
 
-/// Header with the version.
+/// Header with the protocol version.
 pub const VERSION_HEADER: &str = "x-snipeway-version";
 
-/// Header with the signature.
+/// Header with the message authentication code.
 pub const MAC_HEADER: &str = "x-snipeway-mac";
 
-/// Media type.
+/// Media type of messages between instances.
 pub const MEDIA_TYPE: &str = "application/msgpack";
 
-/// Path for probes.
+/// Path for gossip probes.
 pub const PING: &str = "/peer/ping";
 
-/// Path for asking the journal through a peer.
+/// Path for journal requests to the instance that writes the shard.
 pub const JOURNAL: &str = "/peer/journal";
 
-/// Path for pulls of a step that a peer works on.
+/// Path for pulls that are forwarded to the instance that runs the step.
 pub const STEP_PULL: &str = "/peer/step/pull";
 
-/// Path for the end of a step that a peer works on.
+/// Path for ending a step that another instance runs.
 pub const STEP_END: &str = "/peer/step/end";
 
-/// A probe, with news.
+/// A gossip probe.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Ping {
-    /// Who probes.
+    /// The sender.
     pub from: Member,
-    /// The newest contract revision that it has in force.
+    /// The newest contract revision that this instance has in effect.
     pub newest: Revision,
-    /// Milliseconds since it last knew that this is the newest, if it ever did.
+    /// Milliseconds since this revision was last confirmed as the newest, if it ever was.
     #[serde(default)]
     pub known: Option<u64>,
-    /// News.
+    /// Membership updates.
     #[serde(default)]
     pub rumours: Vec<Rumour>,
-    /// Contracts that the receiver's last answer showed to be missing there.
+    /// Contracts that the receiver lacks according to its last response.
     #[serde(default)]
     pub contracts: Vec<ActiveContract>,
-    /// Whom to probe on the sender's behalf, if anyone.
+    /// Instance to probe on the sender's behalf, if any.
     #[serde(default)]
     pub probe: Option<Member>,
 }
 
-/// The answer to a probe.
+/// The response to a [`Ping`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Pong {
-    /// Who answers.
+    /// The responding instance.
     pub from: Member,
-    /// The newest contract revision that it has in force.
+    /// The newest contract revision that this instance has in effect.
     pub newest: Revision,
-    /// Milliseconds since it last knew that this is the newest, if it ever did.
+    /// Milliseconds since this revision was last confirmed as the newest, if it ever was.
     #[serde(default)]
     pub known: Option<u64>,
-    /// News.
+    /// Membership updates.
     #[serde(default)]
     pub rumours: Vec<Rumour>,
-    /// Contracts that the sender's probe showed to be missing there.
+    /// Contracts that the sender lacks according to its probe.
     #[serde(default)]
     pub contracts: Vec<ActiveContract>,
-    /// Whether the instance that was to be probed answered.
+    /// The instance probed on the sender's behalf, if it responded.
     #[serde(default)]
     pub reached: Option<Member>,
 }
 
-/// Something for the journal, sent to the instance that writes a shard for others.
+/// Request to the instance that writes a journal shard on behalf of the others.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum JournalRequest {
-    /// Ask for the right to run.
+    /// Requests permission to run a keyed request.
     Ask {
-        /// The key.
+        /// The idempotency key.
         key: Key,
-        /// The request.
+        /// Fingerprint of the request.
         print: Fingerprint,
         /// The attempt.
         attempt: AttemptId,
         /// Milliseconds until the caller's deadline.
         left: u64,
     },
-    /// Write a record.
+    /// Appends a record.
     Note(Record),
 }
 
-/// The answer to a [`JournalRequest`].
+/// The response to a [`JournalRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum JournalReply {
-    /// To [`JournalRequest::Ask`].
-    Answer(Verdict),
-    /// To [`JournalRequest::Note`].
+    /// The decision on a [`JournalRequest::Ask`].
+    Answer(JournalDecision),
+    /// Acknowledges a [`JournalRequest::Note`].
     Noted,
 }
 
-/// [`Decision`] as it travels.
+/// Wire format of [`Decision`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Verdict {
+pub enum JournalDecision {
     /// The attempt may run.
     Run,
-    /// It ran before.
+    /// The request has already run, with this outcome.
     Ran(once::Outcome),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The key names another request.
+    /// The key belongs to a different request.
     Mismatch,
-    /// Nothing was written.
+    /// The claim was rejected or not confirmed in time; the request must not run.
     Refused,
 }
 
-impl From<Decision> for Verdict {
-    fn from(answer: Decision) -> Self {
-        match answer {
+impl From<Decision> for JournalDecision {
+    fn from(decision: Decision) -> Self {
+        match decision {
             Decision::Run => Self::Run,
             Decision::Ran(outcome) => Self::Ran(outcome),
             Decision::Unknown => Self::Unknown,
@@ -149,71 +150,71 @@
     }
 }
 
-impl From<Verdict> for Decision {
-    fn from(verdict: Verdict) -> Self {
-        match verdict {
-            Verdict::Run => Self::Run,
-            Verdict::Ran(outcome) => Self::Ran(outcome),
-            Verdict::Unknown => Self::Unknown,
-            Verdict::Mismatch => Self::Mismatch,
-            Verdict::Refused => Self::Refused,
+impl From<JournalDecision> for Decision {
+    fn from(decision: JournalDecision) -> Self {
+        match decision {
+            JournalDecision::Run => Self::Run,
+            JournalDecision::Ran(outcome) => Self::Ran(outcome),
+            JournalDecision::Unknown => Self::Unknown,
+            JournalDecision::Mismatch => Self::Mismatch,
+            JournalDecision::Refused => Self::Refused,
         }
     }
 }
 
-/// A pull that is passed on to the instance that works on the step.
+/// A pull that is forwarded to the instance that runs the step.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct StepPull {
     /// The step.
     pub step: String,
-    /// The customer who pulls.
+    /// The customer that pulls.
     pub customer: Name,
-    /// What it asks.
+    /// The forwarded request.
     pub pull: PullRequest,
 }
 
-/// The answer to a [`StepPull`].
+/// The response to a [`StepPull`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum StepPulled {
     /// The batch.
     Batch(Batch),
-    /// The refusal to pass on.
+    /// The error to return to the caller.
     Refused(Problem),
 }
 
-/// Tells the instance that works on a step that it is over.
+/// Notifies the instance that runs a step that the step has ended.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct StepEnd {
     /// The step.
     pub step: String,
-    /// The customer whose step it is.
+    /// The customer that owns the step.
     pub customer: Name,
 }
 
-/// How an instance stands, for `status`.
+/// State of an instance, shown by the `status` command.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Status {
     /// The instance.
     pub me: Member,
-    /// Whether it takes calls.
+    /// Whether it accepts calls.
     pub ready: bool,
-    /// The newest contract revision in force.
+    /// The newest contract revision in effect.
     pub newest: Revision,
-    /// Milliseconds since it last knew that this is the newest, if it ever did.
+    /// Milliseconds since this revision was last confirmed as the newest, if it ever was.
     pub known: Option<u64>,
     /// Whether it reads the platform for its failure domain.
     pub reader: bool,
-    /// Whom it knows.
+    /// The instances that it knows.
     pub members: Vec<Member>,
     /// Its upstreams.
     pub upstreams: Vec<UpstreamState>,
 }
 
-/// How an upstream stands in one instance's eyes.
+/// State of an upstream as seen by one instance.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct UpstreamState {
@@ -221,35 +222,35 @@
     pub name: Name,
     /// The model or service that it serves.
     pub pool: Name,
-    /// Its standing, in a word.
+    /// Its status as a short text.
     pub standing: Box<str>,
-    /// Requests of this instance that run there.
+    /// Requests from this instance that it is processing.
     pub outstanding: u32,
     /// Mean latency in milliseconds.
     pub latency: f64,
-    /// The weight version that it stated last.
+    /// The weight version that it last reported.
     pub version: Option<u64>,
 }
 
-/// A message between instances is not to be believed or not to be understood.
+/// Error while authenticating, decoding or encoding a message between instances.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum PeerError {
     /// The signature is missing or wrong.
     #[error("the signature is missing or wrong")]
     Signature,
-    /// The version is not one that this instance speaks.
+    /// This instance does not support the protocol version.
     #[error("the message has version {0:?}; this instance speaks {VERSION}")]
     Version(String),
-    /// The bytes are no such message.
+    /// The message could not be decoded.
     #[error("the message could not be decoded")]
     Decode(#[from] rmp_serde::decode::Error),
-    /// The message could not be written.
+    /// The message could not be encoded.
     #[error("the message could not be encoded")]
     Encode(#[from] rmp_serde::encode::Error),
 }
 
-/// The key by which instances prove that they belong together.
+/// Shared key with which instances authenticate messages to each other.
 #[derive(Clone)]
 pub struct Secret(Box<[u8]>);
 
@@ -260,13 +261,13 @@
 }
 
 impl Secret {
-    /// Takes the key from the settings.
+    /// Creates the key from the text in the settings.
     pub fn new(text: &str) -> Self {
         Self(text.as_bytes().into())
     }
 
     fn mac(&self, path: &str, body: &[u8]) -> Option<Hmac<Sha256>> {
-        // A key of any length will do for HMAC, so this is never `None`.
+        // HMAC accepts keys of any length, so this is never `None`.
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
         mac.update(path.as_bytes());
         mac.update(&[0]);
@@ -274,54 +275,55 @@
         Some(mac)
     }
 
-    /// Signs a message for a path.
+    /// Computes the message authentication code of a path and body, in hexadecimal.
     pub fn sign(&self, path: &str, body: &[u8]) -> String {
         let mac = self.mac(path, body);
         mac.map(|mac| hex::encode(mac.finalize().into_bytes()))
             .unwrap_or_default()
     }
 
-    /// Checks the signature of a message in constant time.
+    /// Verifies the signature of a message in constant time.
     ///
     /// # Errors
     ///
-    /// Returns [`PeerError::Signature`] when it is missing or wrong.
+    /// Returns [`PeerError::Signature`] if the signature is missing or wrong.
     ///
     /// # Examples
     ///
     /// ```
     /// use wire::peer::Secret;
     ///
-    /// let secret = Secret::new("of this fleet");
-    /// let sign = secret.sign("/peer/ping", b"hello");
-    /// assert!(secret.check("/peer/ping", b"hello", Some(&sign)).is_ok());
-    /// assert!(secret.check("/peer/ping", b"other", Some(&sign)).is_err());
+    /// let secret = Secret::new("shared key");
+    /// let signature = secret.sign("/peer/ping", b"hello");
+    /// assert!(secret.check("/peer/ping", b"hello", Some(&signature)).is_ok());
+    /// assert!(secret.check("/peer/ping", b"other", Some(&signature)).is_err());
     /// assert!(secret.check("/peer/ping", b"hello", None).is_err());
     /// ```
-    pub fn check(&self, path: &str, body: &[u8], sign: Option<&str>) -> Result<(), PeerError> {
-        let sign = sign.and_then(|text| hex::decode(text).ok());
+    pub fn check(&self, path: &str, body: &[u8], signature: Option<&str>) -> Result<(), PeerError> {
+        let signature = signature.and_then(|text| hex::decode(text).ok());
         let mac = self.mac(path, body);
-        let (Some(sign), Some(mac)) = (sign, mac) else {
+        let (Some(signature), Some(mac)) = (signature, mac) else {
             return Err(PeerError::Signature);
         };
-        mac.verify_slice(&sign).map_err(|_| PeerError::Signature)
+        mac.verify_slice(&signature)
+            .map_err(|_| PeerError::Signature)
     }
 }
 
-/// Writes a message.
+/// Encodes a message.
 ///
 /// # Errors
 ///
-/// Returns [`PeerError::Encode`] when the codec fails.
+/// Returns [`PeerError::Encode`] if encoding fails.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, PeerError> {
     Ok(rmp_serde::to_vec_named(message)?)
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// Returns [`PeerError::Decode`] when the bytes are no such message.
+/// Returns [`PeerError::Decode`] if the bytes are not a message of type `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, PeerError> {
     Ok(rmp_serde::from_slice(bytes)?)
 }
--- a/crates/wire/src/problem.rs
+++ b/crates/wire/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as problem documents (RFC 9457).
+//! Error responses as problem documents (RFC 9457).
 
 use std::sync::Arc;
 
@@ -9,52 +9,52 @@
 /// Media type of a problem document.
 pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// What kind of refusal it is; the `type` of the document.
+/// The error type; the `type` of the document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Type {
-    /// No bearer token, or one that no contract has.
+    /// The bearer token is missing or belongs to no contract.
     Unauthorized,
     /// The contract does not cover the model or service.
     NotCovered,
-    /// No such path, service, model or step.
+    /// The path, service, model or step does not exist.
     NotFound,
-    /// The path does not take this method.
+    /// The path does not support this method.
     Method,
-    /// The body is not what the path takes.
+    /// The body is malformed or not valid for the path.
     BadRequest,
     /// The body or a header is too long.
     TooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     SlowRequest,
-    /// A line of the contract limits it.
+    /// The request exceeds a limit of the contract.
     OverLimit,
-    /// It cannot be done by the deadline.
+    /// The request cannot complete by the deadline.
     Late,
     /// The queue is full.
     Full,
-    /// No upstream can take it now.
+    /// No upstream can accept the request now.
     NoUpstream,
-    /// Upstreams crash under it.
+    /// The request is quarantined because upstreams crash while processing it.
     Quarantined,
     /// The upstream failed.
     Upstream,
-    /// The answer is longer than allowed.
+    /// The response is longer than allowed.
     AnswerTooLarge,
-    /// The key was used before and what came of it is not known.
+    /// The key was used before, and the outcome of that request is unknown.
     KeyInDoubt,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     KeyMismatch,
-    /// The key is older than the journal's horizon.
+    /// The key is older than the retention time of the journal.
     KeyExpired,
-    /// The journal cannot be written now.
+    /// The journal is currently not writable.
     Journal,
-    /// The platform cannot be reached now.
+    /// The platform is currently unreachable.
     Platform,
-    /// This instance is leaving.
+    /// This instance is shutting down.
     Draining,
-    /// A fault of this instance.
+    /// An internal error of this instance.
     Internal,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A short text, the same for every document of the type.
+    /// A short summary, identical for all documents of the type.
     pub fn title(self) -> &'static str {
         match self {
             Self::Unauthorized => "no contract has this token",
@@ -113,29 +113,29 @@
     }
 }
 
-/// A refusal.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Problem {
-    /// What kind of refusal it is.
+    /// The error type.
     #[serde(rename = "type")]
     pub kind: Type,
-    /// A short text, the same for every document of the type.
+    /// A short summary, identical for all documents of the type.
     pub title: Arc<str>,
     /// The HTTP status.
     pub status: u16,
-    /// What is particular to this one.
+    /// Details of this occurrence.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detail: Option<Box<str>>,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub ran: Ran,
-    /// When to come back, in milliseconds, where waiting helps.
+    /// Time in milliseconds after which to retry, if a retry may succeed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// Makes a refusal.
+    /// Creates an error response without details.
     ///
     /// # Examples
     ///
@@ -158,13 +158,13 @@
         }
     }
 
-    /// Adds what is particular to this refusal.
+    /// Sets the details of this occurrence.
     pub fn because(mut self, detail: impl Into<Box<str>>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
-    /// Adds when to come back.
+    /// Sets the time in milliseconds after which to retry.
     pub fn after(mut self, millis: u64) -> Self {
         self.retry_after_ms = Some(millis);
         self
--- a/crates/wire/src/scorer.rs
+++ b/crates/wire/src/scorer.rs
@@ -1,20 +1,20 @@
-//! Messages with services that score samples.
+//! Messages exchanged with services that score samples.
 
 use std::sync::Arc;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Path at which a scorer is asked. Asking twice does no harm.
+/// Path for scoring requests, which are idempotent.
 pub const SCORE: &str = "/score";
 
-/// Asks for the score of a sample.
+/// Request for the score of a sample.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ScoreRequest {
     /// The prompt.
     pub prompt: Arc<str>,
-    /// The text.
+    /// The generated text.
     pub text: String,
 }
 
