--- a/crates/serve/src/auth.rs
+++ b/crates/serve/src/auth.rs
@@ -20,7 +20,7 @@
     let token = text.and_then(|text| text.strip_prefix("Bearer "));
     let refuse = |detail: &str| {
         let problem = Problem::new(Type::Unauthorized, Attempt::new().refuse());
-        Err(problem.because(detail))
+        Err(problem.with_detail(detail))
     };
     let Some(token) = token else {
         return refuse("the header Authorization: Bearer TOKEN is missing");
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -88,7 +88,8 @@
     body: gotham::helpers::http::Body,
 ) -> Result<T, Problem> {
     let bytes = forward::read(app, body).await?;
-    serde_json::from_slice(&bytes).map_err(|error| no(Type::BadRequest).because(error.to_string()))
+    serde_json::from_slice(&bytes)
+        .map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))
 }
 
 /// Finds the dispatcher of a model that a contract covers.
@@ -98,13 +99,13 @@
 /// Returns a refusal when the contract does not cover it or there is none.
 pub fn model(app: &App, held: &ActiveContract, model: &str) -> Result<Arc<Dispatcher>, Problem> {
     if !held.stored.contract.has_model(model) {
-        return Err(no(Type::NotCovered).because(format!("model {model:?}")));
+        return Err(no(Type::NotCovered).with_detail(format!("model {model:?}")));
     }
     let dispatcher = app.dispatchers.get(model);
     let dispatcher = dispatcher
         .filter(|dispatcher| dispatcher.kind == Kind::Engine)
         .cloned();
-    dispatcher.ok_or_else(|| no(Type::NotFound).because(format!("model {model:?}")))
+    dispatcher.ok_or_else(|| no(Type::NotFound).with_detail(format!("model {model:?}")))
 }
 
 async fn accept(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Job, Problem> {
@@ -114,7 +115,7 @@
     let asked: CompletionRequest = parse(app, call.body).await?;
     if asked.max_tokens == 0 || asked.max_tokens > MAX_TOKENS {
         let detail = format!("max_tokens: expected 1 to {MAX_TOKENS}");
-        return Err(no(Type::BadRequest).because(detail));
+        return Err(no(Type::BadRequest).with_detail(detail));
     }
     let dispatcher = model(app, &held, &asked.model)?;
     let passage = limits::pass(app, &held, asked.max_tokens, trace)?;
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -95,14 +95,14 @@
     let contract = &held.stored.contract;
     let service = call.segment(2).to_owned();
     if !contract.has_service(&service) {
-        return Err(no(Type::NotCovered).because(format!("service {service:?}")));
+        return Err(no(Type::NotCovered).with_detail(format!("service {service:?}")));
     }
     let dispatcher = app.dispatchers.get(service.as_str());
     let dispatcher = dispatcher
         .filter(|dispatcher| dispatcher.kind == Kind::Service)
         .cloned();
     let dispatcher =
-        dispatcher.ok_or_else(|| no(Type::NotFound).because(format!("service {service:?}")))?;
+        dispatcher.ok_or_else(|| no(Type::NotFound).with_detail(format!("service {service:?}")))?;
     let deadline = app.clock.now() + timeout(&call, contract)?;
     let path = call.rest(3);
     let plain = path.split('?').next().unwrap_or("/");
@@ -152,7 +152,7 @@
     };
     match text.parse::<Millis>() {
         Ok(asked) if asked > 0 => Ok(asked.min(contract.deadline)),
-        _ => Err(no(Type::BadRequest).because(format!("{TIMEOUT}: expected milliseconds"))),
+        _ => Err(no(Type::BadRequest).with_detail(format!("{TIMEOUT}: expected milliseconds"))),
     }
 }
 
@@ -164,7 +164,7 @@
 pub async fn read(app: &App, body: gotham::helpers::http::Body) -> Result<Bytes, Problem> {
     let bounds = &app.settings.bounds;
     let reading = body::read(body, bounds.body);
-    let refuse = |kind: Type, error: &body::ReadError| no(kind).because(error.to_string());
+    let refuse = |kind: Type, error: &body::ReadError| no(kind).with_detail(error.to_string());
     match tokio::time::timeout(bounds.patience, reading).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(error @ body::ReadError::Long(_))) => Err(refuse(Type::TooLarge, &error)),
@@ -266,7 +266,7 @@
         Stop::Budget => "too many requests are being tried again",
     };
     let problem = Problem::new(Type::Upstream, ran);
-    let problem = problem.because(format!("{why}; {reason}"));
+    let problem = problem.with_detail(format!("{why}; {reason}"));
     match ran {
         Ran::No => problem.after(UPSTREAM),
         Ran::Unknown => problem,
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -50,8 +50,8 @@
         return Ok(None);
     };
     let key = Key::new(&contract.customer, service, text);
-    let key =
-        key.map_err(|error| no(Type::BadRequest).because(format!("{IDEMPOTENCY_KEY}: {error}")))?;
+    let key = key
+        .map_err(|error| no(Type::BadRequest).with_detail(format!("{IDEMPOTENCY_KEY}: {error}")))?;
     Ok(Some(key))
 }
 
--- a/crates/serve/src/router.rs
+++ b/crates/serve/src/router.rs
@@ -127,7 +127,7 @@
 fn refused(app: &App, call: &Call, kind: Type) -> impl Future<Output = Reply> + use<> {
     let trace = Trace::begin("unrouted", app.clock);
     let problem = Problem::new(kind, Attempt::new().refuse());
-    let problem = problem.because(format!("{} {}", call.method, call.uri.path()));
+    let problem = problem.with_detail(format!("{} {}", call.method, call.uri.path()));
     let reply = refuse::finish(app, trace, Err(problem));
     std::future::ready(reply)
 }
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -129,7 +129,7 @@
         max_staleness: contract.max_staleness,
     };
     let checked = spec.check();
-    checked.map_err(|error| no(Type::BadRequest).because(error.to_string()))?;
+    checked.map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))?;
     let id = format!("{}.{}", Uuid::now_v7().simple(), app.settings.me.name);
     let head = Head {
         customer: contract.customer.clone(),
@@ -161,7 +161,7 @@
 ) -> Result<Arc<Work>, Problem> {
     let dispatcher = complete::model(app, held, &spec.model)?;
     let policy = kernel::plugin::find(app.settings.policy);
-    let policy = policy.map_err(|error| no(Type::Internal).because(error.to_string()))?;
+    let policy = policy.map_err(|error| no(Type::Internal).with_detail(error.to_string()))?;
     let customer = held.stored.contract.customer.clone();
     let run = step::Run::new(spec, policy, cursor, version);
     let work = Work::new(id, customer, run, dispatcher, app.clock);
@@ -244,13 +244,13 @@
         None => adopt(app, message).await?,
     };
     if *work.customer() != message.customer || work.is_cancelled() {
-        return Err(no(Type::NotFound).because("step"));
+        return Err(no(Type::NotFound).with_detail("step"));
     }
     let cursor = Cursor::parse(&message.pull.cursor, work.total());
-    let cursor = cursor.map_err(|error| no(Type::BadRequest).because(error.to_string()))?;
+    let cursor = cursor.map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))?;
     let batch = work.pull(&cursor, &message.pull).await;
     if work.is_cancelled() {
-        return Err(no(Type::NotFound).because("step"));
+        return Err(no(Type::NotFound).with_detail("step"));
     }
     count(app, &message.customer, batch.samples.len());
     Ok(batch)
@@ -267,20 +267,20 @@
 async fn adopt(app: &Arc<App>, message: &StepPull) -> Result<Arc<Work>, Problem> {
     let head = match ledger::load(app, &message.step).await {
         Ok(Some(head)) => head,
-        Ok(None) => return Err(no(Type::NotFound).because("step")),
+        Ok(None) => return Err(no(Type::NotFound).with_detail("step")),
         Err(error) => {
-            let problem = no(Type::Platform).because(error.to_string());
+            let problem = no(Type::Platform).with_detail(error.to_string());
             return Err(problem.after(LATER));
         }
     };
     if head.customer != message.customer {
-        return Err(no(Type::NotFound).because("step"));
+        return Err(no(Type::NotFound).with_detail("step"));
     }
     let held = app.book.read().by_name(&head.customer).cloned();
     let held = held.ok_or_else(|| no(Type::Unauthorized))?;
     let total = head.spec.total();
     let cursor = Cursor::parse(&message.pull.cursor, total);
-    let cursor = cursor.map_err(|error| no(Type::BadRequest).because(error.to_string()))?;
+    let cursor = cursor.map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))?;
     let version = message.pull.version;
     begin(app, &message.step, &held, head.spec, &cursor, version)
 }
@@ -305,11 +305,11 @@
     let known = tell(app, &message).await;
     match ledger::end(app, &message.step, &message.customer, known).await {
         Ok(true) => Ok(()),
-        Ok(false) => Err(no(Type::NotFound).because("step")),
+        Ok(false) => Err(no(Type::NotFound).with_detail("step")),
         // An end that is nowhere but in memory is not acknowledged: the step could be begun again.
         Err(error) => {
             let problem = Problem::new(Type::Platform, Ran::Unknown);
-            Err(problem.because(error.to_string()).after(LATER))
+            Err(problem.with_detail(error.to_string()).after(LATER))
         }
     }
 }
--- a/crates/wire/src/problem.rs
+++ b/crates/wire/src/problem.rs
@@ -159,7 +159,7 @@
     }
 
     /// Sets the details of this occurrence.
-    pub fn because(mut self, detail: impl Into<Box<str>>) -> Self {
+    pub fn with_detail(mut self, detail: impl Into<Box<str>>) -> Self {
         self.detail = Some(detail.into());
         self
     }
