--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -162,7 +162,7 @@
         {
             Ok(permit) => permit,
             Err(refusal) => {
-                return Err(Problem::new(refusal.kind, before).after(refusal.after));
+                return Err(Problem::new(refusal.kind, before).retry_after(refusal.after));
             }
         };
         let upstream = permit.spec.name.clone();
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -229,7 +229,7 @@
             Ok(permit) => permit,
             Err(refusal) => {
                 let ran = before.or(attempt.refuse());
-                return Err(Problem::new(refusal.kind, ran).after(refusal.after));
+                return Err(Problem::new(refusal.kind, ran).retry_after(refusal.after));
             }
         };
         let upstream = permit.spec.name.clone();
@@ -268,7 +268,7 @@
     let problem = Problem::new(Type::Upstream, ran);
     let problem = problem.with_detail(format!("{why}; {reason}"));
     match ran {
-        Ran::No => problem.after(UPSTREAM),
+        Ran::No => problem.retry_after(UPSTREAM),
         Ran::Unknown => problem,
     }
 }
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -93,7 +93,7 @@
         Decision::Ran(outcome) => return Ok(replay(outcome)),
         Decision::Unknown => return Err(Problem::new(Type::KeyInDoubt, Ran::Unknown)),
         Decision::Mismatch => return Err(no(Type::KeyMismatch)),
-        Decision::Refused => return Err(no(Type::Journal).after(JOURNAL)),
+        Decision::Refused => return Err(no(Type::Journal).retry_after(JOURNAL)),
     }
     let left = outbound.deadline.saturating_sub(app.clock.now());
     let app = app.clone();
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -128,7 +128,7 @@
             let detail = format!("the contract's line {:?} decides", limit.key());
             trace.note(detail.as_str());
             let problem = Problem::new(Type::OverLimit, Attempt::new().refuse());
-            Err(problem.with_detail(detail).after(retry_after))
+            Err(problem.with_detail(detail).retry_after(retry_after))
         }
     }
 }
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -270,7 +270,7 @@
         Ok(None) => return Err(no(Type::NotFound).with_detail("step")),
         Err(error) => {
             let problem = no(Type::Platform).with_detail(error.to_string());
-            return Err(problem.after(LATER));
+            return Err(problem.retry_after(LATER));
         }
     };
     if head.customer != message.customer {
@@ -309,7 +309,7 @@
         // An end that is nowhere but in memory is not acknowledged: the step could be begun again.
         Err(error) => {
             let problem = Problem::new(Type::Platform, Ran::Unknown);
-            Err(problem.with_detail(error.to_string()).after(LATER))
+            Err(problem.with_detail(error.to_string()).retry_after(LATER))
         }
     }
 }
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -39,7 +39,7 @@
         };
         let problem = Problem::new(Type::Quarantined, ran);
         match ran {
-            Ran::No => Err(problem.after(left)),
+            Ran::No => Err(problem.retry_after(left)),
             Ran::Unknown => Err(problem),
         }
     }
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -81,7 +81,7 @@
         false => Attempt::new().refuse(),
     };
     let problem = Problem::new(Type::Platform, ran);
-    problem.with_detail(error.to_string()).after(LATER)
+    problem.with_detail(error.to_string()).retry_after(LATER)
 }
 
 /// Writes an announcement unless a newer one is there; [`None`] when another write came between.
--- a/crates/wire/src/problem.rs
+++ b/crates/wire/src/problem.rs
@@ -143,7 +143,7 @@
     /// use route::{Attempt, Ran};
     /// use wire::problem::{Problem, Type};
     ///
-    /// let problem = Problem::new(Type::Full, Attempt::new().refuse()).after(250);
+    /// let problem = Problem::new(Type::Full, Attempt::new().refuse()).retry_after(250);
     /// assert_eq!(problem.status, 503);
     /// assert_eq!(problem.ran, Ran::No);
     /// ```
@@ -165,7 +165,7 @@
     }
 
     /// Sets the time in milliseconds after which to retry.
-    pub fn after(mut self, millis: u64) -> Self {
+    pub fn retry_after(mut self, millis: u64) -> Self {
         self.retry_after_ms = Some(millis);
         self
     }
