--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line.
+//! Command-line options.
 
 use args::CliSpec;
 use args::Opt;
 
-/// The command line of the program.
+/// The command line of `snipeway-control`.
 pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-control",
     about: "Takes leases on control work and gives orders to upstreams",
--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -17,12 +17,12 @@
 use serde::de::DeserializeOwned;
 use standin::text;
 use step::Sample;
-use wire::caller::Announce;
-use wire::caller::Announced;
+use wire::caller::AnnounceVersion;
+use wire::caller::AnnouncedVersion;
 use wire::caller::Batch;
-use wire::caller::Open;
-use wire::caller::Opened;
-use wire::caller::Pull;
+use wire::caller::OpenStep;
+use wire::caller::OpenedStep;
+use wire::caller::PullRequest;
 
 use crate::report::histogram;
 
@@ -131,7 +131,7 @@
 
 /// An open step.
 struct Step {
-    opened: Opened,
+    opened: OpenedStep,
     at: Instant,
     cursor: String,
     prompts: Vec<String>,
@@ -166,7 +166,9 @@
             tokio::time::sleep(self.train).await;
             version += 1;
             let path = format!("/v1/weights/{}", self.model);
-            let _: Announced = caller.call(&path, &Announce { version }, LIMIT).await;
+            let _: AnnouncedVersion = caller
+                .call(&path, &AnnounceVersion { version }, LIMIT)
+                .await;
             match next {
                 Some(next) => step = next,
                 None => break,
@@ -180,7 +182,7 @@
     async fn open(&self, caller: &mut Caller, number: u32, version: u64) -> Step {
         let prompt = |group| format!("{} step {number} case {group}", self.label);
         let prompts: Vec<String> = (0..self.groups).map(prompt).collect();
-        let open = Open {
+        let open = OpenStep {
             model: self.model.clone(),
             groups: prompts
                 .iter()
@@ -191,7 +193,7 @@
             version,
         };
         let at = Instant::now();
-        let opened: Opened = caller.call("/v1/steps", &open, LIMIT).await;
+        let opened: OpenedStep = caller.call("/v1/steps", &open, LIMIT).await;
         Step {
             have: vec![false; opened.total as usize],
             opened,
@@ -206,7 +208,7 @@
     async fn pull(&self, caller: &mut Caller, step: &mut Step, version: u64, seen: &mut Seen) {
         let path = format!("/v1/steps/{}/pull", step.opened.step);
         loop {
-            let pull = Pull {
+            let pull = PullRequest {
                 version,
                 cursor: step.cursor.clone(),
                 limit: 256,
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -1,18 +1,18 @@
 //! Ordering upstreams.
 //!
-//! How many are wanted is [`capacity::wishes`]'s matter. What is wanted is written down first, and a successor goes
+//! [`capacity::plan_orders`] decides how many are wanted. What is wanted is written down first, and a successor goes
 //! on from what is written.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use capacity::Bounds;
-use capacity::Ledger;
+use capacity::CapacityDemand;
+use capacity::DesiredCapacity;
+use capacity::DomainUpstreams;
 use capacity::Order;
-use capacity::Present;
-use capacity::Tries;
-use capacity::Wish;
-use capacity::wishes;
+use capacity::RetrySchedule;
+use capacity::ScalingBounds;
+use capacity::plan_orders;
 use kernel::Millis;
 use plat::PlatError;
 use table::Config;
@@ -50,8 +50,8 @@
     app: &'a Arc<App>,
     office: &'a Office,
     to: Accounts,
-    held: Option<Kept<Ledger>>,
-    tries: Tries,
+    held: Option<Kept<DesiredCapacity>>,
+    tries: RetrySchedule,
 }
 
 impl<'a> Supplies<'a> {
@@ -63,7 +63,7 @@
             office,
             to,
             held: None,
-            tries: Tries::default(),
+            tries: RetrySchedule::default(),
         })
     }
 
@@ -93,7 +93,7 @@
         };
         let mut changed = false;
         for order in self.wanted(&plan, &ledger, targets) {
-            changed |= ledger.enter(order);
+            changed |= ledger.raise(order);
         }
         let rev = match changed {
             true => kept::write(self.app, KEY, &ledger, rev).await?,
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    fn wanted(&self, plan: &Config, ledger: &Ledger, targets: &Targets) -> Vec<Order> {
+    fn wanted(&self, plan: &Config, ledger: &DesiredCapacity, targets: &Targets) -> Vec<Order> {
         let aims = targets.aims(self.app.clock.now());
         let mut orders = Vec::new();
         for service in plan.services() {
@@ -114,13 +114,13 @@
                 continue;
             };
             let models = engine.models.iter().filter_map(|model| aims.get(model));
-            let wish = Wish {
+            let wish = CapacityDemand {
                 requests: models.map(|aim| aim.concurrent_samples / STEPS).sum(),
                 slots: engine.slots,
                 fill: self.app.settings.fill,
             };
             let present = self.present(&service.name, bounds);
-            orders.extend(wishes(
+            orders.extend(plan_orders(
                 &service.name,
                 bounds,
                 &present,
@@ -132,14 +132,14 @@
     }
 
     /// The upstreams of a service in each failure domain in which there may be some.
-    fn present(&self, service: &str, bounds: &Bounds) -> Vec<Present> {
+    fn present(&self, service: &str, bounds: &ScalingBounds) -> Vec<DomainUpstreams> {
         let roster = self.app.roster.lock();
         let mut all: Vec<_> = bounds
             .prices
             .iter()
-            .map(|(domain, _)| Present {
+            .map(|(domain, _)| DomainUpstreams {
                 domain: domain.clone(),
-                kept: 0,
+                regular: 0,
                 spot: 0,
             })
             .collect();
@@ -149,7 +149,7 @@
             };
             match one.spot {
                 true => at.spot += 1,
-                false => at.kept += 1,
+                false => at.regular += 1,
             }
         }
         all
@@ -165,7 +165,7 @@
         };
         let present = self.present(&subject.service, bounds);
         let here = present.iter().find(|one| one.domain == subject.domain);
-        let count = here.map_or(0, |one| if subject.spot { one.spot } else { one.kept });
+        let count = here.map_or(0, |one| if subject.spot { one.spot } else { one.regular });
         // Asked right before each order: the process may have been paused since the last renewal.
         if !self.tries.is_due(order, count, now) || !self.office.may_order(now) {
             return;
@@ -181,8 +181,8 @@
             None => "unanswered",
         };
         match granted {
-            Some(Granted::Taken) => self.tries.taken(subject, bounds.boot, now),
-            Some(Granted::Scarce | Granted::Refused) => self.tries.scarce(subject, now),
+            Some(Granted::Taken) => self.tries.accepted(subject, bounds.startup_ms, now),
+            Some(Granted::Scarce | Granted::Refused) => self.tries.unavailable(subject, now),
             Some(Granted::Busy | Granted::Fenced) | None => self.tries.unanswered(subject, now),
         }
         metrics::counter!(meter::SUPPLIES, "result" => outcome).increment(1);
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -29,11 +29,11 @@
 use step::spec::MAX_TOKENS;
 use wire::Problem;
 use wire::caller::Choice;
-use wire::caller::Completed;
-use wire::caller::Completion;
+use wire::caller::CompletionRequest;
+use wire::caller::CompletionResponse;
 use wire::caller::Usage;
 use wire::engine::GENERATE;
-use wire::engine::Generate;
+use wire::engine::GenerateRequest;
 use wire::problem::Type;
 
 use crate::App;
@@ -66,7 +66,7 @@
 
 /// A completion that passed its contract's limits.
 struct Job {
-    asked: Completion,
+    asked: CompletionRequest,
     dispatcher: Arc<Dispatcher>,
     entry: QueueEntry,
     class: u8,
@@ -88,7 +88,8 @@
     body: gotham::helpers::http::Body,
 ) -> Result<T, Problem> {
     let bytes = forward::read(app, body).await?;
-    serde_json::from_slice(&bytes).map_err(|error| no(Type::BadRequest).because(error.to_string()))
+    serde_json::from_slice(&bytes)
+        .map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))
 }
 
 /// Finds the dispatcher of a model that a contract covers.
@@ -98,23 +99,23 @@
 /// Returns a refusal when the contract does not cover it or there is none.
 pub fn model(app: &App, held: &ActiveContract, model: &str) -> Result<Arc<Dispatcher>, Problem> {
     if !held.stored.contract.has_model(model) {
-        return Err(no(Type::NotCovered).because(format!("model {model:?}")));
+        return Err(no(Type::NotCovered).with_detail(format!("model {model:?}")));
     }
     let dispatcher = app.dispatchers.get(model);
     let dispatcher = dispatcher
         .filter(|dispatcher| dispatcher.kind == UpstreamKind::Engine)
         .cloned();
-    dispatcher.ok_or_else(|| no(Type::NotFound).because(format!("model {model:?}")))
+    dispatcher.ok_or_else(|| no(Type::NotFound).with_detail(format!("model {model:?}")))
 }
 
 async fn accept(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Job, Problem> {
     let held = auth::contract(app, &call, trace)?;
     let contract = &held.stored.contract;
     let deadline = app.clock.now() + forward::timeout(&call, contract)?;
-    let asked: Completion = parse(app, call.body).await?;
+    let asked: CompletionRequest = parse(app, call.body).await?;
     if asked.max_tokens == 0 || asked.max_tokens > MAX_TOKENS {
         let detail = format!("max_tokens: expected 1 to {MAX_TOKENS}");
-        return Err(no(Type::BadRequest).because(detail));
+        return Err(no(Type::BadRequest).with_detail(detail));
     }
     let dispatcher = model(app, &held, &asked.model)?;
     let passage = limits::pass(app, &held, asked.max_tokens, trace)?;
@@ -161,7 +162,7 @@
         {
             Ok(permit) => permit,
             Err(refusal) => {
-                return Err(Problem::new(refusal.kind, before).after(refusal.after));
+                return Err(Problem::new(refusal.kind, before).retry_after(refusal.after));
             }
         };
         let upstream = permit.spec.name.clone();
@@ -198,7 +199,7 @@
 
 /// What a completion asks for: the same for each attempt of a customer.
 fn sent(job: &Job, trace: &Trace) -> Sent {
-    let Completion {
+    let CompletionRequest {
         model,
         prompt,
         max_tokens,
@@ -221,7 +222,7 @@
     generate::Order {
         attempt,
         sent: sent.clone(),
-        generate: Generate {
+        generate: GenerateRequest {
             attempt,
             prompt: job.asked.prompt.clone(),
             resume: String::new(),
@@ -247,8 +248,8 @@
     }
 }
 
-fn piece(job: &Job, id: RequestId, text: String, finish: Option<String>) -> Completed {
-    Completed {
+fn piece(job: &Job, id: RequestId, text: String, finish: Option<String>) -> CompletionResponse {
+    CompletionResponse {
         id: id.to_string(),
         object: "text_completion".into(),
         model: job.asked.model.clone(),
@@ -262,11 +263,11 @@
     }
 }
 
-fn whole(job: &Job, id: RequestId, sample: Sample) -> Completed {
+fn whole(job: &Job, id: RequestId, sample: Sample) -> CompletionResponse {
     let usage = Usage {
         completion_tokens: sample.tokens,
     };
-    Completed {
+    CompletionResponse {
         usage: Some(usage),
         versions: sample.spans,
         ..piece(job, id, sample.text, Some(sample.finish))
@@ -309,7 +310,7 @@
     let kind = HeaderValue::from_static("text/event-stream");
     reply.headers_mut().insert(CONTENT_TYPE, kind);
     if let Ok(id) = HeaderValue::from_str(&trace.id.to_string()) {
-        reply.headers_mut().insert(wire::caller::REQUEST, id);
+        reply.headers_mut().insert(wire::caller::REQUEST_ID, id);
     }
     tokio::spawn(async move {
         let mut events = Events {
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -25,7 +25,7 @@
 use plat::Client;
 use tokio::sync::Notify;
 use wire::peer;
-use wire::peer::Journaled;
+use wire::peer::JournalReply;
 
 use crate::App;
 use crate::gossip;
@@ -138,13 +138,14 @@
         let (at, _) = self.cell(key);
         let left = deadline.saturating_sub(self.clock.now()).min(WAIT);
         if let Some(writer) = writer(app, at) {
-            let question = peer::Journal::Ask {
+            let question = peer::JournalRequest::Ask {
                 key,
                 print,
                 attempt,
                 left: left / 2,
             };
-            if let Some(Journaled::Answer(verdict)) = relay(app, &writer, &question, left).await {
+            if let Some(JournalReply::Answer(verdict)) = relay(app, &writer, &question, left).await
+            {
                 return verdict.into();
             }
             // The peer may have written the intent all the same. It carries this attempt's
@@ -216,7 +217,7 @@
     async fn note(&self, app: &App, record: Record) {
         let (at, _) = self.cell(record.key());
         if let Some(writer) = writer(app, at) {
-            let note = peer::Journal::Note(record.clone());
+            let note = peer::JournalRequest::Note(record.clone());
             if relay(app, &writer, &note, WAIT).await.is_some() {
                 return;
             }
@@ -289,9 +290,9 @@
 async fn relay(
     app: &App,
     writer: &Member,
-    question: &peer::Journal,
+    question: &peer::JournalRequest,
     left: Millis,
-) -> Option<Journaled> {
+) -> Option<JournalReply> {
     let limit = Duration::from_millis(left);
     gossip::exchange(app, writer.addr, peer::JOURNAL, question, limit)
         .await
--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -10,8 +10,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use wire::peer;
-use wire::peer::Journal;
-use wire::peer::Journaled;
+use wire::peer::JournalReply;
+use wire::peer::JournalRequest;
 use wire::peer::PeerError;
 
 use crate::App;
@@ -61,7 +61,7 @@
     match peer::encode(value) {
         Ok(bytes) => {
             gossip::count(app, "out", bytes.len());
-            body::reply(StatusCode::OK, peer::KIND, bytes)
+            body::reply(StatusCode::OK, peer::MEDIA_TYPE, bytes)
         }
         Err(error) => {
             let status = StatusCode::INTERNAL_SERVER_ERROR;
@@ -84,7 +84,7 @@
 /// Serves questions to the journal.
 pub async fn journal(app: Arc<App>, call: Call) -> Reply {
     let journaled = match message(&app, call).await {
-        Ok(Journal::Ask {
+        Ok(JournalRequest::Ask {
             key,
             print,
             attempt,
@@ -96,11 +96,11 @@
                 .journal
                 .ask_here(key, print, attempt, deadline, own)
                 .await;
-            Journaled::Answer(answer.into())
+            JournalReply::Answer(answer.into())
         }
-        Ok(Journal::Note(record)) => {
+        Ok(JournalRequest::Note(record)) => {
             app.journal.note_here(record);
-            Journaled::Noted
+            JournalReply::Noted
         }
         Err(reply) => return *reply,
     };
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -12,13 +12,13 @@
 use route::UpstreamKind;
 use route::UpstreamSpec;
 use wire::engine::LOAD;
-use wire::engine::Load;
+use wire::engine::LoadReport;
 
 use crate::App;
 use crate::dispatcher::Dispatcher;
 use crate::history::Story;
 use kernel::rendezvous_rank;
-use wire::caller::Note;
+use wire::caller::HistoryEntry;
 
 /// Time that a report may take.
 const LIMIT: Duration = Duration::from_millis(800);
@@ -79,7 +79,7 @@
 
 async fn ask(app: &Arc<App>, dispatcher: &Arc<Dispatcher>, spec: &UpstreamSpec) {
     let uri = net::client::uri(spec.addr, LOAD);
-    let answer: Result<Load, _> = app.http.json(Method::GET, &uri, &(), LIMIT).await;
+    let answer: Result<LoadReport, _> = app.http.json(Method::GET, &uri, &(), LIMIT).await;
     let Ok(load) = answer else {
         // Its requests will show whether it is dead; a lost report alone says little.
         return;
@@ -125,7 +125,7 @@
         about: spec.name.to_string(),
         instance: app.settings.me.name.clone(),
         customer: None,
-        notes: vec![Note {
+        notes: vec![HistoryEntry {
             at: app.clock.wall(),
             what: what.into(),
         }],
--- a/crates/serve/src/refuse.rs
+++ b/crates/serve/src/refuse.rs
@@ -9,7 +9,7 @@
 use net::Reply;
 use net::body;
 use wire::Problem;
-use wire::caller::REQUEST;
+use wire::caller::REQUEST_ID;
 use wire::problem;
 use wire::problem::Type;
 
@@ -24,7 +24,7 @@
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut reply = body::json(status, problem);
     let headers = reply.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(problem::KIND));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(problem::MEDIA_TYPE));
     if let Some(after) = problem.retry_after_ms {
         // Whole seconds, rounded up: coming back early would only be refused again.
         headers.insert(RETRY_AFTER, HeaderValue::from(after.div_ceil(1_000)));
@@ -54,7 +54,7 @@
     let mut reply = result.unwrap_or_else(|problem| self::reply(&problem));
     let id = trace.id.to_string();
     if let Ok(value) = HeaderValue::from_str(&id) {
-        reply.headers_mut().insert(REQUEST, value);
+        reply.headers_mut().insert(REQUEST_ID, value);
     }
     app.history.keep(Story {
         about: id,
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -15,8 +15,8 @@
 use route::pool::Requirements;
 use step::Sample;
 use wire::scorer::SCORE;
-use wire::scorer::Score;
-use wire::scorer::Scored;
+use wire::scorer::ScoreRequest;
+use wire::scorer::ScoreResponse;
 
 use super::work::Work;
 use crate::App;
@@ -121,7 +121,7 @@
     let permit = dispatcher.acquire(&entry, apart, deadline).await;
     let permit = permit.map_err(|_| ScoreError::Busy)?;
     work.sure().await;
-    let asked = Score {
+    let asked = ScoreRequest {
         prompt: prompt.into(),
         text: text.to_owned(),
     };
@@ -129,7 +129,7 @@
     let limit = Duration::from_millis(LIMIT);
     let spec = permit.spec.clone();
     let stay = sent.stay(app, &spec);
-    let scored: Result<Scored, _> = app.http.json(Method::POST, &uri, &asked, limit).await;
+    let scored: Result<ScoreResponse, _> = app.http.json(Method::POST, &uri, &asked, limit).await;
     permit.end(scored.is_ok());
     match &scored {
         Ok(_) => sent.whole(app),
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -23,8 +23,8 @@
 use tokio::sync::Notify;
 use tokio::sync::watch;
 use wire::caller::Batch;
-use wire::caller::Note;
-use wire::caller::Pull;
+use wire::caller::HistoryEntry;
+use wire::caller::PullRequest;
 use wire::caller::StepState;
 
 use super::sample;
@@ -86,7 +86,7 @@
     /// Until when samples may be begun.
     sure: AtomicU64,
     over: watch::Sender<bool>,
-    notes: Mutex<Vec<Note>>,
+    notes: Mutex<Vec<HistoryEntry>>,
 }
 
 impl Work {
@@ -134,7 +134,7 @@
     pub(super) fn note(&self, what: String) {
         log::info!(target: "step", step = self.id.as_str(), contract = &*self.customer; "{what}");
         let mut notes = self.notes.lock();
-        notes.push(Note {
+        notes.push(HistoryEntry {
             at: self.clock.wall(),
             what: what.into(),
         });
@@ -286,7 +286,7 @@
     }
 
     /// Answers a pull; waits for a sample for as long as the pull says.
-    pub(super) async fn pull(&self, cursor: &Cursor, pull: &Pull) -> Batch {
+    pub(super) async fn pull(&self, cursor: &Cursor, pull: &PullRequest) -> Batch {
         let end = self.clock.now() + pull.wait_ms;
         let mut first = true;
         loop {
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -18,8 +18,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 use wire::Problem;
-use wire::caller::Announce;
-use wire::caller::Announced;
+use wire::caller::AnnounceVersion;
+use wire::caller::AnnouncedVersion;
 use wire::problem::Type;
 
 use crate::App;
@@ -49,7 +49,7 @@
 pub async fn announce(app: Arc<App>, call: Call) -> Reply {
     let mut trace = Trace::begin("weights", app.clock);
     let result = announced(&app, call, &mut trace).await;
-    let reply = result.map(|version| body::json(StatusCode::OK, &Announced { version }));
+    let reply = result.map(|version| body::json(StatusCode::OK, &AnnouncedVersion { version }));
     refuse::finish(&app, trace, reply)
 }
 
@@ -57,7 +57,7 @@
     let held = auth::contract(app, &call, trace)?;
     let model = call.segment(2).to_owned();
     complete::model(app, &held, &model)?;
-    let asked: Announce = complete::parse(app, call.body).await?;
+    let asked: AnnounceVersion = complete::parse(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
     let new = Version {
         version: asked.version,
@@ -81,7 +81,7 @@
         false => Attempt::new().refuse(),
     };
     let problem = Problem::new(Type::Platform, ran);
-    problem.because(error.to_string()).after(LATER)
+    problem.with_detail(error.to_string()).retry_after(LATER)
 }
 
 /// Writes an announcement unless a newer one is there; [`None`] when another write came between.
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -20,12 +20,12 @@
 use net::events;
 use step::Chunk;
 use wire::engine::GENERATE;
-use wire::engine::Generate;
+use wire::engine::GenerateRequest;
 use wire::engine::LOAD;
-use wire::engine::Load;
+use wire::engine::LoadOrder;
+use wire::engine::LoadReport;
 use wire::engine::ORDER;
-use wire::engine::Order;
-use wire::engine::Ordered;
+use wire::engine::OrderReply;
 use wire::engine::RUNNING;
 
 use crate::Faults;
@@ -118,7 +118,7 @@
     }
 
     fn load(&self) -> Reply {
-        let load = Load {
+        let load = LoadReport {
             running: self.running.load(Ordering::Relaxed),
             slots: self.make.slots,
             stated: self.weights.stated(),
@@ -127,16 +127,16 @@
         body::json(StatusCode::OK, &load)
     }
 
-    fn order(self: &Arc<Self>, order: Order) -> Reply {
+    fn order(self: &Arc<Self>, order: LoadOrder) -> Reply {
         if !self.weights.accept(&order) {
-            return body::json(StatusCode::CONFLICT, &Ordered::Fenced);
+            return body::json(StatusCode::CONFLICT, &OrderReply::Fenced);
         }
         let engine = self.clone();
         tokio::spawn(async move { engine.weights.swap(order, &engine.faults).await });
-        body::json(StatusCode::OK, &Ordered::Accepted)
+        body::json(StatusCode::OK, &OrderReply::Accepted)
     }
 
-    fn generate(self: &Arc<Self>, request: Generate) -> Reply {
+    fn generate(self: &Arc<Self>, request: GenerateRequest) -> Reply {
         let running = self.running.fetch_add(1, Ordering::Relaxed);
         let (sender, stream) = body::stream();
         let engine = self.clone();
@@ -152,7 +152,7 @@
         reply
     }
 
-    async fn run(&self, request: &Generate, sender: &body::Sender) {
+    async fn run(&self, request: &GenerateRequest, sender: &body::Sender) {
         let turn = tokio::select! {
             turn = self.turns.take(request.priority) => turn,
             () = sender.closed() => return,
@@ -164,7 +164,7 @@
         drop(turn);
     }
 
-    async fn chunks(&self, request: &Generate, sender: &body::Sender) -> io::Result<()> {
+    async fn chunks(&self, request: &GenerateRequest, sender: &body::Sender) -> io::Result<()> {
         let cut = || io::Error::new(io::ErrorKind::ConnectionAborted, "cut");
         let seed = request.seed.unwrap_or(0);
         let total = text::length(&request.prompt, seed, self.make.median, request.max_tokens);
@@ -204,7 +204,14 @@
         }
     }
 
-    fn chunk(&self, request: &Generate, seed: u64, at: u32, count: u32, over: bool) -> Bytes {
+    fn chunk(
+        &self,
+        request: &GenerateRequest,
+        seed: u64,
+        at: u32,
+        count: u32,
+        over: bool,
+    ) -> Bytes {
         let tokens = at..at + count;
         let chunk = Chunk {
             offset: at,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -19,8 +19,8 @@
 use serde_json::json;
 use tokio::sync::Semaphore;
 use wire::scorer::SCORE;
-use wire::scorer::Score;
-use wire::scorer::Scored;
+use wire::scorer::ScoreRequest;
+use wire::scorer::ScoreResponse;
 
 use crate::Faults;
 use crate::Host;
@@ -128,10 +128,10 @@
 
 /// Scores a sample by the length of its text.
 fn score(bytes: &[u8]) -> Reply {
-    match serde_json::from_slice::<Score>(bytes) {
+    match serde_json::from_slice::<ScoreRequest>(bytes) {
         Ok(asked) => {
             let score = asked.text.len() as f64;
-            body::json(StatusCode::OK, &Scored { score })
+            body::json(StatusCode::OK, &ScoreResponse { score })
         }
         Err(error) => body::reply(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
     }
