--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -138,7 +138,6 @@
     }
 
     /// Reads the announced version into the plan.
-
     async fn refresh_target(&self, plan: &mut Plan) {
         // After a failed read the known version stays in use; versions never decrease.
         let Ok(Some(item)) = self.platform.get(&keys::weight(&self.model)).await else {
@@ -202,7 +201,6 @@
     }
 
     /// Orders an engine to load a version; returns whether the lease is still valid.
-
     async fn send_order(&self, name: &Name, version: u64, lease: &Lease<Held>) -> bool {
         let Some(engine) = self.engines.iter().find(|engine| engine.name == *name) else {
             return true;
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -98,7 +98,6 @@
 }
 
 /// Runs the rollout whenever the local entry is the reader of its failure domain.
-
 async fn run_while_reader(rollout: WeightRollout, local_entry: Arc<LocalEntry>) {
     loop {
         if local_entry.is_reader().await {
