--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -11,11 +11,11 @@
     pub name: &'a Name,
     /// Whether it is in this instance's failure domain.
     pub same_domain: bool,
-    /// Requests of this instance that are outstanding there.
+    /// Number of outstanding requests from this instance to the upstream.
     pub outstanding: u32,
-    /// Requests of other instances there, by its last load report.
+    /// Number of requests that the upstream processes for other instances, according to its last load report.
     pub other_requests: u32,
-    /// Requests that it can process concurrently.
+    /// Maximum number of requests that it can process concurrently.
     pub slots: u32,
     /// Mean latency in milliseconds; 0 when unknown.
     pub latency: f64,
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Adds an upstream, or replaces the specification of a known one.
+    /// Adds an upstream, or replaces the settings of a known one.
     pub fn add(&mut self, spec: UpstreamSpec) {
         match self.find_mut(&spec.name) {
             Some(upstream) => upstream.spec = spec,
@@ -105,7 +105,7 @@
         &self.upstreams
     }
 
-    /// Picks an upstream for a request and counts the request as outstanding there.
+    /// Picks an upstream for a request and counts the request as outstanding at that upstream.
     pub fn pick(&mut self, requirements: &Requirements, now: Millis) -> Pick {
         let eligible = self.eligible(requirements, now);
         if eligible.is_empty() {
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Specification of an upstream in the settings.
+/// Settings of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamSpec {
     /// Unique name.
@@ -48,7 +48,7 @@
     pub pool: Name,
     /// Failure domain that it runs in.
     pub domain: Name,
-    /// Requests that it can process concurrently.
+    /// Maximum number of requests that it can process concurrently.
     pub slots: u32,
     /// Whether it rejects orders with an outdated fencing token.
     pub fencing: bool,
@@ -57,11 +57,11 @@
 /// A load report of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Requests that it was processing.
+    /// Number of requests, of all instances, that the upstream was processing.
     pub running: u32,
-    /// When it was received.
+    /// When this instance received the report.
     pub received_at: Millis,
-    /// Outstanding requests of this instance there at that time.
+    /// Number of outstanding requests from this instance to the upstream when the report was received.
     pub own_requests: u32,
 }
 
@@ -77,13 +77,13 @@
 /// One upstream as observed by one instance.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Its specification in the settings.
+    /// Its settings.
     pub spec: UpstreamSpec,
     /// Whether it may be sent requests.
     pub health: Health,
     /// Weight version that an engine stated last.
     pub version: Option<u64>,
-    /// Outstanding requests of this instance there.
+    /// Number of outstanding requests from this instance to the upstream.
     pub outstanding: u32,
     /// Moving mean of the latency in milliseconds; 0 before the first response.
     pub latency: f64,
@@ -126,8 +126,9 @@
         self.latency += weight * (latency - self.latency);
     }
 
-    /// Returns the requests of other instances by the last report: those running there minus this
-    /// instance's own at that time. 0 when the report is too old.
+    /// Returns the number of requests that the upstream processes for other instances, according to the last
+    /// load report: those it was processing minus this instance's outstanding ones at that time. 0 without a
+    /// report, or when the report is too old.
     pub fn other_requests(&self, now: Millis) -> u32 {
         match self.report {
             Some(report) if now < report.received_at + MAX_REPORT_AGE_MS => {
