--- a/crates/place/src/engine.rs
+++ b/crates/place/src/engine.rs
@@ -54,7 +54,7 @@
         };
     }
 
-    /// Returns the engine's mean gap, or `default` if none has been measured.
+    /// Returns the engine's event gap, or `default` if none has been measured.
     pub(crate) fn mean_gap_or(&self, default: f64) -> f64 {
         match self.mean_gap > 0.0 {
             true => self.mean_gap,
--- a/crates/place/src/tracker.rs
+++ b/crates/place/src/tracker.rs
@@ -32,7 +32,7 @@
 /// local domain; a free or faster engine elsewhere still wins.
 const REMOTE_COST_MS: f64 = 2.0;
 
-/// Maximum ratio of gaps, new engine to current engine, for a run to move off an engine that is about to
+/// Maximum ratio of event gaps, new engine to current engine, for a run to move off an engine that is about to
 /// run out of memory: a suspended run stalls for a second or more.
 const MAX_SLOWDOWN: f64 = 1.6;
 
@@ -59,7 +59,7 @@
     pub memory: EngineMemory,
 }
 
-/// Time for which gap statistics are cached, in milliseconds: two events. Each run needs them every few
+/// Time for which event gap statistics are cached, in milliseconds: two events. Each run needs them every few
 /// events, and computing them visits thousands of engines.
 const GAP_STATS_TTL: Millis = 80;
 
@@ -74,7 +74,8 @@
     Fits(f64),
 }
 
-/// Statistics of the mean gaps between events of all measured engines.
+/// Statistics of the event gaps of all measured engines. The event gap of an engine is the mean time between two
+/// events of a run, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct GapStats {
     computed_at: Millis,
@@ -168,13 +169,13 @@
         self.engines.get(id).map_or(0, |engine| engine.own_runs)
     }
 
-    /// Returns the mean gap of an engine, or `default` if none has been measured.
+    /// Returns the event gap of an engine, or `default` if none has been measured.
     fn mean_gap(&self, id: &str, default: f64) -> f64 {
         let engine = self.engines.get(id);
         engine.map_or(default, |engine| engine.mean_gap_or(default))
     }
 
-    /// Returns gap statistics that are at most [`GAP_STATS_TTL`] old.
+    /// Returns event gap statistics that are at most [`GAP_STATS_TTL`] old.
     fn gap_stats(&self, now: Millis) -> GapStats {
         let cached = self.gap_stats.get();
         if let Some(cached) = cached.filter(|cached| now < cached.computed_at + GAP_STATS_TTL) {
@@ -194,7 +195,8 @@
         new
     }
 
-    /// Returns whether an engine can run a sample, and the cost per event.
+    /// Returns whether an engine can run a sample, and the cost per event. An engine without measurements is assumed
+    /// to have the event gap `default_gap`.
     ///
     /// This runs for all engines of a service at once, so each engine is looked up once, and the checks that
     /// exclude most engines come first.
@@ -239,7 +241,7 @@
         Evaluation::Fits(gap * (1.0 + 0.2 * utilization) + domain_cost)
     }
 
-    /// Returns the median of the engines' mean gaps, in milliseconds.
+    /// Returns the median of the engines' event gaps, in milliseconds.
     pub(crate) fn median_gap(&self, now: Millis) -> f64 {
         self.gap_stats(now).median
     }
--- a/crates/place/tests/place.rs
+++ b/crates/place/tests/place.rs
@@ -245,7 +245,7 @@
 #[test]
 fn longest_first_shortens_a_burst() {
     let samples: Vec<_> = (0..96)
-        .map(|at| sample(at, at / 4, if at % 11 == 10 { 125 } else { 25 }))
+        .map(|i| sample(i, i / 4, if i % 11 == 10 { 125 } else { 25 }))
         .collect();
 
     let before = makespan(&samples, 24);
@@ -364,18 +364,18 @@
     assert!(tracker.choose(&list, &growing(300), 0).is_none());
 }
 
-/// Engines with different slots, running samples, gaps and weight versions.
+/// Engines with different slots, running samples, event gaps and weight versions.
 fn mixed(engines: &[(u32, u32, u8, u64)]) -> (UpstreamList, EngineTracker) {
-    let name = |at: usize| format!("e{at:02}");
+    let name = |index: usize| format!("e{index:02}");
     let all = engines.iter().enumerate();
-    let listed = all.map(|(at, (slots, ..))| Upstream {
-        domain: ["nord", "syd"][at % 2].into(),
-        ..engine(&name(at), *slots, 1)
+    let listed = all.map(|(index, (slots, ..))| Upstream {
+        domain: ["nord", "syd"][index % 2].into(),
+        ..engine(&name(index), *slots, 1)
     });
     let list = upstream_list(listed.collect());
     let mut tracker = EngineTracker::default();
-    for (at, (_, runs, gap, version)) in engines.iter().enumerate() {
-        let id = id(&name(at));
+    for (index, (_, runs, gap, version)) in engines.iter().enumerate() {
+        let id = id(&name(index));
         (0..*runs).for_each(|_| tracker.run_started(&id, 50));
         if *gap > 0 {
             tracker.event_received(&id, f64::from(*gap));
