--- a/crates/weight/src/scheduler.rs
+++ b/crates/weight/src/scheduler.rs
@@ -98,7 +98,7 @@
         self.prune(engines);
         let new = engines.iter();
         let mut new: Vec<_> = new
-            .filter(|one| !self.assigned.contains_key(&one.id))
+            .filter(|engine| !self.assigned.contains_key(&engine.id))
             .collect();
         // Every leader must reach the same assignment, whatever the order in which engines are listed.
         new.sort_unstable_by(|a, b| a.id.cmp(&b.id));
@@ -182,9 +182,9 @@
         donor: &str,
         recipient: &str,
     ) -> Vec<&'a EngineState> {
-        let is_candidate = |one: &&EngineState| {
-            let assigned = self.assigned.get(&one.id);
-            one.version(recipient).is_some() && assigned.is_some_and(|model| **model == *donor)
+        let is_candidate = |engine: &&EngineState| {
+            let assigned = self.assigned.get(&engine.id);
+            engine.version(recipient).is_some() && assigned.is_some_and(|model| **model == *donor)
         };
         let mut candidates: Vec<_> = engines.iter().filter(is_candidate).collect();
         candidates.sort_unstable_by(|a, b| {
--- a/crates/weight/tests/plan.rs
+++ b/crates/weight/tests/plan.rs
@@ -8,11 +8,11 @@
 use weight::plan::QuarantineReason;
 use yare::parameterized;
 
-fn name(at: usize) -> Name {
-    format!("engine-{at}").parse().unwrap()
+fn name(index: usize) -> Name {
+    format!("engine-{index}").parse().unwrap()
 }
 
-fn one(version: u64) -> WeightState {
+fn state(version: u64) -> WeightState {
     WeightState {
         versions: vec![version],
         loading: None,
@@ -22,15 +22,15 @@
 fn loading(version: u64, next: u64) -> WeightState {
     WeightState {
         loading: Some(next),
-        ..one(version)
+        ..state(version)
     }
 }
 
 fn plan(width: usize, engines: usize, version: u64) -> Plan {
     let mut plan = Plan::new(width);
     plan.announce(version);
-    for at in 0..engines {
-        plan.record_state(&name(at), &one(version), 0);
+    for index in 0..engines {
+        plan.record_state(&name(index), &state(version), 0);
     }
     plan
 }
@@ -47,7 +47,7 @@
 
     let initial = orders(&plan.next_actions(0));
     let busy = orders(&plan.next_actions(10));
-    plan.record_state(&name(0), &one(2), 20);
+    plan.record_state(&name(0), &state(2), 20);
     let next = orders(&plan.next_actions(20));
 
     assert_eq!((initial, busy, next), (2, 0, 1));
@@ -80,8 +80,8 @@
 #[parameterized(
     two_versions = { WeightState { versions: vec![1, 2], loading: None }, QuarantineReason::Mixed },
     none = { WeightState::default(), QuarantineReason::Mixed },
-    went_back = { one(1), QuarantineReason::WentBack },
-    unannounced = { one(9), QuarantineReason::Unannounced },
+    went_back = { state(1), QuarantineReason::WentBack },
+    unannounced = { state(9), QuarantineReason::Unannounced },
 )]
 fn an_engine_with_contradictory_reports_is_quarantined(
     stated: WeightState,
@@ -92,7 +92,7 @@
     plan.record_state(&name(0), &stated, 0);
     let first = plan.next_actions(0);
     let repair = plan.next_actions(5_000);
-    plan.record_state(&name(0), &one(2), 6_000);
+    plan.record_state(&name(0), &state(2), 6_000);
     let end = plan.next_actions(6_000);
 
     let engine = name(0);
@@ -113,7 +113,7 @@
     let mut plan = plan(1, 1, 2);
     plan.remove_engine("engine-0");
 
-    plan.record_state(&name(0), &one(1), 0);
+    plan.record_state(&name(0), &state(1), 0);
 
     let engine = name(0);
     assert_eq!(plan.next_actions(0), [Action::Order { engine, version: 2 }]);
@@ -130,19 +130,19 @@
         let mut plan = Plan::new(width);
         let mut stated = [0; 4];
         let mut now = 0;
-        for (at, version, span) in steps {
+        for (index, version, span) in steps {
             now += span;
             plan.announce(version);
             if version <= plan.target() {
-                stated[at] = version;
-                plan.record_state(&name(at), &one(version), now);
+                stated[index] = version;
+                plan.record_state(&name(index), &state(version), now);
             }
             let actions = plan.next_actions(now);
             prop_assert!(orders(&actions) <= width);
             for action in actions {
                 if let Action::Order { engine, version } = action {
-                    let at = (0..4).find(|at| name(*at) == engine).unwrap();
-                    prop_assert!(version >= stated[at]);
+                    let index = (0..4).find(|index| name(*index) == engine).unwrap();
+                    prop_assert!(version >= stated[index]);
                     prop_assert_eq!(version, plan.target());
                 }
             }
--- a/crates/weight/tests/scheduler.rs
+++ b/crates/weight/tests/scheduler.rs
@@ -59,7 +59,7 @@
 #[test]
 fn engines_are_shared_evenly_between_models() {
     let engines: Vec<_> = (0..11)
-        .map(|at| engine(&format!("e{at:02}"), &[("a", 1), ("b", 1)], 0))
+        .map(|index| engine(&format!("e{index:02}"), &[("a", 1), ("b", 1)], 0))
         .collect();
     let mut scheduler = LoadScheduler::default();
 
@@ -120,20 +120,20 @@
 fn a_joining_or_leaving_engine_moves_at_most_one_engine() {
     let all = |count: usize| -> Vec<_> {
         (0..count)
-            .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
+            .map(|index| engine(&format!("e{index}"), &[("a", 1), ("b", 1)], 0))
             .collect()
     };
     let mut scheduler = LoadScheduler::default();
     let announced = targets(&[("a", 2), ("b", 2)]);
     scheduler.schedule(&all(8), 8, &announced);
     let before: Vec<_> = (0..7)
-        .map(|at| scheduler.assigned_model(&format!("e{at}")).cloned())
+        .map(|index| scheduler.assigned_model(&format!("e{index}")).cloned())
         .collect();
 
     scheduler.schedule(&all(7), 8, &announced);
 
     let after: Vec<_> = (0..7)
-        .map(|at| scheduler.assigned_model(&format!("e{at}")).cloned())
+        .map(|index| scheduler.assigned_model(&format!("e{index}")).cloned())
         .collect();
     let changed = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     assert!(changed <= 1);
@@ -142,7 +142,7 @@
 /// Engines of one model with these versions.
 fn engines(versions: &[Version]) -> Vec<EngineState> {
     let all = versions.iter().enumerate();
-    all.map(|(at, version)| engine(&format!("e{at}"), &[("m", *version)], 0))
+    all.map(|(index, version)| engine(&format!("e{index}"), &[("m", *version)], 0))
         .collect()
 }
 
@@ -245,11 +245,14 @@
         engine("a", &[("busy", 1), ("idle", 1)], 9),
         engine("b", &[("busy", 1), ("idle", 1)], 0),
     ];
-    let at = |announced_at| Target {
+    let announced = |announced_at| Target {
         announced_at,
         ..started(2, 1)
     };
-    let targets = [("busy".into(), at(0)), ("idle".into(), at(500))];
+    let targets = [
+        ("busy".into(), announced(0)),
+        ("idle".into(), announced(500)),
+    ];
 
     let loads = LoadScheduler::default().schedule(&engines, 1, &targets.into_iter().collect());
 
@@ -264,7 +267,7 @@
 #[test]
 fn a_model_gets_engines_in_proportion_to_its_work() {
     let engines: Vec<_> = (0..8)
-        .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
+        .map(|index| engine(&format!("e{index}"), &[("a", 1), ("b", 1)], 0))
         .collect();
     let targets = [("a", 3_000), ("b", 1_000)].map(|(model, work)| {
         let target = Target {
@@ -277,7 +280,7 @@
 
     scheduler.schedule(&engines, 8, &targets.into_iter().collect());
 
-    let assigned = (0..8).filter_map(|at| scheduler.assigned_model(&format!("e{at}")));
+    let assigned = (0..8).filter_map(|index| scheduler.assigned_model(&format!("e{index}")));
     assert_eq!(assigned.filter(|model| &***model == "a").count(), 6);
 }
 
@@ -286,7 +289,7 @@
 #[test]
 fn a_small_change_of_work_moves_no_engine() {
     let engines: Vec<_> = (0..8)
-        .map(|at| engine(&format!("e{at}"), &[("a", 1), ("b", 1)], 0))
+        .map(|index| engine(&format!("e{index}"), &[("a", 1), ("b", 1)], 0))
         .collect();
     let mut scheduler = LoadScheduler::default();
     let mut assigned = Vec::new();
@@ -299,7 +302,7 @@
 
         scheduler.schedule(&engines, 8, &targets.into_iter().collect());
 
-        let now = (0..8).map(|at| scheduler.assigned_model(&format!("e{at}")).cloned());
+        let now = (0..8).map(|index| scheduler.assigned_model(&format!("e{index}")).cloned());
         assigned.push(now.collect::<Vec<_>>());
     }
 
@@ -313,23 +316,23 @@
 #[test]
 fn only_as_many_engines_load_as_the_samples_fill() {
     let mut all: Vec<_> = (0..3_000)
-        .map(|at| engine(&format!("e{at:04}"), &[("m", 1)], 0))
+        .map(|index| engine(&format!("e{index:04}"), &[("m", 1)], 0))
         .collect();
     let mut scheduler = LoadScheduler::default();
     let mut demand = Demand::default();
     let mut used = std::collections::BTreeSet::new();
     let mut orders = 0;
     for step in 1..=5 {
-        let at = step * 4_000;
-        demand.record_announcement(step + 1, at);
-        demand.record_step(step, 1, 344, at);
-        for now in (at..at + 4_000).step_by(1_000) {
+        let opened_at = step * 4_000;
+        demand.record_announcement(step + 1, opened_at);
+        demand.record_step(step, 1, 344, opened_at);
+        for now in (opened_at..opened_at + 4_000).step_by(1_000) {
             let targets = [("m".into(), demand.target(now))].into_iter().collect();
             let loads = scheduler.schedule(&all, 600, &targets);
             orders += loads.len();
             for load in loads {
                 used.insert(load.id.to_string());
-                let engine = all.iter_mut().find(|one| one.id == load.id).unwrap();
+                let engine = all.iter_mut().find(|engine| engine.id == load.id).unwrap();
                 engine.models = vec![("m".into(), load.version)];
             }
         }
@@ -347,14 +350,14 @@
     demand.record_announcement(2, 0);
     demand.record_step(2, 1, 12, 0);
     let all: Vec<_> = (0..9)
-        .map(|at| engine(&format!("e{at}"), &[("m", 1)], 0))
+        .map(|index| engine(&format!("e{index}"), &[("m", 1)], 0))
         .collect();
     let targets = [("m".into(), demand.target(9_000))].into_iter().collect();
     let first = scheduler.schedule(&all, 9, &targets);
 
     let rest: Vec<_> = all
         .into_iter()
-        .filter(|one| one.id != first[0].id)
+        .filter(|engine| engine.id != first[0].id)
         .collect();
     let second = scheduler.schedule(&rest, 9, &targets);
 
@@ -362,12 +365,13 @@
     assert!(second.iter().all(|load| load.id != first[0].id));
 }
 
-// Guards against loads of engines that are reassigned because a new leader lists them in another order.
+// Guards against loads on engines that a new leader assigns to another model only because it lists the engines in
+// another order.
 #[test]
-fn the_order_in_which_engines_are_listed_changes_nothing() {
+fn assignment_does_not_depend_on_the_order_of_engines() {
     let models = [("a", 1), ("b", 1), ("c", 1)];
     let mut engines: Vec<_> = (0..20)
-        .map(|at| engine(&format!("e{at:02}"), &models, 0))
+        .map(|index| engine(&format!("e{index:02}"), &models, 0))
         .collect();
     let targets = [("a", 3_000), ("b", 1_000), ("c", 1_000)].map(|(model, work)| {
         let target = Target {
@@ -383,12 +387,12 @@
     engines.reverse();
     second.schedule(&engines, 20, &targets);
 
-    for one in &engines {
+    for engine in &engines {
         assert_eq!(
-            first.assigned_model(&one.id),
-            second.assigned_model(&one.id),
+            first.assigned_model(&engine.id),
+            second.assigned_model(&engine.id),
             "{}",
-            one.id
+            engine.id
         );
     }
 }
