--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -22,8 +22,8 @@
 /// Time that a suspected instance has to refute the suspicion.
 pub const SUSPICION_TIMEOUT: Millis = 5_000;
 
-/// Time after which a dead instance is forgotten.
-pub const FORGET_AFTER: Millis = 60_000;
+/// Time after which a dead instance is removed from the view.
+pub const DEAD_RETENTION: Millis = 60_000;
 
 /// Maximum number of peers that are asked to probe an instance that did not answer.
 pub const MAX_HELPERS: usize = 2;
@@ -159,7 +159,7 @@
     }
 
     /// Number of instances that a limit is split over: all but those that left. An instance that does not answer may
-    /// be cut off and still serve, so it counts until it is forgotten.
+    /// be cut off and still serve, so it counts until it is removed.
     pub fn limit_shares(&self) -> usize {
         self.all().filter(|m| m.state != MemberState::Left).count()
     }
@@ -224,8 +224,8 @@
     fn expire_suspects(&mut self, now: Millis) {
         let mut dead = Vec::new();
         for known in self.others.values_mut() {
-            let over = now >= known.since + SUSPICION_TIMEOUT;
-            if known.member.state == MemberState::Suspect && over {
+            let timed_out = now >= known.since + SUSPICION_TIMEOUT;
+            if known.member.state == MemberState::Suspect && timed_out {
                 known.member.state = MemberState::Dead;
                 known.since = now;
                 dead.push(known.member.clone());
@@ -236,7 +236,7 @@
             self.broadcast.add(Rumour::Member(member));
         }
         self.others
-            .retain(|_, k| k.member.state.is_live() || now < k.since + FORGET_AFTER);
+            .retain(|_, known| known.member.state.is_live() || now < known.since + DEAD_RETENTION);
     }
 
     /// Records that a probed instance answered.
@@ -244,8 +244,9 @@
         self.receive(Rumour::Member(member.clone()), now);
     }
 
-    /// Records that an instance did not answer; `asked` tells whether helpers have tried as well.
-    pub fn probe_failed(&mut self, name: &str, asked: bool, now: Millis) -> ProbeFailure {
+    /// Records that an instance did not answer; `helpers_asked` tells whether
+    /// other instances were also asked to probe it.
+    pub fn probe_failed(&mut self, name: &str, helpers_asked: bool, now: Millis) -> ProbeFailure {
         let Some(known) = self.others.get(name) else {
             return ProbeFailure::NotAlive;
         };
@@ -258,7 +259,7 @@
             .take(MAX_HELPERS)
             .map(Probe::of)
             .collect();
-        if !asked && !helpers.is_empty() {
+        if !helpers_asked && !helpers.is_empty() {
             return ProbeFailure::AskHelpers(helpers);
         }
         self.suspect(name, now)
@@ -317,7 +318,7 @@
         if known.is_some_and(|known| !known.member.is_superseded_by(rumour)) {
             return false;
         }
-        // A dead instance that was forgotten is not added again.
+        // A dead instance that was removed is not added again.
         if known.is_none() && !rumour.state.is_live() {
             return false;
         }
--- a/crates/fleet/tests/domains.rs
+++ b/crates/fleet/tests/domains.rs
@@ -123,7 +123,7 @@
 
         let received = run(&mut views, observed, observed + REPORT_DEADLINE, &pauses);
 
-        let others: Vec<_> = received.keys().filter(|at| **at > 0).copied().collect();
+        let others: Vec<_> = received.keys().filter(|index| **index > 0).copied().collect();
         prop_assert_eq!(others, [1, 2, 3], "{:?} after {}", received, observed);
     }
 }
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -8,7 +8,7 @@
 use fleet::View;
 use fleet::lease::HolderAction;
 use fleet::rumour::Demand;
-use fleet::view::FORGET_AFTER;
+use fleet::view::DEAD_RETENTION;
 use fleet::view::PROBE_INTERVAL;
 use fleet::view::ProbeFailure;
 use fleet::view::SUSPICION_TIMEOUT;
@@ -63,7 +63,7 @@
     let during = state_of(&view, "b");
     view.tick(100 + SUSPICION_TIMEOUT);
     let after = state_of(&view, "b");
-    view.tick(100 + SUSPICION_TIMEOUT + FORGET_AFTER);
+    view.tick(100 + SUSPICION_TIMEOUT + DEAD_RETENTION);
 
     assert!(matches!(first, ProbeFailure::AskHelpers(helpers) if &*helpers[0].name == "c"));
     assert_eq!(second, ProbeFailure::Suspected);
@@ -265,9 +265,9 @@
             let mut lose = || { sent += 1; lost.contains(&sent) };
             round(&mut views, &up, turn * PROBE_INTERVAL, &mut lose);
         }
-        for (at, view) in views.iter().enumerate().filter(|(at, _)| up[*at]) {
+        for (index, view) in views.iter().enumerate().filter(|(index, _)| up[*index]) {
             let live = view.live().count();
-            prop_assert_eq!(live, 5, "{} sees {:?}", names[at], view.all().collect::<Vec<_>>());
+            prop_assert_eq!(live, 5, "{} sees {:?}", names[index], view.all().collect::<Vec<_>>());
         }
     }
 
