--- a/crates/spread/tests/read_budget.rs
+++ b/crates/spread/tests/read_budget.rs
@@ -21,7 +21,7 @@
         let rounds = rounds_per_read(members, entries);
 
         for round in 0..20 {
-            let reads = |at: &usize| is_turn(&format!("n{at}"), round, rounds);
+            let reads = |index: &usize| is_turn(&format!("n{index}"), round, rounds);
             let reads = (0..members).filter(reads).count();
             // Turns are distributed by a hash of the name, so some rounds have a few more reads.
             let bytes = reads * entries * ENTRY_BYTES;
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -21,8 +21,8 @@
     }
 }
 
-fn key(at: usize) -> String {
-    format!("u{at:05}")
+fn key(index: usize) -> String {
+    format!("u{index:05}")
 }
 
 /// A read of a list that did not change during the read.
@@ -33,21 +33,21 @@
 /// A replica with `count` entries; the entry at index n last changed at revision n + 1.
 fn replica(count: usize) -> Replica {
     let mut replica = Replica::default();
-    let items = (0..count).map(|at| item(&key(at), at as i64 + 1));
+    let items = (0..count).map(|i| item(&key(i), i as i64 + 1));
     replica.apply_read(read(items.collect(), count as i64), 1, 0);
     replica
 }
 
 /// Polls until there are no more updates; returns the number of entries received and of replies.
 fn follow(replica: &mut Replica, source: &Replica) -> (usize, usize) {
-    let (mut items, mut answers) = (0, 0);
+    let (mut items, mut replies) = (0, 0);
     while source.has_more(replica.sync_state(0), 0) {
         let update = source.update_since(replica.sync_state(0), 0);
         items += update.items.len();
-        answers += 1;
+        replies += 1;
         replica.merge(&update, 0);
     }
-    (items, answers)
+    (items, replies)
 }
 
 // Guards against sending the whole list after each read.
@@ -55,7 +55,7 @@
 fn unchanged_entries_are_not_sent() {
     let mut replica = replica(200);
     let state = replica.sync_state(0);
-    let items = (0..200).map(|at| item(&key(at), if at == 7 { 201 } else { at as i64 + 1 }));
+    let items = (0..200).map(|i| item(&key(i), if i == 7 { 201 } else { i as i64 + 1 }));
 
     replica.apply_read(read(items.collect(), 201), 2, 850);
 
@@ -71,32 +71,32 @@
     let (mut second, mut follower) = (Replica::default(), Replica::default());
     follow(&mut second, &first);
     follow(&mut follower, &first);
-    let items = (3..10_000).map(|at| item(&key(at), at as i64 + 1));
+    let items = (3..10_000).map(|i| item(&key(i), i as i64 + 1));
     first.apply_read(read(items.collect(), 10_001), 2, 0);
     follow(&mut second, &first);
 
-    let (items, answers) = follow(&mut follower, &second);
+    let (items, replies) = follow(&mut follower, &second);
 
-    assert_eq!((items, answers), (0, 1));
+    assert_eq!((items, replies), (0, 1));
     assert_eq!(follower.len(), 9_997);
 }
 
-// Guards against a reply so large that it times out on a slow link and is started again.
+// Guards against a reply so large that it times out on a slow link and is sent again from the start.
 #[test]
-fn a_long_list_is_sent_in_parts_that_can_be_forwarded() {
+fn a_long_list_is_sent_in_parts_that_are_forwarded_before_it_is_complete() {
     let source = replica(10_000);
     let (mut near, mut far) = (Replica::default(), Replica::default());
 
     let update = source.update_since(near.sync_state(0), 0);
     near.merge(&update, 0);
-    let (early, _) = follow(&mut far, &near);
+    let (forwarded, _) = follow(&mut far, &near);
 
     assert_eq!(update.items.len(), PART_ENTRIES);
-    assert_eq!(early, PART_ENTRIES);
+    assert_eq!(forwarded, PART_ENTRIES);
     assert!(!near.is_complete() && !far.is_complete());
-    let (rest, answers) = follow(&mut near, &source);
+    let (rest, replies) = follow(&mut near, &source);
     assert_eq!(
-        (rest, answers),
+        (rest, replies),
         (10_000 - PART_ENTRIES, 10_000 / PART_ENTRIES)
     );
     follow(&mut far, &near);
@@ -104,13 +104,13 @@
     assert_eq!(far.len(), 10_000);
 }
 
-// Guards against an instance that considers its list complete when the source of the remaining parts has an older one.
+// Guards against an instance that considers its list complete although it received the remaining parts of an older list.
 #[test]
 fn a_part_with_the_rest_of_an_older_list_is_incomplete() {
     let old = replica(1_000);
     let mut new = Replica::default();
     follow(&mut new, &old);
-    let items = (0..1_000).map(|at| item(&key(at), if at == 5 { 1_001 } else { at as i64 + 1 }));
+    let items = (0..1_000).map(|i| item(&key(i), if i == 5 { 1_001 } else { i as i64 + 1 }));
     new.apply_read(read(items.collect(), 1_001), 2, 0);
     let mut follower = Replica::default();
     follower.merge(&new.update_since(follower.sync_state(0), 0), 0);
@@ -130,7 +130,7 @@
     let state = replica.sync_state(900);
 
     let before = replica.has_more(state, 900);
-    let items = (0..3).map(|at| item(&key(at), at as i64 + 1));
+    let items = (0..3).map(|i| item(&key(i), i as i64 + 1));
     replica.apply_read(read(items.collect(), 3), 2, 900);
 
     assert!(!before);
@@ -227,9 +227,9 @@
 
 impl Store {
     fn change(&mut self, block: usize, exists: bool) {
-        for at in block * BLOCK_KEYS..(block + 1) * BLOCK_KEYS {
+        for index in block * BLOCK_KEYS..(block + 1) * BLOCK_KEYS {
             self.rev += 1;
-            let key = key(at);
+            let key = key(index);
             if exists {
                 let created = self
                     .items
@@ -260,7 +260,7 @@
     fn check(&self, replica: &Replica) -> Result<(), TestCaseError> {
         let mut all = Replica::default();
         follow(&mut all, replica);
-        prop_assert_eq!(all.len(), replica.len(), "some entries are not sent on");
+        prop_assert_eq!(all.len(), replica.len(), "some entries are not forwarded");
         let mut have: BTreeMap<String, i64> = BTreeMap::new();
         let mut rev = 0;
         while rev < replica.rev() {
@@ -298,7 +298,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    // Guards against a change that no instance sends on. Combines arbitrary changes, also during a read, two readers,
+    // Guards against a change that no instance forwards. Combines arbitrary changes, also during a read, two readers,
     // followers that poll any instance for one part or for all, and restarts.
     #[test]
     fn replicas_that_merge_updates_have_the_whole_list(
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -16,15 +16,15 @@
 const STRONG_PER_DOMAIN: usize = 10;
 
 fn members(count: usize) -> Vec<Member> {
-    let member = |at: usize| Member {
+    let member = |index: usize| Member {
         owner: batch::Owner {
-            instance: format!("n{at}").into(),
+            instance: format!("n{index}").into(),
             start: 1,
         },
-        domain: format!("d{}", at % DOMAINS).into(),
-        addr: SocketAddr::from(([127, 0, 0, 1], at as u16 + 1)),
+        domain: format!("d{}", index % DOMAINS).into(),
+        addr: SocketAddr::from(([127, 0, 0, 1], index as u16 + 1)),
         is_reader: true,
-        centicores: if at < STRONG_PER_DOMAIN * DOMAINS {
+        centicores: if index < STRONG_PER_DOMAIN * DOMAINS {
             50
         } else {
             12
