--- a/crates/limit/src/queue.rs
+++ b/crates/limit/src/queue.rs
@@ -78,9 +78,9 @@
     }
 }
 
-/// Minimum time left after the expected wait for a request to be queued, in multiples of its expected work.
+/// Minimum time between the expected start of a request and its deadline, in multiples of its service time.
 /// Waiting and service times vary, and a request rejected late has delayed others for nothing.
-const WORK_MARGIN: u64 = 2;
+const SERVICE_TIME_FACTOR: u64 = 2;
 
 /// Weight of the newest departure interval in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.05;
@@ -124,16 +124,16 @@
         (self.mean_interval * ahead as f64) as Millis
     }
 
-    /// Queues an arriving request that takes about `work` milliseconds to run, or rejects it.
+    /// Queues an arriving request with an expected service time of `service_time` milliseconds, or rejects it.
     ///
-    /// Only requests with the same or a lower rank count as ahead of it, so a contract within its share
-    /// isn't rejected because of another contract's backlog.
+    /// Only requests with the same or a lower rank count as ahead of it, so a request of a contract
+    /// within its share isn't rejected because of another contract's backlog.
     pub fn push(
         &mut self,
         now: Millis,
         entry: &QueueEntry,
         deadline: Millis,
-        work: Millis,
+        service_time: Millis,
         value: T,
     ) -> QueueDecision {
         if self.heap.len() >= self.capacity {
@@ -147,7 +147,7 @@
             .filter(|queued| queued.rank <= rank)
             .count();
         let wait = self.expected_wait(ahead);
-        if now + wait + WORK_MARGIN * work > deadline {
+        if now + wait + SERVICE_TIME_FACTOR * service_time > deadline {
             return QueueDecision::DeadlineTooClose {
                 retry_after: wait.max(1),
             };
@@ -162,18 +162,18 @@
         QueueDecision::Queued(self.last_ticket)
     }
 
-    /// Returns the request that leaves next, and whether it has expired: at most `work` milliseconds are
+    /// Returns the request that leaves next, and whether it has expired: at most `service_time` milliseconds are
     /// left before its deadline, so running it would be wasted work.
-    pub fn peek(&self, now: Millis, work: Millis) -> Option<(&T, bool)> {
+    pub fn peek(&self, now: Millis, service_time: Millis) -> Option<(&T, bool)> {
         let queued = self.heap.peek()?;
-        Some((&queued.value, queued.deadline <= now + work))
+        Some((&queued.value, queued.deadline <= now + service_time))
     }
 
-    /// Removes the next request; it is [`Dequeued::Expired`] if at most `work` milliseconds are left before
+    /// Removes the next request; it is [`Dequeued::Expired`] if at most `service_time` milliseconds are left before
     /// its deadline.
-    pub fn pop(&mut self, now: Millis, work: Millis) -> Option<Dequeued<T>> {
+    pub fn pop(&mut self, now: Millis, service_time: Millis) -> Option<Dequeued<T>> {
         let queued = self.heap.pop()?;
-        if queued.deadline <= now + work {
+        if queued.deadline <= now + service_time {
             return Some(Dequeued::Expired(queued.value));
         }
         self.ranker.dispatched(queued.rank);
--- a/crates/limit/tests/limit.rs
+++ b/crates/limit/tests/limit.rs
@@ -72,7 +72,7 @@
 }
 
 // Guards against a customer within its share waiting behind another's backlog: `surge` queues 50 requests, then
-// `calm` sends one. First come, first served shows the failure.
+// `calm` sends one. The `fifo` case shows the failure.
 #[parameterized(
     fair = { "fair", 2 },
     fifo = { "fifo", 51 },
@@ -175,10 +175,10 @@
         let total: f64 = demands
             .iter()
             .enumerate()
-            .map(|(at, mine)| {
+            .map(|(index, demand)| {
                 let mut others = demands.clone();
-                others.remove(at);
-                LimitShare::split(demands.len(), &others, *mine).fraction()
+                others.remove(index);
+                LimitShare::split(demands.len(), &others, *demand).fraction()
             })
             .sum();
         prop_assert!((total - 1.0).abs() < 1e-6, "{total}");
