--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -87,7 +87,7 @@
     Done,
 }
 
-/// What became of the sample of a finished attempt.
+/// Result of a finished attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishResult {
     /// It was accepted as the result of the sample.
@@ -304,15 +304,16 @@
         }
     }
 
-    /// Records that an attempt was sent to an engine. Its token rate is measured from here, not
-    /// from when it began to wait for an engine.
+    /// Records that an attempt was sent to an engine. Its token rate is measured from this time,
+    /// which excludes the wait for an engine.
     pub fn mark_sent(&mut self, index: u32, ordinal: u32, now: Millis) {
         if let Some(attempt) = self.running_attempt(index, ordinal) {
             attempt.sent_at = Some(now);
         }
     }
 
-    /// Records that an attempt has reached `tokens` tokens; returns whether it is still wanted.
+    /// Records that an attempt has reached `tokens` tokens; returns whether it is
+    /// still running. If not, its output will be discarded.
     pub fn record_progress(&mut self, index: u32, ordinal: u32, tokens: u32) -> bool {
         let Some(attempt) = self.running_attempt(index, ordinal) else {
             return false;
--- a/crates/step/src/sample.rs
+++ b/crates/step/src/sample.rs
@@ -42,7 +42,7 @@
     pub index: u32,
     /// The index of its group.
     pub group: u32,
-    /// The text.
+    /// The generated text.
     pub text: String,
     /// Number of tokens in the text.
     pub tokens: u32,
--- a/crates/step/tests/assembly.rs
+++ b/crates/step/tests/assembly.rs
@@ -108,9 +108,9 @@
     ) {
         let mut chunks = Vec::new();
         let mut offset = 0;
-        for (at, part) in parts.iter().enumerate() {
-            let end = at + 1 == parts.len();
-            chunks.push(chunk(offset, part, 1 + at as u64 / 3, end));
+        for (index, part) in parts.iter().enumerate() {
+            let end = index + 1 == parts.len();
+            chunks.push(chunk(offset, part, 1 + index as u64 / 3, end));
             offset += part.len() as u32;
         }
         let mut assembly = Assembly::new(attempt(0));
