--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -396,7 +396,7 @@
     fn merge(&mut self, segment: &Segment) {
         if segment.seq > self.next_seq {
             // The missing segments have expired, and so has everything written before them.
-            self.drop_below(segment.seq);
+            self.remove_segments_below(segment.seq);
         }
         let mut newest = 0;
         let mut keys = Vec::new();
@@ -418,7 +418,7 @@
         self.segment_times.insert(segment.seq, newest.max(before));
         self.segment_keys.insert(segment.seq, keys);
         self.next_seq = segment.seq + 1;
-        self.drop_below(segment.min_seq);
+        self.remove_segments_below(segment.min_seq);
     }
 
     fn apply(&mut self, record: &Record, seq: u64) {
@@ -444,16 +444,17 @@
                 }
             }
             Record::Release { key, attempt } => {
-                let same = |entry: &Entry| entry.attempt == *attempt && entry.outcome.is_none();
-                if self.entries.get(key).is_some_and(same) {
+                let is_pending =
+                    |entry: &Entry| entry.attempt == *attempt && entry.outcome.is_none();
+                if self.entries.get(key).is_some_and(is_pending) {
                     self.entries.remove(key);
                 }
             }
         }
     }
 
-    /// Forgets all segments below `min_seq`.
-    fn drop_below(&mut self, min_seq: u64) {
+    /// Removes all segments with a sequence number below `min_seq` and the keys that they contain.
+    fn remove_segments_below(&mut self, min_seq: u64) {
         if min_seq <= self.min_seq {
             return;
         }
