--- a/crates/crash/src/report.rs
+++ b/crates/crash/src/report.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Decodes a record. Records of the previous version have no observations by group.
+/// Decodes a record. The previous version wrote only the observations of exact requests.
 fn decode(item: &Item) -> Result<Observations, rmp_serde::decode::Error> {
     rmp_serde::from_slice(&item.value).or_else(|_| {
         let exact = rmp_serde::from_slice(&item.value)?;
@@ -107,18 +107,18 @@
     })
 }
 
-/// Returns whether no entry of a record counts any more.
+/// Returns whether all observations in a record are older than [`CRASH_TTL_MS`].
 fn is_expired(item: &Item, now: Millis) -> bool {
     let Ok(observed) = decode(item) else {
         // A record that cannot be decoded may be of a newer version.
         return false;
     };
-    let times = |report: &Report| {
+    let newest_time = |report: &Report| {
         let crashes = report.crashes.iter().map(|crash| crash.at);
         let successes = report.successes.iter().map(|success| success.at);
         crashes.chain(successes).max()
     };
-    let newest = times(&observed.exact).max(times(&observed.group));
+    let newest = newest_time(&observed.exact).max(newest_time(&observed.group));
     newest.is_none_or(|newest| newest + CRASH_TTL_MS < now)
 }
 
