--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -151,7 +151,7 @@
     let sent = sent(job, trace);
     // Whether an attempt before may have run; a refusal speaks of all of them.
     let mut before = Attempt::new().refuse();
-    job.dispatcher.earn();
+    job.dispatcher.earn_retry();
     loop {
         sent.check(app, job.deadline, before).await?;
         ask.avoid.extend(sent.apart(app));
@@ -185,7 +185,7 @@
             attempts: trace.attempts,
             deadline: job.deadline,
         };
-        match job.dispatcher.retry(failure) {
+        match job.dispatcher.decide_retry(failure) {
             Decision::Retry(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
             Decision::Stop(stop) => return Err(forward::given_up(stop, before, why.to_string())),
         }
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -82,9 +82,9 @@
 
 impl Permit {
     /// Ends with what came of it.
-    pub fn end(mut self, well: bool) {
+    pub fn finish(mut self, succeeded: bool) {
         let latency = (self.dispatcher.clock.now() - self.began) as f64;
-        let outcome = match well {
+        let outcome = match succeeded {
             true => Outcome::Answered(latency),
             false => Outcome::Failed,
         };
@@ -98,7 +98,7 @@
     pub fn timed_out(mut self, limit: Millis) {
         let mut usual = 0.0;
         self.dispatcher
-            .update(&self.spec.name, |u| usual = u.latency);
+            .update_upstream(&self.spec.name, |u| usual = u.latency);
         let outcome = match limit as f64 >= SILENT * usual {
             true => Outcome::Failed,
             false => Outcome::Neutral,
@@ -110,7 +110,7 @@
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        self.dispatcher.done(&self.spec.name, outcome);
+        self.dispatcher.record_outcome(&self.spec.name, outcome);
     }
 }
 
@@ -242,7 +242,7 @@
     }
 
     /// Lets waiting requests go while there is room.
-    pub fn pump(self: &Arc<Self>) {
+    pub fn grant_waiting(self: &Arc<Self>) {
         let now = self.clock.now();
         let mut granted = Vec::new();
         let mut state = self.state.lock();
@@ -268,7 +268,7 @@
         }
     }
 
-    fn done(self: &Arc<Self>, name: &str, outcome: Outcome) {
+    fn record_outcome(self: &Arc<Self>, name: &str, outcome: Outcome) {
         let word = match outcome {
             Outcome::Answered(_) => "answered",
             Outcome::Failed => "failed",
@@ -281,48 +281,48 @@
         .increment(1);
         let now = self.clock.now();
         self.state.lock().pool.finish(name, outcome, now);
-        self.pump();
+        self.grant_waiting();
     }
 
     /// Counts a first attempt towards the budget for retries.
-    pub fn earn(&self) {
+    pub fn earn_retry(&self) {
         self.state.lock().budget.earn();
     }
 
     /// Decides what follows a failed attempt.
-    pub fn retry(&self, failure: Failure) -> Decision {
+    pub fn decide_retry(&self, failure: Failure) -> Decision {
         let now = self.clock.now();
         let jitter = rand::random();
         decide(failure, &mut self.state.lock().budget, now, jitter)
     }
 
     /// Changes the health of an upstream, if this dispatcher has it.
-    pub fn judge(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Health)) {
+    pub fn update_health(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Health)) {
         self.state.lock().pool.update_health(name, f);
-        self.pump();
+        self.grant_waiting();
     }
 
     /// Changes what is known of an upstream, if this dispatcher has it.
-    pub fn update(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Upstream)) {
+    pub fn update_upstream(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Upstream)) {
         if let Some(upstream) = self.state.lock().pool.find_mut(name) {
             f(upstream);
         }
-        self.pump();
+        self.grant_waiting();
     }
 
     /// Notes what an upstream says it is working on.
-    pub fn heard(self: &Arc<Self>, name: &str, running: u32) {
+    pub fn record_report(self: &Arc<Self>, name: &str, running: u32) {
         let now = self.clock.now();
-        self.update(name, |upstream| upstream.record_report(running, now));
+        self.update_upstream(name, |upstream| upstream.record_report(running, now));
     }
 
     /// Notes how many instances share the upstreams.
-    pub fn share(&self, live: u32) {
+    pub fn set_instances(&self, live: u32) {
         self.state.lock().pool.set_instances(live);
     }
 
     /// Runs `f` on all upstreams.
-    pub fn all<R>(&self, f: impl FnOnce(&[Upstream]) -> R) -> R {
+    pub fn with_upstreams<R>(&self, f: impl FnOnce(&[Upstream]) -> R) -> R {
         f(self.state.lock().pool.upstreams())
     }
 }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -217,7 +217,7 @@
     let sent = Sent { print, id };
     // Whether an attempt before may have run; a refusal speaks of all of them.
     let mut before = Attempt::new().refuse();
-    dispatcher.earn();
+    dispatcher.earn_retry();
     loop {
         let attempt = Attempt::new();
         sent.check(app, outbound.deadline, before).await?;
@@ -249,7 +249,7 @@
             attempts: trace.attempts,
             deadline: outbound.deadline,
         };
-        match dispatcher.retry(failure) {
+        match dispatcher.decide_retry(failure) {
             Decision::Retry(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
             Decision::Stop(stop) => return Err(given_up(stop, before, why)),
         }
@@ -315,16 +315,16 @@
         Ok(answer) => {
             notice(dispatcher, &permit.spec.name, &answer);
             if failed(answer.status()) && outbound.idempotent {
-                permit.end(false);
+                permit.finish(false);
                 return Err((attempt.fail(), format!("status {}", answer.status())));
             }
-            permit.end(!failed(answer.status()));
+            permit.finish(!failed(answer.status()));
             attempt.answer();
             sent.answered(app, answer.status());
             Ok(answer)
         }
         Err(SendError::Unconnected) => {
-            permit.end(false);
+            permit.finish(false);
             let attempt = attempt.unconnected(NoConnection::connect_failed());
             Err((attempt.refuse(), SendError::Unconnected.to_string()))
         }
@@ -333,7 +333,7 @@
             Err((attempt.fail(), SendError::Late.to_string()))
         }
         Err(error) => {
-            permit.end(false);
+            permit.finish(false);
             if matches!(error, SendError::Broken) {
                 sent.broke(app, &spec).await;
             }
@@ -355,12 +355,12 @@
     let headers = answer.headers();
     let number = |name: &str| headers.get(name)?.to_str().ok()?.parse::<u32>().ok();
     if headers.contains_key(LEAVING) {
-        dispatcher.judge(name, |health| {
+        dispatcher.update_health(name, |health| {
             health.set_leaving(LeavingSource::Upstream, true)
         });
     }
     if let Some(running) = number(RUNNING) {
-        dispatcher.heard(name, running);
+        dispatcher.record_report(name, running);
     }
 }
 
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -203,14 +203,14 @@
     let running = answer.headers().get(RUNNING);
     let running = running.and_then(|value| value.to_str().ok()?.parse().ok());
     if let (Some(dispatcher), Some(running)) = (app.dispatchers.get(&permit.spec.pool), running) {
-        dispatcher.heard(&permit.spec.name, running);
+        dispatcher.record_report(&permit.spec.name, running);
     }
 }
 
 /// Takes in the weight version that a stream named, which is newer than any report.
 fn learn(app: &App, permit: &Permit, version: u64) {
     if let (Some(dispatcher), 1..) = (app.dispatchers.get(&permit.spec.pool), version) {
-        dispatcher.update(&permit.spec.name, |upstream| {
+        dispatcher.update_upstream(&permit.spec.name, |upstream| {
             upstream.version = Some(version)
         });
     }
@@ -221,11 +221,11 @@
     let name = permit.spec.name.clone();
     let dispatcher = app.dispatchers.get(&permit.spec.pool).cloned();
     match end {
-        End::Whole => permit.end(true),
+        End::Whole => permit.finish(true),
         // Old weights are no failure: the engine waits for its order.
         End::Unwanted | End::Early(_, Why::Old) => drop(permit),
         End::Early(_, why) => {
-            permit.end(false);
+            permit.finish(false);
             if let (Some(dispatcher), Why::Contradiction(fault)) = (dispatcher, why) {
                 log::warn!(
                     target: "entry",
@@ -233,7 +233,7 @@
                     error = fault.to_string().as_str();
                     "quarantined"
                 );
-                dispatcher.judge(&name, |health| health.set_quarantined(true));
+                dispatcher.update_health(&name, |health| health.set_quarantined(true));
             }
         }
     }
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -148,7 +148,7 @@
     metrics::gauge!(meter::MEMBERS, "instance" => instance).set(live as f64);
     app.dispatchers
         .values()
-        .for_each(|dispatcher| dispatcher.share(live as u32));
+        .for_each(|dispatcher| dispatcher.set_instances(live as u32));
 }
 
 /// Probes a peer, then through helpers if it is silent.
--- a/crates/serve/src/operator.rs
+++ b/crates/serve/src/operator.rs
@@ -27,7 +27,7 @@
     let now = app.clock.now();
     let mut upstreams = Vec::new();
     for dispatcher in app.dispatchers.values() {
-        dispatcher.all(|all| upstreams.extend(all.iter().map(|u| upstream(u, now))));
+        dispatcher.with_upstreams(|all| upstreams.extend(all.iter().map(|u| upstream(u, now))));
     }
     upstreams.sort_by(|a, b| a.name.cmp(&b.name));
     let view = app.view.lock();
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -32,7 +32,7 @@
             .filter(|dispatcher| dispatcher.kind == UpstreamKind::Engine)
         {
             let specs: Vec<UpstreamSpec> =
-                dispatcher.all(|all| all.iter().map(|u| u.spec.clone()).collect());
+                dispatcher.with_upstreams(|all| all.iter().map(|u| u.spec.clone()).collect());
             for spec in specs {
                 if !is_mine(&app, &spec) {
                     continue;
@@ -67,7 +67,7 @@
 
 /// Takes over what an engine states.
 pub fn believe(dispatcher: &Arc<Dispatcher>, name: &str, version: Option<u64>, leaving: bool) {
-    dispatcher.update(name, |upstream| {
+    dispatcher.update_upstream(name, |upstream| {
         upstream.version = version.or(upstream.version);
         upstream
             .health
@@ -85,7 +85,7 @@
         return;
     };
     let single = load.stated.single_version();
-    let before = dispatcher.all(|all| {
+    let before = dispatcher.with_upstreams(|all| {
         let found = all.iter().find(|u| u.spec.name == spec.name);
         found.map(|u| {
             (
@@ -95,7 +95,7 @@
             )
         })
     });
-    dispatcher.heard(&spec.name, load.running);
+    dispatcher.record_report(&spec.name, load.running);
     believe(dispatcher, &spec.name, single, load.leaving);
     let Some((version, quarantined, leaving)) = before else {
         return;
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -130,7 +130,7 @@
     let spec = permit.spec.clone();
     let stay = sent.stay(app, &spec);
     let scored: Result<ScoreResponse, _> = app.http.json(Method::POST, &uri, &asked, limit).await;
-    permit.end(scored.is_ok());
+    permit.finish(scored.is_ok());
     match &scored {
         Ok(_) => sent.whole(app),
         Err(JsonError::Send(SendError::Broken)) => sent.broke(app, &spec).await,
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -260,7 +260,7 @@
     fn todo(&self) -> Task {
         let slots = self
             .dispatcher
-            .all(|all| all.iter().map(|u| u.spec.slots).sum::<u32>());
+            .with_upstreams(|all| all.iter().map(|u| u.spec.slots).sum::<u32>());
         let width = (slots as usize * AHEAD).div_ceil(100);
         let mut run = self.run.lock();
         match run.running_count() < width {
--- a/crates/serve/src/sync.rs
+++ b/crates/serve/src/sync.rs
@@ -157,7 +157,7 @@
 /// Takes an upstream out of, or back into, the choice.
 pub fn leaving(app: &Arc<App>, name: &Name, is_leaving: bool) {
     for dispatcher in app.dispatchers.values() {
-        dispatcher.judge(name, |health| {
+        dispatcher.update_health(name, |health| {
             health.set_leaving(LeavingSource::Platform, is_leaving)
         });
     }
--- a/crates/serve/tests/refusals.rs
+++ b/crates/serve/tests/refusals.rs
@@ -216,7 +216,7 @@
 /// Waits until a call is on its way to the service.
 async fn begun(rig: &Rig) {
     let dispatcher = &rig.running().next().unwrap().app.dispatchers["portal"];
-    let under_way = || dispatcher.all(|all| all.iter().any(|one| one.outstanding > 0));
+    let under_way = || dispatcher.with_upstreams(|all| all.iter().any(|one| one.outstanding > 0));
     let waiting = async {
         while !under_way() {
             tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -160,7 +160,7 @@
     let asked = ask(&rig, "a long case", true);
     let call = tokio::spawn(async move { asked.send().await });
     let app = rig.running().next().unwrap().app.clone();
-    let running = || app.dispatchers["fitting"].all(outstanding);
+    let running = || app.dispatchers["fitting"].with_upstreams(outstanding);
     wait(|| running() == 1).await;
 
     call.abort();
@@ -206,7 +206,7 @@
     let call = tokio::spawn(async move { asked.send().await });
     let entry = rig.entries[0].take().unwrap();
     let app = entry.app.clone();
-    wait(|| app.dispatchers["fitting"].all(outstanding) == 1).await;
+    wait(|| app.dispatchers["fitting"].with_upstreams(outstanding) == 1).await;
 
     let whole = entry.drain().await;
 
@@ -234,7 +234,7 @@
     let app = rig.running().next().unwrap().app.clone();
     let now = || app.clock.now();
     let out = |u: &route::Upstream| u.health.availability(now()) == route::Availability::Leaving;
-    wait(|| app.dispatchers["fitting"].all(|all| all.iter().all(out))).await;
+    wait(|| app.dispatchers["fitting"].with_upstreams(|all| all.iter().all(out))).await;
 
     let asked = ask(&rig, "x", false);
     let call = asked.send();
