--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -85,7 +85,7 @@
     let attempt = trace.id.attempt(0);
     let answer = app
         .journal
-        .ask(app, key, print, attempt, outbound.deadline)
+        .claim(app, key, print, attempt, outbound.deadline)
         .await;
     trace.note(format!("journal: {}", word(&answer)));
     match answer {
@@ -102,8 +102,8 @@
     let task = tokio::spawn(async move {
         let result = attempts(&app, &job, &mut inner).await;
         match &result {
-            Ok(answer) => app.journal.done(&app, key, outcome(answer)),
-            Err(problem) if problem.ran == Ran::No => app.journal.free(&app, key, attempt).await,
+            Ok(answer) => app.journal.record_outcome(&app, key, outcome(answer)),
+            Err(problem) if problem.ran == Ran::No => app.journal.release(&app, key, attempt).await,
             Err(_) => (),
         }
         (result, inner)
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -80,7 +80,7 @@
     }
 
     /// Begins to write; must be called on a runtime.
-    pub fn begin(&self) {
+    pub fn start(&self) {
         for (at, cell) in self.cells.iter().enumerate() {
             let driver = Driver {
                 at: at as u32,
@@ -108,7 +108,7 @@
     }
 
     /// Asks for the right to run, through the peer that writes the shard if it can be reached.
-    pub async fn ask(
+    pub async fn claim(
         &self,
         app: &Arc<App>,
         key: Key,
@@ -116,18 +116,20 @@
         attempt: AttemptId,
         deadline: Millis,
     ) -> Decision {
-        let answer = self.ask_any(app, key, print, attempt, deadline).await;
+        let answer = self
+            .claim_via_writer(app, key, print, attempt, deadline)
+            .await;
         if answer == Decision::Refused {
             // The intent may have been written all the same, by the peer or here, and the answer
             // lost. Unless the right is given back, the key stays in doubt for as long as it is
             // kept, though its caller heard that nothing ran.
             let app = app.clone();
-            tokio::spawn(async move { app.journal.free(&app, key, attempt).await });
+            tokio::spawn(async move { app.journal.release(&app, key, attempt).await });
         }
         answer
     }
 
-    async fn ask_any(
+    async fn claim_via_writer(
         &self,
         app: &App,
         key: Key,
@@ -151,12 +153,12 @@
             // The peer may have written the intent all the same. It carries this attempt's
             // identifier, so reading the shard here shows it as this attempt's own.
         }
-        self.ask_here(key, print, attempt, deadline, Own::Mine)
+        self.claim_local(key, print, attempt, deadline, Own::Mine)
             .await
     }
 
     /// Asks for the right to run without a peer.
-    pub async fn ask_here(
+    pub async fn claim_local(
         &self,
         key: Key,
         print: Fingerprint,
@@ -202,19 +204,19 @@
     }
 
     /// Records the answer of a request that ran; the caller need not wait for it.
-    pub fn done(&self, app: &Arc<App>, key: Key, outcome: Outcome) {
+    pub fn record_outcome(&self, app: &Arc<App>, key: Key, outcome: Outcome) {
         let app = app.clone();
         let record = Record::Done { key, outcome };
-        tokio::spawn(async move { app.journal.note(&app, record).await });
+        tokio::spawn(async move { app.journal.append(&app, record).await });
     }
 
     /// Gives back the right to run. It is under way when this returns, so that the same key can
     /// be sent again at once.
-    pub async fn free(&self, app: &App, key: Key, attempt: AttemptId) {
-        self.note(app, Record::Release { key, attempt }).await;
+    pub async fn release(&self, app: &App, key: Key, attempt: AttemptId) {
+        self.append(app, Record::Release { key, attempt }).await;
     }
 
-    async fn note(&self, app: &App, record: Record) {
+    async fn append(&self, app: &App, record: Record) {
         let (at, _) = self.cell(record.key());
         if let Some(writer) = writer(app, at) {
             let note = peer::JournalRequest::Note(record.clone());
@@ -222,11 +224,11 @@
                 return;
             }
         }
-        self.note_here(record);
+        self.append_local(record);
     }
 
     /// Writes a record without a peer.
-    pub fn note_here(&self, record: Record) {
+    pub fn append_local(&self, record: Record) {
         let (_, cell) = self.cell(record.key());
         cell.shard.lock().append(record);
         cell.work.notify_one();
--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -94,12 +94,12 @@
             let own = Own::Peers;
             let answer = app
                 .journal
-                .ask_here(key, print, attempt, deadline, own)
+                .claim_local(key, print, attempt, deadline, own)
                 .await;
             JournalReply::Answer(answer.into())
         }
         Ok(JournalRequest::Note(record)) => {
-            app.journal.note_here(record);
+            app.journal.append_local(record);
             JournalReply::Noted
         }
         Err(reply) => return *reply,
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -80,7 +80,7 @@
         let limits = settings.bounds.limits;
         let app = App::new(settings)?;
         let server = net::server::serve(listener, router(&app), limits, app.drain.clone());
-        app.journal.begin();
+        app.journal.start();
         let tasks = vec![
             tokio::spawn(gossip::run(app.clone())),
             tokio::spawn(sync::run(app.clone())),
