--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -153,7 +153,7 @@
             // The peer may have written the intent all the same. It carries this attempt's
             // identifier, so reading the shard here shows it as this attempt's own.
         }
-        self.claim_local(key, print, attempt, deadline, Own::Mine)
+        self.claim_local(key, print, attempt, deadline, ClaimOrigin::Local)
             .await
     }
 
@@ -164,7 +164,7 @@
         print: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
-        own: Own,
+        origin: ClaimOrigin,
     ) -> Decision {
         let (_, cell) = self.cell(key);
         if cell.failures.load(Ordering::Relaxed) >= AWAY {
@@ -178,7 +178,7 @@
             cell,
             key,
             attempt,
-            own,
+            origin,
         };
         cell.work.notify_one();
         let answer = self.answer(cell, attempt, end).await;
@@ -249,11 +249,11 @@
 
 /// On whose behalf a question is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Own {
+pub enum ClaimOrigin {
     /// An attempt of this instance.
-    Mine,
+    Local,
     /// An attempt of a peer, which may run the request though it gets no answer from here.
-    Peers,
+    Peer,
 }
 
 /// Gives a question up when whoever asked goes away or has waited long enough.
@@ -261,7 +261,7 @@
     cell: &'a Cell,
     key: Key,
     attempt: AttemptId,
-    own: Own,
+    origin: ClaimOrigin,
 }
 
 impl Drop for Abandon<'_> {
@@ -270,9 +270,9 @@
         if !shard.is_pending(self.attempt) {
             return;
         }
-        match self.own {
-            Own::Mine => shard.abandon(self.key, self.attempt),
-            Own::Peers => shard.stop_waiting(self.attempt),
+        match self.origin {
+            ClaimOrigin::Local => shard.abandon(self.key, self.attempt),
+            ClaimOrigin::Peer => shard.stop_waiting(self.attempt),
         }
         drop(shard);
         self.cell.work.notify_one();
--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -16,7 +16,7 @@
 
 use crate::App;
 use crate::gossip;
-use crate::journal::Own;
+use crate::journal::ClaimOrigin;
 use crate::steps;
 
 /// Bytes of a peer's message.
@@ -91,10 +91,10 @@
             left,
         }) => {
             let deadline = app.clock.now() + left;
-            let own = Own::Peers;
+            let origin = ClaimOrigin::Peer;
             let answer = app
                 .journal
-                .claim_local(key, print, attempt, deadline, own)
+                .claim_local(key, print, attempt, deadline, origin)
                 .await;
             JournalReply::Answer(answer.into())
         }
