--- a/crates/serve/src/router.rs
+++ b/crates/serve/src/router.rs
@@ -103,7 +103,13 @@
         draw!(route, app, Method::POST, peer::JOURNAL, peers::journal);
         draw!(route, app, Method::POST, peer::STEP_PULL, peers::pull);
         draw!(route, app, Method::POST, peer::STEP_END, peers::end);
-        draw!(route, app, Method::POST, steps::ASKED, peers::ended);
+        draw!(
+            route,
+            app,
+            Method::POST,
+            steps::STEP_ENDED_PATH,
+            peers::ended
+        );
         draw!(
             route,
             app,
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -64,7 +64,7 @@
 const TOLD: usize = 32;
 
 /// Path at which peers are asked whether a step has ended.
-pub const ASKED: &str = "/peer/step/ended";
+pub const STEP_ENDED_PATH: &str = "/peer/step/ended";
 
 /// Peers that are asked at the same time.
 const HELPERS: usize = 2;
@@ -375,9 +375,10 @@
     let asked = helpers(app, &message.step).into_iter().map(|member| {
         Box::pin(async move {
             let limit = Duration::from_millis(HELP);
-            let heard: Option<bool> = gossip::exchange(app, member.addr, ASKED, message, limit)
-                .await
-                .ok()?;
+            let heard: Option<bool> =
+                gossip::exchange(app, member.addr, STEP_ENDED_PATH, message, limit)
+                    .await
+                    .ok()?;
             heard
         })
     });
