--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -133,7 +133,7 @@
 pub async fn ended(app: Arc<App>, call: Call) -> Reply {
     match message(&app, call).await {
         Ok(step) => {
-            let heard = steps::heard(&app, step).await;
+            let heard = steps::query_ended(&app, step).await;
             answer(&app, &heard)
         }
         Err(reply) => *reply,
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -409,7 +409,7 @@
 }
 
 /// Tells a peer whether a step has ended, if the platform says so.
-pub async fn heard(app: &App, message: StepEnd) -> Option<bool> {
+pub async fn query_ended(app: &App, message: StepEnd) -> Option<bool> {
     ledger::is_ended(app, &message.step, &message.customer)
         .await
         .ok()
