--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -111,7 +111,7 @@
 pub async fn pull(app: Arc<App>, call: Call) -> Reply {
     match message(&app, call).await {
         Ok(pull) => {
-            let pulled = steps::relayed(&app, pull).await;
+            let pulled = steps::serve_forwarded_pull(&app, pull).await;
             answer(&app, &pulled)
         }
         Err(reply) => *reply,
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -416,7 +416,7 @@
 }
 
 /// Serves a pull that a peer passed on.
-pub async fn relayed(app: &Arc<App>, message: StepPull) -> StepPulled {
+pub async fn serve_forwarded_pull(app: &Arc<App>, message: StepPull) -> StepPulled {
     match here(app, &message).await {
         Ok(batch) => StepPulled::Batch(batch),
         Err(problem) => StepPulled::Refused(problem),
