--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -122,7 +122,7 @@
 pub async fn end(app: Arc<App>, call: Call) -> Reply {
     match message(&app, call).await {
         Ok(end) => {
-            let known = steps::end_here(&app, &end);
+            let known = steps::end_local(&app, &end);
             answer(&app, &known)
         }
         Err(reply) => *reply,
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -316,7 +316,7 @@
 
 /// Tells every live instance that a step is over; tells whether one of them works on it.
 async fn tell(app: &Arc<App>, message: &StepEnd) -> bool {
-    let mut known = end_here(app, message);
+    let mut known = end_local(app, message);
     let mut others: Vec<_> = app.view.lock().live().cloned().collect();
     others.retain(|member| member.name != app.settings.me.name);
     for some in others.chunks(TOLD) {
@@ -333,7 +333,7 @@
 }
 
 /// Stops working on a step that a customer ends; tells whether this instance did.
-pub fn end_here(app: &Arc<App>, message: &StepEnd) -> bool {
+pub fn end_local(app: &Arc<App>, message: &StepEnd) -> bool {
     let work = app.steps.works.get(&message.step);
     let Some(work) = work.filter(|work| *work.customer() == message.customer) else {
         return false;
