--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -97,7 +97,11 @@
 /// # Errors
 ///
 /// Returns a refusal when the contract does not cover it or there is none.
-pub fn model(app: &App, held: &ActiveContract, model: &str) -> Result<Arc<Dispatcher>, Problem> {
+pub fn engine_dispatcher(
+    app: &App,
+    held: &ActiveContract,
+    model: &str,
+) -> Result<Arc<Dispatcher>, Problem> {
     if !held.stored.contract.has_model(model) {
         return Err(no(Type::NotCovered).with_detail(format!("model {model:?}")));
     }
@@ -117,7 +121,7 @@
         let detail = format!("max_tokens: expected 1 to {MAX_TOKENS}");
         return Err(no(Type::BadRequest).with_detail(detail));
     }
-    let dispatcher = model(app, &held, &asked.model)?;
+    let dispatcher = engine_dispatcher(app, &held, &asked.model)?;
     let passage = limits::pass(app, &held, asked.max_tokens, trace)?;
     let entry = QueueEntry {
         customer: contract.customer.clone(),
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -119,7 +119,7 @@
 async fn opened(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
     let held = auth::contract(app, &call, trace)?;
     let open: OpenStep = complete::parse(app, call.body).await?;
-    complete::model(app, &held, &open.model)?;
+    complete::engine_dispatcher(app, &held, &open.model)?;
     let contract = &held.stored.contract;
     let spec = Spec {
         model: open.model,
@@ -159,7 +159,7 @@
     cursor: &Cursor,
     version: u64,
 ) -> Result<Arc<Work>, Problem> {
-    let dispatcher = complete::model(app, held, &spec.model)?;
+    let dispatcher = complete::engine_dispatcher(app, held, &spec.model)?;
     let policy = kernel::plugin::find(app.settings.policy);
     let policy = policy.map_err(|error| no(Type::Internal).with_detail(error.to_string()))?;
     let customer = held.stored.contract.customer.clone();
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -56,7 +56,7 @@
 async fn announced(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<u64, Problem> {
     let held = auth::contract(app, &call, trace)?;
     let model = call.segment(2).to_owned();
-    complete::model(app, &held, &model)?;
+    complete::engine_dispatcher(app, &held, &model)?;
     let asked: AnnounceVersion = complete::parse(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
     let new = Version {
