--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -83,7 +83,7 @@
 /// # Errors
 ///
 /// Returns a refusal that says where the body is not what the path takes.
-pub async fn parse<T: serde::de::DeserializeOwned>(
+pub async fn parse_body<T: serde::de::DeserializeOwned>(
     app: &App,
     body: gotham::helpers::http::Body,
 ) -> Result<T, Problem> {
@@ -116,7 +116,7 @@
     let held = auth::contract(app, &call, trace)?;
     let contract = &held.stored.contract;
     let deadline = app.clock.now() + forward::timeout(&call, contract)?;
-    let asked: CompletionRequest = parse(app, call.body).await?;
+    let asked: CompletionRequest = parse_body(app, call.body).await?;
     if asked.max_tokens == 0 || asked.max_tokens > MAX_TOKENS {
         let detail = format!("max_tokens: expected 1 to {MAX_TOKENS}");
         return Err(no(Type::BadRequest).with_detail(detail));
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -118,7 +118,7 @@
 
 async fn opened(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
     let held = auth::contract(app, &call, trace)?;
-    let open: OpenStep = complete::parse(app, call.body).await?;
+    let open: OpenStep = complete::parse_body(app, call.body).await?;
     complete::engine_dispatcher(app, &held, &open.model)?;
     let contract = &held.stored.contract;
     let spec = Spec {
@@ -195,7 +195,7 @@
 async fn pulled(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
     let held = auth::contract(app, &call, trace)?;
     let step = call.segment(2).to_owned();
-    let pull: PullRequest = complete::parse(app, call.body).await?;
+    let pull: PullRequest = complete::parse_body(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
     let mut message = StepPull {
         step,
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -57,7 +57,7 @@
     let held = auth::contract(app, &call, trace)?;
     let model = call.segment(2).to_owned();
     complete::engine_dispatcher(app, &held, &model)?;
-    let asked: AnnounceVersion = complete::parse(app, call.body).await?;
+    let asked: AnnounceVersion = complete::parse_body(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
     let new = Version {
         version: asked.version,
