--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -1,8 +1,8 @@
-//! The journal of non-idempotent requests: carries out what [`once::Shard`] asks for.
+//! The journal of non-idempotent requests, which does the I/O for each [`once::Shard`].
 //!
-//! To write in few and large groups, an instance hands its questions to the peer that has the
-//! highest rank for the shard. That is for economy only: any instance may write to any shard, and
-//! the shard's head decides between two that do.
+//! To batch writes, an instance forwards its claims and records to the shard's writer, the live
+//! instance with the highest rank for the shard. Correctness does not depend on it: any instance may
+//! write to any shard, and a compare-and-swap of the shard's head orders concurrent writes.
 
 mod driver;
 
@@ -33,58 +33,61 @@
 use clock::Clock;
 use driver::Driver;
 
-/// Longest time that a question waits for the platform; refusing sooner than the deadline leaves
-/// the caller time to go elsewhere.
-const WAIT: Millis = 2_000;
+/// Maximum time that a claim waits for the platform. A refusal before the deadline leaves the caller
+/// time to try another instance.
+const MAX_CLAIM_WAIT: Millis = 2_000;
 
-/// Failures in a row from which the platform counts as away and questions are refused at once.
-const AWAY: u32 = 2;
+/// Number of consecutive failures from which the platform is considered unavailable and claims are
+/// refused at once.
+const MAX_FAILURES: u32 = 2;
 
-/// Time between two looks at whether everything is written.
-const PAUSE: Millis = 25;
+/// Interval between two checks whether all records are written, in milliseconds.
+const FLUSH_CHECK_INTERVAL: Millis = 25;
 
+/// A shard and the state that its driver shares with claimants.
 #[derive(Debug)]
-struct Cell {
+struct SharedShard {
     shard: Mutex<Shard>,
-    /// There is something to do.
-    work: Notify,
-    /// Something was answered.
-    news: Notify,
+    /// Notified when the driver may have an action to carry out.
+    pending: Notify,
+    /// Notified when claims may have been decided.
+    decided: Notify,
+    /// Number of consecutive failed calls to the platform.
     failures: AtomicU32,
 }
 
-/// The journal on one instance.
+/// The journal of an instance.
 #[derive(Debug)]
 pub struct Journal {
-    cells: Vec<Arc<Cell>>,
+    shards: Vec<Arc<SharedShard>>,
     plat: Client,
     clock: Clock,
 }
 
 impl Journal {
-    /// Makes a journal that has read nothing yet.
+    /// Creates a journal that has not loaded any shard yet.
     pub fn new(settings: settings::Journal, plat: Client, clock: Clock) -> Self {
-        let cell = |_| {
-            Arc::new(Cell {
+        let shard = |_| {
+            Arc::new(SharedShard {
                 shard: Mutex::new(Shard::new(settings.keep)),
-                work: Notify::new(),
-                news: Notify::new(),
+                pending: Notify::new(),
+                decided: Notify::new(),
                 failures: AtomicU32::new(0),
             })
         };
         Self {
-            cells: (0..settings.shards).map(cell).collect(),
+            shards: (0..settings.shards).map(shard).collect(),
             plat,
             clock,
         }
     }
 
-    /// Begins to write; must be called on a runtime.
+    /// Starts a driver task for each shard; must be called within a Tokio runtime.
     pub fn start(&self) {
-        for (at, cell) in self.cells.iter().enumerate() {
+        for (index, shared) in self.shards.iter().enumerate() {
             let driver = Driver {
-                at: at as u32,
-                cell: cell.clone(),
+                index: index as u32,
+                shared: shared.clone(),
                 plat: self.plat.clone(),
                 clock: self.clock,
             };
@@ -92,181 +95,189 @@
         }
     }
 
-    fn cell(&self, key: Key) -> (u32, &Arc<Cell>) {
-        let at = key.shard(self.cells.len() as u32);
-        (at, &self.cells[at as usize])
+    fn shard(&self, key: Key) -> (u32, &Arc<SharedShard>) {
+        let index = key.shard(self.shards.len() as u32);
+        (index, &self.shards[index as usize])
     }
 
-    /// Keys that are known.
+    /// Returns the number of keys held in memory.
     pub fn len(&self) -> usize {
-        self.cells.iter().map(|cell| cell.shard.lock().len()).sum()
+        self.shards.iter().map(|s| s.shard.lock().len()).sum()
     }
 
-    /// Tells whether no key is known.
+    /// Returns whether no key is held in memory.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Asks for the right to run, through the peer that writes the shard if it can be reached.
+    /// Claims a key for an attempt, through the shard's writer if it is reachable.
     pub async fn claim(
         &self,
         app: &Arc<App>,
         key: Key,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
     ) -> Decision {
-        let answer = self
-            .claim_via_writer(app, key, print, attempt, deadline)
+        let decision = self
+            .claim_via_writer(app, key, fingerprint, attempt, deadline)
             .await;
-        if answer == Decision::Refused {
-            // The intent may have been written all the same, by the peer or here, and the answer
-            // lost. Unless the right is given back, the key stays in doubt for as long as it is
-            // kept, though its caller heard that nothing ran.
+        if decision == Decision::Refused {
+            // The peer or this instance may have written the intent nevertheless, with the reply
+            // lost. If the key were not released, it would stay in doubt until it expires, although
+            // the caller is told that the request did not run.
             let app = app.clone();
             tokio::spawn(async move { app.journal.release(&app, key, attempt).await });
         }
-        answer
+        decision
     }
 
     async fn claim_via_writer(
         &self,
         app: &App,
         key: Key,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
     ) -> Decision {
-        let (at, _) = self.cell(key);
-        let left = deadline.saturating_sub(self.clock.now()).min(WAIT);
-        if let Some(writer) = writer(app, at) {
-            let question = peer::JournalRequest::Ask {
+        let (index, _) = self.shard(key);
+        let left = deadline
+            .saturating_sub(self.clock.now())
+            .min(MAX_CLAIM_WAIT);
+        if let Some(writer) = writer(app, index) {
+            let request = peer::JournalRequest::Ask {
                 key,
-                print,
+                print: fingerprint,
                 attempt,
                 left: left / 2,
             };
-            if let Some(JournalReply::Answer(verdict)) = relay(app, &writer, &question, left).await
-            {
-                return verdict.into();
+            if let Some(JournalReply::Answer(decision)) = send(app, &writer, &request, left).await {
+                return decision.into();
             }
-            // The peer may have written the intent all the same. It carries this attempt's
-            // identifier, so reading the shard here shows it as this attempt's own.
+            // The peer may have written the intent nevertheless. The intent contains the identifier
+            // of this attempt, so a local claim recognizes it as its own.
         }
-        self.claim_local(key, print, attempt, deadline, ClaimOrigin::Local)
+        self.claim_local(key, fingerprint, attempt, deadline, ClaimOrigin::Local)
             .await
     }
 
-    /// Asks for the right to run without a peer.
+    /// Claims a key for an attempt on this instance, without its peers.
     pub async fn claim_local(
         &self,
         key: Key,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         attempt: AttemptId,
         deadline: Millis,
         origin: ClaimOrigin,
     ) -> Decision {
-        let (_, cell) = self.cell(key);
-        if cell.failures.load(Ordering::Relaxed) >= AWAY {
+        let (_, shared) = self.shard(key);
+        if shared.failures.load(Ordering::Relaxed) >= MAX_FAILURES {
             return Decision::Refused;
         }
-        let end = deadline.min(self.clock.now() + WAIT);
-        cell.shard
+        let end = deadline.min(self.clock.now() + MAX_CLAIM_WAIT);
+        shared
+            .shard
             .lock()
-            .claim(key, print, attempt, self.clock.wall());
-        let abandon = Abandon {
-            cell,
+            .claim(key, fingerprint, attempt, self.clock.wall());
+        let claim_guard = ClaimGuard {
+            shared,
             key,
             attempt,
             origin,
         };
-        cell.work.notify_one();
-        let answer = self.answer(cell, attempt, end).await;
-        // With an answer there is nothing left to abandon.
-        drop(abandon);
-        answer.unwrap_or(Decision::Refused)
+        shared.pending.notify_one();
+        let decision = self.wait_for_decision(shared, attempt, end).await;
+        // After a decision, the guard does nothing.
+        drop(claim_guard);
+        decision.unwrap_or(Decision::Refused)
     }
 
-    async fn answer(&self, cell: &Cell, attempt: AttemptId, end: Millis) -> Option<Decision> {
+    async fn wait_for_decision(
+        &self,
+        shared: &SharedShard,
+        attempt: AttemptId,
+        end: Millis,
+    ) -> Option<Decision> {
         loop {
-            let news = cell.news.notified();
-            tokio::pin!(news);
-            news.as_mut().enable();
-            if let Some(answer) = cell.shard.lock().take_decision(attempt) {
-                return Some(answer);
+            let decided = shared.decided.notified();
+            tokio::pin!(decided);
+            decided.as_mut().enable();
+            if let Some(decision) = shared.shard.lock().take_decision(attempt) {
+                return Some(decision);
             }
             let left = end.saturating_sub(self.clock.now());
-            let waited = tokio::time::timeout(Duration::from_millis(left), news).await;
-            if waited.is_err() {
+            let wait = tokio::time::timeout(Duration::from_millis(left), decided).await;
+            if wait.is_err() {
                 return None;
             }
         }
     }
 
-    /// Records the answer of a request that ran; the caller need not wait for it.
+    /// Records the outcome of a request that ran, in the background.
     pub fn record_outcome(&self, app: &Arc<App>, key: Key, outcome: Outcome) {
         let app = app.clone();
         let record = Record::Done { key, outcome };
         tokio::spawn(async move { app.journal.append(&app, record).await });
     }
 
-    /// Gives back the right to run. It is under way when this returns, so that the same key can
-    /// be sent again at once.
+    /// Releases the claim of an attempt whose request did not run. When this returns, the release is
+    /// queued for the next write, so the caller can reuse the key at once.
     pub async fn release(&self, app: &App, key: Key, attempt: AttemptId) {
         self.append(app, Record::Release { key, attempt }).await;
     }
 
     async fn append(&self, app: &App, record: Record) {
-        let (at, _) = self.cell(record.key());
-        if let Some(writer) = writer(app, at) {
-            let note = peer::JournalRequest::Note(record.clone());
-            if relay(app, &writer, &note, WAIT).await.is_some() {
+        let (index, _) = self.shard(record.key());
+        if let Some(writer) = writer(app, index) {
+            let request = peer::JournalRequest::Note(record.clone());
+            if send(app, &writer, &request, MAX_CLAIM_WAIT).await.is_some() {
                 return;
             }
         }
         self.append_local(record);
     }
 
-    /// Writes a record without a peer.
+    /// Queues a record for a write by this instance.
     pub fn append_local(&self, record: Record) {
-        let (_, cell) = self.cell(record.key());
-        cell.shard.lock().append(record);
-        cell.work.notify_one();
+        let (_, shared) = self.shard(record.key());
+        shared.shard.lock().append(record);
+        shared.pending.notify_one();
     }
 
-    /// Waits until everything is written, or the time is over.
-    pub async fn flush(&self, limit: Duration) {
-        let idle = || self.cells.iter().all(|cell| cell.shard.lock().is_idle());
+    /// Waits until all records are written, or until the timeout.
+    pub async fn flush(&self, timeout: Duration) {
+        let is_idle = || self.shards.iter().all(|s| s.shard.lock().is_idle());
         let wait = async {
-            while !idle() {
-                tokio::time::sleep(Duration::from_millis(PAUSE)).await;
+            while !is_idle() {
+                tokio::time::sleep(Duration::from_millis(FLUSH_CHECK_INTERVAL)).await;
             }
         };
-        // What is not written by then is lost, which leaves a key in doubt and no more.
-        let _ = tokio::time::timeout(limit, wait).await;
+        // Records that are not written by then are lost, which only leaves their keys in doubt.
+        let _ = tokio::time::timeout(timeout, wait).await;
     }
 }
 
-/// On whose behalf a question is asked.
+/// The instance that a claim comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimOrigin {
-    /// An attempt of this instance.
+    /// This instance.
     Local,
-    /// An attempt of a peer, which may run the request though it gets no answer from here.
+    /// A peer, which may claim the key elsewhere and run the request even if it gets no reply from
+    /// this instance.
     Peer,
 }
 
-/// Gives a question up when whoever asked goes away or has waited long enough.
-struct Abandon<'a> {
-    cell: &'a Cell,
+/// Withdraws a claim that is not decided when its caller disconnects or its wait times out.
+struct ClaimGuard<'a> {
+    shared: &'a SharedShard,
     key: Key,
     attempt: AttemptId,
     origin: ClaimOrigin,
 }
 
-impl Drop for Abandon<'_> {
+impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
-        let mut shard = self.cell.shard.lock();
+        let mut shard = self.shared.shard.lock();
         if !shard.is_pending(self.attempt) {
             return;
         }
@@ -275,28 +286,28 @@
             ClaimOrigin::Peer => shard.stop_waiting(self.attempt),
         }
         drop(shard);
-        self.cell.work.notify_one();
+        self.shared.pending.notify_one();
     }
 }
 
-/// The peer that writes a shard for others: the live one with the highest rank (rendezvous
-/// hashing). [`None`] when that is this instance.
+/// Returns the peer that writes a shard for all instances: the live member with the highest rank by
+/// rendezvous hashing. [`None`] if that is this instance.
 fn writer(app: &App, shard: u32) -> Option<Member> {
     let view = app.view.lock();
-    let best = view
+    let writer = view
         .live()
         .max_by_key(|member| rendezvous_rank(&member.name, shard))?;
-    (best.name != view.me().name).then(|| best.clone())
+    (writer.name != view.me().name).then(|| writer.clone())
 }
 
-async fn relay(
+async fn send(
     app: &App,
     writer: &Member,
-    question: &peer::JournalRequest,
+    request: &peer::JournalRequest,
     left: Millis,
 ) -> Option<JournalReply> {
-    let limit = Duration::from_millis(left);
-    gossip::exchange(app, writer.addr, peer::JOURNAL, question, limit)
+    let timeout = Duration::from_millis(left);
+    gossip::exchange(app, writer.addr, peer::JOURNAL, request, timeout)
         .await
         .ok()
 }
--- a/crates/serve/src/journal/driver.rs
+++ b/crates/serve/src/journal/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what one shard of the journal asks for.
+//! The task that does the I/O for one shard of the journal.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,43 +18,46 @@
 use plat::TxnOutcome;
 use plat::keys;
 
-use super::AWAY;
-use super::Cell;
+use super::MAX_FAILURES;
+use super::SharedShard;
 use clock::Clock;
 
-/// First pause after a failed call of the platform; it doubles with each.
-const PAUSE: Millis = 25;
+/// Delay after the first failed call to the platform, before doubling and jitter, in milliseconds.
+/// It doubles with each consecutive failure.
+const BASE_RETRY_DELAY: Millis = 25;
 
-/// Longest pause after a failed call of the platform.
-const LONGEST: Millis = 1_000;
+/// Maximum delay after a failed call to the platform, in milliseconds.
+const MAX_RETRY_DELAY: Millis = 1_000;
 
-/// Records in one write as bytes at most, far below the platform's largest value.
-const MOST: usize = 512 << 10;
+/// Size of an encoded segment above which a warning is logged; far below the platform's maximum
+/// value size.
+const LARGE_SEGMENT_BYTES: usize = 512 << 10;
 
-/// Shortest time between two writes to a shard.
-const GAP: Duration = Duration::from_millis(40);
+/// Minimum interval between two writes to a shard.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time that outcomes wait to be written together.
-const LAZY: Duration = Duration::from_millis(1_000);
+/// Maximum delay of outcomes, so that several are written together.
+const MAX_OUTCOME_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Carries out what one shard asks for.
+/// Carries out the actions of one shard.
 pub(super) struct Driver {
-    pub(super) at: u32,
-    pub(super) cell: Arc<Cell>,
+    /// Index of the shard.
+    pub(super) index: u32,
+    pub(super) shared: Arc<SharedShard>,
     pub(super) plat: Client,
     pub(super) clock: Clock,
 }
 
 impl Driver {
     pub(super) async fn run(self) {
-        let mut wrote = Instant::now() - GAP;
+        let mut last_write = Instant::now() - MIN_WRITE_INTERVAL;
         loop {
-            self.gather(wrote).await;
-            let work = self.cell.shard.lock().next_action(self.clock.wall());
-            let done = match work {
-                Action::Idle if self.is_away() => self.probe().await,
+            self.wait_for_batch(last_write).await;
+            let action = self.shared.shard.lock().next_action(self.clock.wall());
+            let result = match action {
+                Action::Idle if self.has_failed() => self.probe().await,
                 Action::Idle => {
-                    self.cell.work.notified().await;
+                    self.shared.pending.notified().await;
                     continue;
                 }
                 Action::Load { from } => self.load(from).await,
@@ -62,67 +65,70 @@
                     head_revision,
                     segment,
                 } => {
-                    wrote = Instant::now();
+                    last_write = Instant::now();
                     self.write(head_revision, &segment).await
                 }
             };
-            self.cell.news.notify_waiters();
-            self.judge(done).await;
+            self.shared.decided.notify_waiters();
+            self.handle_result(result).await;
         }
     }
 
-    /// Lets records gather for the next write: at most so many writes a second go to one shard,
-    /// whatever the number of requests, and records that nobody waits for wait for company.
-    async fn gather(&self, wrote: Instant) {
-        let since = wrote.elapsed();
-        if since < GAP {
-            tokio::time::sleep(GAP - since).await;
+    /// Waits before the next action, so that records are batched: this limits the writes per second
+    /// to a shard regardless of the number of requests, and delays outcomes, which no caller waits
+    /// for.
+    async fn wait_for_batch(&self, last_write: Instant) {
+        let elapsed = last_write.elapsed();
+        if elapsed < MIN_WRITE_INTERVAL {
+            tokio::time::sleep(MIN_WRITE_INTERVAL - elapsed).await;
         }
-        // Whoever asks for a right to run ends the wait; another outcome does not.
-        let end = tokio::time::Instant::now() + LAZY;
-        while self.cell.shard.lock().has_only_outcomes() {
-            let work = self.cell.work.notified();
-            if tokio::time::timeout_at(end, work).await.is_err() {
+        // A claim ends the wait, but another outcome does not.
+        let end = tokio::time::Instant::now() + MAX_OUTCOME_DELAY;
+        while self.shared.shard.lock().has_only_outcomes() {
+            let pending = self.shared.pending.notified();
+            if tokio::time::timeout_at(end, pending).await.is_err() {
                 return;
             }
         }
     }
 
-    fn is_away(&self) -> bool {
-        self.cell.failures.load(Ordering::Relaxed) > 0
+    /// Returns whether the last call to the platform failed.
+    fn has_failed(&self) -> bool {
+        self.shared.failures.load(Ordering::Relaxed) > 0
     }
 
-    async fn judge(&self, done: Result<(), PlatError>) {
-        let Err(error) = done else {
-            self.cell.failures.store(0, Ordering::Relaxed);
+    /// Updates the count of consecutive failures, and waits after a failure.
+    async fn handle_result(&self, result: Result<(), PlatError>) {
+        let Err(error) = result else {
+            self.shared.failures.store(0, Ordering::Relaxed);
             return;
         };
         if matches!(error, PlatError::Budget) {
-            // Our own calls are too many; that says nothing about the platform.
-            tokio::time::sleep(GAP).await;
+            // This instance exceeded its own call budget, which says nothing about the platform.
+            tokio::time::sleep(MIN_WRITE_INTERVAL).await;
             return;
         }
-        let failures = self.cell.failures.fetch_add(1, Ordering::Relaxed) + 1;
-        if failures == AWAY {
+        let failures = self.shared.failures.fetch_add(1, Ordering::Relaxed) + 1;
+        if failures == MAX_FAILURES {
             let error = error.to_string();
-            log::warn!(target: "journal", shard = self.at, error = error.as_str(); "platform away");
+            log::warn!(target: "journal", shard = self.index, error = error.as_str(); "platform unavailable");
         }
-        // Jitter keeps the instances from returning to the platform all at once.
-        let span = (PAUSE << failures.min(10)).min(LONGEST) as f64;
-        let pause = span * (0.5 + 0.5 * rand::random::<f64>());
-        tokio::time::sleep(Duration::from_millis(pause as u64)).await;
+        // Jitter prevents all instances from retrying at the same time.
+        let backoff = (BASE_RETRY_DELAY << failures.min(10)).min(MAX_RETRY_DELAY) as f64;
+        let delay = backoff * (0.5 + 0.5 * rand::random::<f64>());
+        tokio::time::sleep(Duration::from_millis(delay as u64)).await;
     }
 
-    /// Finds out whether the platform is back though nobody waits for it.
+    /// Checks whether the platform is available again while there is no other reason to call it.
     async fn probe(&self) -> Result<(), PlatError> {
-        let key = keys::shard_head(self.at);
+        let key = keys::shard_head(self.index);
         self.plat.get(&key).await.map(drop)
     }
 
     async fn load(&self, from: u64) -> Result<(), PlatError> {
-        let read = self.read(from).await;
-        let mut shard = self.cell.shard.lock();
-        match read {
+        let result = self.read(from).await;
+        let mut shard = self.shared.shard.lock();
+        match result {
             Ok((head, segments)) => {
                 shard.load_finished(head, segments);
                 Ok(())
@@ -134,13 +140,14 @@
         }
     }
 
-    /// Reads the head and the segments from one on, in one consistent read: the head's key sorts
-    /// before those of the segments, so the range from the head on holds both. Segments that are
-    /// known already come along; they are few, since expired ones are deleted.
+    /// Reads the revision of the head, and the segments with sequence numbers of at least `from`, in
+    /// one consistent read: the head's key sorts before those of the segments, so one range contains
+    /// both. It also returns segments that are already loaded; they are few, since expired ones are
+    /// deleted.
     async fn read(&self, from: u64) -> Result<(i64, Vec<Segment>), PlatError> {
-        let range = self.plat.list(&keys::shard_prefix(self.at)).await?;
-        let head_key = keys::shard_head(self.at);
-        let first = keys::segment(self.at, from);
+        let range = self.plat.list(&keys::shard_prefix(self.index)).await?;
+        let head_key = keys::shard_head(self.index);
+        let first = keys::segment(self.index, from);
         let mut head = 0;
         let mut segments = Vec::new();
         for item in range.items {
@@ -155,32 +162,32 @@
     }
 
     async fn write(&self, head: i64, segment: &Segment) -> Result<(), PlatError> {
-        let done = self.put(head, segment).await;
-        let wrote = match &done {
+        let outcome = self.put(head, segment).await;
+        let result = match &outcome {
             Ok(TxnOutcome::At(rev)) => WriteResult::Committed(*rev),
             Ok(TxnOutcome::Conflict) => WriteResult::Conflict,
             Err(_) => WriteResult::Unknown,
         };
-        self.cell.shard.lock().write_finished(wrote);
-        done.map(drop)
+        self.shared.shard.lock().write_finished(result);
+        outcome.map(drop)
     }
 
     async fn put(&self, head: i64, segment: &Segment) -> Result<TxnOutcome, PlatError> {
         let bytes = segment.encode().map_err(|_| PlatError::Garbled)?;
-        if bytes.len() > MOST {
-            log::warn!(target: "journal", shard = self.at, bytes = bytes.len(); "large segment");
+        if bytes.len() > LARGE_SEGMENT_BYTES {
+            log::warn!(target: "journal", shard = self.index, bytes = bytes.len(); "large segment");
         }
-        let key = keys::shard_head(self.at);
-        let seq = segment.seq.to_string();
+        let key = keys::shard_head(self.index);
+        let head_value = segment.seq.to_string();
         let expired = plat::Delete::Span(
-            keys::segment(self.at, 0),
-            keys::segment(self.at, segment.min_seq),
+            keys::segment(self.index, 0),
+            keys::segment(self.index, segment.min_seq),
         );
         let txn = Txn {
             guards: vec![Guard::on(key.as_str(), head)],
             puts: vec![
-                Put::new(key, Bytes::from(seq).to_vec()),
-                Put::new(keys::segment(self.at, segment.seq), bytes),
+                Put::new(key, Bytes::from(head_value).to_vec()),
+                Put::new(keys::segment(self.index, segment.seq), bytes),
             ],
             deletes: match segment.min_seq {
                 0 | 1 => Vec::new(),
