--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -1,4 +1,4 @@
-//! Calls of model engines: `/v1/completions`.
+//! Completions by model engines: `/v1/completions`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,7 +41,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::forward;
 use crate::generate;
-use crate::generate::End;
+use crate::generate::AttemptResult;
 use crate::generate::Sink;
 use crate::limits;
 use crate::limits::Passage;
@@ -56,17 +56,17 @@
         Ok(job) => job,
         Err(problem) => return refuse::finish(&app, trace, Err(problem)),
     };
-    if job.asked.stream {
+    if job.request.stream {
         return stream(app, job, trace).await;
     }
-    let result = run(&app, &job, &mut trace, &mut Quiet).await;
-    let reply = result.map(|sample| body::json(StatusCode::OK, &whole(&job, trace.id, sample)));
+    let result = run(&app, &job, &mut trace, &mut Discard).await;
+    let reply = result.map(|sample| body::json(StatusCode::OK, &response(&job, trace.id, sample)));
     refuse::finish(&app, trace, reply)
 }
 
-/// A completion that passed its contract's limits.
+/// A completion that was admitted by its contract's limits.
 struct Job {
-    asked: CompletionRequest,
+    request: CompletionRequest,
     dispatcher: Arc<Dispatcher>,
     entry: QueueEntry,
     class: u8,
@@ -74,64 +74,65 @@
     deadline: Millis,
 }
 
-fn no(kind: Type) -> Problem {
+/// Builds the refusal of a call of which nothing was sent to an upstream.
+fn deny(kind: Type) -> Problem {
     Problem::new(kind, Attempt::new().refuse())
 }
 
-/// Reads JSON out of a call's body.
+/// Reads the body of a call and parses it as JSON.
 ///
 /// # Errors
 ///
-/// Returns a refusal that says where the body is not what the path takes.
+/// Returns a refusal if the body cannot be read or does not match the type; its detail says where.
 pub async fn parse_body<T: serde::de::DeserializeOwned>(
     app: &App,
     body: gotham::helpers::http::Body,
 ) -> Result<T, Problem> {
-    let bytes = forward::read(app, body).await?;
+    let bytes = forward::read_body(app, body).await?;
     serde_json::from_slice(&bytes)
-        .map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))
+        .map_err(|error| deny(Type::BadRequest).with_detail(error.to_string()))
 }
 
-/// Finds the dispatcher of a model that a contract covers.
+/// Returns the dispatcher of a model that a contract covers.
 ///
 /// # Errors
 ///
-/// Returns a refusal when the contract does not cover it or there is none.
+/// Returns a refusal if the contract does not cover the model or no engines serve it.
 pub fn engine_dispatcher(
     app: &App,
-    held: &ActiveContract,
+    active_contract: &ActiveContract,
     model: &str,
 ) -> Result<Arc<Dispatcher>, Problem> {
-    if !held.stored.contract.has_model(model) {
-        return Err(no(Type::NotCovered).with_detail(format!("model {model:?}")));
+    if !active_contract.stored.contract.has_model(model) {
+        return Err(deny(Type::NotCovered).with_detail(format!("model {model:?}")));
     }
     let dispatcher = app.dispatchers.get(model);
     let dispatcher = dispatcher
         .filter(|dispatcher| dispatcher.kind == UpstreamKind::Engine)
         .cloned();
-    dispatcher.ok_or_else(|| no(Type::NotFound).with_detail(format!("model {model:?}")))
+    dispatcher.ok_or_else(|| deny(Type::NotFound).with_detail(format!("model {model:?}")))
 }
 
 async fn accept(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Job, Problem> {
-    let held = auth::contract(app, &call, trace)?;
-    let contract = &held.stored.contract;
+    let active_contract = auth::contract(app, &call, trace)?;
+    let contract = &active_contract.stored.contract;
     let deadline = app.clock.now() + forward::timeout(&call, contract)?;
-    let asked: CompletionRequest = parse_body(app, call.body).await?;
-    if asked.max_tokens == 0 || asked.max_tokens > MAX_TOKENS {
+    let request: CompletionRequest = parse_body(app, call.body).await?;
+    if request.max_tokens == 0 || request.max_tokens > MAX_TOKENS {
         let detail = format!("max_tokens: expected 1 to {MAX_TOKENS}");
-        return Err(no(Type::BadRequest).with_detail(detail));
+        return Err(deny(Type::BadRequest).with_detail(detail));
     }
-    let dispatcher = engine_dispatcher(app, &held, &asked.model)?;
-    let passage = limits::pass(app, &held, asked.max_tokens, trace)?;
+    let dispatcher = engine_dispatcher(app, &active_contract, &request.model)?;
+    let passage = limits::pass(app, &active_contract, request.max_tokens, trace)?;
     let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
         class: contract.class,
-        cost: f64::from(asked.max_tokens),
+        cost: f64::from(request.max_tokens),
     };
     let class = contract.class;
     Ok(Job {
-        asked,
+        request,
         dispatcher,
         entry,
         class,
@@ -140,7 +141,7 @@
     })
 }
 
-/// Runs a completion to its end, over as many engines as need be.
+/// Runs a completion to its end, with as many attempts as needed and allowed.
 async fn run(
     app: &Arc<App>,
     job: &Job,
@@ -148,41 +149,42 @@
     sink: &mut impl Sink,
 ) -> Result<Sample, Problem> {
     let mut assembly = Assembly::new(trace.id.attempt(0));
-    let mut ask = Requirements {
-        blocks: blocks(&job.asked.prompt),
+    let mut requirements = Requirements {
+        blocks: blocks(&job.request.prompt),
         ..Requirements::default()
     };
-    let sent = sent(job, trace);
-    // Whether an attempt before may have run; a refusal speaks of all of them.
-    let mut before = Attempt::new().refuse();
+    let sent = sent_request(job, trace);
+    // Whether any earlier attempt may have run, since a refusal reports on all attempts.
+    let mut prior = Attempt::new().refuse();
     job.dispatcher.earn_retry();
     loop {
-        sent.check(app, job.deadline, before).await?;
-        ask.avoid.extend(sent.apart(app));
+        sent.check(app, job.deadline, prior).await?;
+        requirements.avoid.extend(sent.apart(app));
         let permit = match job
             .dispatcher
-            .acquire(&job.entry, ask.clone(), job.deadline)
+            .acquire(&job.entry, requirements.clone(), job.deadline)
             .await
         {
             Ok(permit) => permit,
             Err(refusal) => {
-                return Err(Problem::new(refusal.kind, before).retry_after(refusal.after));
+                return Err(Problem::new(refusal.kind, prior).retry_after(refusal.retry_after));
             }
         };
         let upstream = permit.spec.name.clone();
         trace.upstream = Some(upstream.clone());
-        let order = order(job, &sent, trace);
+        let spec = attempt_spec(job, &sent, trace);
         trace.attempts += 1;
-        let had = assembly.partial().tokens;
-        let end = generate::run(app, permit, &order, &mut assembly, sink).await;
-        job.passage.charge(assembly.partial().tokens - had);
-        let (ran, why) = match end {
-            End::Whole => break,
-            End::Unwanted => return Err(Problem::new(Type::Late, Ran::Unknown)),
-            End::Early(ran, why) => (ran, why),
+        let resumed_tokens = assembly.partial().tokens;
+        let result = generate::run(app, permit, &spec, &mut assembly, sink).await;
+        job.passage
+            .charge(assembly.partial().tokens - resumed_tokens);
+        let (ran, error) = match result {
+            AttemptResult::Complete => break,
+            AttemptResult::Cancelled => return Err(Problem::new(Type::Late, Ran::Unknown)),
+            AttemptResult::Failed(ran, error) => (ran, error),
         };
-        before = before.combine(ran);
-        trace.note(format!("attempt {} at {upstream}: {why}", trace.attempts));
+        prior = prior.combine(ran);
+        trace.note(format!("attempt {} at {upstream}: {error}", trace.attempts));
         let failure = Failure {
             ran,
             idempotent: true,
@@ -190,19 +192,20 @@
             deadline: job.deadline,
         };
         match job.dispatcher.decide_retry(failure) {
-            Decision::Retry(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
-            Decision::Stop(stop) => return Err(forward::given_up(stop, before, why.to_string())),
+            Decision::Retry(delay) => tokio::time::sleep(Duration::from_millis(delay)).await,
+            Decision::Stop(stop) => return Err(forward::problem(stop, prior, error.to_string())),
         }
-        ask.avoid.push(upstream);
+        requirements.avoid.push(upstream);
     }
     match assembly.close() {
-        Ok(whole) => Ok(whole.sample(0, 0)),
+        Ok(complete) => Ok(complete.sample(0, 0)),
         Err(_) => Err(Problem::new(Type::Internal, Ran::Unknown)),
     }
 }
 
-/// What a completion asks for: the same for each attempt of a customer.
-fn sent(job: &Job, trace: &Trace) -> Sent {
+/// Identifies a completion request; the result has the same fingerprint for all attempts and
+/// repetitions of the request by a customer.
+fn sent_request(job: &Job, trace: &Trace) -> Sent {
     let CompletionRequest {
         model,
         prompt,
@@ -212,51 +215,52 @@
         top_p,
         stop,
         ..
-    } = &job.asked;
-    let how = format!("{max_tokens} {seed:?} {temperature:?} {top_p:?} {stop:?} {prompt}");
+    } = &job.request;
+    let body = format!("{max_tokens} {seed:?} {temperature:?} {top_p:?} {stop:?} {prompt}");
     let customer = job.entry.customer.as_bytes();
     Sent {
-        print: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
+        print: Fingerprint::new("POST", model, GENERATE, customer, body.as_bytes()),
         id: trace.id.to_string(),
     }
 }
 
-fn order(job: &Job, sent: &Sent, trace: &Trace) -> generate::Order {
+fn attempt_spec(job: &Job, sent: &Sent, trace: &Trace) -> generate::AttemptSpec {
     let attempt = trace.id.attempt(trace.attempts);
-    generate::Order {
+    generate::AttemptSpec {
         attempt,
         sent: sent.clone(),
-        generate: GenerateRequest {
+        request: GenerateRequest {
             attempt,
-            prompt: job.asked.prompt.clone(),
+            prompt: job.request.prompt.clone(),
             resume: String::new(),
             offset: 0,
-            max_tokens: job.asked.max_tokens,
+            max_tokens: job.request.max_tokens,
             priority: job.class.min(MAX_PRIORITY),
-            seed: job.asked.seed,
-            temperature: job.asked.temperature,
-            top_p: job.asked.top_p,
-            stop: job.asked.stop.clone(),
+            seed: job.request.seed,
+            temperature: job.request.temperature,
+            top_p: job.request.top_p,
+            stop: job.request.stop.clone(),
         },
-        floor: 0,
+        min_version: 0,
         deadline: job.deadline,
     }
 }
 
-/// Keeps nothing: the whole answer is sent at the end.
-struct Quiet;
+/// Discards the pieces, for a response that is sent only when complete.
+struct Discard;
 
-impl Sink for Quiet {
-    async fn take(&mut self, _: String, _: &Assembly) -> bool {
+impl Sink for Discard {
+    async fn write(&mut self, _: String, _: &Assembly) -> bool {
         true
     }
 }
 
-fn piece(job: &Job, id: RequestId, text: String, finish: Option<String>) -> CompletionResponse {
+/// Builds the response that contains a piece of the text.
+fn chunk(job: &Job, id: RequestId, text: String, finish: Option<String>) -> CompletionResponse {
     CompletionResponse {
         id: id.to_string(),
         object: "text_completion".into(),
-        model: job.asked.model.clone(),
+        model: job.request.model.clone(),
         choices: vec![Choice {
             index: 0,
             text,
@@ -267,57 +271,59 @@
     }
 }
 
-fn whole(job: &Job, id: RequestId, sample: Sample) -> CompletionResponse {
+/// Builds the response that contains the complete text, with its tokens and weight versions.
+fn response(job: &Job, id: RequestId, sample: Sample) -> CompletionResponse {
     let usage = Usage {
         completion_tokens: sample.tokens,
     };
     CompletionResponse {
         usage: Some(usage),
         versions: sample.spans,
-        ..piece(job, id, sample.text, Some(sample.finish))
+        ..chunk(job, id, sample.text, Some(sample.finish))
     }
 }
 
-/// Sends each piece as an event.
-struct Events<'a> {
+/// Sends each piece of text as an event.
+struct EventSink<'a> {
     job: &'a Job,
     id: RequestId,
     sender: Sender,
-    /// The text of the last piece.
+    /// The last piece, which is sent with the final event.
     last: String,
 }
 
-impl Events<'_> {
+impl EventSink<'_> {
     async fn send<T: serde::Serialize>(&self, value: &T) -> bool {
         let data = serde_json::to_string(value).unwrap_or_default();
         self.sender.send(Ok(events::write(&data))).await.is_ok()
     }
 }
 
-impl Sink for Events<'_> {
-    async fn take(&mut self, text: String, assembly: &Assembly) -> bool {
-        // The last piece goes with the tokens and versions, once all is known to be whole.
+impl Sink for EventSink<'_> {
+    async fn write(&mut self, text: String, assembly: &Assembly) -> bool {
+        // The final event contains the last piece, the tokens and the weight versions. It is sent
+        // once the whole output is known to be complete.
         if assembly.is_complete() {
             self.last = text;
             return true;
         }
-        let piece = piece(self.job, self.id, text, None);
-        self.send(&piece).await
+        let chunk = chunk(self.job, self.id, text, None);
+        self.send(&chunk).await
     }
 }
 
-/// Answers with events. The status is sent before it is known whether the whole can be made, so a
-/// failure after that is an event of its own and breaks the stream off without `[DONE]`.
+/// Replies with a stream of events. The status is sent before it is known whether the completion
+/// succeeds, so a later failure is reported as an event and ends the stream without `[DONE]`.
 async fn stream(app: Arc<App>, job: Job, mut trace: Trace) -> Reply {
     let (sender, body) = body::stream();
     let mut reply = Reply::new(body);
-    let kind = HeaderValue::from_static("text/event-stream");
-    reply.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/event-stream");
+    reply.headers_mut().insert(CONTENT_TYPE, content_type);
     if let Ok(id) = HeaderValue::from_str(&trace.id.to_string()) {
         reply.headers_mut().insert(wire::caller::REQUEST_ID, id);
     }
     tokio::spawn(async move {
-        let mut events = Events {
+        let mut events = EventSink {
             job: &job,
             id: trace.id,
             sender: sender.clone(),
@@ -326,10 +332,10 @@
         let result = run(&app, &job, &mut trace, &mut events).await;
         let result = match result {
             Ok(sample) => {
-                let mut end = whole(&job, trace.id, sample);
-                end.choices[0].text = std::mem::take(&mut events.last);
-                events.send(&end).await;
-                // The caller may have gone; then nobody misses the end.
+                let mut last = response(&job, trace.id, sample);
+                last.choices[0].text = std::mem::take(&mut events.last);
+                events.send(&last).await;
+                // Sending fails only if the caller has disconnected, which needs no handling.
                 let _ = sender.send(Ok(events::write(events::DONE))).await;
                 Ok(Reply::default())
             }
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The queue and the upstreams of one model or service, as callers meet them.
+//! The dispatcher of a model or service: its queue, and the choice of an upstream for each request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,24 +33,24 @@
 use crate::settings;
 use clock::Clock;
 
-/// When to come back when no upstream can take a request, in milliseconds.
-const OUT: Millis = 1_000;
+/// Retry delay for callers when no upstream can serve a request, in milliseconds.
+const RETRY_AFTER: Millis = 1_000;
 
-/// Times of an upstream's usual latency after which its silence counts as a failure.
-const SILENT: f64 = 4.0;
+/// Multiple of an upstream's average latency from which a timeout counts as a failure of it.
+const TIMEOUT_LATENCY_FACTOR: f64 = 4.0;
 
-/// Why a request is not sent anywhere.
+/// The refusal of a request that was not sent to any upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The kind of refusal.
     pub kind: Type,
-    /// When to come back, in milliseconds.
-    pub after: Millis,
+    /// Delay before the caller should retry, in milliseconds.
+    pub retry_after: Millis,
 }
 
-/// What waits in a queue.
+/// A request that waits in the queue.
 struct Waiter {
-    ask: Requirements,
+    requirements: Requirements,
     sender: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
@@ -64,26 +64,29 @@
 pub struct Dispatcher {
     /// The model or service.
     pub name: Name,
-    /// What serves it.
+    /// The kind of its upstreams.
     pub kind: UpstreamKind,
     instance: Name,
     clock: Clock,
     state: Mutex<State>,
 }
 
-/// The right to send one request to an upstream.
+/// Permission to send one request to an upstream.
+///
+/// A permit that is dropped without a result, because its caller disconnected, counts neither for
+/// nor against the upstream.
 pub struct Permit {
     /// The upstream.
     pub spec: UpstreamSpec,
     dispatcher: Arc<Dispatcher>,
-    began: Millis,
-    ended: bool,
+    granted_at: Millis,
+    finished: bool,
 }
 
 impl Permit {
-    /// Ends with what came of it.
+    /// Finishes the request and records whether it succeeded.
     pub fn finish(mut self, succeeded: bool) {
-        let latency = (self.dispatcher.clock.now() - self.began) as f64;
+        let latency = (self.dispatcher.clock.now() - self.granted_at) as f64;
         let outcome = match succeeded {
             true => Outcome::Answered(latency),
             false => Outcome::Failed,
@@ -91,15 +94,15 @@
         self.close(outcome);
     }
 
-    /// Ends with a caller's deadline, `limit` milliseconds after it was sent.
+    /// Finishes the request after a timeout of `timeout` milliseconds.
     ///
-    /// A deadline that is near the upstream's usual latency says nothing about the upstream; one
-    /// that is far beyond it does.
-    pub fn timed_out(mut self, limit: Millis) {
-        let mut usual = 0.0;
+    /// A timeout close to the upstream's average latency says nothing about the upstream; one far
+    /// beyond it counts as a failure.
+    pub fn time_out(mut self, timeout: Millis) {
+        let mut average = 0.0;
         self.dispatcher
-            .update_upstream(&self.spec.name, |u| usual = u.latency);
-        let outcome = match limit as f64 >= SILENT * usual {
+            .update_upstream(&self.spec.name, |u| average = u.latency);
+        let outcome = match timeout as f64 >= TIMEOUT_LATENCY_FACTOR * average {
             true => Outcome::Failed,
             false => Outcome::Neutral,
         };
@@ -107,7 +110,7 @@
     }
 
     fn close(&mut self, outcome: Outcome) {
-        if std::mem::replace(&mut self.ended, true) {
+        if std::mem::replace(&mut self.finished, true) {
             return;
         }
         self.dispatcher.record_outcome(&self.spec.name, outcome);
@@ -115,30 +118,30 @@
 }
 
 impl Drop for Permit {
-    // A caller that goes away in the middle leaves no word about the upstream.
     fn drop(&mut self) {
         self.close(Outcome::Neutral);
     }
 }
 
-/// Removes a request from the queue when its caller goes away while it waits.
-struct Cancel<'a> {
+/// Removes a waiting request from the queue when dropped, for example because its caller
+/// disconnected.
+struct CancelGuard<'a> {
     dispatcher: &'a Dispatcher,
     ticket: limit::Ticket,
 }
 
-impl Drop for Cancel<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         self.dispatcher.state.lock().queue.cancel(self.ticket);
     }
 }
 
 impl Dispatcher {
-    /// Makes the dispatcher of a pool.
+    /// Creates the dispatcher of a pool.
     ///
     /// # Errors
     ///
-    /// Returns [`UnknownPlugin`] when the settings name a policy that is not there.
+    /// Returns [`UnknownPlugin`] if the settings name an unknown queue order or chooser.
     pub fn new(
         pool: &settings::Pool,
         me: &settings::Me,
@@ -147,12 +150,12 @@
     ) -> Result<Self, UnknownPlugin> {
         let order = plugin::find::<QueueOrder>(pool.order)?;
         let chooser = plugin::find::<Chooser>(pool.chooser)?;
-        let mut known = Pool::new(chooser, me.domain.clone());
-        let of_pool = upstreams.iter().filter(|spec| spec.pool == pool.name);
-        of_pool.cloned().for_each(|spec| known.add(spec));
+        let mut members = Pool::new(chooser, me.domain.clone());
+        let specs = upstreams.iter().filter(|spec| spec.pool == pool.name);
+        specs.cloned().for_each(|spec| members.add(spec));
         let state = State {
             queue: Queue::new((order.make)(), pool.queue),
-            pool: known,
+            pool: members,
             budget: RetryBudget::default(),
         };
         Ok(Self {
@@ -164,60 +167,65 @@
         })
     }
 
-    /// Waits for the right to send a request to an upstream.
+    /// Waits for a permit to send a request to an upstream.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`], with nothing sent, when it cannot be done by the deadline, the queue
-    /// is full, or no upstream can take it.
+    /// Returns a [`Refusal`] if the request cannot be finished by the deadline, the queue is full,
+    /// or no upstream can serve it. Nothing was sent then.
     pub async fn acquire(
         self: &Arc<Self>,
         entry: &QueueEntry,
-        ask: Requirements,
+        requirements: Requirements,
         deadline: Millis,
     ) -> Result<Permit, Refusal> {
-        let (ticket, receiver) = match self.enter(entry, ask, deadline)? {
-            Entered::Now(permit) => return Ok(permit),
-            Entered::Later(ticket, receiver) => (ticket, receiver),
+        let (ticket, receiver) = match self.enqueue(entry, requirements, deadline)? {
+            EnqueueResult::Granted(permit) => return Ok(permit),
+            EnqueueResult::Queued(ticket, receiver) => (ticket, receiver),
         };
-        let cancel = Cancel {
+        let cancel_guard = CancelGuard {
             dispatcher: self,
             ticket,
         };
         let left = deadline.saturating_sub(self.clock.now());
-        let waited = tokio::time::timeout(Duration::from_millis(left), receiver).await;
-        drop(cancel);
-        match waited {
+        let response = tokio::time::timeout(Duration::from_millis(left), receiver).await;
+        drop(cancel_guard);
+        match response {
             Ok(Ok(result)) => result,
             Ok(Err(_)) | Err(_) => Err(Refusal {
                 kind: Type::Late,
-                after: OUT,
+                retry_after: RETRY_AFTER,
             }),
         }
     }
 
-    fn enter(
+    /// Grants a permit at once if the queue is empty and an upstream is free; otherwise adds the
+    /// request to the queue.
+    fn enqueue(
         self: &Arc<Self>,
         entry: &QueueEntry,
-        ask: Requirements,
+        requirements: Requirements,
         deadline: Millis,
-    ) -> Result<Entered, Refusal> {
+    ) -> Result<EnqueueResult, Refusal> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         if state.queue.is_empty() {
-            match state.pool.pick(&ask, now) {
-                Pick::Upstream(spec) => return Ok(Entered::Now(self.permit(spec, now))),
-                Pick::Unavailable => return Err(refusal(Type::NoUpstream, OUT)),
+            match state.pool.pick(&requirements, now) {
+                Pick::Upstream(spec) => return Ok(EnqueueResult::Granted(self.permit(spec, now))),
+                Pick::Unavailable => return Err(refusal(Type::NoUpstream, RETRY_AFTER)),
                 Pick::Busy => (),
             }
         }
-        let work = typical(&state.pool);
+        let latency = expected_latency(&state.pool);
         let (sender, receiver) = oneshot::channel();
-        let waiter = Waiter { ask, sender };
-        match state.queue.push(now, entry, deadline, work, waiter) {
+        let waiter = Waiter {
+            requirements,
+            sender,
+        };
+        match state.queue.push(now, entry, deadline, latency, waiter) {
             QueueDecision::Queued(ticket) => {
-                self.measure(&state);
-                Ok(Entered::Later(ticket, receiver))
+                self.record_queue_length(&state);
+                Ok(EnqueueResult::Queued(ticket, receiver))
             }
             QueueDecision::DeadlineTooClose { retry_after } => {
                 Err(refusal(Type::Late, retry_after))
@@ -230,53 +238,54 @@
         Permit {
             spec,
             dispatcher: self.clone(),
-            began: now,
-            ended: false,
+            granted_at: now,
+            finished: false,
         }
     }
 
-    fn measure(&self, state: &State) {
+    fn record_queue_length(&self, state: &State) {
         let (instance, pool) = (self.instance.to_string(), self.name.to_string());
         metrics::gauge!(meter::QUEUED, "instance" => instance, "pool" => pool)
             .set(state.queue.len() as f64);
     }
 
-    /// Lets waiting requests go while there is room.
+    /// Grants permits to waiting requests while upstreams have capacity.
     pub fn grant_waiting(self: &Arc<Self>) {
         let now = self.clock.now();
         let mut granted = Vec::new();
         let mut state = self.state.lock();
-        let work = typical(&state.pool);
-        while let Some((waiter, late)) = state.queue.peek(now, work) {
-            let ask = waiter.ask.clone();
-            let result = match late {
-                true => Err(refusal(Type::Late, OUT)),
-                false => match state.pool.pick(&ask, now) {
+        let latency = expected_latency(&state.pool);
+        while let Some((waiter, is_late)) = state.queue.peek(now, latency) {
+            let requirements = waiter.requirements.clone();
+            let result = match is_late {
+                true => Err(refusal(Type::Late, RETRY_AFTER)),
+                false => match state.pool.pick(&requirements, now) {
                     Pick::Busy => break,
-                    Pick::Unavailable => Err(refusal(Type::NoUpstream, OUT)),
+                    Pick::Unavailable => Err(refusal(Type::NoUpstream, RETRY_AFTER)),
                     Pick::Upstream(spec) => Ok(self.permit(spec, now)),
                 },
             };
-            let popped = state.queue.pop(now, work).map(Dequeued::into_inner);
+            let popped = state.queue.pop(now, latency).map(Dequeued::into_inner);
             granted.extend(popped.map(|waiter| (waiter, result)));
         }
-        self.measure(&state);
+        self.record_queue_length(&state);
         drop(state);
-        // Sent outside the lock: a permit that finds no receiver is dropped, which takes the lock.
+        // Sent without the lock, because a permit whose receiver is gone is dropped, and dropping it
+        // acquires the lock.
         for (waiter, result) in granted {
             let _ = waiter.sender.send(result);
         }
     }
 
     fn record_outcome(self: &Arc<Self>, name: &str, outcome: Outcome) {
-        let word = match outcome {
+        let label = match outcome {
             Outcome::Answered(_) => "answered",
             Outcome::Failed => "failed",
             Outcome::Neutral => "left",
         };
         let (instance, pool) = (self.instance.to_string(), self.name.to_string());
         metrics::counter!(
-            meter::ATTEMPTS, "instance" => instance, "pool" => pool, "outcome" => word
+            meter::ATTEMPTS, "instance" => instance, "pool" => pool, "outcome" => label
         )
         .increment(1);
         let now = self.clock.now();
@@ -284,25 +293,25 @@
         self.grant_waiting();
     }
 
-    /// Counts a first attempt towards the budget for retries.
+    /// Credits a first attempt to the retry budget.
     pub fn earn_retry(&self) {
         self.state.lock().budget.earn();
     }
 
-    /// Decides what follows a failed attempt.
+    /// Decides whether a failed attempt is retried, and after which delay.
     pub fn decide_retry(&self, failure: Failure) -> Decision {
         let now = self.clock.now();
         let jitter = rand::random();
         decide(failure, &mut self.state.lock().budget, now, jitter)
     }
 
-    /// Changes the health of an upstream, if this dispatcher has it.
+    /// Applies `f` to the health of an upstream, if this dispatcher has it.
     pub fn update_health(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Health)) {
         self.state.lock().pool.update_health(name, f);
         self.grant_waiting();
     }
 
-    /// Changes what is known of an upstream, if this dispatcher has it.
+    /// Applies `f` to an upstream, if this dispatcher has it.
     pub fn update_upstream(self: &Arc<Self>, name: &str, f: impl FnOnce(&mut Upstream)) {
         if let Some(upstream) = self.state.lock().pool.find_mut(name) {
             f(upstream);
@@ -310,44 +319,45 @@
         self.grant_waiting();
     }
 
-    /// Notes what an upstream says it is working on.
+    /// Records the number of running requests that an upstream reports.
     pub fn record_report(self: &Arc<Self>, name: &str, running: u32) {
         let now = self.clock.now();
         self.update_upstream(name, |upstream| upstream.record_report(running, now));
     }
 
-    /// Notes how many instances share the upstreams.
-    pub fn set_instances(&self, live: u32) {
-        self.state.lock().pool.set_instances(live);
+    /// Sets how many live instances share the upstreams.
+    pub fn set_instances(&self, count: u32) {
+        self.state.lock().pool.set_instances(count);
     }
 
-    /// Runs `f` on all upstreams.
+    /// Applies `f` to all upstreams.
     pub fn with_upstreams<R>(&self, f: impl FnOnce(&[Upstream]) -> R) -> R {
         f(self.state.lock().pool.upstreams())
     }
 }
 
-enum Entered {
-    Now(Permit),
-    Later(limit::Ticket, oneshot::Receiver<Result<Permit, Refusal>>),
+enum EnqueueResult {
+    Granted(Permit),
+    Queued(limit::Ticket, oneshot::Receiver<Result<Permit, Refusal>>),
 }
 
-fn refusal(kind: Type, after: Millis) -> Refusal {
-    Refusal { kind, after }
+fn refusal(kind: Type, retry_after: Millis) -> Refusal {
+    Refusal { kind, retry_after }
 }
 
-/// The latency that a request is to reckon with: the mean over the upstreams that may get work,
-/// weighted by what runs there, since that is where the next one goes.
-fn typical(pool: &Pool) -> Millis {
-    let known = pool.upstreams().iter().filter(|u| u.latency > 0.0);
-    let (mut sum, mut count) = (0.0, 0.0);
-    for upstream in known {
+/// Returns the expected latency of a request in milliseconds: the average over the upstreams with a
+/// known latency, weighted by their outstanding requests, since upstreams with more of them receive
+/// more of the next ones. 0 if no latency is known.
+fn expected_latency(pool: &Pool) -> Millis {
+    let measured = pool.upstreams().iter().filter(|u| u.latency > 0.0);
+    let (mut sum, mut total_weight) = (0.0, 0.0);
+    for upstream in measured {
         let weight = f64::from(upstream.outstanding + 1);
         sum += upstream.latency * weight;
-        count += weight;
+        total_weight += weight;
     }
-    if count > 0.0 {
-        (sum / count) as Millis
+    if total_weight > 0.0 {
+        (sum / total_weight) as Millis
     } else {
         0
     }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls to services, which are forwarded to an upstream.
 
 mod keyed;
 
@@ -47,13 +47,13 @@
 use crate::suspect::Sent;
 use crate::trace::Trace;
 
-/// Header by which an upstream says that it is leaving.
+/// Response header by which an upstream reports that it is leaving.
 const LEAVING: &str = "x-leaving";
 
-/// When to come back after a failed upstream, in milliseconds.
-const UPSTREAM: Millis = 1_000;
+/// Retry delay for callers after a failure of an upstream, in milliseconds.
+const RETRY_AFTER: Millis = 1_000;
 
-/// A call as it is sent to an upstream, as often as need be.
+/// A call as it is sent to an upstream in each attempt.
 #[derive(Clone)]
 struct Outbound {
     method: Method,
@@ -61,12 +61,14 @@
     headers: HeaderMap,
     body: Bytes,
     idempotent: bool,
+    /// Deadline of the caller, on the monotonic clock in milliseconds.
     deadline: Millis,
-    patience: Millis,
+    /// Time beyond the deadline for which a response is awaited, in milliseconds.
+    grace: Millis,
 }
 
-/// Headers that belong to one connection, or to us.
-const OURS: [HeaderName; 10] = [
+/// Headers that are not forwarded: they apply to one connection, or only to this instance.
+const UNFORWARDED_HEADERS: [HeaderName; 10] = [
     header::AUTHORIZATION,
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -86,31 +88,33 @@
     refuse::finish(&app, trace, result)
 }
 
-fn no(kind: Type) -> Problem {
+/// Builds the refusal of a call of which nothing was sent to an upstream.
+fn deny(kind: Type) -> Problem {
     Problem::new(kind, Attempt::new().refuse())
 }
 
 async fn run(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Reply, Problem> {
-    let held = auth::contract(app, &call, trace)?;
-    let contract = &held.stored.contract;
+    let active_contract = auth::contract(app, &call, trace)?;
+    let contract = &active_contract.stored.contract;
     let service = call.segment(2).to_owned();
     if !contract.has_service(&service) {
-        return Err(no(Type::NotCovered).with_detail(format!("service {service:?}")));
+        return Err(deny(Type::NotCovered).with_detail(format!("service {service:?}")));
     }
     let dispatcher = app.dispatchers.get(service.as_str());
     let dispatcher = dispatcher
         .filter(|dispatcher| dispatcher.kind == UpstreamKind::Service)
         .cloned();
-    let dispatcher =
-        dispatcher.ok_or_else(|| no(Type::NotFound).with_detail(format!("service {service:?}")))?;
+    let dispatcher = dispatcher
+        .ok_or_else(|| deny(Type::NotFound).with_detail(format!("service {service:?}")))?;
     let deadline = app.clock.now() + timeout(&call, contract)?;
     let path = call.rest(3);
-    let plain = path.split('?').next().unwrap_or("/");
-    let once = contract.is_non_idempotent(&service, call.method.as_str(), plain);
-    let key = keyed::key(&call, contract, &service, once)?;
-    let outbound = outbound(app, call, path, once, deadline).await?;
-    // Before the journal: what the contract does not allow must cost no write.
-    let passage = limits::pass(app, &held, 0, trace)?;
+    let path_only = path.split('?').next().unwrap_or("/");
+    let non_idempotent = contract.is_non_idempotent(&service, call.method.as_str(), path_only);
+    let key = keyed::key(&call, contract, &service, non_idempotent)?;
+    let outbound = outbound(app, call, path, non_idempotent, deadline).await?;
+    // The limits are checked before the key is claimed, so that a call that the contract does not
+    // allow causes no write to the journal.
+    let passage = limits::pass(app, &active_contract, 0, trace)?;
     let job = Job {
         dispatcher,
         entry: entry(contract),
@@ -119,16 +123,16 @@
     };
     match key {
         Some(key) => keyed::run(app, job, key, trace).await,
-        None => Ok(pass_on(attempts(app, &job, trace).await?)),
+        None => Ok(reply(run_attempts(app, &job, trace).await?)),
     }
 }
 
-/// A call that has passed its contract's limits.
+/// A call that was admitted by its contract's limits.
 struct Job {
     dispatcher: Arc<Dispatcher>,
     entry: QueueEntry,
     outbound: Outbound,
-    #[expect(dead_code, reason = "held for its drop, which frees the place")]
+    #[expect(dead_code, reason = "its drop releases the concurrency slot")]
     passage: Passage,
 }
 
@@ -141,35 +145,37 @@
     }
 }
 
-/// The time that a call has, in milliseconds.
+/// Returns the timeout of a call in milliseconds: the one in its header, but at most the
+/// contract's.
 ///
 /// # Errors
 ///
-/// Returns a refusal when the header is no number.
+/// Returns a refusal if the header is not a positive integer.
 pub fn timeout(call: &Call, contract: &Contract) -> Result<Millis, Problem> {
     let Some(text) = call.header(TIMEOUT) else {
         return Ok(contract.deadline);
     };
     match text.parse::<Millis>() {
-        Ok(asked) if asked > 0 => Ok(asked.min(contract.deadline)),
-        _ => Err(no(Type::BadRequest).with_detail(format!("{TIMEOUT}: expected milliseconds"))),
+        Ok(timeout) if timeout > 0 => Ok(timeout.min(contract.deadline)),
+        _ => Err(deny(Type::BadRequest).with_detail(format!("{TIMEOUT}: expected milliseconds"))),
     }
 }
 
-/// Reads the body of a call within the bounds.
+/// Reads the body of a call, within the limits in the settings.
 ///
 /// # Errors
 ///
-/// Returns a refusal when it is too long, too slow or cut off.
-pub async fn read(app: &App, body: gotham::helpers::http::Body) -> Result<Bytes, Problem> {
+/// Returns a refusal if the body is too large, arrives too slowly or is incomplete.
+pub async fn read_body(app: &App, body: gotham::helpers::http::Body) -> Result<Bytes, Problem> {
     let bounds = &app.settings.bounds;
-    let reading = body::read(body, bounds.body);
-    let refuse = |kind: Type, error: &body::ReadError| no(kind).with_detail(error.to_string());
-    match tokio::time::timeout(bounds.patience, reading).await {
+    let read = body::read(body, bounds.body);
+    let with_error =
+        |kind: Type, error: &body::ReadError| deny(kind).with_detail(error.to_string());
+    match tokio::time::timeout(bounds.patience, read).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(error @ body::ReadError::Long(_))) => Err(refuse(Type::TooLarge, &error)),
-        Ok(Err(error)) => Err(refuse(Type::BadRequest, &error)),
-        Err(_) => Err(refuse(Type::SlowRequest, &body::ReadError::Late)),
+        Ok(Err(error @ body::ReadError::Long(_))) => Err(with_error(Type::TooLarge, &error)),
+        Ok(Err(error)) => Err(with_error(Type::BadRequest, &error)),
+        Err(_) => Err(with_error(Type::SlowRequest, &body::ReadError::Late)),
     }
 }
 
@@ -177,18 +183,18 @@
     app: &App,
     call: Call,
     path: String,
-    once: bool,
+    non_idempotent: bool,
     deadline: Millis,
 ) -> Result<Outbound, Problem> {
     let mut headers = HeaderMap::new();
     let timeout = HeaderName::from_static(TIMEOUT);
     for (name, value) in &call.headers {
-        if !OURS.contains(name) && *name != timeout {
+        if !UNFORWARDED_HEADERS.contains(name) && *name != timeout {
             headers.append(name, value.clone());
         }
     }
-    let idempotent = !once && call.method.is_idempotent();
-    let body = read(app, call.body).await?;
+    let idempotent = !non_idempotent && call.method.is_idempotent();
+    let body = read_body(app, call.body).await?;
     Ok(Outbound {
         method: call.method,
         path,
@@ -196,12 +202,12 @@
         body,
         idempotent,
         deadline,
-        patience: 0,
+        grace: 0,
     })
 }
 
-/// Tries upstreams until one answers or the call is given up.
-async fn attempts(
+/// Makes attempts at upstreams until one responds or no retry is allowed.
+async fn run_attempts(
     app: &Arc<App>,
     job: &Job,
     trace: &mut Trace,
@@ -211,38 +217,38 @@
         outbound,
         ..
     } = job;
-    let mut ask = Requirements::default();
-    let print = print(&job.entry, dispatcher, outbound);
+    let mut requirements = Requirements::default();
+    let print = fingerprint(&job.entry, dispatcher, outbound);
     let id = trace.id.to_string();
     let sent = Sent { print, id };
-    // Whether an attempt before may have run; a refusal speaks of all of them.
-    let mut before = Attempt::new().refuse();
+    // Whether any earlier attempt may have run, since a refusal reports on all attempts.
+    let mut prior = Attempt::new().refuse();
     dispatcher.earn_retry();
     loop {
         let attempt = Attempt::new();
-        sent.check(app, outbound.deadline, before).await?;
-        ask.avoid.extend(sent.apart(app));
+        sent.check(app, outbound.deadline, prior).await?;
+        requirements.avoid.extend(sent.apart(app));
         let permit = match dispatcher
-            .acquire(&job.entry, ask.clone(), outbound.deadline)
+            .acquire(&job.entry, requirements.clone(), outbound.deadline)
             .await
         {
             Ok(permit) => permit,
             Err(refusal) => {
-                let ran = before.combine(attempt.refuse());
-                return Err(Problem::new(refusal.kind, ran).retry_after(refusal.after));
+                let ran = prior.combine(attempt.refuse());
+                return Err(Problem::new(refusal.kind, ran).retry_after(refusal.retry_after));
             }
         };
         let upstream = permit.spec.name.clone();
         trace.upstream = Some(upstream.clone());
         trace.attempts += 1;
-        let stay = sent.stay(app, &permit.spec);
-        let (ran, why) = match send(app, job, &sent, permit, attempt).await {
-            Ok(answer) => return Ok(answer),
-            Err(failed) => failed,
+        let suspect_guard = sent.stay(app, &permit.spec);
+        let (ran, error) = match send(app, job, &sent, permit, attempt).await {
+            Ok(response) => return Ok(response),
+            Err(failure) => failure,
         };
-        drop(stay);
-        before = before.combine(ran);
-        trace.note(format!("attempt {} at {upstream}: {why}", trace.attempts));
+        drop(suspect_guard);
+        prior = prior.combine(ran);
+        trace.note(format!("attempt {} at {upstream}: {error}", trace.attempts));
         let failure = Failure {
             ran,
             idempotent: outbound.idempotent,
@@ -250,15 +256,15 @@
             deadline: outbound.deadline,
         };
         match dispatcher.decide_retry(failure) {
-            Decision::Retry(pause) => tokio::time::sleep(Duration::from_millis(pause)).await,
-            Decision::Stop(stop) => return Err(given_up(stop, before, why)),
+            Decision::Retry(delay) => tokio::time::sleep(Duration::from_millis(delay)).await,
+            Decision::Stop(stop) => return Err(problem(stop, prior, error)),
         }
-        ask.avoid.push(upstream);
+        requirements.avoid.push(upstream);
     }
 }
 
-/// The refusal of a call that is not tried again.
-pub fn given_up(stop: StopReason, ran: Ran, why: String) -> Problem {
+/// Returns the refusal of a call whose last attempt failed with `error` and is not retried.
+pub fn problem(stop: StopReason, ran: Ran, error: String) -> Problem {
     let reason = match stop {
         StopReason::MayHaveRun => "it may have run and must not run twice",
         StopReason::Attempts => "it was tried often enough",
@@ -266,15 +272,16 @@
         StopReason::Budget => "too many requests are being tried again",
     };
     let problem = Problem::new(Type::Upstream, ran);
-    let problem = problem.with_detail(format!("{why}; {reason}"));
+    let problem = problem.with_detail(format!("{error}; {reason}"));
     match ran {
-        Ran::No => problem.retry_after(UPSTREAM),
+        Ran::No => problem.retry_after(RETRY_AFTER),
         Ran::Unknown => problem,
     }
 }
 
-/// What a call asks for: the same for each attempt of a customer.
-fn print(entry: &QueueEntry, dispatcher: &Dispatcher, outbound: &Outbound) -> Fingerprint {
+/// Returns the fingerprint of a call, which is equal for all its attempts and all repetitions by
+/// the same customer.
+fn fingerprint(entry: &QueueEntry, dispatcher: &Dispatcher, outbound: &Outbound) -> Fingerprint {
     let method = outbound.method.as_str();
     let customer = entry.customer.as_bytes();
     Fingerprint::new(
@@ -307,21 +314,21 @@
         Ok(uri) => *request.uri_mut() = uri,
         Err(_) => return Err((attempt.refuse(), "the path is no URI".into())),
     }
-    let left = (outbound.deadline + outbound.patience).saturating_sub(app.clock.now());
-    let limit = Duration::from_millis(left);
+    let left = (outbound.deadline + outbound.grace).saturating_sub(app.clock.now());
+    let timeout = Duration::from_millis(left);
     let attempt = attempt.send();
-    let most = app.settings.bounds.answer;
-    match app.http.fetch(request, limit, most).await {
-        Ok(answer) => {
-            notice(dispatcher, &permit.spec.name, &answer);
-            if failed(answer.status()) && outbound.idempotent {
+    let max_bytes = app.settings.bounds.answer;
+    match app.http.fetch(request, timeout, max_bytes).await {
+        Ok(response) => {
+            record_headers(dispatcher, &permit.spec.name, &response);
+            if is_failure(response.status()) && outbound.idempotent {
                 permit.finish(false);
-                return Err((attempt.fail(), format!("status {}", answer.status())));
+                return Err((attempt.fail(), format!("status {}", response.status())));
             }
-            permit.finish(!failed(answer.status()));
+            permit.finish(!is_failure(response.status()));
             attempt.answer();
-            sent.answered(app, answer.status());
-            Ok(answer)
+            sent.answered(app, response.status());
+            Ok(response)
         }
         Err(SendError::Unconnected) => {
             permit.finish(false);
@@ -329,7 +336,7 @@
             Err((attempt.refuse(), SendError::Unconnected.to_string()))
         }
         Err(SendError::Late) => {
-            permit.timed_out(left);
+            permit.time_out(left);
             Err((attempt.fail(), SendError::Late.to_string()))
         }
         Err(error) => {
@@ -342,17 +349,17 @@
     }
 }
 
-/// Tells whether a status is a failure of the upstream itself.
-fn failed(status: StatusCode) -> bool {
+/// Returns whether a status means that the upstream itself failed.
+fn is_failure(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::BAD_GATEWAY | StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
     )
 }
 
-/// Takes in what an answer says of its upstream besides.
-fn notice<B>(dispatcher: &Arc<Dispatcher>, name: &str, answer: &Response<B>) {
-    let headers = answer.headers();
+/// Records the state of an upstream that the headers of its response report.
+fn record_headers<B>(dispatcher: &Arc<Dispatcher>, name: &str, response: &Response<B>) {
+    let headers = response.headers();
     let number = |name: &str| headers.get(name)?.to_str().ok()?.parse::<u32>().ok();
     if headers.contains_key(LEAVING) {
         dispatcher.update_health(name, |health| {
@@ -364,9 +371,10 @@
     }
 }
 
-fn pass_on(answer: Response<Bytes>) -> Reply {
-    let (mut head, bytes) = answer.into_parts();
-    for name in &OURS {
+/// Converts the response of an upstream to the reply to the caller.
+fn reply(response: Response<Bytes>) -> Reply {
+    let (mut head, bytes) = response.into_parts();
+    for name in &UNFORWARDED_HEADERS {
         head.headers.remove(name);
     }
     for name in [RUNNING, LEAVING] {
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent calls that have a key.
+//! Non-idempotent calls with an idempotency key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,52 +26,53 @@
 use wire::problem::Type;
 
 use super::Job;
-use super::attempts;
-use super::no;
-use super::pass_on;
+use super::deny;
+use super::reply;
+use super::run_attempts;
 use crate::App;
 use crate::trace::Trace;
 
-/// Time beyond the caller's deadline for which the answer of a non-idempotent call is awaited, so
-/// that the journal can tell what came of it.
-const AFTERMATH: Millis = 30_000;
+/// Time beyond the caller's deadline for which the response to a non-idempotent call is awaited, so
+/// that the journal can record its outcome.
+const OUTCOME_GRACE: Millis = 30_000;
 
-/// When to come back after a failure of the journal, in milliseconds.
-const JOURNAL: Millis = 1_000;
+/// Retry delay for callers after a failure of the journal, in milliseconds.
+const RETRY_AFTER: Millis = 1_000;
 
-/// The key of a non-idempotent call that has one.
+/// Returns the idempotency key of a call, if it is non-idempotent and has one.
 pub(super) fn key(
     call: &Call,
     contract: &Contract,
     service: &str,
-    once: bool,
+    non_idempotent: bool,
 ) -> Result<Option<Key>, Problem> {
-    let Some(text) = call.header(IDEMPOTENCY_KEY).filter(|_| once) else {
+    let Some(text) = call.header(IDEMPOTENCY_KEY).filter(|_| non_idempotent) else {
         return Ok(None);
     };
     let key = Key::new(&contract.customer, service, text);
-    let key = key
-        .map_err(|error| no(Type::BadRequest).with_detail(format!("{IDEMPOTENCY_KEY}: {error}")))?;
+    let key =
+        key.map_err(|e| deny(Type::BadRequest).with_detail(format!("{IDEMPOTENCY_KEY}: {e}")))?;
     Ok(Some(key))
 }
 
-/// Refuses a key so old that the journal may have forgotten it.
-fn horizon(app: &App, headers: &HeaderMap) -> Result<(), Problem> {
+/// Refuses a key that is so old that the journal may have deleted it.
+fn check_age(app: &App, headers: &HeaderMap) -> Result<(), Problem> {
     let text = headers
         .get(IDEMPOTENCY_KEY)
         .and_then(|value| value.to_str().ok());
     let Some(created) = text.and_then(once::key::creation_time) else {
         return Ok(());
     };
-    // Half of the time for which keys are kept: clocks may differ by the other half.
+    // A key may be at most half as old as its retention time, because clocks may differ by the
+    // other half.
     if created + app.settings.journal.keep / 2 < app.clock.wall() {
         return Err(Problem::new(Type::KeyExpired, Ran::Unknown));
     }
     Ok(())
 }
 
-/// Runs a non-idempotent call that has a key: the intent is written first, and the call goes on
-/// even when its caller goes away, so that the journal can tell what came of it.
+/// Runs a non-idempotent call that has a key. The key is claimed first, and the call continues even
+/// if the caller disconnects, so that the journal can record its outcome.
 pub(super) async fn run(
     app: &Arc<App>,
     mut job: Job,
@@ -79,79 +80,81 @@
     trace: &mut Trace,
 ) -> Result<Reply, Problem> {
     let outbound = &mut job.outbound;
-    horizon(app, &outbound.headers)?;
-    outbound.patience = AFTERMATH;
-    let print = Fingerprint::new(outbound.method.as_str(), &outbound.path, &outbound.body);
+    check_age(app, &outbound.headers)?;
+    outbound.grace = OUTCOME_GRACE;
+    let fingerprint = Fingerprint::new(outbound.method.as_str(), &outbound.path, &outbound.body);
     let attempt = trace.id.attempt(0);
-    let answer = app
+    let decision = app
         .journal
-        .claim(app, key, print, attempt, outbound.deadline)
+        .claim(app, key, fingerprint, attempt, outbound.deadline)
         .await;
-    trace.note(format!("journal: {}", word(&answer)));
-    match answer {
+    trace.note(format!("journal: {}", describe(&decision)));
+    match decision {
         Decision::Run => (),
         Decision::Ran(outcome) => return Ok(replay(outcome)),
         Decision::Unknown => return Err(Problem::new(Type::KeyInDoubt, Ran::Unknown)),
-        Decision::Mismatch => return Err(no(Type::KeyMismatch)),
-        Decision::Refused => return Err(no(Type::Journal).retry_after(JOURNAL)),
+        Decision::Mismatch => return Err(deny(Type::KeyMismatch)),
+        Decision::Refused => return Err(deny(Type::Journal).retry_after(RETRY_AFTER)),
     }
     let left = outbound.deadline.saturating_sub(app.clock.now());
     let app = app.clone();
-    let mut inner = Trace::begin(trace.kind, app.clock);
-    inner.id = trace.id;
+    let mut inner_trace = Trace::begin(trace.kind, app.clock);
+    inner_trace.id = trace.id;
     let task = tokio::spawn(async move {
-        let result = attempts(&app, &job, &mut inner).await;
+        let result = run_attempts(&app, &job, &mut inner_trace).await;
         match &result {
-            Ok(answer) => app.journal.record_outcome(&app, key, outcome(answer)),
+            Ok(response) => app.journal.record_outcome(&app, key, outcome(response)),
             Err(problem) if problem.ran == Ran::No => app.journal.release(&app, key, attempt).await,
             Err(_) => (),
         }
-        (result, inner)
+        (result, inner_trace)
     });
     match tokio::time::timeout(Duration::from_millis(left), task).await {
-        Ok(Ok((result, inner))) => {
-            trace.upstream = inner.upstream;
-            trace.attempts = inner.attempts;
-            trace.notes.extend(inner.notes);
-            result.map(pass_on)
+        Ok(Ok((result, inner_trace))) => {
+            trace.upstream = inner_trace.upstream;
+            trace.attempts = inner_trace.attempts;
+            trace.notes.extend(inner_trace.notes);
+            result.map(reply)
         }
         Ok(Err(_)) => Err(Problem::new(Type::Internal, Ran::Unknown)),
         Err(_) => Err(Problem::new(Type::Late, Ran::Unknown)),
     }
 }
 
-fn word(answer: &Decision) -> &'static str {
-    match answer {
+fn describe(decision: &Decision) -> &'static str {
+    match decision {
         Decision::Run => "may run",
-        Decision::Ran(_) => "ran before; its answer is given again",
+        Decision::Ran(_) => "already ran; the recorded response is replayed",
         Decision::Unknown => "may have run before",
-        Decision::Mismatch => "the key names another request",
-        Decision::Refused => "could not be written",
+        Decision::Mismatch => "the key was used for another request",
+        Decision::Refused => "the claim was refused",
     }
 }
 
-fn outcome(answer: &Response<Bytes>) -> Outcome {
-    let kind = answer.headers().get(header::CONTENT_TYPE);
-    let kind = kind.and_then(|kind| kind.to_str().ok()).unwrap_or("");
-    let bytes = answer.body();
+fn outcome(response: &Response<Bytes>) -> Outcome {
+    let content_type = response.headers().get(header::CONTENT_TYPE);
+    let content_type = content_type
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or("");
+    let bytes = response.body();
     Outcome {
-        status: answer.status().as_u16(),
-        content_type: kind.into(),
+        status: response.status().as_u16(),
+        content_type: content_type.into(),
         body: (bytes.len() <= MAX_BODY_BYTES).then(|| bytes.to_vec().into()),
     }
 }
 
-/// Gives a recorded answer again.
+/// Builds the reply from a recorded outcome.
 fn replay(outcome: Outcome) -> Reply {
-    let whole = outcome.body.is_some();
+    let has_body = outcome.body.is_some();
     let bytes = outcome.body.unwrap_or_default().into_vec();
     let mut reply = Response::new(body::full(bytes));
     *reply.status_mut() = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::OK);
     let headers = reply.headers_mut();
-    if let Ok(kind) = HeaderValue::from_str(&outcome.content_type) {
-        headers.insert(header::CONTENT_TYPE, kind);
+    if let Ok(content_type) = HeaderValue::from_str(&outcome.content_type) {
+        headers.insert(header::CONTENT_TYPE, content_type);
     }
-    let how = if whole { "whole" } else { "status-only" };
-    headers.insert(REPLAYED, HeaderValue::from_static(how));
+    let replayed = if has_body { "whole" } else { "status-only" };
+    headers.insert(REPLAYED, HeaderValue::from_static(replayed));
     reply
 }
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -1,4 +1,4 @@
-//! One attempt at a completion at one engine.
+//! A single attempt to run a completion at an engine.
 
 use std::time::Duration;
 
@@ -27,70 +27,71 @@
 use crate::dispatcher::Permit;
 use crate::suspect::Sent;
 
-/// Silence after which a stream counts as cut. An engine that holds a request back for want of a
-/// slot sends nothing either, so this is long.
-pub const SILENCE: Duration = Duration::from_secs(20);
+/// Time without data after which a stream is considered broken. It is long because an engine also
+/// sends nothing while a request waits there for a free slot.
+pub const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
-pub enum End {
-    /// The assembly is whole.
-    Whole,
-    /// It ended early; what the assembly holds may be resumed.
-    Early(Ran, Why),
-    /// Nobody wants it any more.
-    Unwanted,
+pub enum AttemptResult {
+    /// The assembly is complete.
+    Complete,
+    /// The attempt failed; another attempt can resume from the assembly. [`Ran`] is whether the
+    /// engine may have run it.
+    Failed(Ran, AttemptError),
+    /// The sink stopped the attempt.
+    Cancelled,
 }
 
-/// Why an attempt ended early.
+/// The reason why an attempt failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-pub enum Why {
-    /// No connection was made.
+pub enum AttemptError {
+    /// The connection to the engine failed.
     #[error("could not connect")]
     Unconnected,
-    /// The engine refused it.
+    /// The engine responded with a status other than 200.
     #[error("the engine answered with status {0}")]
     Status(u16),
-    /// The stream broke, or ended before the last chunk.
+    /// The stream failed, or ended before the last chunk.
     #[error("the stream was cut")]
-    Cut,
-    /// Nothing came for too long.
+    Broken,
+    /// No data arrived in time.
     #[error("the stream fell silent")]
-    Silent,
-    /// A chunk could not be read.
+    TimedOut,
+    /// A chunk could not be decoded, or the request not encoded.
     #[error("the stream could not be understood")]
-    Garbled,
-    /// The engine's weights are older than what was asked for.
+    Malformed,
+    /// The engine's weights are older than the request allows.
     #[error("the engine has older weights than were asked for")]
-    Old,
-    /// The engine contradicted itself.
+    Stale,
+    /// The engine sent contradictory chunks.
     #[error(transparent)]
     Contradiction(#[from] Contradiction),
 }
 
-/// What becomes of the text as it comes.
+/// Receives the text of an attempt as it is generated.
 pub trait Sink: Send {
-    /// Takes the next piece; tells whether the rest is still wanted.
-    fn take(
+    /// Accepts the next piece of text. Returns whether the attempt should continue.
+    fn write(
         &mut self,
         text: String,
         assembly: &Assembly,
     ) -> impl std::future::Future<Output = bool> + Send;
 }
 
-/// What an attempt is made of.
+/// The specification of an attempt.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// The attempt.
+pub struct AttemptSpec {
+    /// The identifier of the attempt.
     pub attempt: AttemptId,
-    /// The request, without what is there already.
-    pub generate: GenerateRequest,
-    /// What is sent, for what upstreams do under it.
+    /// The request to the engine; its `resume` and `offset` are set from the assembly.
+    pub request: GenerateRequest,
+    /// The request as tracked for crashes of upstreams.
     pub(crate) sent: Sent,
-    /// Lowest weight version that will do.
-    pub floor: u64,
-    /// When it has to be over, on the monotonic clock.
+    /// Lowest acceptable weight version.
+    pub min_version: u64,
+    /// Deadline on the monotonic clock, in milliseconds.
     pub deadline: Millis,
 }
 
@@ -98,117 +99,132 @@
 pub async fn run(
     app: &App,
     permit: Permit,
-    order: &Order,
+    spec: &AttemptSpec,
     assembly: &mut Assembly,
     sink: &mut impl Sink,
-) -> End {
-    assembly.restart(order.attempt);
-    let left = order.deadline.saturating_sub(app.clock.now());
-    let stay = order.sent.stay(app, &permit.spec);
-    let whole = attempt(app, &permit, order, assembly, sink);
-    let end = match tokio::time::timeout(Duration::from_millis(left), whole).await {
-        Ok(end) => end,
-        Err(_) => End::Early(Ran::Unknown, Why::Silent),
+) -> AttemptResult {
+    assembly.restart(spec.attempt);
+    let left = spec.deadline.saturating_sub(app.clock.now());
+    let suspect_guard = spec.sent.stay(app, &permit.spec);
+    let attempt = run_to_end(app, &permit, spec, assembly, sink);
+    let result = match tokio::time::timeout(Duration::from_millis(left), attempt).await {
+        Ok(result) => result,
+        Err(_) => AttemptResult::Failed(Ran::Unknown, AttemptError::TimedOut),
     };
-    learn(app, &permit, assembly.version());
-    match &end {
-        End::Whole => order.sent.whole(app),
-        End::Early(Ran::Unknown, Why::Cut) => order.sent.broke(app, &permit.spec).await,
-        End::Early(..) | End::Unwanted => (),
+    record_version(app, &permit, assembly.version());
+    match &result {
+        AttemptResult::Complete => spec.sent.whole(app),
+        AttemptResult::Failed(Ran::Unknown, AttemptError::Broken) => {
+            spec.sent.broke(app, &permit.spec).await
+        }
+        AttemptResult::Failed(..) | AttemptResult::Cancelled => (),
     }
-    drop(stay);
-    judge(app, permit, &end);
-    end
+    drop(suspect_guard);
+    record_result(app, permit, &result);
+    result
 }
 
-async fn attempt(
+/// Sends the request and reads the stream until its end, without a deadline for the whole attempt.
+async fn run_to_end(
     app: &App,
     permit: &Permit,
-    order: &Order,
+    spec: &AttemptSpec,
     assembly: &mut Assembly,
     sink: &mut impl Sink,
-) -> End {
+) -> AttemptResult {
     let attempt = Attempt::new();
-    let Some(request) = request(permit, order, assembly) else {
-        return End::Early(attempt.refuse(), Why::Garbled);
+    let Some(request) = request(permit, spec, assembly) else {
+        return AttemptResult::Failed(attempt.refuse(), AttemptError::Malformed);
     };
     let attempt = attempt.send();
-    let answer = match app.http.send(request, SILENCE).await {
-        Ok(answer) => answer,
+    let response = match app.http.send(request, STREAM_IDLE_TIMEOUT).await {
+        Ok(response) => response,
         Err(error) if error.is_unsent() => {
             let attempt = attempt.unconnected(NoConnection::connect_failed());
-            return End::Early(attempt.refuse(), Why::Unconnected);
+            return AttemptResult::Failed(attempt.refuse(), AttemptError::Unconnected);
         }
-        Err(_) => return End::Early(attempt.fail(), Why::Cut),
+        Err(_) => return AttemptResult::Failed(attempt.fail(), AttemptError::Broken),
     };
-    if answer.status() != StatusCode::OK {
-        return End::Early(attempt.fail(), Why::Status(answer.status().as_u16()));
+    if response.status() != StatusCode::OK {
+        return AttemptResult::Failed(
+            attempt.fail(),
+            AttemptError::Status(response.status().as_u16()),
+        );
     }
-    hear(app, permit, &answer);
-    let mut events = events::read(answer.into_body());
+    record_running(app, permit, &response);
+    let mut events = events::read(response.into_body());
     loop {
-        let event = match tokio::time::timeout(SILENCE, events.next()).await {
+        let event = match tokio::time::timeout(STREAM_IDLE_TIMEOUT, events.next()).await {
             Ok(Some(event)) => event,
-            Ok(None) => return End::Early(attempt.fail(), Why::Cut),
-            Err(_) => return End::Early(attempt.fail(), Why::Silent),
+            Ok(None) => return AttemptResult::Failed(attempt.fail(), AttemptError::Broken),
+            Err(_) => return AttemptResult::Failed(attempt.fail(), AttemptError::TimedOut),
         };
-        match place(order.attempt, event, assembly) {
-            Ok(Some(_)) if assembly.version() < order.floor => {
-                return End::Early(attempt.fail(), Why::Old);
+        match place(spec.attempt, event, assembly) {
+            Ok(Some(_)) if assembly.version() < spec.min_version => {
+                return AttemptResult::Failed(attempt.fail(), AttemptError::Stale);
             }
             Ok(Some(text)) => {
-                if !sink.take(text, assembly).await {
-                    return End::Unwanted;
+                if !sink.write(text, assembly).await {
+                    return AttemptResult::Cancelled;
                 }
             }
             Ok(None) => (),
-            Err(why) => return End::Early(attempt.fail(), why),
+            Err(error) => return AttemptResult::Failed(attempt.fail(), error),
         }
         if assembly.is_complete() {
             attempt.answer();
-            return End::Whole;
+            return AttemptResult::Complete;
         }
     }
 }
 
-fn request(permit: &Permit, order: &Order, assembly: &Assembly) -> Option<Request<Full<Bytes>>> {
-    let mut generate = order.generate.clone();
-    generate.resume = assembly.partial().text.clone();
-    generate.offset = assembly.partial().tokens;
-    let bytes = serde_json::to_vec(&generate).ok()?;
+/// Builds the request, which resumes from the output in the assembly.
+fn request(
+    permit: &Permit,
+    spec: &AttemptSpec,
+    assembly: &Assembly,
+) -> Option<Request<Full<Bytes>>> {
+    let mut request = spec.request.clone();
+    request.resume = assembly.partial().text.clone();
+    request.offset = assembly.partial().tokens;
+    let bytes = serde_json::to_vec(&request).ok()?;
     Request::post(net::client::uri(permit.spec.addr, GENERATE))
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(bytes)))
         .ok()
 }
 
-/// Places the chunk of an event; gives the text that follows what was there.
-fn place(attempt: AttemptId, event: Event, assembly: &mut Assembly) -> Result<Option<String>, Why> {
+/// Places the chunk of an event in the assembly. Returns the text that can now be appended.
+fn place(
+    attempt: AttemptId,
+    event: Event,
+    assembly: &mut Assembly,
+) -> Result<Option<String>, AttemptError> {
     let data = match event {
-        Event::Broken => return Err(Why::Cut),
-        // The end of the stream; whether it is whole shows in the chunks.
+        Event::Broken => return Err(AttemptError::Broken),
+        // The end marker of the stream; the chunks determine whether the output is complete.
         Event::Data(data) if data == events::DONE => return Ok(None),
         Event::Data(data) => data,
     };
-    let chunk: Chunk = serde_json::from_str(&data).map_err(|_| Why::Garbled)?;
+    let chunk: Chunk = serde_json::from_str(&data).map_err(|_| AttemptError::Malformed)?;
     match assembly.place(attempt, chunk) {
         Placement::Appended(text) => Ok(Some(text)),
         Placement::Buffered | Placement::Dropped => Ok(None),
-        Placement::Contradiction(fault) => Err(Why::Contradiction(fault)),
+        Placement::Contradiction(contradiction) => Err(AttemptError::Contradiction(contradiction)),
     }
 }
 
-/// Takes in the load that an answer tells.
-fn hear<B>(app: &App, permit: &Permit, answer: &http::Response<B>) {
-    let running = answer.headers().get(RUNNING);
+/// Records the number of running requests that a response reports.
+fn record_running<B>(app: &App, permit: &Permit, response: &http::Response<B>) {
+    let running = response.headers().get(RUNNING);
     let running = running.and_then(|value| value.to_str().ok()?.parse().ok());
     if let (Some(dispatcher), Some(running)) = (app.dispatchers.get(&permit.spec.pool), running) {
         dispatcher.record_report(&permit.spec.name, running);
     }
 }
 
-/// Takes in the weight version that a stream named, which is newer than any report.
-fn learn(app: &App, permit: &Permit, version: u64) {
+/// Records the weight version in a stream, which is newer than any report of the engine.
+fn record_version(app: &App, permit: &Permit, version: u64) {
     if let (Some(dispatcher), 1..) = (app.dispatchers.get(&permit.spec.pool), version) {
         dispatcher.update_upstream(&permit.spec.name, |upstream| {
             upstream.version = Some(version)
@@ -216,21 +232,23 @@
     }
 }
 
-/// Tells the pool what the attempt showed of the engine.
-fn judge(app: &App, permit: Permit, end: &End) {
+/// Records the result of an attempt for the health of its engine.
+fn record_result(app: &App, permit: Permit, result: &AttemptResult) {
     let name = permit.spec.name.clone();
     let dispatcher = app.dispatchers.get(&permit.spec.pool).cloned();
-    match end {
-        End::Whole => permit.finish(true),
-        // Old weights are no failure: the engine waits for its order.
-        End::Unwanted | End::Early(_, Why::Old) => drop(permit),
-        End::Early(_, why) => {
+    match result {
+        AttemptResult::Complete => permit.finish(true),
+        // Old weights are not a failure: the engine has not been told to load newer ones yet.
+        AttemptResult::Cancelled | AttemptResult::Failed(_, AttemptError::Stale) => drop(permit),
+        AttemptResult::Failed(_, error) => {
             permit.finish(false);
-            if let (Some(dispatcher), Why::Contradiction(fault)) = (dispatcher, why) {
+            if let (Some(dispatcher), AttemptError::Contradiction(contradiction)) =
+                (dispatcher, error)
+            {
                 log::warn!(
                     target: "entry",
                     upstream = &*name,
-                    error = fault.to_string().as_str();
+                    error = contradiction.to_string().as_str();
                     "quarantined"
                 );
                 dispatcher.update_health(&name, |health| health.set_quarantined(true));
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -1,10 +1,10 @@
-//! Steps, as trainers meet them: opening, pulling, ending.
+//! The API of steps for trainers: open, pull and end.
 //!
-//! The identifier of a step names its home, the instance that it was opened at. A pull that comes
-//! to another instance is passed on there. When the home cannot be reached, the live instance
-//! with the highest rank for the step takes it over: it reads the step's prompts from the
-//! platform, and everything else from the cursor that the trainer sends. Two instances that both
-//! work on a step waste tokens and break no promise, so no lease is taken.
+//! The identifier of a step contains the name of its home, the instance that opened it. Other
+//! instances forward pulls to the home. If the home is unreachable, the live instance with the
+//! highest rank for the step takes over: it loads the step's prompts from the platform and derives
+//! all other state from the cursor in the pull. No lease is needed, because two instances that run
+//! the same step waste tokens but do not violate any guarantee.
 
 mod ledger;
 mod sample;
@@ -52,75 +52,77 @@
 use crate::refuse;
 use crate::trace::Trace;
 use ledger::Head;
-use work::Work;
+use work::ActiveStep;
 
-/// Longest time that a pull waits for a sample.
-const WAIT: Millis = 30_000;
+/// Maximum time that a pull waits for a sample.
+const MAX_PULL_WAIT: Millis = 30_000;
 
-/// Time beyond a pull's own wait that a peer has to answer it.
-const RELAY: Millis = 1_500;
+/// Timeout of a request to a peer, in addition to the wait of a forwarded pull.
+const PEER_TIMEOUT: Millis = 1_500;
 
-/// Instances that are told of an end at the same time.
-const TOLD: usize = 32;
+/// Maximum number of instances that are notified of an end concurrently.
+const MAX_CONCURRENT_NOTICES: usize = 32;
 
-/// Path at which peers are asked whether a step has ended.
+/// Path of the peer request that returns whether a step has ended.
 pub const STEP_ENDED_PATH: &str = "/peer/step/ended";
 
-/// Peers that are asked at the same time.
-const HELPERS: usize = 2;
+/// Maximum number of peers that are asked concurrently whether a step has ended.
+const MAX_QUERIED_PEERS: usize = 2;
 
-/// Time that a peer has to say whether a step has ended: a quick answer of the platform and the way.
-const HELP: Millis = 500;
+/// Timeout of the query to a peer whether a step has ended. It covers a fast platform read and the
+/// round trip to the peer.
+const QUERY_TIMEOUT: Millis = 500;
 
-/// When to come back when a step cannot be worked on now, in milliseconds.
-const LATER: Millis = 1_000;
+/// Retry delay for callers while the platform is unavailable, in milliseconds.
+const RETRY_AFTER: Millis = 1_000;
 
-/// The steps that this instance works on.
+/// The steps that this instance runs, by identifier.
 #[derive(Default)]
 pub struct Steps {
-    works: ShardedMap<String, Arc<Work>>,
+    active: ShardedMap<String, Arc<ActiveStep>>,
 }
 
 impl Steps {
-    /// The steps that this instance works on.
-    pub fn all(&self) -> Vec<Arc<Work>> {
+    /// Returns all steps that this instance runs.
+    pub fn all(&self) -> Vec<Arc<ActiveStep>> {
         let mut all = Vec::new();
-        self.works
-            .for_each_shard(|works| all.extend(works.values().cloned()));
+        self.active
+            .for_each_shard(|steps| all.extend(steps.values().cloned()));
         all
     }
 
-    /// How a step stands here, if this instance works on it.
+    /// Returns the state of a step, if this instance runs it.
     pub fn state(&self, step: &str, instance: &Name) -> Option<StepState> {
-        let work = self.works.get(&step.to_owned())?;
-        Some(work.state(instance))
+        let active = self.active.get(&step.to_owned())?;
+        Some(active.state(instance))
     }
 
-    /// Stops working on a step.
+    /// Stops a step on this instance, if it runs here, and discards its state.
     pub fn stop(&self, step: &str) {
-        if let Some(work) = self.works.remove(&step.to_owned()) {
-            work.cancel();
+        if let Some(active) = self.active.remove(&step.to_owned()) {
+            active.cancel();
         }
     }
 }
 
-fn no(kind: Type) -> Problem {
+/// Builds the refusal of a call of which nothing was sent to an upstream.
+fn deny(kind: Type) -> Problem {
     Problem::new(kind, Attempt::new().refuse())
 }
 
 /// Serves `POST /v1/steps`.
 pub async fn open(app: Arc<App>, call: Call) -> Reply {
     let mut trace = Trace::begin("step-open", app.clock);
-    let result = opened(&app, call, &mut trace).await;
+    let result = handle_open(&app, call, &mut trace).await;
     let reply = result.map(|opened| body::json(StatusCode::CREATED, &opened));
     refuse::finish(&app, trace, reply)
 }
 
-async fn opened(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
-    let held = auth::contract(app, &call, trace)?;
+async fn handle_open(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
+    let active_contract = auth::contract(app, &call, trace)?;
     let open: OpenStep = complete::parse_body(app, call.body).await?;
-    complete::engine_dispatcher(app, &held, &open.model)?;
-    let contract = &held.stored.contract;
+    complete::engine_dispatcher(app, &active_contract, &open.model)?;
+    let contract = &active_contract.stored.contract;
     let spec = Spec {
         model: open.model,
         prompts: open.groups,
@@ -128,8 +130,8 @@
         max_tokens: open.max_tokens,
         max_staleness: contract.max_staleness,
     };
-    let checked = spec.check();
-    checked.map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))?;
+    let validity = spec.check();
+    validity.map_err(|error| deny(Type::BadRequest).with_detail(error.to_string()))?;
     let id = format!("{}.{}", Uuid::now_v7().simple(), app.settings.me.name);
     let head = Head {
         customer: contract.customer.clone(),
@@ -138,157 +140,160 @@
     };
     let saved = ledger::save(app, &id, &head).await;
     let cursor = Cursor::empty(spec.total());
-    let work = begin(app, &id, &held, spec, &cursor, open.version)?;
+    let active = start(app, &id, &active_contract, spec, &cursor, open.version)?;
     if let Err(error) = saved {
-        // The step goes on here; what is lost is that another instance could take it over.
-        work.note(format!("not saved at the platform: {error}"));
-        ledger::save_later(app, &id, head, &work);
+        // The step runs here nevertheless, but no other instance can take it over until it is
+        // saved.
+        active.note(format!("not saved at the platform: {error}"));
+        ledger::save_later(app, &id, head, &active);
     }
     Ok(OpenedStep {
         step: id,
-        total: work.total(),
+        total: active.total(),
         bound: contract.max_staleness,
     })
 }
 
-fn begin(
+/// Starts a step on this instance, or returns it if it already runs here.
+fn start(
     app: &Arc<App>,
     id: &str,
-    held: &ActiveContract,
+    contract: &ActiveContract,
     spec: Spec,
     cursor: &Cursor,
     version: u64,
-) -> Result<Arc<Work>, Problem> {
-    let dispatcher = complete::engine_dispatcher(app, held, &spec.model)?;
+) -> Result<Arc<ActiveStep>, Problem> {
+    let dispatcher = complete::engine_dispatcher(app, contract, &spec.model)?;
     let policy = kernel::plugin::find(app.settings.policy);
-    let policy = policy.map_err(|error| no(Type::Internal).with_detail(error.to_string()))?;
-    let customer = held.stored.contract.customer.clone();
+    let policy = policy.map_err(|error| deny(Type::Internal).with_detail(error.to_string()))?;
+    let customer = contract.stored.contract.customer.clone();
     let run = step::Run::new(spec, policy, cursor, version);
-    let work = Work::new(id, customer, run, dispatcher, app.clock);
+    let created = ActiveStep::new(id, customer, run, dispatcher, app.clock);
     let key = id.to_owned();
-    let kept = app.steps.works.with_shard(&key, |works| {
-        works
+    let active = app.steps.active.with_shard(&key, |steps| {
+        steps
             .entry(key.clone())
-            .or_insert_with(|| work.clone())
+            .or_insert_with(|| created.clone())
             .clone()
     });
-    // Of two pulls that take a step over at once, one finds the other's work.
-    if Arc::ptr_eq(&kept, &work) {
-        work.note(format!(
-            "begun at {} with cursor of {} held",
+    // Of two pulls that take a step over concurrently, only one inserts it.
+    if Arc::ptr_eq(&active, &created) {
+        created.note(format!(
+            "started at {} with a cursor of {} held samples",
             app.settings.me.name,
             cursor.count()
         ));
-        work.begin(app, held.stored.contract.concurrency);
+        created.start(app, contract.stored.contract.concurrency);
     }
-    Ok(kept)
+    Ok(active)
 }
 
 /// Serves `POST /v1/steps/{step}/pull`.
 pub async fn pull(app: Arc<App>, call: Call) -> Reply {
     let mut trace = Trace::begin("step-pull", app.clock);
-    let result = pulled(&app, call, &mut trace).await;
+    let result = handle_pull(&app, call, &mut trace).await;
     let reply = result.map(|batch| body::json(StatusCode::OK, &batch));
     refuse::finish(&app, trace, reply)
 }
 
-async fn pulled(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
-    let held = auth::contract(app, &call, trace)?;
+async fn handle_pull(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
+    let contract = auth::contract(app, &call, trace)?;
     let step = call.segment(2).to_owned();
     let pull: PullRequest = complete::parse_body(app, call.body).await?;
-    let customer = held.stored.contract.customer.clone();
+    let customer = contract.stored.contract.customer.clone();
     let mut message = StepPull {
         step,
         customer,
         pull,
     };
-    message.pull.wait_ms = message.pull.wait_ms.min(WAIT);
-    for member in runners(app, &message.step) {
+    message.pull.wait_ms = message.pull.wait_ms.min(MAX_PULL_WAIT);
+    for member in candidates(app, &message.step) {
         if member.name == app.settings.me.name {
-            return here(app, &message).await;
+            return pull_local(app, &message).await;
         }
-        let limit = Duration::from_millis(message.pull.wait_ms + RELAY);
+        let timeout = Duration::from_millis(message.pull.wait_ms + PEER_TIMEOUT);
         let path = peer::STEP_PULL;
-        match gossip::exchange(app, member.addr, path, &message, limit).await {
+        match gossip::exchange(app, member.addr, path, &message, timeout).await {
             Ok(StepPulled::Batch(batch)) => return Ok(batch),
             Ok(StepPulled::Refused(problem)) => return Err(problem),
-            Err(error) => trace.note(format!("step at {}: {error}", member.name)),
+            Err(error) => trace.note(format!("pull forwarded to {}: {error}", member.name)),
         }
     }
-    here(app, &message).await
+    pull_local(app, &message).await
 }
 
-/// Who works on a step, in the order in which to ask: its home if it is live, then the other live
-/// instances by rank.
-fn runners(app: &App, step: &str) -> Vec<Member> {
+/// Returns the live instances that a pull is forwarded to, in order: the step's home, then the
+/// other instances by rank.
+fn candidates(app: &App, step: &str) -> Vec<Member> {
     let home = step.split_once('.').map_or("", |(_, home)| home);
     let view = app.view.lock();
     let mut live: Vec<_> = view.live().cloned().collect();
     drop(view);
     live.sort_by_key(|member| {
-        let away = *member.name != *home;
+        let is_other = *member.name != *home;
         (
-            away,
+            is_other,
             std::cmp::Reverse(kernel::rendezvous_rank(&member.name, step)),
         )
     });
-    // One after the home is enough: if that one is gone as well, this instance takes the step.
+    // One candidate besides the home is enough: if neither answers, this instance takes over the
+    // step itself.
     live.truncate(2);
     live
 }
 
-/// Answers a pull on this instance, which takes the step over if it has to.
-async fn here(app: &Arc<App>, message: &StepPull) -> Result<Batch, Problem> {
-    let work = match app.steps.works.get(&message.step) {
-        Some(work) => work,
-        None => adopt(app, message).await?,
+/// Serves a pull on this instance, which takes over the step if it does not run here yet.
+async fn pull_local(app: &Arc<App>, message: &StepPull) -> Result<Batch, Problem> {
+    let active = match app.steps.active.get(&message.step) {
+        Some(active) => active,
+        None => take_over(app, message).await?,
     };
-    if *work.customer() != message.customer || work.is_cancelled() {
-        return Err(no(Type::NotFound).with_detail("step"));
+    if *active.customer() != message.customer || active.is_cancelled() {
+        return Err(deny(Type::NotFound).with_detail("step"));
     }
-    let cursor = Cursor::parse(&message.pull.cursor, work.total());
-    let cursor = cursor.map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))?;
-    let batch = work.pull(&cursor, &message.pull).await;
-    if work.is_cancelled() {
-        return Err(no(Type::NotFound).with_detail("step"));
+    let cursor = Cursor::parse(&message.pull.cursor, active.total());
+    let cursor = cursor.map_err(|error| deny(Type::BadRequest).with_detail(error.to_string()))?;
+    let batch = active.pull(&cursor, &message.pull).await;
+    if active.is_cancelled() {
+        return Err(deny(Type::NotFound).with_detail("step"));
     }
-    count(app, &message.customer, batch.samples.len());
+    count_delivered(app, &message.customer, batch.samples.len());
     Ok(batch)
 }
 
-fn count(app: &App, customer: &Name, samples: usize) {
+fn count_delivered(app: &App, customer: &Name, samples: usize) {
     let instance = app.settings.me.name.to_string();
     let customer = customer.to_string();
     metrics::counter!(meter::SAMPLES, "instance" => instance, "customer" => customer)
         .increment(samples as u64);
 }
 
-/// Takes over a step that another instance worked on.
-async fn adopt(app: &Arc<App>, message: &StepPull) -> Result<Arc<Work>, Problem> {
+/// Takes over a step that another instance ran.
+async fn take_over(app: &Arc<App>, message: &StepPull) -> Result<Arc<ActiveStep>, Problem> {
     let head = match ledger::load(app, &message.step).await {
         Ok(Some(head)) => head,
-        Ok(None) => return Err(no(Type::NotFound).with_detail("step")),
+        Ok(None) => return Err(deny(Type::NotFound).with_detail("step")),
         Err(error) => {
-            let problem = no(Type::Platform).with_detail(error.to_string());
-            return Err(problem.retry_after(LATER));
+            let problem = deny(Type::Platform).with_detail(error.to_string());
+            return Err(problem.retry_after(RETRY_AFTER));
         }
     };
     if head.customer != message.customer {
-        return Err(no(Type::NotFound).with_detail("step"));
+        return Err(deny(Type::NotFound).with_detail("step"));
     }
-    let held = app.book.read().by_name(&head.customer).cloned();
-    let held = held.ok_or_else(|| no(Type::Unauthorized))?;
+    let contract = app.book.read().by_name(&head.customer).cloned();
+    let contract = contract.ok_or_else(|| deny(Type::Unauthorized))?;
     let total = head.spec.total();
     let cursor = Cursor::parse(&message.pull.cursor, total);
-    let cursor = cursor.map_err(|error| no(Type::BadRequest).with_detail(error.to_string()))?;
+    let cursor = cursor.map_err(|error| deny(Type::BadRequest).with_detail(error.to_string()))?;
     let version = message.pull.version;
-    begin(app, &message.step, &held, head.spec, &cursor, version)
+    start(app, &message.step, &contract, head.spec, &cursor, version)
 }
 
 /// Serves `DELETE /v1/steps/{step}`.
 pub async fn end(app: Arc<App>, call: Call) -> Reply {
     let mut trace = Trace::begin("step-end", app.clock);
-    let result = ended(&app, call, &mut trace).await;
+    let result = handle_end(&app, call, &mut trace).await;
     let reply = result.map(|()| {
         let mut reply = Reply::default();
         *reply.status_mut() = StatusCode::NO_CONTENT;
@@ -297,127 +302,134 @@
     refuse::finish(&app, trace, reply)
 }
 
-async fn ended(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<(), Problem> {
-    let held = auth::contract(app, &call, trace)?;
-    let customer = held.stored.contract.customer.clone();
+async fn handle_end(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<(), Problem> {
+    let contract = auth::contract(app, &call, trace)?;
+    let customer = contract.stored.contract.customer.clone();
     let step = call.segment(2).to_owned();
     let message = StepEnd { step, customer };
-    let known = tell(app, &message).await;
-    match ledger::end(app, &message.step, &message.customer, known).await {
+    let was_running = end_everywhere(app, &message).await;
+    match ledger::end(app, &message.step, &message.customer, was_running).await {
         Ok(true) => Ok(()),
-        Ok(false) => Err(no(Type::NotFound).with_detail("step")),
-        // An end that is nowhere but in memory is not acknowledged: the step could be begun again.
+        Ok(false) => Err(deny(Type::NotFound).with_detail("step")),
+        // An end that is not stored at the platform is not acknowledged, because another instance
+        // could still start the step again.
         Err(error) => {
             let problem = Problem::new(Type::Platform, Ran::Unknown);
-            Err(problem.with_detail(error.to_string()).retry_after(LATER))
+            Err(problem
+                .with_detail(error.to_string())
+                .retry_after(RETRY_AFTER))
         }
     }
 }
 
-/// Tells every live instance that a step is over; tells whether one of them works on it.
-async fn tell(app: &Arc<App>, message: &StepEnd) -> bool {
-    let mut known = end_local(app, message);
+/// Stops a step on every live instance. Returns whether any of them ran it.
+async fn end_everywhere(app: &Arc<App>, message: &StepEnd) -> bool {
+    let mut was_running = end_local(app, message);
     let mut others: Vec<_> = app.view.lock().live().cloned().collect();
     others.retain(|member| member.name != app.settings.me.name);
-    for some in others.chunks(TOLD) {
-        let told = some.iter().map(|member| tell_one(app, member, message));
-        known |= join_all(told).await.contains(&true);
+    for chunk in others.chunks(MAX_CONCURRENT_NOTICES) {
+        let notices = chunk.iter().map(|member| end_at(app, member, message));
+        was_running |= join_all(notices).await.contains(&true);
     }
-    known
+    was_running
 }
 
-async fn tell_one(app: &App, member: &Member, message: &StepEnd) -> bool {
-    let limit = Duration::from_millis(RELAY);
-    let told = gossip::exchange(app, member.addr, peer::STEP_END, message, limit).await;
-    told.unwrap_or(false)
+async fn end_at(app: &App, member: &Member, message: &StepEnd) -> bool {
+    let timeout = Duration::from_millis(PEER_TIMEOUT);
+    let reply = gossip::exchange(app, member.addr, peer::STEP_END, message, timeout).await;
+    reply.unwrap_or(false)
 }
 
-/// Stops working on a step that a customer ends; tells whether this instance did.
+/// Stops a step that its customer ends. Returns whether this instance ran it.
 pub fn end_local(app: &Arc<App>, message: &StepEnd) -> bool {
-    let work = app.steps.works.get(&message.step);
-    let Some(work) = work.filter(|work| *work.customer() == message.customer) else {
+    let active = app.steps.active.get(&message.step);
+    let Some(active) = active.filter(|active| *active.customer() == message.customer) else {
         return false;
     };
-    if work.cancel() {
-        work.note("ended".into());
-        ledger::end_later(app, work);
+    if active.cancel() {
+        active.note("ended".into());
+        ledger::end_later(app, active);
     }
     true
 }
 
-/// Asks the platform whether a step has ended, and peers that may reach it if this instance may not.
-async fn asked(
+/// Returns whether a step has ended, as stored at the platform. With `with_peers`, peers read it as
+/// well, in case the platform is unreachable from this instance only; the first answer counts.
+async fn has_ended(
     app: &App,
     step: &str,
     customer: &Name,
     with_peers: bool,
 ) -> Result<bool, PlatError> {
-    let own = ledger::is_ended(app, step, customer);
+    let local = ledger::is_ended(app, step, customer);
     if !with_peers {
-        return own.await;
+        return local.await;
     }
-    let mut failed = PlatError::NoAnswer;
-    let own = async { own.await.map_err(|error| failed = error) };
+    let mut failure = PlatError::NoAnswer;
+    let local = async { local.await.map_err(|error| failure = error) };
     let message = StepEnd {
         step: step.to_owned(),
         customer: customer.clone(),
     };
     tokio::select! {
-        Ok(ended) = own => return Ok(ended),
-        Some(ended) = peers_word(app, &message) => return Ok(ended),
+        Ok(ended) = local => return Ok(ended),
+        Some(ended) = query_peers(app, &message) => return Ok(ended),
         else => (),
     }
-    Err(failed)
+    Err(failure)
 }
 
-/// What the first peer that gets an answer hears of the end of a step.
-async fn peers_word(app: &App, message: &StepEnd) -> Option<bool> {
-    let asked = helpers(app, &message.step).into_iter().map(|member| {
-        Box::pin(async move {
-            let limit = Duration::from_millis(HELP);
-            let heard: Option<bool> =
-                gossip::exchange(app, member.addr, STEP_ENDED_PATH, message, limit)
-                    .await
-                    .ok()?;
-            heard
-        })
-    });
-    let mut asked: FuturesUnordered<_> = asked.collect();
-    while let Some(heard) = asked.next().await {
-        if heard.is_some() {
-            return heard;
+/// Asks peers to read the end of a step from the platform. Returns the first answer, or [`None`] if
+/// no peer gets one.
+async fn query_peers(app: &App, message: &StepEnd) -> Option<bool> {
+    let queries = peers_to_query(app, &message.step)
+        .into_iter()
+        .map(|member| {
+            Box::pin(async move {
+                let timeout = Duration::from_millis(QUERY_TIMEOUT);
+                let ended: Option<bool> =
+                    gossip::exchange(app, member.addr, STEP_ENDED_PATH, message, timeout)
+                        .await
+                        .ok()?;
+                ended
+            })
+        });
+    let mut queries: FuturesUnordered<_> = queries.collect();
+    while let Some(ended) = queries.next().await {
+        if ended.is_some() {
+            return ended;
         }
     }
     None
 }
 
-/// The peers to ask, those of other failure domains first: what cuts one instance off from the
-/// platform may cut off its whole domain.
-fn helpers(app: &App, step: &str) -> Vec<Member> {
+/// Returns the peers to ask, those of other failure domains first: a fault that separates this
+/// instance from the platform may affect its whole failure domain.
+fn peers_to_query(app: &App, step: &str) -> Vec<Member> {
     let me = &app.settings.me;
     let mut live: Vec<_> = app.view.lock().live().cloned().collect();
     live.retain(|member| member.name != me.name);
     live.sort_by_key(|member| {
-        let near = member.domain == me.domain;
+        let same_domain = member.domain == me.domain;
         (
-            near,
+            same_domain,
             std::cmp::Reverse(kernel::rendezvous_rank(&member.name, step)),
         )
     });
-    live.truncate(HELPERS);
+    live.truncate(MAX_QUERIED_PEERS);
     live
 }
 
-/// Tells a peer whether a step has ended, if the platform says so.
+/// Returns whether a step has ended, for a peer; [`None`] if the platform does not answer.
 pub async fn query_ended(app: &App, message: StepEnd) -> Option<bool> {
     ledger::is_ended(app, &message.step, &message.customer)
         .await
         .ok()
 }
 
-/// Serves a pull that a peer passed on.
+/// Serves a pull that a peer forwarded.
 pub async fn serve_forwarded_pull(app: &Arc<App>, message: StepPull) -> StepPulled {
-    match here(app, &message).await {
+    match pull_local(app, &message).await {
         Ok(batch) => StepPulled::Batch(batch),
         Err(problem) => StepPulled::Refused(problem),
     }
--- a/crates/serve/src/steps/ledger.rs
+++ b/crates/serve/src/steps/ledger.rs
@@ -1,11 +1,12 @@
-//! What the platform keeps of a step: who opened it, its prompts, and its end.
+//! The stored form of a step at the platform: its customer, its prompts and its end.
 //!
-//! It is written once and never changed: what was delivered stands in the trainer's cursor. So a
-//! step costs a handful of writes, whatever the number of its samples and pulls.
+//! A step is written once and never updated: which samples were delivered is recorded in the
+//! trainer's cursor. A step therefore costs a few writes, regardless of its samples and pulls.
 //!
-//! The head is there while the step is open, and only then: the end is written and the head removed
-//! in one transaction, and nothing of a step is written where its end is. So whoever finds a head
-//! may begin the step, and a write that takes effect late brings none back.
+//! Once a step is saved, its head exists exactly while the step is open: one transaction writes the
+//! end and deletes the head, and every other write to the step is conditional on the absence of the
+//! end. An instance that finds a head may therefore start the step, and a delayed write cannot reopen
+//! an ended one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,57 +23,57 @@
 use serde::Serialize;
 use step::Spec;
 
-use super::work::Work;
+use super::work::ActiveStep;
 use crate::App;
 
-/// Bytes of one part; the platform takes values of up to a megabyte.
-const PART: usize = 256 << 10;
+/// Maximum size of one part of the prompts. The platform accepts values of up to a megabyte.
+const MAX_PART_BYTES: usize = 256 << 10;
 
-/// Time after which the platform forgets a step that nobody ended, and the end of one: a head that
-/// is saved behind the end was sent before it, and is long gone by then.
+/// Time after which the platform deletes a step that was never ended, and the end of a step. The
+/// end must outlive every delayed write of the head, which was sent before the end.
 const TTL: kernel::Millis = 6 * kernel::time::HOUR;
 
-/// Pause between two tries to save a step, or its end.
-const PAUSE: Duration = Duration::from_secs(2);
+/// Delay between two attempts to save a step or its end.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Tries to write an end while others write to the step.
-const TRIES: u32 = 3;
+/// Maximum number of attempts to write an end that conflicts with other writes to the step.
+const MAX_END_ATTEMPTS: u32 = 3;
 
-/// What the platform keeps of a step.
+/// The stored head of a step.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct Head {
     pub(super) customer: Name,
     pub(super) spec: Spec,
-    /// Parts that hold the prompts, which the head itself leaves out.
+    /// Number of parts that contain the prompts; a stored head contains none itself.
     pub(super) parts: usize,
 }
 
-/// What came of saving a step.
+/// The result of saving a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Saved {
-    /// It is at the platform.
-    Whole,
-    /// It has ended, and is not.
+pub(super) enum SaveResult {
+    /// The step is stored completely.
+    Saved,
+    /// The step has ended, so it was not stored.
     Ended,
 }
 
-/// The key of the end of a step, whose value is the customer.
-fn ended(id: &str) -> String {
+/// Returns the key of the end of a step; its value is the customer.
+fn end_key(id: &str) -> String {
     format!("{}ended/{id}", keys::ROOT)
 }
 
-/// Writes a step. The head comes last, so that a step with a head is whole.
-pub(super) async fn save(app: &App, id: &str, head: &Head) -> Result<Saved, PlatError> {
+/// Writes a step. The head is written last, so that a step that has a head is complete.
+pub(super) async fn save(app: &App, id: &str, head: &Head) -> Result<SaveResult, PlatError> {
     let prompts = serde_json::to_vec(&head.spec.prompts).map_err(|_| PlatError::Garbled)?;
     let lease = app.plat.grant(TTL).await?.id;
     let put = |key: String, value: Vec<u8>| Txn {
-        guards: vec![Guard::Absent(ended(id))],
+        guards: vec![Guard::Absent(end_key(id))],
         puts: vec![Put { key, value, lease }],
         ..Txn::default()
     };
     let mut parts = 0;
-    for part in prompts.chunks(PART) {
+    for part in prompts.chunks(MAX_PART_BYTES) {
         let key = keys::step_part(id, parts);
         app.plat.txn(&put(key, part.to_vec())).await?;
         parts += 1;
@@ -82,20 +83,20 @@
     head.spec.prompts = Vec::new();
     let value = serde_json::to_vec(&head).map_err(|_| PlatError::Garbled)?;
     match app.plat.txn(&put(keys::step_head(id), value)).await? {
-        TxnOutcome::At(_) => Ok(Saved::Whole),
-        TxnOutcome::Conflict => Ok(Saved::Ended),
+        TxnOutcome::At(_) => Ok(SaveResult::Saved),
+        TxnOutcome::Conflict => Ok(SaveResult::Ended),
     }
 }
 
-/// Goes on trying to save a step that was opened while the platform was away.
-pub(super) fn save_later(app: &Arc<App>, id: &str, head: Head, work: &Arc<Work>) {
-    let (app, id, work) = (app.clone(), id.to_owned(), work.clone());
+/// Retries in the background to save a step that was opened while the platform was unavailable.
+pub(super) fn save_later(app: &Arc<App>, id: &str, head: Head, step: &Arc<ActiveStep>) {
+    let (app, id, step) = (app.clone(), id.to_owned(), step.clone());
     tokio::spawn(async move {
-        while !work.is_cancelled() {
-            tokio::time::sleep(PAUSE).await;
+        while !step.is_cancelled() {
+            tokio::time::sleep(RETRY_DELAY).await;
             match save(&app, &id, &head).await {
-                Ok(Saved::Whole) => work.note("saved at the platform".into()),
-                Ok(Saved::Ended) => drop(work.cancel()),
+                Ok(SaveResult::Saved) => step.note("saved at the platform".into()),
+                Ok(SaveResult::Ended) => drop(step.cancel()),
                 Err(_) => continue,
             }
             return;
@@ -103,7 +104,7 @@
     });
 }
 
-/// Reads a step; [`None`] when there is none.
+/// Loads a step; [`None`] if there is no head.
 pub(super) async fn load(app: &App, id: &str) -> Result<Option<Head>, PlatError> {
     let range = app.plat.list(&keys::step_prefix(id)).await?;
     let key = keys::step_head(id);
@@ -121,23 +122,24 @@
     Ok(Some(head))
 }
 
-/// Tells whether a step of a customer has ended.
+/// Returns whether a step of a customer has ended.
 pub(super) async fn is_ended(app: &App, id: &str, customer: &Name) -> Result<bool, PlatError> {
-    let item = app.plat.get(&ended(id)).await?;
+    let item = app.plat.get(&end_key(id)).await?;
     Ok(item.is_some_and(|item| item.value == customer.as_bytes()))
 }
 
-/// Writes the end of a step of a customer, and removes the rest; tells whether it has ended.
+/// Writes the end of a customer's step and deletes the rest of it. Returns whether it has ended.
 ///
-/// A step that is not at the platform ends only if an instance works on it: else there is none.
+/// A step that is not stored can end only if it `was_running` on an instance; otherwise it does
+/// not exist.
 pub(super) async fn end(
     app: &App,
     id: &str,
     customer: &Name,
-    is_known: bool,
+    was_running: bool,
 ) -> Result<bool, PlatError> {
-    for _ in 0..TRIES {
-        let rev = match app.plat.get(&keys::step_head(id)).await? {
+    for _ in 0..MAX_END_ATTEMPTS {
+        let revision = match app.plat.get(&keys::step_head(id)).await? {
             Some(item) => {
                 let head: Head =
                     serde_json::from_slice(&item.value).map_err(|_| PlatError::Garbled)?;
@@ -147,48 +149,53 @@
                 item.rev
             }
             None if is_ended(app, id, customer).await? => return Ok(true),
-            None if !is_known => return Ok(false),
+            None if !was_running => return Ok(false),
             None => 0,
         };
-        if app.plat.txn(&ending(app, id, customer, rev).await?).await? != TxnOutcome::Conflict {
+        if app
+            .plat
+            .txn(&end_txn(app, id, customer, revision).await?)
+            .await?
+            != TxnOutcome::Conflict
+        {
             return Ok(true);
         }
     }
     Err(PlatError::NoAnswer)
 }
 
-async fn ending(app: &App, id: &str, customer: &Name, rev: i64) -> Result<Txn, PlatError> {
+async fn end_txn(app: &App, id: &str, customer: &Name, revision: i64) -> Result<Txn, PlatError> {
     let prefix = keys::step_prefix(id);
-    let behind = String::from_utf8(plat::proto::prefix_end(prefix.as_bytes()));
-    let behind = behind.map_err(|_| PlatError::Garbled)?;
+    let prefix_end = String::from_utf8(plat::proto::prefix_end(prefix.as_bytes()));
+    let prefix_end = prefix_end.map_err(|_| PlatError::Garbled)?;
     let end = Put {
-        key: ended(id),
+        key: end_key(id),
         value: customer.as_bytes().to_vec(),
         lease: app.plat.grant(TTL).await?.id,
     };
     Ok(Txn {
         guards: vec![
-            Guard::on(keys::step_head(id), rev),
-            Guard::Absent(ended(id)),
+            Guard::on(keys::step_head(id), revision),
+            Guard::Absent(end_key(id)),
         ],
         puts: vec![end],
-        deletes: vec![Delete::Span(prefix, behind)],
+        deletes: vec![Delete::Span(prefix, prefix_end)],
     })
 }
 
-/// Keeps a step that ended here in memory until its end is at the platform, whoever writes it: as
-/// long as it is not, the end is acknowledged to nobody, and comes again.
-pub(super) fn end_later(app: &Arc<App>, work: Arc<Work>) {
+/// Keeps an ended step in memory until its end is stored at the platform, by any instance. Until
+/// then the end is not acknowledged to any caller, and callers repeat it.
+pub(super) fn end_later(app: &Arc<App>, step: Arc<ActiveStep>) {
     let app = app.clone();
     tokio::spawn(async move {
-        let (id, customer) = (work.id(), work.customer());
+        let (id, customer) = (step.id(), step.customer());
         loop {
-            tokio::time::sleep(PAUSE).await;
-            let done = match is_ended(&app, id, customer).await {
+            tokio::time::sleep(RETRY_DELAY).await;
+            let result = match is_ended(&app, id, customer).await {
                 Ok(false) => end(&app, id, customer, true).await,
-                done => done,
+                result => result,
             };
-            if done.is_ok() {
+            if result.is_ok() {
                 app.steps.stop(id);
                 return;
             }
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -1,4 +1,4 @@
-//! One attempt at one sample.
+//! An attempt to generate one sample.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,191 +17,217 @@
 use wire::engine::GenerateRequest;
 
 use super::score;
-use super::work::Work;
+use super::work::ActiveStep;
 use crate::App;
 use crate::dispatcher::Permit;
 use crate::generate;
-use crate::generate::End;
+use crate::generate::AttemptError;
+use crate::generate::AttemptResult;
 use crate::generate::Sink;
-use crate::generate::Why;
 use crate::limits;
 use crate::limits::Passage;
 use crate::meter;
 use crate::suspect::Sent;
 
-/// Time that a sample may take at one engine.
-const LIMIT: Millis = 10 * 60_000;
+/// Maximum time that an attempt waits for an engine, and separately that it runs there.
+const ATTEMPT_TIMEOUT: Millis = 10 * 60_000;
 
-/// Pause after an attempt that could not be begun, in milliseconds.
-const PAUSE: Millis = 50;
+/// Minimum delay after an attempt that could not be started, in milliseconds.
+const MIN_RETRY_DELAY: Millis = 50;
 
-/// Longest wait for a place within the contract's limits before the sample is given back, so that
-/// the choice of which to begin is made anew.
-const PLACE: Millis = 500;
+/// Maximum delay before a sample that could not be started is returned to the step, so that the
+/// scheduler can choose again which sample to start.
+const MAX_RETRY_DELAY: Millis = 500;
 
-/// Passes on how far the sample is, and whether it is still wanted.
+/// Records the progress of an attempt in its step, and stops the attempt if the step no longer
+/// needs it here.
 struct Progress<'a> {
-    work: &'a Work,
+    step: &'a ActiveStep,
     index: u32,
     ordinal: u32,
 }
 
 impl Sink for Progress<'_> {
-    async fn take(&mut self, _: String, assembly: &Assembly) -> bool {
+    async fn write(&mut self, _: String, assembly: &Assembly) -> bool {
         let tokens = assembly.partial().tokens;
-        let wanted = self
-            .work
+        let is_needed = self
+            .step
             .run
             .lock()
             .record_progress(self.index, self.ordinal, tokens);
-        let moved = self.work.moves.lock().remove(&(self.index, self.ordinal));
-        wanted && !moved
+        let is_moved = self.step.moves.lock().remove(&(self.index, self.ordinal));
+        is_needed && !is_moved
     }
 }
 
-/// Makes one attempt at a sample, and hands what came of it to the step.
-pub(super) async fn make(app: &Arc<App>, work: &Work, begin: Assignment) {
-    let (index, ordinal) = (begin.index, begin.ordinal);
-    let held = app.book.read().by_name(work.customer()).cloned();
-    let Some(held) = held else {
-        give_back(work, index, ordinal, begin.partial, PAUSE).await;
+/// Makes one attempt at a sample and records its result in the step.
+pub(super) async fn attempt(app: &Arc<App>, step: &ActiveStep, assignment: Assignment) {
+    let (index, ordinal) = (assignment.index, assignment.ordinal);
+    let contract = app.book.read().by_name(step.customer()).cloned();
+    let Some(contract) = contract else {
+        give_back(step, index, ordinal, assignment.partial, MIN_RETRY_DELAY).await;
         return;
     };
-    let sent = sent(work, &begin);
+    let sent = sent_request(step, &assignment);
     if app.crashes.is_blocked(|| sent.print.into()) {
-        // The step keeps it until its trainer ends the step.
-        give_back(work, index, ordinal, begin.partial, PLACE).await;
+        // A quarantined sample stays in the step until the trainer ends the step.
+        give_back(step, index, ordinal, assignment.partial, MAX_RETRY_DELAY).await;
         return;
     }
-    let passage = match limits::pass_sample(app, &held, f64::from(begin.max_tokens)) {
+    let passage = match limits::pass_sample(app, &contract, f64::from(assignment.max_tokens)) {
         Ok(passage) => passage,
-        Err(after) => {
-            give_back(work, index, ordinal, begin.partial, after.min(PLACE)).await;
+        Err(delay) => {
+            give_back(
+                step,
+                index,
+                ordinal,
+                assignment.partial,
+                delay.min(MAX_RETRY_DELAY),
+            )
+            .await;
             return;
         }
     };
-    let permit = match acquire(app, work, &held, &begin).await {
+    let permit = match acquire(app, step, &contract, &assignment).await {
         Ok(permit) => permit,
-        Err(after) => {
+        Err(delay) => {
             drop(passage);
-            give_back(work, index, ordinal, begin.partial, after.min(PLACE)).await;
+            give_back(
+                step,
+                index,
+                ordinal,
+                assignment.partial,
+                delay.min(MAX_RETRY_DELAY),
+            )
+            .await;
             return;
         }
     };
-    work.sure().await;
-    run(app, work, begin, sent, permit, &passage).await;
+    step.wait_to_start().await;
+    run(app, step, assignment, sent, permit, &passage).await;
 }
 
-/// What a sample asks for: the same for each attempt of its step.
-fn sent(work: &Work, begin: &Assignment) -> Sent {
-    let (customer, model) = (work.customer().as_bytes(), &work.dispatcher.name);
-    let how = format!("{} {} {}", begin.index, begin.max_tokens, begin.prompt);
+/// Identifies the request for a sample; the result is equal for all its attempts in a step.
+fn sent_request(step: &ActiveStep, assignment: &Assignment) -> Sent {
+    let (customer, model) = (step.customer().as_bytes(), &step.dispatcher.name);
+    let body = format!(
+        "{} {} {}",
+        assignment.index, assignment.max_tokens, assignment.prompt
+    );
     Sent {
-        print: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
-        id: work.request.to_string(),
+        print: Fingerprint::new("POST", model, GENERATE, customer, body.as_bytes()),
+        id: step.request.to_string(),
     }
 }
 
-async fn give_back(work: &Work, index: u32, ordinal: u32, partial: Partial, pause: Millis) {
-    tokio::time::sleep(Duration::from_millis(pause.max(PAUSE))).await;
-    work.run.lock().fail(index, ordinal, partial);
+/// Returns a sample to the step after a delay, with its partial output.
+async fn give_back(step: &ActiveStep, index: u32, ordinal: u32, partial: Partial, delay: Millis) {
+    tokio::time::sleep(Duration::from_millis(delay.max(MIN_RETRY_DELAY))).await;
+    step.run.lock().fail(index, ordinal, partial);
 }
 
 async fn acquire(
     app: &App,
-    work: &Work,
-    held: &ActiveContract,
-    begin: &Assignment,
+    step: &ActiveStep,
+    contract: &ActiveContract,
+    assignment: &Assignment,
 ) -> Result<Permit, Millis> {
-    let contract = &held.stored.contract;
-    let left = begin.max_tokens.saturating_sub(begin.partial.tokens);
+    let contract = &contract.stored.contract;
+    let remaining = assignment
+        .max_tokens
+        .saturating_sub(assignment.partial.tokens);
     let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
         class: contract.class,
-        cost: f64::from(left.max(1)),
+        cost: f64::from(remaining.max(1)),
     };
-    let avoid = work.avoid.lock().get(&begin.index).cloned();
+    let avoid = step.avoid.lock().get(&assignment.index).cloned();
     let mut avoid: Vec<_> = avoid.into_iter().collect();
-    avoid.extend(sent(work, begin).apart(app));
-    let ask = Requirements {
-        blocks: blocks(&begin.prompt),
-        min_version: begin.min_version,
+    avoid.extend(sent_request(step, assignment).apart(app));
+    let requirements = Requirements {
+        blocks: blocks(&assignment.prompt),
+        min_version: assignment.min_version,
         avoid,
     };
-    let deadline = app.clock.now() + LIMIT;
-    let permit = work.dispatcher.acquire(&entry, ask, deadline).await;
-    permit.map_err(|refusal| refusal.after)
+    let deadline = app.clock.now() + ATTEMPT_TIMEOUT;
+    let permit = step
+        .dispatcher
+        .acquire(&entry, requirements, deadline)
+        .await;
+    permit.map_err(|refusal| refusal.retry_after)
 }
 
 async fn run(
     app: &Arc<App>,
-    work: &Work,
-    begin: Assignment,
+    step: &ActiveStep,
+    assignment: Assignment,
     sent: Sent,
     permit: Permit,
     passage: &Passage,
 ) {
-    let (index, ordinal) = (begin.index, begin.ordinal);
+    let (index, ordinal) = (assignment.index, assignment.ordinal);
     let engine = permit.spec.name.clone();
-    let attempt = work.request.attempt(ordinal);
-    let order = generate::Order {
+    let attempt = step.request.attempt(ordinal);
+    let spec = generate::AttemptSpec {
         attempt,
         sent,
-        generate: GenerateRequest {
+        request: GenerateRequest {
             attempt,
-            prompt: begin.prompt.clone(),
+            prompt: assignment.prompt.clone(),
             resume: String::new(),
             offset: 0,
-            max_tokens: begin.max_tokens,
-            priority: begin.priority,
+            max_tokens: assignment.max_tokens,
+            priority: assignment.priority,
             seed: Some(u64::from(index)),
             temperature: None,
             top_p: None,
             stop: Vec::new(),
         },
-        floor: begin.min_version,
-        deadline: app.clock.now() + LIMIT,
+        min_version: assignment.min_version,
+        deadline: app.clock.now() + ATTEMPT_TIMEOUT,
     };
-    work.run.lock().mark_sent(index, ordinal, work.clock.now());
-    let before = begin.partial.tokens;
-    let mut assembly = Assembly::resume(attempt, begin.partial);
+    step.run.lock().mark_sent(index, ordinal, step.clock.now());
+    let resumed_tokens = assignment.partial.tokens;
+    let mut assembly = Assembly::resume(attempt, assignment.partial);
     let mut progress = Progress {
-        work,
+        step,
         index,
         ordinal,
     };
-    let end = generate::run(app, permit, &order, &mut assembly, &mut progress).await;
-    passage.charge(assembly.partial().tokens - before);
-    if let End::Early(_, why) = &end {
-        work.note(format!("sample {index} at {engine}: {why}"));
+    let result = generate::run(app, permit, &spec, &mut assembly, &mut progress).await;
+    passage.charge(assembly.partial().tokens - resumed_tokens);
+    if let AttemptResult::Failed(_, error) = &result {
+        step.note(format!("sample {index} at {engine}: {error}"));
     }
-    match (end, assembly.close()) {
-        (End::Whole, Ok(whole)) => {
-            let mut sample = whole.sample(index, begin.group);
-            score::score(app, work, &begin.prompt, &mut sample).await;
-            let kept = work.run.lock().finish(ordinal, sample, work.clock.now());
-            settle(app, work, kept);
+    match (result, assembly.close()) {
+        (AttemptResult::Complete, Ok(complete)) => {
+            let mut sample = complete.sample(index, assignment.group);
+            score::score(app, step, &assignment.prompt, &mut sample).await;
+            let result = step.run.lock().finish(ordinal, sample, step.clock.now());
+            handle_finish(app, step, result);
         }
-        (_, Ok(_)) => work.run.lock().fail(index, ordinal, Partial::default()),
-        (End::Early(_, Why::Old), Err(_)) => {
-            work.run.lock().fail(index, ordinal, Partial::default());
+        (_, Ok(_)) => step.run.lock().fail(index, ordinal, Partial::default()),
+        (AttemptResult::Failed(_, AttemptError::Stale), Err(_)) => {
+            step.run.lock().fail(index, ordinal, Partial::default());
         }
-        (_, Err(open)) => {
-            work.avoid.lock().insert(index, engine);
-            work.run.lock().fail(index, ordinal, open.partial().clone());
+        (_, Err(incomplete)) => {
+            step.avoid.lock().insert(index, engine);
+            step.run
+                .lock()
+                .fail(index, ordinal, incomplete.partial().clone());
         }
     }
-    work.todo.notify_one();
+    step.task_ready.notify_one();
 }
 
-fn settle(app: &App, work: &Work, kept: FinishResult) {
-    match kept {
-        FinishResult::Accepted => work.ready.notify_waiters(),
+fn handle_finish(app: &App, step: &ActiveStep, result: FinishResult) {
+    match result {
+        FinishResult::Accepted => step.sample_ready.notify_waiters(),
         FinishResult::Superseded => (),
         FinishResult::Stale => {
             let instance = app.settings.me.name.to_string();
-            let customer = work.customer().to_string();
+            let customer = step.customer().to_string();
             metrics::counter!(meter::STALE, "instance" => instance, "customer" => customer)
                 .increment(1);
         }
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -1,4 +1,4 @@
-//! Scoring a sample before it is delivered, when the contract asks for it.
+//! Scores samples before delivery, if the contract names a scorer.
 
 use std::time::Duration;
 
@@ -18,78 +18,82 @@
 use wire::scorer::ScoreRequest;
 use wire::scorer::ScoreResponse;
 
-use super::work::Work;
+use super::work::ActiveStep;
 use crate::App;
 use crate::suspect::Sent;
 
-/// Time that a scorer has for one sample.
-const LIMIT: Millis = 5_000;
+/// Timeout of a scoring request.
+const SCORE_TIMEOUT: Millis = 5_000;
 
-/// Pause after a scorer that gave none.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failed attempt to score a sample.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Tries before a sample passes without a score, where the contract lets it.
-const TRIES: u32 = 3;
+/// Number of failed attempts after which a sample is delivered without a score, if the contract
+/// allows it.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Why there is no score.
+/// The reason why a sample could not be scored.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 enum ScoreError {
-    /// The settings know no such service.
+    /// The settings define no such service.
     #[error("the settings have no service {0}")]
     Unknown(String),
-    /// Scorers crash under it.
+    /// The sample is quarantined because scorers crashed on it.
     #[error("scorers crash under it")]
     Quarantined,
-    /// No scorer can take it now.
+    /// No scorer has capacity now.
     #[error("no scorer can take it now")]
     Busy,
-    /// The scorer gave none.
+    /// The request to the scorer failed.
     #[error(transparent)]
     Scorer(#[from] JsonError),
 }
 
-/// Asks for the score of a sample until there is one, or the contract lets it pass without.
+/// Scores a sample. Retries until it succeeds or the contract allows delivery without a score.
 ///
-/// The sample stays with the step meanwhile, so a scorer that is dead delays it and never loses
-/// it; the contract is read anew each time, so an amendment ends the wait.
-pub(super) async fn score(app: &App, work: &Work, prompt: &str, sample: &mut Sample) {
-    let mut tries = 0;
+/// The step holds the sample meanwhile, so an unavailable scorer delays it but does not lose it.
+/// The contract is read again before each attempt, so that an amendment takes effect at once.
+pub(super) async fn score(app: &App, step: &ActiveStep, prompt: &str, sample: &mut Sample) {
+    let mut attempts = 0;
     loop {
-        let held = app.book.read().by_name(work.customer()).cloned();
-        let Some(held) = held else {
+        let active_contract = app.book.read().by_name(step.customer()).cloned();
+        let Some(active_contract) = active_contract else {
             return;
         };
-        let contract = &held.stored.contract;
+        let contract = &active_contract.stored.contract;
         let Some(scorer) = &contract.scorer else {
             return;
         };
-        match ask(app, work, contract, scorer, prompt, &sample.text).await {
+        match request_score(app, step, contract, scorer, prompt, &sample.text).await {
             Ok(score) => {
                 sample.score = Some(score);
                 return;
             }
             Err(error) => {
-                tries += 1;
-                if tries == 1 {
-                    work.note(format!(
+                attempts += 1;
+                if attempts == 1 {
+                    step.note(format!(
                         "sample {} is not scored yet: {error}",
                         sample.index
                     ));
                 }
             }
         }
-        if contract.unscored == UnscoredPolicy::Pass && tries >= TRIES {
-            work.note(format!("sample {} passes without a score", sample.index));
+        if contract.unscored == UnscoredPolicy::Pass && attempts >= MAX_ATTEMPTS {
+            step.note(format!(
+                "sample {} is delivered without a score",
+                sample.index
+            ));
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn ask(
+async fn request_score(
     app: &App,
-    work: &Work,
+    step: &ActiveStep,
     contract: &Contract,
     scorer: &str,
     prompt: &str,
@@ -105,37 +109,38 @@
         cost: 1.0,
     };
     let customer = contract.customer.as_bytes();
-    let how = format!("{prompt} {text}");
+    let body = format!("{prompt} {text}");
     let sent = Sent {
-        print: Fingerprint::new("POST", scorer, SCORE, customer, how.as_bytes()),
-        id: work.request.to_string(),
+        print: Fingerprint::new("POST", scorer, SCORE, customer, body.as_bytes()),
+        id: step.request.to_string(),
     };
     if app.crashes.is_blocked(|| sent.print.into()) {
         return Err(ScoreError::Quarantined);
     }
-    let deadline = app.clock.now() + LIMIT;
-    let apart = Requirements {
+    let deadline = app.clock.now() + SCORE_TIMEOUT;
+    let requirements = Requirements {
         avoid: sent.apart(app),
         ..Requirements::default()
     };
-    let permit = dispatcher.acquire(&entry, apart, deadline).await;
+    let permit = dispatcher.acquire(&entry, requirements, deadline).await;
     let permit = permit.map_err(|_| ScoreError::Busy)?;
-    work.sure().await;
-    let asked = ScoreRequest {
+    step.wait_to_start().await;
+    let request = ScoreRequest {
         prompt: prompt.into(),
         text: text.to_owned(),
     };
     let uri = uri(permit.spec.addr, SCORE);
-    let limit = Duration::from_millis(LIMIT);
+    let timeout = Duration::from_millis(SCORE_TIMEOUT);
     let spec = permit.spec.clone();
-    let stay = sent.stay(app, &spec);
-    let scored: Result<ScoreResponse, _> = app.http.json(Method::POST, &uri, &asked, limit).await;
-    permit.finish(scored.is_ok());
-    match &scored {
+    let suspect_guard = sent.stay(app, &spec);
+    let result: Result<ScoreResponse, _> =
+        app.http.json(Method::POST, &uri, &request, timeout).await;
+    permit.finish(result.is_ok());
+    match &result {
         Ok(_) => sent.whole(app),
         Err(JsonError::Send(SendError::Broken)) => sent.broke(app, &spec).await,
         Err(_) => (),
     }
-    drop(stay);
-    Ok(scored?.score)
+    drop(suspect_guard);
+    Ok(result?.score)
 }
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -1,10 +1,10 @@
-//! A step on the instance that works on it.
+//! A step that runs on this instance.
 //!
-//! Whoever ends a step may not reach this instance, so it asks the platform for the end. Samples
-//! and scores are begun only for a while after an answer that there is none. A question without an
-//! answer is asked again; when that has none either, the platform counts as away, and the step
-//! goes on. From the second on a question goes to peers as well, since the platform may be away for
-//! this instance alone.
+//! The instance that ends a step may be unable to reach this one, so this instance polls the
+//! platform for the end. Samples and scores are started only for a limited time after a reply that
+//! the step has not ended. A query that fails is repeated once; if that fails too, the platform is
+//! considered unavailable and the step continues. The repeated query also goes to peers, because
+//! the platform may be unreachable from this instance only.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -32,64 +32,67 @@
 use crate::dispatcher::Dispatcher;
 use clock::Clock;
 
-/// Time without a pull after which no more samples are begun: the trainer may be gone.
-const PAUSED: Millis = 60_000;
+/// Time without a pull after which no more samples are started, because the trainer may have
+/// stopped.
+const PAUSE_AFTER: Millis = 60_000;
 
-/// Time without a pull after which the step is dropped here.
-const DROPPED: Millis = 15 * 60_000;
+/// Time without a pull after which this instance discards the step.
+const DISCARD_AFTER: Millis = 15 * 60_000;
 
-/// Time between two questions whether the step has ended.
-const ASK: Duration = Duration::from_millis(800);
+/// Interval between two queries whether the step has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Pause after a question without an answer.
-const AGAIN: Duration = Duration::from_millis(300);
+/// Delay before a failed query is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Time after a question that was answered for which samples are begun: two thirds of the 3 s after
-/// an acknowledged end in which the last one begins.
-const SURE: Millis = 2_000;
+/// Time from the start of a query, if it is answered, for which samples may be started. It is two
+/// thirds of the 3 s after an acknowledged end within which the last sample may start.
+const START_PERIOD: Millis = 2_000;
 
-/// Questions in a row without an answer after which the platform counts as away.
-const AWAY: u32 = 2;
+/// Number of consecutive failed queries after which the platform is considered unavailable.
+const MAX_FAILED_QUERIES: u32 = 2;
 
-/// Time between two looks whether samples may be begun.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between two checks whether samples may be started.
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two reviews of the running samples.
-const REVIEW: Duration = Duration::from_millis(200);
+/// Interval between two checks for samples that run on slow engines.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Samples that run or wait for an engine, in hundredths of what the engines can run.
-const AHEAD: usize = 110;
+/// Maximum number of samples that run or wait for an engine, in percent of the engines' slots.
+const MAX_LOAD_PERCENT: usize = 110;
 
-/// Longest time that a worker waits for something to do.
-const IDLE: Duration = Duration::from_millis(200);
+/// Maximum time that a worker waits for a notification before it checks for a task again.
+const MAX_IDLE_WAIT: Duration = Duration::from_millis(200);
 
-/// Lines of a step's history that are kept.
-const NOTES: usize = 200;
+/// Maximum number of events in the history of a step.
+const MAX_HISTORY: usize = 200;
 
-/// A step on the instance that works on it.
-pub struct Work {
+/// A step that runs on this instance.
+pub struct ActiveStep {
     id: String,
     customer: Name,
     pub(super) dispatcher: Arc<Dispatcher>,
     pub(super) request: RequestId,
     pub(super) clock: Clock,
     pub(super) run: Mutex<Run>,
-    /// Attempts that are to stop so that their samples go on elsewhere.
+    /// Attempts, by sample index and ordinal, that must stop so that their samples move to another
+    /// engine.
     pub(super) moves: Mutex<Set<(u32, u32)>>,
-    /// The engine that each sample should keep away from.
+    /// The last engine that failed each sample, by sample index; its next attempt avoids it.
     pub(super) avoid: Mutex<Map<u32, Name>>,
-    /// A sample is ready.
-    pub(super) ready: Notify,
-    /// Something waits to be begun.
-    pub(super) todo: Notify,
-    pulled: AtomicU64,
-    /// Until when samples may be begun.
-    sure: AtomicU64,
-    over: watch::Sender<bool>,
-    notes: Mutex<Vec<HistoryEntry>>,
+    /// Notified when a sample can be delivered.
+    pub(super) sample_ready: Notify,
+    /// Notified when a sample may wait to be started.
+    pub(super) task_ready: Notify,
+    /// Monotonic time of the last pull, in milliseconds.
+    last_pull: AtomicU64,
+    /// Monotonic time until which samples may be started, in milliseconds.
+    start_until: AtomicU64,
+    cancelled: watch::Sender<bool>,
+    history: Mutex<Vec<HistoryEntry>>,
 }
 
-impl Work {
+impl ActiveStep {
     pub(super) fn new(
         id: &str,
         customer: Name,
@@ -106,43 +109,43 @@
             run: Mutex::new(run),
             moves: Mutex::default(),
             avoid: Mutex::default(),
-            ready: Notify::new(),
-            todo: Notify::new(),
-            pulled: AtomicU64::new(clock.now()),
-            sure: AtomicU64::new(0),
-            over: watch::Sender::new(false),
-            notes: Mutex::default(),
+            sample_ready: Notify::new(),
+            task_ready: Notify::new(),
+            last_pull: AtomicU64::new(clock.now()),
+            start_until: AtomicU64::new(0),
+            cancelled: watch::Sender::new(false),
+            history: Mutex::default(),
         })
     }
 
-    /// The step.
+    /// Returns the identifier of the step.
     pub(super) fn id(&self) -> &str {
         &self.id
     }
 
-    /// The customer whose step it is.
+    /// Returns the customer that opened the step.
     pub fn customer(&self) -> &Name {
         &self.customer
     }
 
-    /// Samples in it.
+    /// Returns the number of samples in the step.
     pub fn total(&self) -> u32 {
         self.run.lock().spec().total()
     }
 
-    /// Notes what happened.
-    pub(super) fn note(&self, what: String) {
-        log::info!(target: "step", step = self.id.as_str(), contract = &*self.customer; "{what}");
-        let mut notes = self.notes.lock();
-        notes.push(HistoryEntry {
+    /// Logs an event and adds it to the step's history.
+    pub(super) fn note(&self, event: String) {
+        log::info!(target: "step", step = self.id.as_str(), contract = &*self.customer; "{event}");
+        let mut history = self.history.lock();
+        history.push(HistoryEntry {
             at: self.clock.wall(),
-            what: what.into(),
+            what: event.into(),
         });
-        let extra = notes.len().saturating_sub(NOTES);
-        notes.drain(..extra);
+        let excess = history.len().saturating_sub(MAX_HISTORY);
+        history.drain(..excess);
     }
 
-    /// How it stands.
+    /// Returns the state of the step, as shown to operators.
     pub fn state(&self, instance: &Name) -> StepState {
         let run = self.run.lock();
         StepState {
@@ -154,75 +157,77 @@
             ready: run.finished_count() as u32,
             running: run.running_count() as u32,
             counts: run.counts(),
-            events: self.notes.lock().clone(),
+            events: self.history.lock().clone(),
         }
     }
 
-    /// Cancels the work; tells whether it went on until now.
+    /// Cancels the step. Returns whether it was running until now.
     pub(super) fn cancel(&self) -> bool {
-        let was_over = self.over.send_replace(true);
-        self.ready.notify_waiters();
-        !was_over
+        let was_cancelled = self.cancelled.send_replace(true);
+        self.sample_ready.notify_waiters();
+        !was_cancelled
     }
 
     pub(super) fn is_cancelled(&self) -> bool {
-        *self.over.borrow()
+        *self.cancelled.borrow()
     }
 
-    /// Waits until the work is cancelled.
+    /// Waits until the step is cancelled.
     async fn cancelled(&self) {
-        // The sender lives as long as this, so the wait ends only with the cancellation.
-        let _ = self.over.subscribe().wait_for(|over| *over).await;
+        // The sender lives as long as `self`, so the wait ends only with the cancellation.
+        let _ = self.cancelled.subscribe().wait_for(|done| *done).await;
     }
 
-    fn quiet(&self) -> Millis {
-        let pulled = self.pulled.load(Ordering::Relaxed);
-        self.clock.now().saturating_sub(pulled)
+    /// Returns the time since the last pull.
+    fn time_since_pull(&self) -> Millis {
+        let last_pull = self.last_pull.load(Ordering::Relaxed);
+        self.clock.now().saturating_sub(last_pull)
     }
 
-    /// Begins to work, on at most `width` samples at once.
-    pub(super) fn begin(self: &Arc<Self>, app: &Arc<App>, width: u32) {
+    /// Starts the step, with at most `width` samples in progress at once.
+    pub(super) fn start(self: &Arc<Self>, app: &Arc<App>, width: u32) {
         for _ in 0..width.min(self.total()) {
-            let (app, work) = (app.clone(), self.clone());
-            // Whatever an attempt waits for or does, at an engine or a scorer, is dropped at the end.
+            let (app, step) = (app.clone(), self.clone());
+            // The cancellation drops the attempt in progress, whether at an engine or at a scorer.
             tokio::spawn(async move {
                 tokio::select! {
                     biased;
-                    () = work.cancelled() => (),
-                    () = work.worker(&app) => (),
+                    () = step.cancelled() => (),
+                    () = step.run_worker(&app) => (),
                 }
             });
         }
-        let (asking, work) = (app.clone(), self.clone());
-        tokio::spawn(async move { work.ask(&asking).await });
-        let (app, work) = (app.clone(), self.clone());
-        tokio::spawn(async move { work.review(&app).await });
+        let (poll_app, step) = (app.clone(), self.clone());
+        tokio::spawn(async move { step.poll_end(&poll_app).await });
+        let (app, step) = (app.clone(), self.clone());
+        tokio::spawn(async move { step.review(&app).await });
     }
 
-    /// Asks for the end of the step until it has ended.
-    async fn ask(&self, app: &App) {
-        let mut missed = 0;
+    /// Polls whether the step has ended, and stops it here if so.
+    async fn poll_end(&self, app: &App) {
+        let mut failures = 0;
         while !self.is_cancelled() {
             let sent = self.clock.now();
-            let pause = match super::asked(app, &self.id, &self.customer, missed > 0).await {
+            let pause = match super::has_ended(app, &self.id, &self.customer, failures > 0).await {
                 Ok(true) => {
                     self.note("ended at another instance".into());
                     app.steps.stop(&self.id);
                     return;
                 }
                 Ok(false) => {
-                    missed = 0;
-                    self.sure.fetch_max(sent + SURE, Ordering::Relaxed);
-                    ASK
+                    failures = 0;
+                    self.start_until
+                        .fetch_max(sent + START_PERIOD, Ordering::Relaxed);
+                    POLL_INTERVAL
                 }
                 Err(error) => {
-                    missed += u32::from(error.is_unavailable());
-                    match missed < AWAY {
-                        true => AGAIN,
+                    failures += u32::from(error.is_unavailable());
+                    match failures < MAX_FAILED_QUERIES {
+                        true => RETRY_DELAY,
                         false => {
-                            let until = self.clock.now() + SURE;
-                            self.sure.fetch_max(until, Ordering::Relaxed);
-                            ASK
+                            let until = self.clock.now() + START_PERIOD;
+                            self.start_until.fetch_max(until, Ordering::Relaxed);
+                            POLL_INTERVAL
                         }
                     }
                 }
@@ -231,75 +236,76 @@
         }
     }
 
-    /// Waits until a sample may be begun.
-    pub(super) async fn sure(&self) {
-        while self.clock.now() >= self.sure.load(Ordering::Relaxed) {
-            tokio::time::sleep(LOOK).await;
+    /// Waits until a sample may be started.
+    pub(super) async fn wait_to_start(&self) {
+        while self.clock.now() >= self.start_until.load(Ordering::Relaxed) {
+            tokio::time::sleep(START_CHECK_INTERVAL).await;
         }
     }
 
-    async fn worker(&self, app: &Arc<App>) {
+    async fn run_worker(&self, app: &Arc<App>) {
         while !app.drain.is_begun() {
-            self.sure().await;
-            let todo = match self.quiet() > PAUSED {
+            self.wait_to_start().await;
+            let task = match self.time_since_pull() > PAUSE_AFTER {
                 true => Task::Wait,
-                false => self.todo(),
+                false => self.next_task(),
             };
-            match todo {
-                Task::Start(begin) => sample::make(app, self, begin).await,
-                // All may yet come back, when the trainer returns from a checkpoint.
+            match task {
+                Task::Start(assignment) => sample::attempt(app, self, assignment).await,
+                // Delivered samples can be needed again, if the trainer restarts from a checkpoint.
                 Task::Wait | Task::Done => {
-                    let _ = tokio::time::timeout(IDLE, self.todo.notified()).await;
+                    let _ = tokio::time::timeout(MAX_IDLE_WAIT, self.task_ready.notified()).await;
                 }
             }
         }
     }
 
-    /// Gives out a sample to begin, unless enough wait for an engine already: which one goes first
-    /// is chosen as late as possible, when more is known of their lengths.
-    fn todo(&self) -> Task {
+    /// Returns the next sample to start, unless enough already run or wait for an engine. The order
+    /// is decided as late as possible, when more is known about the lengths of the samples.
+    fn next_task(&self) -> Task {
         let slots = self
             .dispatcher
             .with_upstreams(|all| all.iter().map(|u| u.spec.slots).sum::<u32>());
-        let width = (slots as usize * AHEAD).div_ceil(100);
+        let max_running = (slots as usize * MAX_LOAD_PERCENT).div_ceil(100);
         let mut run = self.run.lock();
-        match run.running_count() < width {
+        match run.running_count() < max_running {
             true => run.next_task(),
             false => Task::Wait,
         }
     }
 
-    /// Moves samples off slow engines, and ends the work when no trainer comes any more.
+    /// Moves samples off slow engines, and discards the step if its trainer stopped pulling.
     async fn review(&self, app: &App) {
         while !self.is_cancelled() {
-            tokio::time::sleep(REVIEW).await;
+            tokio::time::sleep(REVIEW_INTERVAL).await;
             let moves = self.run.lock().pick_moves(self.clock.now());
             for (index, ordinal) in moves {
                 self.note(format!("sample {index} is moved off a slow engine"));
                 self.moves.lock().insert((index, ordinal));
             }
-            if self.quiet() > DROPPED {
-                self.note("no pull for long: dropped here".into());
+            if self.time_since_pull() > DISCARD_AFTER {
+                self.note("discarded: no pull for too long".into());
                 app.steps.stop(&self.id);
             }
         }
     }
 
-    /// Answers a pull; waits for a sample for as long as the pull says.
+    /// Serves a pull. Waits for a sample for at most the time that the pull specifies.
     pub(super) async fn pull(&self, cursor: &Cursor, pull: &PullRequest) -> Batch {
         let end = self.clock.now() + pull.wait_ms;
-        let mut first = true;
+        let mut is_first = true;
         loop {
-            let ready = self.ready.notified();
+            let ready = self.sample_ready.notified();
             tokio::pin!(ready);
             ready.as_mut().enable();
             let now = self.clock.now();
-            self.pulled.fetch_max(now, Ordering::Relaxed);
+            self.last_pull.fetch_max(now, Ordering::Relaxed);
             let batch = self.run.lock().pull(cursor, pull.version, pull.limit, now);
-            if first {
-                // The cursor may have brought samples back, or the bound thrown some out.
-                self.todo.notify_waiters();
-                first = false;
+            if is_first {
+                // The cursor may lack samples delivered before, and the staleness bound may have
+                // discarded some: both have to be generated again.
+                self.task_ready.notify_waiters();
+                is_first = false;
             }
             if !batch.samples.is_empty() || batch.done || now >= end || self.is_cancelled() {
                 return Batch {
