--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -1,4 +1,4 @@
-//! Steps that have ended: nothing of them begins, runs or is scored any more.
+//! Ended steps: after the end is acknowledged, no sample of a step is started, run or scored.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -24,22 +24,22 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-/// Time after an acknowledged end within which everything of the step has to be over.
-const BOUND: Duration = Duration::from_millis(3_000);
+/// Maximum time from the acknowledgement of an end until all activity of the step has stopped.
+const STOP_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Time after [`BOUND`] for which the engines are watched.
-const WATCHED: Duration = Duration::from_millis(3_000);
+/// Time after [`STOP_TIMEOUT`] during which the test observes activity.
+const OBSERVATION: Duration = Duration::from_millis(3_000);
 
-/// Time within which something has to happen that a test waits for.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum time that a test waits for a condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Milliseconds that each call of a slow platform waits.
-const SLOW: u64 = 400;
+/// Delay of each call to a slow platform, in milliseconds.
+const SLOW_MS: u64 = 400;
 
-/// Samples take half a minute each, and more wait than the engines have places for.
+/// Samples take half a minute each, and there are more than the engines have slots.
 fn make() -> Make {
     Make {
         engine: engine::Make {
@@ -75,12 +75,12 @@
     asked.send().await.unwrap().status
 }
 
-/// Ends a step, again and again until that is acknowledged.
-async fn end_surely(to: SocketAddr, step: &str) {
+/// Ends a step, with retries until the end is acknowledged.
+async fn end_until_acknowledged(to: SocketAddr, step: &str) {
     until(async || end(to, step).await == StatusCode::NO_CONTENT).await;
 }
 
-/// Pulls with nothing held; gives the kind of the refusal.
+/// Pulls with an empty cursor. Returns the type of the refusal, if any.
 async fn pull(to: SocketAddr, step: &str) -> Option<Type> {
     let path = format!("/v1/steps/{step}/pull");
     let pull = json!({ "version": 1, "cursor": "", "limit": 8, "wait_ms": 100 });
@@ -94,8 +94,11 @@
 async fn until(mut done: impl AsyncFnMut() -> bool) {
     let start = tokio::time::Instant::now();
     while !done().await {
-        assert!(start.elapsed() < PATIENCE, "it did not happen in time");
-        tokio::time::sleep(LOOK).await;
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "the condition was not met in time"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -103,16 +106,16 @@
     rig.parts.engines.iter().map(|e| e.part.tokens()).sum()
 }
 
-async fn running(rig: &Rig) {
+async fn until_running(rig: &Rig) {
     let before = tokens(rig);
     until(async || tokens(rig) > before).await;
 }
 
-/// Tokens that engines generate later than the bound after now.
+/// Returns the number of tokens generated during the observation, which begins [`STOP_TIMEOUT`] from now.
 async fn late_tokens(rig: &Rig) -> u64 {
-    tokio::time::sleep(BOUND).await;
+    tokio::time::sleep(STOP_TIMEOUT).await;
     let before = tokens(rig);
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(OBSERVATION).await;
     tokens(rig) - before
 }
 
@@ -120,15 +123,16 @@
     rig.parts.platform.host.faults.change(f);
 }
 
-/// An instance that reaches the platform and the upstreams, and no other instance.
-async fn apart(rig: &Rig) -> Running {
+/// Starts an instance that can reach the platform and the upstreams, but no other instance.
+async fn start_isolated(rig: &Rig) -> Running {
     start(rig, "ost-0", &rig.parts.shared).await
 }
 
-/// An instance that reaches the platform through `way`, and all instances of the rig.
-async fn behind(rig: &Rig, way: SocketAddr) -> Running {
+/// Starts an instance that reaches the platform through `proxy`, and every instance of the rig
+/// directly.
+async fn start_behind(rig: &Rig, proxy: SocketAddr) -> Running {
     let platform = rig.parts.platform.host.addr.to_string();
-    let mut text = rig.parts.shared.replace(&platform, &way.to_string());
+    let mut text = rig.parts.shared.replace(&platform, &proxy.to_string());
     for (name, addr) in ["nord-0", "syd-0"].iter().zip(rig.addrs()) {
         let domain = name.trim_end_matches("-0");
         text += &format!("[peer {name}]\ndomain = {domain}\naddress = {addr}\n");
@@ -145,40 +149,40 @@
     running
 }
 
-/// A way to an address that is cut when its task is aborted.
-async fn way(to: SocketAddr) -> (SocketAddr, JoinHandle<()>) {
+/// Starts a TCP proxy to an address. Aborting its task closes all its connections.
+async fn start_proxy(to: SocketAddr) -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let task = tokio::spawn(async move {
-        // Dropped with this task, and with it all that goes this way.
-        let mut through = JoinSet::new();
-        while let Ok((mut near, _)) = listener.accept().await {
-            through.spawn(async move {
-                let mut far = TcpStream::connect(to).await.unwrap();
-                let _ = copy_bidirectional(&mut near, &mut far).await;
+        // Dropped with this task, which closes all connections.
+        let mut connections = JoinSet::new();
+        while let Ok((mut client, _)) = listener.accept().await {
+            connections.spawn(async move {
+                let mut server = TcpStream::connect(to).await.unwrap();
+                let _ = copy_bidirectional(&mut client, &mut server).await;
             });
         }
     });
     (addr, task)
 }
 
-// Samples that run at an engine, or wait for a place there, go on after the end of their step.
+// Guards against samples that continue after the end of their step, at an engine or in its queue.
 #[test]
-fn what_runs_or_waits_at_the_end_stops() {
+fn running_and_waiting_samples_stop_at_the_end() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let step = open(rig.addrs()[0]).await;
-        running(&rig).await;
+        until_running(&rig).await;
 
-        end_surely(rig.addrs()[1], &step).await;
+        end_until_acknowledged(rig.addrs()[1], &step).await;
 
         assert_eq!(late_tokens(&rig).await, 0);
     });
 }
 
-// Samples that wait for a scorer are scored after the end of their step.
+// Guards against samples that wait for a scorer and are scored after the end of their step.
 #[test]
-fn no_score_is_asked_for_after_the_end() {
+fn no_score_is_requested_after_the_end() {
     block(async {
         let mut make = make();
         make.engine.speed = 10_000.0;
@@ -194,27 +198,28 @@
         let step = open(rig.addrs()[0]).await;
         until(async || scored() > 0).await;
 
-        end_surely(rig.addrs()[0], &step).await;
+        end_until_acknowledged(rig.addrs()[0], &step).await;
 
-        tokio::time::sleep(BOUND).await;
+        tokio::time::sleep(STOP_TIMEOUT).await;
         let before = scored();
-        tokio::time::sleep(WATCHED).await;
+        tokio::time::sleep(OBSERVATION).await;
         assert_eq!(scored() - before, 0);
     });
 }
 
-// A step whose end was acknowledged while the platform was away is begun anew by a later pull.
+// Guards against a step that is ended while the platform is unavailable, and that a later pull
+// starts again although the end was acknowledged.
 #[test]
-fn an_end_while_the_platform_is_away_lasts_once_acknowledged() {
+fn an_acknowledged_end_is_durable_after_a_platform_outage() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let step = open(rig.addrs()[0]).await;
-        running(&rig).await;
+        until_running(&rig).await;
         platform(&rig, |fault| fault.down = true);
         let first = end(rig.addrs()[0], &step).await;
         platform(&rig, |fault| fault.down = false);
         if first != StatusCode::NO_CONTENT {
-            end_surely(rig.addrs()[0], &step).await;
+            end_until_acknowledged(rig.addrs()[0], &step).await;
         }
 
         for to in rig.addrs() {
@@ -225,23 +230,23 @@
     });
 }
 
-// A step that was saved late comes back, because its save takes effect after its end.
+// Guards against a step that becomes open again because a delayed save takes effect after its end.
 #[test]
-fn a_save_behind_the_end_does_not_bring_a_step_back() {
+fn a_save_after_the_end_does_not_reopen_a_step() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         platform(&rig, |fault| fault.down = true);
         let step = open(rig.addrs()[0]).await;
         platform(&rig, |fault| {
             fault.down = false;
-            fault.delay = SLOW;
+            fault.delay = SLOW_MS;
         });
         let leases = || rig.parts.platform.part.calls.lease.load(Ordering::Relaxed);
         let before = leases();
         until(async || leases() > before).await;
 
-        end_surely(rig.addrs()[0], &step).await;
-        tokio::time::sleep(BOUND).await;
+        end_until_acknowledged(rig.addrs()[0], &step).await;
+        tokio::time::sleep(STOP_TIMEOUT).await;
 
         for to in rig.addrs() {
             assert_eq!(pull(to, &step).await, Some(Type::NotFound));
@@ -250,21 +255,21 @@
     });
 }
 
-// An end that comes to an instance which does not reach the one that works on the step: that one
-// goes on beginning samples.
+// Guards against a step that keeps starting samples because the instance that receives its end
+// cannot reach the instance that runs it.
 #[parameterized(
     quick = { 0 },
-    slow = { SLOW },
+    slow = { SLOW_MS },
 )]
-fn an_end_reaches_an_instance_that_nobody_can_tell(delay: u64) {
+fn an_end_reaches_an_instance_that_cannot_be_notified(delay: u64) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let other = apart(&rig).await;
+        let other = start_isolated(&rig).await;
         let step = open(rig.addrs()[0]).await;
-        running(&rig).await;
+        until_running(&rig).await;
         platform(&rig, |fault| fault.delay = delay);
 
-        end_surely(other.addr, &step).await;
+        end_until_acknowledged(other.addr, &step).await;
 
         assert_eq!(late_tokens(&rig).await, 0);
         for to in rig.addrs() {
@@ -273,35 +278,35 @@
     });
 }
 
-// An instance that reaches neither the platform nor the one at which the step ends takes the
-// platform for away, though its peers reach it, and goes on beginning samples.
+// Guards against an instance that keeps starting samples because it can reach neither the platform
+// nor the instance that receives the end, although its peers can reach the platform.
 #[test]
 fn an_end_reaches_an_instance_through_its_peers() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let other = apart(&rig).await;
-        let (addr, task) = way(rig.parts.platform.host.addr).await;
-        let home = behind(&rig, addr).await;
+        let other = start_isolated(&rig).await;
+        let (addr, task) = start_proxy(rig.parts.platform.host.addr).await;
+        let home = start_behind(&rig, addr).await;
         let step = open(home.addr).await;
-        running(&rig).await;
+        until_running(&rig).await;
         task.abort();
 
-        end_surely(other.addr, &step).await;
+        end_until_acknowledged(other.addr, &step).await;
 
         assert_eq!(late_tokens(&rig).await, 0);
     });
 }
 
-// A pull that takes a step over while it is ended begins it behind the end.
+// Guards against a pull that takes over a step while it is being ended, and starts it after its end.
 #[test]
-fn a_takeover_beside_the_end_does_not_last() {
+fn a_takeover_concurrent_with_the_end_stops() {
     block(async {
         let mut rig = Rig::start(&make()).await.unwrap();
         let step = open(rig.addrs()[0]).await;
         rig.kill(0);
         let to = rig.addrs()[0];
         until(async || rig.running().all(|e| e.app.view.lock().live().count() == 1)).await;
-        platform(&rig, |fault| fault.delay = SLOW);
+        platform(&rig, |fault| fault.delay = SLOW_MS);
 
         let (pulled, ended) = tokio::join!(pull(to, &step), end(to, &step));
         platform(&rig, |fault| fault.delay = 0);
@@ -312,13 +317,13 @@
     });
 }
 
-// An answer to the end is lost, and the end that comes again is told that there is no such step.
+// Guards against a repeated end that is refused as not found, after the first response was lost.
 #[test]
-fn an_end_that_comes_again_is_acknowledged_again() {
+fn a_repeated_end_is_acknowledged_again() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let step = open(rig.addrs()[0]).await;
-        end_surely(rig.addrs()[0], &step).await;
+        end_until_acknowledged(rig.addrs()[0], &step).await;
 
         for to in rig.addrs() {
             assert_eq!(end(to, &step).await, StatusCode::NO_CONTENT);
@@ -326,30 +331,32 @@
     });
 }
 
-// A step that is known to be open stands still because nobody can say that it has not ended.
+// Guards against an open step that stops making progress because no query can confirm that it has
+// not ended.
 #[parameterized(
     down = { Fault { down: true, ..Fault::default() } },
     mute = { Fault { mute: true, ..Fault::default() } },
     limited = { Fault { limited: true, ..Fault::default() } },
     slow = { Fault { delay: 2_000, ..Fault::default() } },
 )]
-fn samples_are_begun_while_the_platform_is_away(fault: Fault) {
+fn samples_are_started_while_the_platform_is_unavailable(fault: Fault) {
     block(async {
         let mut make = make();
-        // A sample takes two seconds, so what was begun on old word is over within twice the bound.
+        // A sample takes two seconds, so samples that were started on an earlier reply finish within
+        // twice the bound.
         make.engine.speed = 150.0;
         let rig = Rig::start(&make).await.unwrap();
         open(rig.addrs()[0]).await;
-        running(&rig).await;
+        until_running(&rig).await;
 
         rig.parts.platform.host.faults.set(fault);
 
-        tokio::time::sleep(BOUND).await;
+        tokio::time::sleep(STOP_TIMEOUT).await;
         assert!(late_tokens(&rig).await > 0);
     });
 }
 
-// Another customer ends a step that is not its own, or learns that it is there.
+// Guards against a customer that ends another customer's step, or learns that it exists.
 #[test]
 fn only_its_customer_ends_a_step() {
     block(async {
@@ -370,8 +377,8 @@
     });
 }
 
-// The questions whether a step has ended cost the platform more with the length of a step than a
-// read or two a second.
+// Guards against queries for the end of a step that put more load on the platform than two reads a
+// second, regardless of the length of the step.
 #[test]
 fn an_open_step_costs_two_reads_a_second_at_most() {
     block(async {
@@ -380,16 +387,16 @@
             let used = |entry: &Running| entry.app.plat.budget().used(CallKind::Read);
             rig.running().map(used).sum::<u64>()
         };
-        tokio::time::sleep(WATCHED).await;
+        tokio::time::sleep(OBSERVATION).await;
         let idle = reads();
-        tokio::time::sleep(WATCHED).await;
+        tokio::time::sleep(OBSERVATION).await;
         let idle = reads() - idle;
         open(rig.addrs()[0]).await;
         let before = reads();
 
-        tokio::time::sleep(WATCHED).await;
+        tokio::time::sleep(OBSERVATION).await;
 
         let asked = (reads() - before).saturating_sub(idle);
-        assert!((1..=6).contains(&asked), "{asked} reads in {WATCHED:?}");
+        assert!((1..=6).contains(&asked), "{asked} reads in {OBSERVATION:?}");
     });
 }
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -1,4 +1,5 @@
-//! Non-idempotent calls under faults: each key runs at most once, and "not run" is true.
+//! Non-idempotent calls under faults: each key runs at most once, and a call that is reported as not
+//! run did not run.
 
 use http::StatusCode;
 use kernel::RequestId;
@@ -45,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_runs_once_and_gets_its_answer_again_anywhere() {
+async fn a_repeated_key_runs_once_and_replays_its_response_on_any_instance() {
     let rig = rig().await;
     let to = rig.addrs();
 
@@ -108,18 +109,17 @@
     });
 }
 
-// Symptom: two blazers arrive.
-// Sequence: the parent presses twice; the balancer gives the two calls to two instances at once.
-// Cause: a check and a write that are not one step at the platform.
+// Guards against running a key twice when two instances receive calls with it concurrently. This
+// happens if the check and the write of the key are not atomic at the platform.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_at_two_instances_at_once_runs_once() {
+async fn concurrent_calls_with_one_key_at_two_instances_run_once() {
     let rig = rig().await;
     let to = rig.addrs();
 
     for turn in 0..10 {
         let key = format!("k{turn}");
         let calls: Vec<_> = (0..6)
-            .map(|at| Asked::order(to[at % 2], "aarhus", &key))
+            .map(|index| Asked::order(to[index % 2], "aarhus", &key))
             .map(|order| tokio::spawn(async move { order.send().await.unwrap() }))
             .collect();
         let mut created = 0;
@@ -136,11 +136,11 @@
     assert_eq!(rig.parts.ran().len(), 10);
 }
 
-// Symptom: an order runs though its caller was told "not run", or callers hang.
-// Sequence: the platform is away when the intent is to be written.
-// Cause: running without a written intent.
+// Guards against an order that runs although its caller was told that it did not, and against calls
+// that hang. This happens if an order runs without a stored intent while the platform is
+// unavailable.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_the_platform_orders_are_refused_truly_and_lookups_go_on() {
+async fn without_the_platform_orders_are_refused_as_not_run_and_lookups_succeed() {
     let rig = rig().await;
     let to = rig.addrs()[0];
     rig.parts.platform.host.faults.set(down());
@@ -158,7 +158,7 @@
     assert_eq!(rig.parts.ran(), ["k"]);
 }
 
-/// Sends an order again until it is created, for a few seconds.
+/// Repeats an order until it is created, for a few seconds. Returns whether it was.
 async fn until_created(rig: &Rig, key: &str) -> bool {
     for _ in 0..60 {
         let answer = Asked::order(rig.addrs()[0], "aarhus", key)
@@ -173,11 +173,10 @@
     false
 }
 
-// Symptom: an order runs twice, or never can.
-// Sequence: the platform carries writes out and its answers are lost; then they come again.
-// Cause: taking a lost answer for a failed write.
+// Guards against an order that runs twice or whose key stays unusable, after the platform carried
+// out a write and its response was lost. This happens if a lost response counts as a failed write.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_the_platform_double_nothing() {
+async fn lost_platform_responses_cause_no_duplicate_run() {
     let rig = rig().await;
     let to = rig.addrs();
     let mut refused = Vec::new();
@@ -208,22 +207,22 @@
         refused.iter().all(|key| !ran.contains(key)),
         "{refused:?} {ran:?}"
     );
-    // Every fourth order or so met the fault; the others went through or were told truly.
+    // About every fourth order was sent during the fault. The others succeeded, or were refused
+    // without being run.
     for key in &refused {
         assert!(until_created(&rig, key).await, "{key} cannot be used again");
     }
     assert_eq!(rig.parts.twice(), Vec::<String>::new());
 }
 
-// Symptom: an order that was refused as "not run" can never be sent again: its key stays in doubt.
-// Sequence: a peer writes the intent, the platform's answer is lost, the peer says "refused"; the
-//   caller is told that nothing ran.
-// Cause: taking the peer's refusal for proof that no intent was written, and giving nothing back.
+// Guards against a key that stays in doubt although its order was refused as not run. The peer that
+// writes the shard stores the intent, the platform's response is lost and the peer refuses the
+// claim. The key must be released then, since the refusal does not prove that no intent was written.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_whose_intent_a_peer_may_have_written_can_be_used_again() {
     let rig = rig().await;
     let to = rig.addrs();
-    // Both shards have been read, so that the next question is a write at once.
+    // Load both shards, so that the next claims are written at once.
     for turn in 0..8 {
         let key = format!("warm{turn}");
         Asked::order(to[0], "aarhus", &key).send().await.unwrap();
@@ -245,11 +244,10 @@
     assert_eq!(rig.parts.twice(), Vec::<String>::new());
 }
 
-// Symptom: an order runs again after the service took it and died.
-// Sequence: the service carries the order out and its answer is lost; the caller asks again.
-// Cause: a retry of what may have run.
+// Guards against an order that runs again after the service carried it out and its response was
+// lost. This happens if a request that may have run is retried.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_whose_answer_is_lost_stays_in_doubt() {
+async fn an_order_whose_response_is_lost_stays_in_doubt() {
     let rig = rig().await;
     let to = rig.addrs();
     rig.parts
@@ -274,9 +272,8 @@
     assert_eq!(rig.parts.ran(), ["k"]);
 }
 
-// Symptom: an order that never reached the service cannot be sent again.
-// Sequence: every service refuses connections; the caller is told "not run" and asks again.
-// Cause: an intent that is kept though the request provably did not run.
+// Guards against an order that cannot be repeated although it never reached a service, because all
+// of them refused connections. This happens if the intent is kept although the request did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_could_not_connect_may_be_sent_again() {
     let rig = rig().await;
@@ -294,10 +291,8 @@
     assert!(rig.parts.ran().is_empty());
 }
 
-// Symptom: an order runs again on another instance after the first one crashed.
-// Sequence: an instance writes the intent, sends the order, and is killed; the caller asks again
-// elsewhere.
-// Cause: knowledge of the run that dies with the instance.
+// Guards against an order that runs again at another instance, after the first instance wrote the
+// intent, sent the order and was killed. This happens if only the killed instance knows of the run.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_intent_outlives_its_instance() {
     let rig = rig().await;
@@ -314,7 +309,7 @@
         min_seq: 1,
         records: vec![record],
     };
-    // What an instance leaves at the platform that was killed after its write.
+    // The state that a killed instance leaves at the platform after it wrote the intent.
     let plat = plat::Client::new(vec![rig.parts.platform.host.addr]);
     let txn = Txn {
         puts: vec![
@@ -334,11 +329,10 @@
     assert!(rig.parts.ran().is_empty());
 }
 
-// Symptom: calls fail when the peer that writes a shard is gone.
-// Sequence: the instance that writes for others is killed; its peers still think it is there.
-// Cause: relaying without another way.
+// Guards against calls that fail because the instance that writes a shard was killed while its peers
+// still consider it live. This happens if a claim has no fallback to a local write.
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_go_on_without_the_writer() {
+async fn orders_succeed_without_the_writer() {
     let mut rig = rig().await;
     rig.kill(1);
     let to = rig.addrs()[0];
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -1,4 +1,5 @@
-//! Steps under faults: whole, fresh, named, exactly once.
+//! Steps under faults: every sample is delivered exactly once, complete, within the staleness bound
+//! and with the weight versions of all its tokens.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,13 +21,16 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-const MEDIAN: u32 = 40;
-const TOKENS: u32 = 300;
+/// Median length of a sample, in tokens.
+const MEDIAN_TOKENS: u32 = 40;
+
+/// Maximum length of a sample, in tokens.
+const MAX_TOKENS: u32 = 300;
 
 fn make() -> Make {
     Make {
         engine: engine::Make {
-            median: MEDIAN,
+            median: MEDIAN_TOKENS,
             ..engine::Make::default()
         },
         engines: 3,
@@ -40,64 +44,70 @@
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
-/// A trainer that keeps what it took, apart from the code under test.
+/// A trainer that keeps the samples it received, independently of the code under test.
 struct Trainer {
-    to: Vec<SocketAddr>,
-    at: usize,
+    entries: Vec<SocketAddr>,
+    /// Index of the entry to use, modulo their number.
+    next_entry: usize,
     step: String,
     total: u32,
     version: u64,
     cursor: String,
-    got: Vec<Sample>,
+    received: Vec<Sample>,
     done: bool,
 }
 
 impl Trainer {
     async fn open(rig: &Rig, groups: usize, samples: u32) -> Self {
-        let to = rig.addrs();
+        let entries = rig.addrs();
         let prompts: Vec<_> = (0..groups).map(|g| format!("case {g}")).collect();
         let open = json!({
-            "model": "fitting", "groups": prompts, "samples": samples, "max_tokens": TOKENS,
+            "model": "fitting", "groups": prompts, "samples": samples, "max_tokens": MAX_TOKENS,
             "version": 1,
         });
-        let answer = Asked::json(to[0], "staff", "/v1/steps", &open)
+        let answer = Asked::json(entries[0], "staff", "/v1/steps", &open)
             .send()
             .await
             .unwrap();
         let opened: OpenedStep = answer.json().unwrap();
         Self {
-            to,
-            at: 0,
+            entries,
+            next_entry: 0,
             step: opened.step,
             total: opened.total,
             version: 1,
             cursor: String::new(),
-            got: Vec::new(),
+            received: Vec::new(),
             done: false,
         }
     }
 
-    fn asked(&self, limit: usize) -> Asked {
+    fn pull_request(&self, limit: usize) -> Asked {
         let path = format!("/v1/steps/{}/pull", self.step);
         let pull = json!({
             "version": self.version, "cursor": self.cursor, "limit": limit, "wait_ms": 500,
         });
-        Asked::json(self.to[self.at % self.to.len()], "staff", &path, &pull)
+        Asked::json(
+            self.entries[self.next_entry % self.entries.len()],
+            "staff",
+            &path,
+            &pull,
+        )
     }
 
-    /// Pulls once and takes the batch; another entry is next when this one does not answer.
+    /// Pulls once and receives the batch. On failure, the next pull goes to another entry.
     async fn pull(&mut self, limit: usize) -> bool {
-        match self.asked(limit).send().await {
+        match self.pull_request(limit).send().await {
             Ok(answer) if answer.status == StatusCode::OK => {
                 let batch: Batch = answer.json().unwrap();
-                self.got
+                self.received
                     .extend(batch.samples.iter().map(|sample| (**sample).clone()));
                 self.cursor = batch.cursor;
                 self.done = batch.done;
                 true
             }
             Ok(_) | Err(_) => {
-                self.at += 1;
+                self.next_entry += 1;
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 false
             }
@@ -112,35 +122,35 @@
             self.pull(64).await;
         }
         panic!(
-            "the step did not become whole; {} of {}",
-            self.got.len(),
+            "the step was not completed: {} of {} samples",
+            self.received.len(),
             self.total
         );
     }
 
-    /// Checks every promise on what was taken.
+    /// Checks that every sample was received exactly once, complete and fresh.
     fn check(&self, samples: u32) {
-        let mut indexes: Vec<_> = self.got.iter().map(|s| s.index).collect();
+        let mut indexes: Vec<_> = self.received.iter().map(|s| s.index).collect();
         indexes.sort_unstable();
         assert_eq!(
             indexes,
             (0..self.total).collect::<Vec<_>>(),
-            "each exactly once"
+            "each sample exactly once"
         );
-        for sample in &self.got {
+        for sample in &self.received {
             let prompt = format!("case {}", sample.index / samples);
             let seed = u64::from(sample.index);
-            let tokens = text::length(&prompt, seed, MEDIAN, TOKENS);
+            let tokens = text::length(&prompt, seed, MEDIAN_TOKENS, MAX_TOKENS);
             assert_eq!(
                 sample.text,
                 text::whole(&prompt, seed, tokens),
-                "whole and its own"
+                "complete text for its prompt"
             );
             assert_eq!(sample.spans.first().map(|s| s.from), Some(0));
             assert_eq!(
                 sample.spans.last().map(|s| s.to),
                 Some(tokens),
-                "named to the end"
+                "weight versions up to the last token"
             );
             assert!(sample.staleness(self.version) <= 1, "fresh");
         }
@@ -152,7 +162,7 @@
     cut = { Fault { cut: 4, ..Fault::default() } },
     shuffled = { Fault { shuffle: true, ..Fault::default() } },
 )]
-fn a_step_becomes_whole(fault: Fault) {
+fn a_step_is_completed(fault: Fault) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         rig.parts.engines[0].host.faults.set(fault);
@@ -164,15 +174,14 @@
     });
 }
 
-// Symptom: a step stalls, or samples come twice, after an entry crashed.
-// Sequence: the entry that works on the step is killed with some samples delivered and some not.
-// Cause: progress that is known only to the instance that died.
+// Guards against a step that stalls or delivers samples twice after the entry that runs it was
+// killed with some samples delivered. This happens if only the killed instance knows the progress.
 #[test]
-fn a_killed_entry_loses_no_sample_and_doubles_none() {
+fn a_killed_entry_loses_and_duplicates_no_sample() {
     block(async {
         let mut rig = Rig::start(&make()).await.unwrap();
         let mut trainer = Trainer::open(&rig, 8, 4).await;
-        while trainer.got.len() < 5 {
+        while trainer.received.len() < 5 {
             trainer.pull(5).await;
         }
 
@@ -187,17 +196,16 @@
     });
 }
 
-// Symptom: the answer to a pull is lost and its samples with it.
-// Sequence: the trainer does not get the answer and pulls again with the same cursor, elsewhere.
-// Cause: counting as delivered what was sent.
+// Guards against samples that are lost with the response to a pull, when the trainer repeats the
+// pull with the same cursor at another entry. This happens if samples count as delivered when sent.
 #[test]
-fn a_lost_batch_comes_again() {
+fn a_lost_batch_is_delivered_again() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         for _ in 0..6 {
-            let _lost = trainer.asked(3).send().await.unwrap();
-            trainer.at += 1;
+            let _lost = trainer.pull_request(3).send().await.unwrap();
+            trainer.next_entry += 1;
             trainer.pull(2).await;
         }
 
@@ -207,14 +215,13 @@
     });
 }
 
-// Symptom: a step stops while the platform is away.
-// Sequence: the platform goes away right after the step is opened, or before.
-// Cause: a write to the platform on the path of samples.
+// Guards against a step that stops while the platform is unavailable, from before or right after the
+// step was opened. This happens if samples depend on a write to the platform.
 #[parameterized(
     after = { false },
     before = { true },
 )]
-fn a_step_goes_on_without_the_platform(before: bool) {
+fn a_step_continues_without_the_platform(before: bool) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let down = Fault {
@@ -227,38 +234,37 @@
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         rig.parts.platform.host.faults.set(down);
 
-        trainer.at = 1;
+        trainer.next_entry = 1;
         trainer.finish().await;
 
         trainer.check(4);
     });
 }
 
-// Symptom: a trainer that came back from its checkpoint waits for ever, or trains on a part.
-// Sequence: it took the whole step, crashed, and pulls with the cursor of its checkpoint.
-// Cause: a service that insists on its own record of what was delivered.
+// Guards against a trainer that waits forever or receives only part of a step, after it received all
+// samples, crashed and pulls with the cursor of its checkpoint. This happens if the service relies
+// on its own record of what it delivered.
 #[test]
 fn a_trainer_returns_from_its_checkpoint() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         trainer.pull(4).await;
-        let (cursor, got) = (trainer.cursor.clone(), trainer.got.clone());
+        let (cursor, received) = (trainer.cursor.clone(), trainer.received.clone());
         trainer.finish().await;
 
-        (trainer.cursor, trainer.got, trainer.done) = (cursor, got, false);
+        (trainer.cursor, trainer.received, trainer.done) = (cursor, received, false);
         trainer.finish().await;
 
         trainer.check(4);
     });
 }
 
-// Symptom: a trainer learns from samples beyond its bound.
-// Sequence: samples are finished, and the trainer moves two versions on before it pulls them; the
-// engines follow.
-// Cause: the bound checked when the sample was begun only.
+// Guards against the delivery of samples beyond the staleness bound, when the trainer and the engines
+// advance by two versions between the end of the samples and the pull. This happens if the bound is
+// checked only at the start of a sample.
 #[test]
-fn samples_that_grew_too_old_are_made_again() {
+fn samples_that_became_too_stale_are_generated_again() {
     block(async {
         let mut make = make();
         make.control = true;
@@ -294,7 +300,7 @@
 }
 
 #[test]
-fn an_ended_step_is_gone_everywhere() {
+fn an_ended_step_is_not_found_at_any_entry() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let trainer = Trainer::open(&rig, 2, 2).await;
@@ -304,7 +310,7 @@
         let ended = end.send().await.unwrap();
 
         assert_eq!(ended.status, StatusCode::NO_CONTENT);
-        let pull = trainer.asked(1).send().await.unwrap();
+        let pull = trainer.pull_request(1).send().await.unwrap();
         assert_eq!(pull.problem().unwrap().kind, Type::NotFound);
         assert!(rig.parts.platform.part.dump("/snipeway/steps/").is_empty());
     });
@@ -320,15 +326,14 @@
         let mut trainer = Trainer::open(&rig, 2, 2).await;
         trainer.cursor = cursor.into();
 
-        let answer = trainer.asked(1).send().await.unwrap();
+        let answer = trainer.pull_request(1).send().await.unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, Type::BadRequest);
     });
 }
 
-// Symptom: the step's prompts do not fit one value of the platform, and cannot be taken over.
-// Sequence: a step with prompts of more than a megabyte is opened; its entry is killed.
-// Cause: one value for a whole step.
+// Guards against a step that cannot be taken over after its entry was killed, because its prompts of
+// more than a megabyte do not fit one value of the platform.
 #[test]
 fn a_large_step_is_taken_over() {
     block(async {
@@ -362,11 +367,11 @@
                 return;
             }
         }
-        panic!("the step did not become whole");
+        panic!("the step was not completed");
     });
 }
 
-fn scored(unscored: &str) -> Make {
+fn make_scored(unscored: &str) -> Make {
     let more = format!("staleness = 1\nscorer = portal\nunscored = {unscored}\n");
     Make {
         services: 1,
@@ -378,27 +383,26 @@
 #[test]
 fn samples_are_scored_before_they_are_delivered() {
     block(async {
-        let rig = Rig::start(&scored("wait")).await.unwrap();
+        let rig = Rig::start(&make_scored("wait")).await.unwrap();
         let mut trainer = Trainer::open(&rig, 4, 4).await;
 
         trainer.finish().await;
 
         trainer.check(4);
-        let right = |s: &Sample| s.score == Some(s.text.len() as f64);
-        assert!(trainer.got.iter().all(right));
+        let has_right_score = |s: &Sample| s.score == Some(s.text.len() as f64);
+        assert!(trainer.received.iter().all(has_right_score));
     });
 }
 
-// Symptom: samples are lost, or come without a score, while the scorer is dead.
-// Sequence: every scorer is down for a while; the contract says wait, or pass.
-// Cause: a sample that is handed to the scorer and kept nowhere else.
+// Guards against samples that are lost, or delivered without a score against the contract, while all
+// scorers are down. This happens if only the request to the scorer holds the sample.
 #[parameterized(
     wait = { "wait", true },
     pass = { "pass", false },
 )]
-fn a_dead_scorer_loses_nothing(unscored: &str, delayed: bool) {
+fn unavailable_scorers_lose_no_sample(unscored: &str, delayed: bool) {
     block(async {
-        let rig = Rig::start(&scored(unscored)).await.unwrap();
+        let rig = Rig::start(&make_scored(unscored)).await.unwrap();
         let down = |on: bool| {
             for service in &rig.parts.services {
                 service.host.faults.change(|fault| fault.down = on);
@@ -409,13 +413,13 @@
         for _ in 0..6 {
             trainer.pull(64).await;
         }
-        let early = trainer.got.len();
+        let received_early = trainer.received.len();
         down(false);
 
         trainer.finish().await;
 
         trainer.check(2);
-        assert_eq!(early == 0, delayed);
-        assert_eq!(trainer.got.iter().all(|s| s.score.is_some()), delayed);
+        assert_eq!(received_early == 0, delayed);
+        assert_eq!(trainer.received.iter().all(|s| s.score.is_some()), delayed);
     });
 }
