--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -59,7 +59,7 @@
     if job.request.stream {
         return stream(app, job, trace).await;
     }
-    let result = run(&app, &job, &mut trace, &mut Discard).await;
+    let result = run(&app, &job, &mut trace, &mut DiscardSink).await;
     let reply = result.map(|sample| body::json(StatusCode::OK, &response(&job, trace.id, sample)));
     refuse::finish(&app, trace, reply)
 }
@@ -247,9 +247,9 @@
 }
 
 /// Discards the pieces, for a response that is sent only when complete.
-struct Discard;
+struct DiscardSink;
 
-impl Sink for Discard {
+impl Sink for DiscardSink {
     async fn write(&mut self, _: String, _: &Assembly) -> bool {
         true
     }
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -73,8 +73,8 @@
 
 /// Permission to send one request to an upstream.
 ///
-/// A permit that is dropped without a result, because its caller disconnected, counts neither for
-/// nor against the upstream.
+/// A permit that is dropped without a result, for example because its caller disconnected, counts
+/// neither for nor against the upstream.
 pub struct Permit {
     /// The upstream.
     pub spec: UpstreamSpec,
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -55,7 +55,7 @@
 
 /// A call as it is sent to an upstream in each attempt.
 #[derive(Clone)]
-struct Outbound {
+struct OutboundCall {
     method: Method,
     path: String,
     headers: HeaderMap,
@@ -131,7 +131,7 @@
 struct Job {
     dispatcher: Arc<Dispatcher>,
     entry: QueueEntry,
-    outbound: Outbound,
+    outbound: OutboundCall,
     #[expect(dead_code, reason = "its drop releases the concurrency slot")]
     passage: Passage,
 }
@@ -185,7 +185,7 @@
     path: String,
     non_idempotent: bool,
     deadline: Millis,
-) -> Result<Outbound, Problem> {
+) -> Result<OutboundCall, Problem> {
     let mut headers = HeaderMap::new();
     let timeout = HeaderName::from_static(TIMEOUT);
     for (name, value) in &call.headers {
@@ -195,7 +195,7 @@
     }
     let idempotent = !non_idempotent && call.method.is_idempotent();
     let body = read_body(app, call.body).await?;
-    Ok(Outbound {
+    Ok(OutboundCall {
         method: call.method,
         path,
         headers,
@@ -281,7 +281,11 @@
 
 /// Returns the fingerprint of a call, which is equal for all its attempts and all repetitions by
 /// the same customer.
-fn fingerprint(entry: &QueueEntry, dispatcher: &Dispatcher, outbound: &Outbound) -> Fingerprint {
+fn fingerprint(
+    entry: &QueueEntry,
+    dispatcher: &Dispatcher,
+    outbound: &OutboundCall,
+) -> Fingerprint {
     let method = outbound.method.as_str();
     let customer = entry.customer.as_bytes();
     Fingerprint::new(
--- a/crates/serve/src/steps/ledger.rs
+++ b/crates/serve/src/steps/ledger.rs
@@ -31,7 +31,7 @@
 
 /// Time after which the platform deletes a step that was never ended, and the end of a step. The
 /// end must outlive every delayed write of the head, which was sent before the end.
-const TTL: kernel::Millis = 6 * kernel::time::HOUR;
+const STEP_TTL: kernel::Millis = 6 * kernel::time::HOUR;
 
 /// Delay between two attempts to save a step or its end.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
@@ -66,7 +66,7 @@
 /// Writes a step. The head is written last, so that a step that has a head is complete.
 pub(super) async fn save(app: &App, id: &str, head: &Head) -> Result<SaveResult, PlatError> {
     let prompts = serde_json::to_vec(&head.spec.prompts).map_err(|_| PlatError::Garbled)?;
-    let lease = app.plat.grant(TTL).await?.id;
+    let lease = app.plat.grant(STEP_TTL).await?.id;
     let put = |key: String, value: Vec<u8>| Txn {
         guards: vec![Guard::Absent(end_key(id))],
         puts: vec![Put { key, value, lease }],
@@ -171,7 +171,7 @@
     let end = Put {
         key: end_key(id),
         value: customer.as_bytes().to_vec(),
-        lease: app.plat.grant(TTL).await?.id,
+        lease: app.plat.grant(STEP_TTL).await?.id,
     };
     Ok(Txn {
         guards: vec![
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -41,13 +41,13 @@
 
 /// Records the progress of an attempt in its step, and stops the attempt if the step no longer
 /// needs it here.
-struct Progress<'a> {
+struct ProgressSink<'a> {
     step: &'a ActiveStep,
     index: u32,
     ordinal: u32,
 }
 
-impl Sink for Progress<'_> {
+impl Sink for ProgressSink<'_> {
     async fn write(&mut self, _: String, assembly: &Assembly) -> bool {
         let tokens = assembly.partial().tokens;
         let is_needed = self
@@ -190,7 +190,7 @@
     step.run.lock().mark_sent(index, ordinal, step.clock.now());
     let resumed_tokens = assignment.partial.tokens;
     let mut assembly = Assembly::resume(attempt, assignment.partial);
-    let mut progress = Progress {
+    let mut progress = ProgressSink {
         step,
         index,
         ordinal,
--- a/crates/serve/src/steps/work.rs
+++ b/crates/serve/src/steps/work.rs
@@ -78,7 +78,8 @@
     /// Attempts, by sample index and ordinal, that must stop so that their samples move to another
     /// engine.
     pub(super) moves: Mutex<Set<(u32, u32)>>,
-    /// The last engine that failed each sample, by sample index; its next attempt avoids it.
+    /// The engine of the last unfinished attempt at each sample, by sample index; the next attempt
+    /// avoids it.
     pub(super) avoid: Mutex<Map<u32, Name>>,
     /// Notified when a sample can be delivered.
     pub(super) sample_ready: Notify,
