--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod audit;
 pub mod auth;
 pub mod cache;
-pub mod complete;
+pub mod completions;
 pub mod dispatcher;
 pub mod forward;
 pub mod generate;
--- a/crates/serve/src/router.rs
+++ b/crates/serve/src/router.rs
@@ -18,7 +18,7 @@
 
 use crate::App;
 use crate::cache;
-use crate::complete;
+use crate::completions;
 use crate::forward;
 use crate::operator;
 use crate::peer as peers;
@@ -57,7 +57,13 @@
 /// Draws every path of an entry.
 pub fn router(app: &Arc<App>) -> Router {
     build_simple_router(|route| {
-        draw!(route, app, Method::POST, "/v1/completions", complete::serve);
+        draw!(
+            route,
+            app,
+            Method::POST,
+            "/v1/completions",
+            completions::serve
+        );
         draw!(route, app, Method::POST, "/v1/steps", steps::open);
         draw!(
             route,
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -6,10 +6,10 @@
 //! all other state from the cursor in the pull. No lease is needed, because two instances that run
 //! the same step waste tokens but do not violate any guarantee.
 
-mod ledger;
+mod active;
 mod sample;
 mod score;
-mod work;
+mod storage;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,13 +46,13 @@
 
 use crate::App;
 use crate::auth;
-use crate::complete;
+use crate::completions;
 use crate::gossip;
 use crate::meter;
 use crate::refuse;
 use crate::trace::Trace;
-use ledger::Head;
-use work::ActiveStep;
+use active::ActiveStep;
+use storage::Head;
 
 /// Maximum time that a pull waits for a sample.
 const MAX_PULL_WAIT: Millis = 30_000;
@@ -120,8 +120,8 @@
 
 async fn handle_open(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
     let active_contract = auth::contract(app, &call, trace)?;
-    let open: OpenStep = complete::parse_body(app, call.body).await?;
-    complete::engine_dispatcher(app, &active_contract, &open.model)?;
+    let open: OpenStep = completions::parse_body(app, call.body).await?;
+    completions::engine_dispatcher(app, &active_contract, &open.model)?;
     let contract = &active_contract.stored.contract;
     let spec = Spec {
         model: open.model,
@@ -138,14 +138,14 @@
         spec: spec.clone(),
         parts: 0,
     };
-    let saved = ledger::save(app, &id, &head).await;
+    let saved = storage::save(app, &id, &head).await;
     let cursor = Cursor::empty(spec.total());
     let active = start(app, &id, &active_contract, spec, &cursor, open.version)?;
     if let Err(error) = saved {
         // The step runs here nevertheless, but no other instance can take it over until it is
         // saved.
         active.note(format!("not saved at the platform: {error}"));
-        ledger::save_later(app, &id, head, &active);
+        storage::save_later(app, &id, head, &active);
     }
     Ok(OpenedStep {
         step: id,
@@ -163,7 +163,7 @@
     cursor: &Cursor,
     version: u64,
 ) -> Result<Arc<ActiveStep>, Problem> {
-    let dispatcher = complete::engine_dispatcher(app, contract, &spec.model)?;
+    let dispatcher = completions::engine_dispatcher(app, contract, &spec.model)?;
     let policy = kernel::plugin::find(app.settings.policy);
     let policy = policy.map_err(|error| deny(Type::Internal).with_detail(error.to_string()))?;
     let customer = contract.stored.contract.customer.clone();
@@ -199,7 +199,7 @@
 async fn handle_pull(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
     let contract = auth::contract(app, &call, trace)?;
     let step = call.segment(2).to_owned();
-    let pull: PullRequest = complete::parse_body(app, call.body).await?;
+    let pull: PullRequest = completions::parse_body(app, call.body).await?;
     let customer = contract.stored.contract.customer.clone();
     let mut message = StepPull {
         step,
@@ -270,7 +270,7 @@
 
 /// Takes over a step that another instance ran.
 async fn take_over(app: &Arc<App>, message: &StepPull) -> Result<Arc<ActiveStep>, Problem> {
-    let head = match ledger::load(app, &message.step).await {
+    let head = match storage::load(app, &message.step).await {
         Ok(Some(head)) => head,
         Ok(None) => return Err(deny(Type::NotFound).with_detail("step")),
         Err(error) => {
@@ -308,7 +308,7 @@
     let step = call.segment(2).to_owned();
     let message = StepEnd { step, customer };
     let was_running = end_everywhere(app, &message).await;
-    match ledger::end(app, &message.step, &message.customer, was_running).await {
+    match storage::end(app, &message.step, &message.customer, was_running).await {
         Ok(true) => Ok(()),
         Ok(false) => Err(deny(Type::NotFound).with_detail("step")),
         // An end that is not stored at the platform is not acknowledged, because another instance
@@ -348,7 +348,7 @@
     };
     if active.cancel() {
         active.note("ended".into());
-        ledger::end_later(app, active);
+        storage::end_later(app, active);
     }
     true
 }
@@ -361,7 +361,7 @@
     customer: &Name,
     with_peers: bool,
 ) -> Result<bool, PlatError> {
-    let local = ledger::is_ended(app, step, customer);
+    let local = storage::is_ended(app, step, customer);
     if !with_peers {
         return local.await;
     }
@@ -422,7 +422,7 @@
 
 /// Returns whether a step has ended, for a peer; [`None`] if the platform does not answer.
 pub async fn query_ended(app: &App, message: StepEnd) -> Option<bool> {
-    ledger::is_ended(app, &message.step, &message.customer)
+    storage::is_ended(app, &message.step, &message.customer)
         .await
         .ok()
 }
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -16,8 +16,8 @@
 use wire::engine::GENERATE;
 use wire::engine::GenerateRequest;
 
+use super::active::ActiveStep;
 use super::score;
-use super::work::ActiveStep;
 use crate::App;
 use crate::dispatcher::Permit;
 use crate::generate;
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -18,7 +18,7 @@
 use wire::scorer::ScoreRequest;
 use wire::scorer::ScoreResponse;
 
-use super::work::ActiveStep;
+use super::active::ActiveStep;
 use crate::App;
 use crate::suspect::Sent;
 
--- a/crates/serve/src/steps/ledger.rs
+++ b/crates/serve/src/steps/storage.rs
@@ -23,7 +23,7 @@
 use serde::Serialize;
 use step::Spec;
 
-use super::work::ActiveStep;
+use super::active::ActiveStep;
 use crate::App;
 
 /// Maximum size of one part of the prompts. The platform accepts values of up to a megabyte.
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -25,7 +25,7 @@
 use crate::App;
 use crate::audit;
 use crate::auth;
-use crate::complete;
+use crate::completions;
 use crate::refuse;
 use crate::trace::Trace;
 
@@ -56,8 +56,8 @@
 async fn announced(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<u64, Problem> {
     let held = auth::contract(app, &call, trace)?;
     let model = call.segment(2).to_owned();
-    complete::engine_dispatcher(app, &held, &model)?;
-    let asked: AnnounceVersion = complete::parse_body(app, call.body).await?;
+    completions::engine_dispatcher(app, &held, &model)?;
+    let asked: AnnounceVersion = completions::parse_body(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
     let new = Version {
         version: asked.version,
