--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -16,7 +16,7 @@
 
 use crate::App;
 use crate::gossip;
-use crate::journal::Own;
+use crate::journal::ClaimOrigin;
 use crate::steps;
 
 /// Bytes of a peer's message.
@@ -91,15 +91,15 @@
             left,
         }) => {
             let deadline = app.clock.now() + left;
-            let own = Own::Peers;
+            let origin = ClaimOrigin::Peer;
             let answer = app
                 .journal
-                .ask_here(key, print, attempt, deadline, own)
+                .claim_local(key, print, attempt, deadline, origin)
                 .await;
             JournalReply::Answer(answer.into())
         }
         Ok(JournalRequest::Note(record)) => {
-            app.journal.note_here(record);
+            app.journal.append_local(record);
             JournalReply::Noted
         }
         Err(reply) => return *reply,
@@ -111,7 +111,7 @@
 pub async fn pull(app: Arc<App>, call: Call) -> Reply {
     match message(&app, call).await {
         Ok(pull) => {
-            let pulled = steps::relayed(&app, pull).await;
+            let pulled = steps::serve_forwarded_pull(&app, pull).await;
             answer(&app, &pulled)
         }
         Err(reply) => *reply,
@@ -122,7 +122,7 @@
 pub async fn end(app: Arc<App>, call: Call) -> Reply {
     match message(&app, call).await {
         Ok(end) => {
-            let known = steps::end_here(&app, &end);
+            let known = steps::end_local(&app, &end);
             answer(&app, &known)
         }
         Err(reply) => *reply,
@@ -133,7 +133,7 @@
 pub async fn ended(app: Arc<App>, call: Call) -> Reply {
     match message(&app, call).await {
         Ok(step) => {
-            let heard = steps::heard(&app, step).await;
+            let heard = steps::query_ended(&app, step).await;
             answer(&app, &heard)
         }
         Err(reply) => *reply,
