--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -141,7 +141,7 @@
     /// Returns [`UnknownPlugin`] when the settings name a policy that is not there.
     pub fn new(
         pool: &settings::Pool,
-        me: &settings::Me,
+        me: &settings::Instance,
         upstreams: &[UpstreamSpec],
         clock: Clock,
     ) -> Result<Self, UnknownPlugin> {
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -22,7 +22,7 @@
 
 /// This instance.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct Instance {
     /// Its name.
     pub name: Name,
     /// Its failure domain.
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This instance.
-    pub me: Me,
+    pub me: Instance,
     /// Addresses of the platform's key-value service.
     pub platform: Vec<SocketAddr>,
     /// The key that instances share.
@@ -179,12 +179,12 @@
 const ADDRESS: &str = "an IP address and a port";
 const SPAN: &str = "a span of time such as 250ms or 5s";
 
-fn me(s: &mut Section) -> Option<Me> {
+fn me(s: &mut Section) -> Option<Instance> {
     let name = s.require("name", NAME);
     let domain = s.require("domain", NAME);
     let listen = s.require("listen", ADDRESS);
     let address = s.get("address", ADDRESS).or(listen);
-    Some(Me {
+    Some(Instance {
         name: name?,
         domain: domain?,
         listen: listen?,
