--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -163,9 +163,9 @@
 /// Returns a refusal when it is too long, too slow or cut off.
 pub async fn read(app: &App, body: gotham::helpers::http::Body) -> Result<Bytes, Problem> {
     let bounds = &app.settings.bounds;
-    let reading = body::read(body, bounds.body);
+    let reading = body::read(body, bounds.max_body);
     let refuse = |kind: Type, error: &body::ReadError| no(kind).with_detail(error.to_string());
-    match tokio::time::timeout(bounds.patience, reading).await {
+    match tokio::time::timeout(bounds.body_timeout, reading).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(error @ body::ReadError::Long(_))) => Err(refuse(Type::TooLarge, &error)),
         Ok(Err(error)) => Err(refuse(Type::BadRequest, &error)),
@@ -310,7 +310,7 @@
     let left = (outbound.deadline + outbound.patience).saturating_sub(app.clock.now());
     let limit = Duration::from_millis(left);
     let attempt = attempt.send();
-    let most = app.settings.bounds.answer;
+    let most = app.settings.bounds.max_answer;
     match app.http.fetch(request, limit, most).await {
         Ok(answer) => {
             notice(dispatcher, &permit.spec.name, &answer);
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -63,11 +63,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Bytes of a body.
-    pub body: usize,
+    pub max_body: usize,
     /// Bytes of an answer.
-    pub answer: usize,
+    pub max_answer: usize,
     /// Time in which a body must come.
-    pub patience: Duration,
+    pub body_timeout: Duration,
     /// Bounds on connections.
     pub limits: Limits,
 }
@@ -290,16 +290,16 @@
 fn bounds(s: &mut Section) -> Bounds {
     let base = Limits::default();
     let span = |span: DurationMs| Duration::from_millis(span.0);
-    let body = s.get_or("body", "a number of bytes", 1 << 20);
-    let answer = s.get_or("answer", "a number of bytes", 8 << 20);
-    let patience = s.get_or("patience", SPAN, DurationMs(10_000));
+    let max_body = s.get_or("body", "a number of bytes", 1 << 20);
+    let max_answer = s.get_or("answer", "a number of bytes", 8 << 20);
+    let body_timeout = s.get_or("patience", SPAN, DurationMs(10_000));
     let headers = s.get_or("headers", SPAN, DurationMs(10_000));
     let grace = s.get_or("grace", SPAN, DurationMs(600_000));
     let connections = s.get_or("connections", "a number of connections", base.connections);
     Bounds {
-        body,
-        answer,
-        patience: span(patience),
+        max_body,
+        max_answer,
+        body_timeout: span(body_timeout),
         limits: Limits {
             connections,
             headers: span(headers),
