--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -64,7 +64,7 @@
         return Ok(());
     };
     // Half of the time for which keys are kept: clocks may differ by the other half.
-    if created + app.settings.journal.keep / 2 < app.clock.wall() {
+    if created + app.settings.journal.retention / 2 < app.clock.wall() {
         return Err(Problem::new(Type::KeyExpired, Ran::Unknown));
     }
     Ok(())
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -66,7 +66,7 @@
     pub fn new(settings: settings::Journal, plat: Client, clock: Clock) -> Self {
         let cell = |_| {
             Arc::new(Cell {
-                shard: Mutex::new(Shard::new(settings.keep)),
+                shard: Mutex::new(Shard::new(settings.retention)),
                 work: Notify::new(),
                 news: Notify::new(),
                 failures: AtomicU32::new(0),
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -78,7 +78,7 @@
     /// Shards; the same on all instances, and never changed.
     pub shards: u32,
     /// How long a key is kept.
-    pub keep: Millis,
+    pub retention: Millis,
 }
 
 /// Weights and load reports.
@@ -311,7 +311,7 @@
 
 fn journal(s: &mut Section) -> Journal {
     let shards = s.get_or("shards", "a number of shards", 16);
-    let keep = s.get_or(
+    let retention = s.get_or(
         "keep",
         "a span of time such as 10m or 24h",
         DurationMs(86_400_000),
@@ -319,8 +319,8 @@
     if shards == 0 {
         s.report_invalid("shards", "at least 1");
     }
-    let keep = keep.0;
-    Journal { shards, keep }
+    let retention = retention.0;
+    Journal { shards, retention }
 }
 
 fn policy(s: &mut Section) -> &'static str {
