--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -6,9 +6,9 @@
 use conf::SettingsErrors;
 use serve::settings::Peer;
 use serve::settings::many;
-use serve::settings::one;
 use serve::settings::peer;
 use serve::settings::platform;
+use serve::settings::read_section;
 use serve::settings::secret;
 use wire::peer::Secret;
 
@@ -30,8 +30,8 @@
 /// Returns every mistake of the file at once.
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
-    let platform = one(&mut doc, "platform", platform);
-    let secret = one(&mut doc, "peers", secret);
+    let platform = read_section(&mut doc, "platform", platform);
+    let secret = read_section(&mut doc, "peers", secret);
     let peers = many(&mut doc, "peer", peer);
     doc.finish()?;
     let absent = || SettingsErrors(Vec::new());
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -128,14 +128,14 @@
 /// Returns every mistake of the file at once.
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
-    let me = one(&mut doc, "instance", me);
-    let platform = one(&mut doc, "platform", platform);
-    let secret = one(&mut doc, "peers", secret);
-    let bounds = one(&mut doc, "limits", bounds);
-    let journal = one(&mut doc, "journal", journal);
-    let policy = one(&mut doc, "steps", policy);
-    let weights = one(&mut doc, "weights", weights);
-    let logs = one(&mut doc, "log", log);
+    let me = read_section(&mut doc, "instance", me);
+    let platform = read_section(&mut doc, "platform", platform);
+    let secret = read_section(&mut doc, "peers", secret);
+    let bounds = read_section(&mut doc, "limits", bounds);
+    let journal = read_section(&mut doc, "journal", journal);
+    let policy = read_section(&mut doc, "steps", policy);
+    let weights = read_section(&mut doc, "weights", weights);
+    let logs = read_section(&mut doc, "log", log);
     let peers = many(&mut doc, "peer", peer);
     let pools = many(&mut doc, "pool", pool);
     let upstreams = upstreams(&mut doc, &pools);
@@ -158,7 +158,7 @@
 }
 
 /// Reads one section.
-pub fn one<T>(doc: &mut Document, name: &str, read: impl FnOnce(&mut Section) -> T) -> T {
+pub fn read_section<T>(doc: &mut Document, name: &str, read: impl FnOnce(&mut Section) -> T) -> T {
     let mut section = doc.take_section(name);
     let value = read(&mut section);
     doc.finish_section(section);
