--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -5,10 +5,10 @@
 use conf::Document;
 use conf::SettingsErrors;
 use serve::settings::Peer;
-use serve::settings::many;
 use serve::settings::peer;
 use serve::settings::platform;
 use serve::settings::read_section;
+use serve::settings::read_sections;
 use serve::settings::secret;
 use wire::peer::Secret;
 
@@ -32,7 +32,7 @@
     let mut doc = Document::parse(file, text);
     let platform = read_section(&mut doc, "platform", platform);
     let secret = read_section(&mut doc, "peers", secret);
-    let peers = many(&mut doc, "peer", peer);
+    let peers = read_sections(&mut doc, "peer", peer);
     doc.finish()?;
     let absent = || SettingsErrors(Vec::new());
     Ok(Settings {
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -136,8 +136,8 @@
     let policy = read_section(&mut doc, "steps", policy);
     let weights = read_section(&mut doc, "weights", weights);
     let logs = read_section(&mut doc, "log", log);
-    let peers = many(&mut doc, "peer", peer);
-    let pools = many(&mut doc, "pool", pool);
+    let peers = read_sections(&mut doc, "peer", peer);
+    let pools = read_sections(&mut doc, "pool", pool);
     let upstreams = upstreams(&mut doc, &pools);
     doc.finish()?;
     // An absent part has left a mistake, so `finish` has returned by now if there was one.
@@ -166,7 +166,11 @@
 }
 
 /// Reads every section `[kind NAME]`.
-pub fn many<T>(doc: &mut Document, kind: &str, read: impl Fn(&mut Section) -> Option<T>) -> Vec<T> {
+pub fn read_sections<T>(
+    doc: &mut Document,
+    kind: &str,
+    read: impl Fn(&mut Section) -> Option<T>,
+) -> Vec<T> {
     let mut all = Vec::new();
     for mut section in doc.take_sections(kind) {
         all.extend(read(&mut section));
@@ -261,7 +265,7 @@
 }
 
 fn upstreams(doc: &mut Document, pools: &[Pool]) -> Vec<UpstreamSpec> {
-    many(doc, "upstream", |s| {
+    read_sections(doc, "upstream", |s| {
         let name = label(s);
         let addr = s.require("address", ADDRESS);
         let domain = s.require("domain", NAME);
