--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -6,7 +6,7 @@
 use conf::SettingsErrors;
 use serve::settings::Peer;
 use serve::settings::peer;
-use serve::settings::platform;
+use serve::settings::read_platform;
 use serve::settings::read_section;
 use serve::settings::read_sections;
 use serve::settings::secret;
@@ -30,7 +30,7 @@
 /// Returns every mistake of the file at once.
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
-    let platform = read_section(&mut doc, "platform", platform);
+    let platform = read_section(&mut doc, "platform", read_platform);
     let secret = read_section(&mut doc, "peers", secret);
     let peers = read_sections(&mut doc, "peer", peer);
     doc.finish()?;
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -129,7 +129,7 @@
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let me = read_section(&mut doc, "instance", me);
-    let platform = read_section(&mut doc, "platform", platform);
+    let platform = read_section(&mut doc, "platform", read_platform);
     let secret = read_section(&mut doc, "peers", secret);
     let bounds = read_section(&mut doc, "limits", bounds);
     let journal = read_section(&mut doc, "journal", journal);
@@ -197,7 +197,7 @@
 }
 
 /// Reads `[platform]`.
-pub fn platform(s: &mut Section) -> Option<Vec<SocketAddr>> {
+pub fn read_platform(s: &mut Section) -> Option<Vec<SocketAddr>> {
     let list = s.require::<List<SocketAddr>>("addresses", "addresses separated by commas")?;
     if list.0.is_empty() {
         s.report_invalid("addresses", "at least one address");
