--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -7,9 +7,9 @@
 use serve::settings::Peer;
 use serve::settings::peer;
 use serve::settings::read_platform;
+use serve::settings::read_secret;
 use serve::settings::read_section;
 use serve::settings::read_sections;
-use serve::settings::secret;
 use wire::peer::Secret;
 
 /// Settings of the operators' tool: the same sections as an instance has.
@@ -31,7 +31,7 @@
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let platform = read_section(&mut doc, "platform", read_platform);
-    let secret = read_section(&mut doc, "peers", secret);
+    let secret = read_section(&mut doc, "peers", read_secret);
     let peers = read_sections(&mut doc, "peer", peer);
     doc.finish()?;
     let absent = || SettingsErrors(Vec::new());
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -130,7 +130,7 @@
     let mut doc = Document::parse(file, text);
     let me = read_section(&mut doc, "instance", me);
     let platform = read_section(&mut doc, "platform", read_platform);
-    let secret = read_section(&mut doc, "peers", secret);
+    let secret = read_section(&mut doc, "peers", read_secret);
     let bounds = read_section(&mut doc, "limits", bounds);
     let journal = read_section(&mut doc, "journal", journal);
     let policy = read_section(&mut doc, "steps", policy);
@@ -209,7 +209,7 @@
 const SECRET: usize = 16;
 
 /// Reads `[peers]`.
-pub fn secret(s: &mut Section) -> Option<Secret> {
+pub fn read_secret(s: &mut Section) -> Option<Secret> {
     let text = s.require::<String>("secret", "a text of at least 16 characters")?;
     if text.len() < SECRET {
         s.report_invalid("secret", "a text of at least 16 characters");
