--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -5,7 +5,7 @@
 use conf::Document;
 use conf::SettingsErrors;
 use serve::settings::Peer;
-use serve::settings::peer;
+use serve::settings::read_peer;
 use serve::settings::read_platform;
 use serve::settings::read_secret;
 use serve::settings::read_section;
@@ -32,7 +32,7 @@
     let mut doc = Document::parse(file, text);
     let platform = read_section(&mut doc, "platform", read_platform);
     let secret = read_section(&mut doc, "peers", read_secret);
-    let peers = read_sections(&mut doc, "peer", peer);
+    let peers = read_sections(&mut doc, "peer", read_peer);
     doc.finish()?;
     let absent = || SettingsErrors(Vec::new());
     Ok(Settings {
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -136,7 +136,7 @@
     let policy = read_section(&mut doc, "steps", policy);
     let weights = read_section(&mut doc, "weights", weights);
     let logs = read_section(&mut doc, "log", log);
-    let peers = read_sections(&mut doc, "peer", peer);
+    let peers = read_sections(&mut doc, "peer", read_peer);
     let pools = read_sections(&mut doc, "pool", pool);
     let upstreams = upstreams(&mut doc, &pools);
     doc.finish()?;
@@ -218,7 +218,7 @@
 }
 
 /// Reads a `[peer NAME]`.
-pub fn peer(s: &mut Section) -> Option<Peer> {
+pub fn read_peer(s: &mut Section) -> Option<Peer> {
     let name = label(s);
     let domain = s.require("domain", NAME);
     let address = s.require("address", ADDRESS);
