--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -96,7 +96,7 @@
     async fn run_with_lease(&self, mut lease: Lease<Held>) {
         let name = self.lease_name();
         let fence = lease.fencing_token().0;
-        audit::line(
+        audit::log_change(
             &self.instance,
             "lease taken",
             &name,
@@ -127,7 +127,7 @@
             }
         }
         drop(guard);
-        audit::line(
+        audit::log_change(
             &self.instance,
             "lease lost",
             &name,
@@ -190,11 +190,11 @@
             Action::Order { engine, version } => self.send_order(&engine, version, lease).await,
             Action::Quarantine { engine, reason } => {
                 let reason = format!("{reason:?}");
-                audit::line(&self.instance, "quarantined", &engine, "", &reason, fence);
+                audit::log_change(&self.instance, "quarantined", &engine, "", &reason, fence);
                 true
             }
             Action::Release { engine } => {
-                audit::line(&self.instance, "out of quarantine", &engine, "", "", fence);
+                audit::log_change(&self.instance, "out of quarantine", &engine, "", "", fence);
                 true
             }
         }
@@ -215,7 +215,7 @@
         let outcome = orders::send(&self.http, engine, lease, self.clock, order).await;
         let fence = lease.fencing_token().0;
         let after = format!("load version {version}: {outcome:?}");
-        audit::line(&self.instance, "order", name, "", &after, fence);
+        audit::log_change(&self.instance, "order", name, "", &after, fence);
         !matches!(outcome, Outcome::Lapsed | Outcome::Fenced)
     }
 }
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -131,7 +131,7 @@
             let before = format!("revision {before}");
             let what = format!("contract in force from {source}");
             let instance = &self.settings.me.name;
-            audit::line(instance, &what, &customer, &before, &change, rev);
+            audit::log_change(instance, &what, &customer, &before, &change, rev);
         }
         drop(book);
         if applied > 0 {
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -109,7 +109,7 @@
             let instance = &app.settings.me.name;
             let (before, after) = (known.to_string(), new.version.to_string());
             let what = format!("weights announced by {}", new.customer);
-            audit::line(instance, &what, model, &before, &after, rev);
+            audit::log_change(instance, &what, model, &before, &after, rev);
             Ok(Some(new.version))
         }
     }
