--- a/crates/serve/src/auth.rs
+++ b/crates/serve/src/auth.rs
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// Returns a refusal when there is no token, or no contract has it.
-pub fn contract(app: &App, call: &Call, trace: &mut Trace) -> Result<ActiveContract, Problem> {
+pub fn authenticate(app: &App, call: &Call, trace: &mut Trace) -> Result<ActiveContract, Problem> {
     let text = call.header(AUTHORIZATION.as_str());
     let token = text.and_then(|text| text.strip_prefix("Bearer "));
     let refuse = |detail: &str| {
--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -109,7 +109,7 @@
 }
 
 async fn accept(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Job, Problem> {
-    let held = auth::contract(app, &call, trace)?;
+    let held = auth::authenticate(app, &call, trace)?;
     let contract = &held.stored.contract;
     let deadline = app.clock.now() + forward::timeout(&call, contract)?;
     let asked: CompletionRequest = parse(app, call.body).await?;
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -91,7 +91,7 @@
 }
 
 async fn run(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Reply, Problem> {
-    let held = auth::contract(app, &call, trace)?;
+    let held = auth::authenticate(app, &call, trace)?;
     let contract = &held.stored.contract;
     let service = call.segment(2).to_owned();
     if !contract.has_service(&service) {
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -117,7 +117,7 @@
 }
 
 async fn opened(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
-    let held = auth::contract(app, &call, trace)?;
+    let held = auth::authenticate(app, &call, trace)?;
     let open: OpenStep = complete::parse(app, call.body).await?;
     complete::model(app, &held, &open.model)?;
     let contract = &held.stored.contract;
@@ -193,7 +193,7 @@
 }
 
 async fn pulled(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
-    let held = auth::contract(app, &call, trace)?;
+    let held = auth::authenticate(app, &call, trace)?;
     let step = call.segment(2).to_owned();
     let pull: PullRequest = complete::parse(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
@@ -298,7 +298,7 @@
 }
 
 async fn ended(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<(), Problem> {
-    let held = auth::contract(app, &call, trace)?;
+    let held = auth::authenticate(app, &call, trace)?;
     let customer = held.stored.contract.customer.clone();
     let step = call.segment(2).to_owned();
     let message = StepEnd { step, customer };
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -54,7 +54,7 @@
 }
 
 async fn announced(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<u64, Problem> {
-    let held = auth::contract(app, &call, trace)?;
+    let held = auth::authenticate(app, &call, trace)?;
     let model = call.segment(2).to_owned();
     complete::model(app, &held, &model)?;
     let asked: AnnounceVersion = complete::parse(app, call.body).await?;
