--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -40,7 +40,7 @@
     /// Its clocks.
     pub clock: Clock,
     /// The contracts in force.
-    pub book: RwLock<Registry>,
+    pub contracts: RwLock<Registry>,
     /// The limits of each contract.
     pub limits: Limits,
     /// The queue and upstreams of each model and service.
@@ -90,7 +90,7 @@
         Ok(Arc::new(Self {
             journal: Journal::new(settings.journal, plat.clone(), clock),
             clock,
-            book: RwLock::default(),
+            contracts: RwLock::default(),
             limits: Limits::default(),
             dispatchers,
             http: net::Client::new(),
@@ -119,12 +119,12 @@
     pub fn offer(&self, mut contracts: Vec<ActiveContract>, source: &str) -> usize {
         contracts.sort_by_key(|new| new.rev);
         let mut applied = 0;
-        let mut book = self.book.write();
+        let mut registry = self.contracts.write();
         for new in contracts {
             let customer = new.stored.contract.customer.clone();
-            let before = book.by_name(&customer).map_or(0, |held| held.rev);
+            let before = registry.by_name(&customer).map_or(0, |held| held.rev);
             let (rev, change) = (new.rev, new.stored.change.clone());
-            if book.apply(new) == ApplyResult::Stale {
+            if registry.apply(new) == ApplyResult::Stale {
                 continue;
             }
             applied += 1;
@@ -133,7 +133,7 @@
             let instance = &self.settings.me.name;
             audit::log_change(instance, &what, &customer, &before, &change, rev);
         }
-        drop(book);
+        drop(registry);
         if applied > 0 {
             let instance = self.settings.me.name.to_string();
             let newest = self.newest() as f64;
@@ -144,7 +144,7 @@
 
     /// The newest contract revision in force.
     pub fn newest(&self) -> Revision {
-        self.book.read().newest_revision()
+        self.contracts.read().newest_revision()
     }
 
     /// Notes that the contracts were the newest `age` milliseconds ago.
--- a/crates/serve/src/auth.rs
+++ b/crates/serve/src/auth.rs
@@ -25,7 +25,7 @@
     let Some(token) = token else {
         return refuse("the header Authorization: Bearer TOKEN is missing");
     };
-    let found = app.book.read().by_token(token.trim()).cloned();
+    let found = app.contracts.read().by_token(token.trim()).cloned();
     let Some(contract) = found else {
         return refuse("no contract in force has this token");
     };
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -191,7 +191,7 @@
     if behind {
         // The peer's answer shows that it lacks something: the next message brings it.
         let mut message = self::message(app, &to.domain, None);
-        message.contracts = app.book.read().newer_than(pong.newest);
+        message.contracts = app.contracts.read().newer_than(pong.newest);
         let _: Pong = exchange(app, to.addr, peer::PING, &message, limit).await?;
     }
     Ok(pong)
@@ -266,7 +266,7 @@
         },
         None => None,
     };
-    let contracts = app.book.read().newer_than(ping.newest);
+    let contracts = app.contracts.read().newer_than(ping.newest);
     let mut view = app.view.lock();
     Pong {
         from: view.me().clone(),
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -154,8 +154,8 @@
 /// Measures the demand of the last second, adapts the shares, and returns what peers should know.
 pub fn second(app: &App) -> Vec<Demand> {
     let contracts: Vec<Arc<_>> = {
-        let book = app.book.read();
-        book.all().map(|held| held.stored.clone()).collect()
+        let registry = app.contracts.read();
+        registry.all().map(|held| held.stored.clone()).collect()
     };
     let mut demands = Vec::new();
     for stored in contracts {
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -276,7 +276,7 @@
     if head.customer != message.customer {
         return Err(no(Type::NotFound).with_detail("step"));
     }
-    let held = app.book.read().by_name(&head.customer).cloned();
+    let held = app.contracts.read().by_name(&head.customer).cloned();
     let held = held.ok_or_else(|| no(Type::Unauthorized))?;
     let total = head.spec.total();
     let cursor = Cursor::parse(&message.pull.cursor, total);
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -62,7 +62,7 @@
 /// Makes one attempt at a sample, and hands what came of it to the step.
 pub(super) async fn make(app: &Arc<App>, work: &Work, begin: Assignment) {
     let (index, ordinal) = (begin.index, begin.ordinal);
-    let held = app.book.read().by_name(work.customer()).cloned();
+    let held = app.contracts.read().by_name(work.customer()).cloned();
     let Some(held) = held else {
         give_back(work, index, ordinal, begin.partial, PAUSE).await;
         return;
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -56,7 +56,7 @@
 pub(super) async fn score(app: &App, work: &Work, prompt: &str, sample: &mut Sample) {
     let mut tries = 0;
     loop {
-        let held = app.book.read().by_name(work.customer()).cloned();
+        let held = app.contracts.read().by_name(work.customer()).cloned();
         let Some(held) = held else {
             return;
         };
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -56,9 +56,14 @@
         rig.reach(rev).await.unwrap();
 
         for entry in rig.running() {
-            let book = entry.app.book.read();
+            let registry = entry.app.contracts.read();
             assert_eq!(
-                book.by_name("aarhus").unwrap().stored.contract.request_rate,
+                registry
+                    .by_name("aarhus")
+                    .unwrap()
+                    .stored
+                    .contract
+                    .request_rate,
                 7.0
             );
         }
