--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -63,7 +63,10 @@
     let operate::Applied::InForce(rev) = applied else {
         eyre::bail!("not applied: {applied:?}");
     };
-    while !rig.running().any(|entry| entry.app.newest() >= rev) {
+    while !rig
+        .running()
+        .any(|entry| entry.app.newest_revision() >= rev)
+    {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     faults.change(|fault| fault.down = true);
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -138,7 +138,10 @@
     /// Returns an error when it is not after 19 s.
     pub async fn reach(&self, rev: i64) -> eyre::Result<Duration> {
         let start = Instant::now();
-        while self.running().any(|entry| entry.app.newest() < rev) {
+        while self
+            .running()
+            .any(|entry| entry.app.newest_revision() < rev)
+        {
             if start.elapsed() > SPREAD {
                 bail!("revision {rev} is not in force everywhere after {SPREAD:?}");
             }
--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -136,14 +136,14 @@
         drop(registry);
         if applied > 0 {
             let instance = self.settings.me.name.to_string();
-            let newest = self.newest() as f64;
+            let newest = self.newest_revision() as f64;
             metrics::gauge!(meter::REVISION, "instance" => instance).set(newest);
         }
         applied
     }
 
     /// The newest contract revision in force.
-    pub fn newest(&self) -> Revision {
+    pub fn newest_revision(&self) -> Revision {
         self.contracts.read().newest_revision()
     }
 
@@ -161,7 +161,7 @@
 
     /// Tells whether this instance takes calls: it is not leaving, and knows contracts.
     pub fn is_ready(&self) -> bool {
-        !self.drain.is_begun() && (self.known().is_some() || self.newest() > 0)
+        !self.drain.is_begun() && (self.known().is_some() || self.newest_revision() > 0)
     }
 }
 
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -185,7 +185,7 @@
 ) -> Result<Pong, ExchangeError> {
     let message = message(app, &to.domain, probe);
     let pong: Pong = exchange(app, to.addr, peer::PING, &message, limit).await?;
-    let behind = pong.newest < app.newest();
+    let behind = pong.newest < app.newest_revision();
     take_in(app, &pong.from, pong.newest, pong.known, &pong.rumours);
     app.offer(pong.contracts.clone(), "a peer");
     if behind {
@@ -202,7 +202,7 @@
     Ping {
         from: view.me().clone(),
         rumours: view.outgoing(domain),
-        newest: app.newest(),
+        newest: app.newest_revision(),
         known: app.known(),
         contracts: Vec::new(),
         probe,
@@ -230,7 +230,7 @@
     news.into_iter().for_each(|rumour| act(app, rumour));
     // A peer at the same revision that has heard from the platform later vouches for it.
     if let Some(age) = known
-        && newest == app.newest()
+        && newest == app.newest_revision()
     {
         app.confirm(age);
     }
@@ -271,7 +271,7 @@
     Pong {
         from: view.me().clone(),
         rumours: view.outgoing(&ping.from.domain),
-        newest: app.newest(),
+        newest: app.newest_revision(),
         known: app.known(),
         contracts,
         reached,
--- a/crates/serve/src/operator.rs
+++ b/crates/serve/src/operator.rs
@@ -34,7 +34,7 @@
     Status {
         me: view.me().clone(),
         ready: app.is_ready(),
-        newest: app.newest(),
+        newest: app.newest_revision(),
         known: app.known(),
         reader: view.is_reader(),
         members: view.all().cloned().collect(),
--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -141,7 +141,10 @@
         format!("{shared}[instance]\nname = {name}\ndomain = {name}\nlisten = 127.0.0.1:0\n");
     let running = Running::start(serve::settings::read(name, &text).unwrap());
     let running = running.await.unwrap();
-    until(async || running.app.newest() >= rig.entries[0].as_ref().unwrap().app.newest()).await;
+    until(async || {
+        running.app.newest_revision() >= rig.entries[0].as_ref().unwrap().app.newest_revision()
+    })
+    .await;
     running
 }
 
