--- a/crates/operate/src/ask.rs
+++ b/crates/operate/src/ask.rs
@@ -10,7 +10,7 @@
 use kernel::Name;
 use net::SendError;
 use serde::de::DeserializeOwned;
-use serve::history::Story;
+use serve::history::SubjectHistory;
 use serve::settings::Peer;
 use wire::caller::StepState;
 use wire::peer;
@@ -109,7 +109,7 @@
     }
 
     /// Asks every instance what it knows of a request or an upstream.
-    pub async fn explain(&self, about: &str) -> Vec<Answered<Story>> {
+    pub async fn explain(&self, about: &str) -> Vec<Answered<SubjectHistory>> {
         self.ask_all(&format!("/operator/explain/{about}")).await
     }
 
--- a/crates/serve/src/history.rs
+++ b/crates/serve/src/history.rs
@@ -15,7 +15,7 @@
 /// What happened to one request or upstream.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Story {
+pub struct SubjectHistory {
     /// What it is about: a request's identifier, or a name.
     pub about: String,
     /// The instance that tells it.
@@ -28,7 +28,7 @@
 
 #[derive(Debug, Default)]
 struct Kept {
-    stories: Map<String, Story>,
+    stories: Map<String, SubjectHistory>,
     order: VecDeque<String>,
 }
 
@@ -43,7 +43,7 @@
 
 impl History {
     /// Keeps a story; the oldest one goes when there is no room.
-    pub fn keep(&self, story: Story) {
+    pub fn keep(&self, story: SubjectHistory) {
         let mut kept = self.kept.lock();
         let about = story.about.clone();
         if let Some(known) = kept.stories.get_mut(&about) {
@@ -62,7 +62,7 @@
     }
 
     /// Finds the story of a request or name.
-    pub fn find(&self, about: &str) -> Option<Story> {
+    pub fn find(&self, about: &str) -> Option<SubjectHistory> {
         self.kept.lock().stories.get(about).cloned()
     }
 }
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -16,7 +16,7 @@
 
 use crate::App;
 use crate::dispatcher::Dispatcher;
-use crate::history::Story;
+use crate::history::SubjectHistory;
 use kernel::rendezvous_rank;
 use wire::caller::HistoryEntry;
 
@@ -121,7 +121,7 @@
         (_, None) if !quarantined => "quarantined: it states no single version".into(),
         _ => return,
     };
-    app.history.keep(Story {
+    app.history.keep(SubjectHistory {
         about: spec.name.to_string(),
         instance: app.settings.me.name.clone(),
         customer: None,
--- a/crates/serve/src/refuse.rs
+++ b/crates/serve/src/refuse.rs
@@ -14,7 +14,7 @@
 use wire::problem::Type;
 
 use crate::App;
-use crate::history::Story;
+use crate::history::SubjectHistory;
 use crate::meter;
 use crate::trace::Trace;
 
@@ -56,7 +56,7 @@
     if let Ok(value) = HeaderValue::from_str(&id) {
         reply.headers_mut().insert(REQUEST_ID, value);
     }
-    app.history.keep(Story {
+    app.history.keep(SubjectHistory {
         about: id,
         instance: app.settings.me.name.clone(),
         customer: trace.customer,
