--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -44,7 +44,7 @@
 use crate::generate::End;
 use crate::generate::Sink;
 use crate::limits;
-use crate::limits::Passage;
+use crate::limits::LimitPermit;
 use crate::refuse;
 use crate::suspect::Sent;
 use crate::trace::Trace;
@@ -70,7 +70,7 @@
     dispatcher: Arc<Dispatcher>,
     entry: QueueEntry,
     class: u8,
-    passage: Passage,
+    passage: LimitPermit,
     deadline: Millis,
 }
 
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -42,7 +42,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::Permit;
 use crate::limits;
-use crate::limits::Passage;
+use crate::limits::LimitPermit;
 use crate::refuse;
 use crate::suspect::Sent;
 use crate::trace::Trace;
@@ -129,7 +129,7 @@
     entry: QueueEntry,
     outbound: Outbound,
     #[expect(dead_code, reason = "held for its drop, which frees the place")]
-    passage: Passage,
+    passage: LimitPermit,
 }
 
 fn entry(contract: &Contract) -> QueueEntry {
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -42,12 +42,12 @@
 }
 
 /// A request that passed its contract's limits; dropping it frees its place.
-pub struct Passage {
+pub struct LimitPermit {
     app: Arc<App>,
     customer: Name,
 }
 
-impl Passage {
+impl LimitPermit {
     /// Charges tokens that the request generated.
     pub fn charge(&self, tokens: u32) {
         let now = self.app.clock.now();
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Passage {
+impl Drop for LimitPermit {
     fn drop(&mut self) {
         self.app
             .limits
@@ -114,13 +114,13 @@
     held: &ActiveContract,
     tokens: u32,
     trace: &mut Trace,
-) -> Result<Passage, Problem> {
+) -> Result<LimitPermit, Problem> {
     let passed = with_gate(app, held, |limiter, now| {
         limiter.arrived += 1;
         limiter.gate.admit(now, f64::from(tokens))
     });
     match passed {
-        LimitDecision::Admitted => Ok(Passage {
+        LimitDecision::Admitted => Ok(LimitPermit {
             app: app.clone(),
             customer: held.stored.contract.customer.clone(),
         }),
@@ -138,12 +138,16 @@
 /// # Errors
 ///
 /// Returns the milliseconds after which to ask again.
-pub fn pass_sample(app: &Arc<App>, held: &ActiveContract, tokens: f64) -> Result<Passage, Millis> {
+pub fn pass_sample(
+    app: &Arc<App>,
+    held: &ActiveContract,
+    tokens: f64,
+) -> Result<LimitPermit, Millis> {
     let passed = with_gate(app, held, |limiter, now| {
         limiter.gate.admit_sample(now, tokens)
     });
     match passed {
-        LimitDecision::Admitted => Ok(Passage {
+        LimitDecision::Admitted => Ok(LimitPermit {
             app: app.clone(),
             customer: held.stored.contract.customer.clone(),
         }),
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -25,7 +25,7 @@
 use crate::generate::Sink;
 use crate::generate::Why;
 use crate::limits;
-use crate::limits::Passage;
+use crate::limits::LimitPermit;
 use crate::meter;
 use crate::suspect::Sent;
 
@@ -140,7 +140,7 @@
     begin: Assignment,
     sent: Sent,
     permit: Permit,
-    passage: &Passage,
+    passage: &LimitPermit,
 ) {
     let (index, ordinal) = (begin.index, begin.ordinal);
     let engine = permit.spec.name.clone();
