--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -138,7 +138,7 @@
 /// # Errors
 ///
 /// Returns the milliseconds after which to ask again.
-pub fn pass_sample(
+pub fn admit_sample(
     app: &Arc<App>,
     held: &ActiveContract,
     tokens: f64,
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -73,7 +73,7 @@
         give_back(work, index, ordinal, begin.partial, PLACE).await;
         return;
     }
-    let passage = match limits::pass_sample(app, &held, f64::from(begin.max_tokens)) {
+    let passage = match limits::admit_sample(app, &held, f64::from(begin.max_tokens)) {
         Ok(passage) => passage,
         Err(after) => {
             give_back(work, index, ordinal, begin.partial, after.min(PLACE)).await;
