--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -118,7 +118,7 @@
         return Err(no(Type::BadRequest).with_detail(detail));
     }
     let dispatcher = model(app, &held, &asked.model)?;
-    let passage = limits::pass(app, &held, asked.max_tokens, trace)?;
+    let passage = limits::admit(app, &held, asked.max_tokens, trace)?;
     let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -110,7 +110,7 @@
     let key = keyed::key(&call, contract, &service, once)?;
     let outbound = outbound(app, call, path, once, deadline).await?;
     // Before the journal: what the contract does not allow must cost no write.
-    let passage = limits::pass(app, &held, 0, trace)?;
+    let passage = limits::admit(app, &held, 0, trace)?;
     let job = Job {
         dispatcher,
         entry: entry(contract),
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// Returns a refusal that names the contract's line.
-pub fn pass(
+pub fn admit(
     app: &Arc<App>,
     held: &ActiveContract,
     tokens: u32,
