--- a/crates/serve/src/meter.rs
+++ b/crates/serve/src/meter.rs
@@ -35,7 +35,7 @@
 pub const SAMPLES: &str = "snipeway_samples_total";
 
 /// Samples made again because they were older than the bound, by customer.
-pub const STALE: &str = "snipeway_samples_stale_total";
+pub const STALE_SAMPLES: &str = "snipeway_samples_stale_total";
 
 /// Bytes of messages with peers, by direction.
 pub const PEER_BYTES: &str = "snipeway_peer_bytes_total";
@@ -64,7 +64,10 @@
         "requests at an upstream when that crashed"
     );
     metrics::describe_gauge!(crash::QUARANTINED_METRIC, "requests that crash upstreams");
-    metrics::describe_counter!(STALE, "samples made again because they were too old");
+    metrics::describe_counter!(
+        STALE_SAMPLES,
+        "samples made again because they were too old"
+    );
     metrics::describe_counter!(PEER_BYTES, Unit::Bytes, "bytes of messages with peers");
     Some(handle)
 }
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -202,7 +202,7 @@
         FinishResult::Stale => {
             let instance = app.settings.me.name.to_string();
             let customer = work.customer().to_string();
-            metrics::counter!(meter::STALE, "instance" => instance, "customer" => customer)
+            metrics::counter!(meter::STALE_SAMPLES, "instance" => instance, "customer" => customer)
                 .increment(1);
         }
     }
