--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -237,7 +237,7 @@
 
     fn measure(&self, state: &State) {
         let (instance, pool) = (self.instance.to_string(), self.name.to_string());
-        metrics::gauge!(meter::QUEUED, "instance" => instance, "pool" => pool)
+        metrics::gauge!(meter::QUEUED_REQUESTS, "instance" => instance, "pool" => pool)
             .set(state.queue.len() as f64);
     }
 
--- a/crates/serve/src/meter.rs
+++ b/crates/serve/src/meter.rs
@@ -17,7 +17,7 @@
 pub const SECONDS: &str = "snipeway_request_seconds";
 
 /// Requests that wait in a pool's queue.
-pub const QUEUED: &str = "snipeway_queue_requests";
+pub const QUEUED_REQUESTS: &str = "snipeway_queue_requests";
 
 /// Attempts at upstreams by pool and outcome.
 pub const ATTEMPTS: &str = "snipeway_upstream_attempts_total";
@@ -53,7 +53,7 @@
     let handle = builder.ok()?.install_recorder().ok()?;
     metrics::describe_counter!(REQUESTS, "calls by kind, customer and outcome");
     metrics::describe_histogram!(SECONDS, Unit::Seconds, "time that calls took");
-    metrics::describe_gauge!(QUEUED, "requests that wait in a pool's queue");
+    metrics::describe_gauge!(QUEUED_REQUESTS, "requests that wait in a pool's queue");
     metrics::describe_counter!(ATTEMPTS, "attempts at upstreams by pool and outcome");
     metrics::describe_gauge!(PLATFORM, "calls of the platform by kind");
     metrics::describe_gauge!(REVISION, "the newest contract revision in force");
