--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -276,7 +276,7 @@
         };
         let (instance, pool) = (self.instance.to_string(), self.name.to_string());
         metrics::counter!(
-            meter::ATTEMPTS, "instance" => instance, "pool" => pool, "outcome" => word
+            meter::UPSTREAM_ATTEMPTS, "instance" => instance, "pool" => pool, "outcome" => word
         )
         .increment(1);
         let now = self.clock.now();
--- a/crates/serve/src/meter.rs
+++ b/crates/serve/src/meter.rs
@@ -20,7 +20,7 @@
 pub const QUEUED_REQUESTS: &str = "snipeway_queue_requests";
 
 /// Attempts at upstreams by pool and outcome.
-pub const ATTEMPTS: &str = "snipeway_upstream_attempts_total";
+pub const UPSTREAM_ATTEMPTS: &str = "snipeway_upstream_attempts_total";
 
 /// Calls of the platform by kind.
 pub const PLATFORM: &str = "snipeway_platform_calls_total";
@@ -54,7 +54,10 @@
     metrics::describe_counter!(REQUESTS, "calls by kind, customer and outcome");
     metrics::describe_histogram!(SECONDS, Unit::Seconds, "time that calls took");
     metrics::describe_gauge!(QUEUED_REQUESTS, "requests that wait in a pool's queue");
-    metrics::describe_counter!(ATTEMPTS, "attempts at upstreams by pool and outcome");
+    metrics::describe_counter!(
+        UPSTREAM_ATTEMPTS,
+        "attempts at upstreams by pool and outcome"
+    );
     metrics::describe_gauge!(PLATFORM, "calls of the platform by kind");
     metrics::describe_gauge!(REVISION, "the newest contract revision in force");
     metrics::describe_gauge!(MEMBERS, "live instances in this one's eyes");
