--- a/crates/serve/src/meter.rs
+++ b/crates/serve/src/meter.rs
@@ -32,7 +32,7 @@
 pub const MEMBERS: &str = "snipeway_members";
 
 /// Samples delivered to trainers, by customer.
-pub const SAMPLES: &str = "snipeway_samples_total";
+pub const DELIVERED_SAMPLES: &str = "snipeway_samples_total";
 
 /// Samples made again because they were older than the bound, by customer.
 pub const STALE_SAMPLES: &str = "snipeway_samples_stale_total";
@@ -61,7 +61,7 @@
     metrics::describe_gauge!(PLATFORM, "calls of the platform by kind");
     metrics::describe_gauge!(REVISION, "the newest contract revision in force");
     metrics::describe_gauge!(MEMBERS, "live instances in this one's eyes");
-    metrics::describe_counter!(SAMPLES, "samples delivered to trainers");
+    metrics::describe_counter!(DELIVERED_SAMPLES, "samples delivered to trainers");
     metrics::describe_counter!(
         crash::CRASHES_METRIC,
         "requests at an upstream when that crashed"
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -259,7 +259,7 @@
 fn count(app: &App, customer: &Name, samples: usize) {
     let instance = app.settings.me.name.to_string();
     let customer = customer.to_string();
-    metrics::counter!(meter::SAMPLES, "instance" => instance, "customer" => customer)
+    metrics::counter!(meter::DELIVERED_SAMPLES, "instance" => instance, "customer" => customer)
         .increment(samples as u64);
 }
 
