--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -2,7 +2,7 @@
 
 use args::ParsedArgs;
 use eyre::bail;
-use serve::Running;
+use serve::RunningInstance;
 
 /// Runs the program.
 ///
@@ -19,7 +19,7 @@
     }
     logs::init(&settings.logs)?;
     args::program::block_on(async {
-        let running = Running::start(settings).await?;
+        let running = RunningInstance::start(settings).await?;
         if !running.until_told().await {
             bail!("requests were cut off at the end of the grace period");
         }
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -10,7 +10,7 @@
 use operate::Applied;
 use operate::Contracts;
 use operate::Fleet;
-use serve::Running;
+use serve::RunningInstance;
 use serve::settings::Peer;
 use tokio::net::TcpListener;
 use wire::peer::Secret;
@@ -55,7 +55,7 @@
     /// The stand-ins.
     pub parts: Parts,
     /// The entries; one that was killed is [`None`].
-    pub entries: Vec<Option<Running>>,
+    pub entries: Vec<Option<RunningInstance>>,
     /// The entries' control.
     pub controls: Vec<Controller>,
     /// Settings and address of each entry, in their order.
@@ -96,7 +96,7 @@
             let me = format!("[instance]\nname = {name}\ndomain = {domain}\nlisten = {addr}\n");
             let file = format!("{}{me}", with_cache(&text, &name, domain, addr, &caches));
             let settings = serve::settings::read(&name, &file)?;
-            let entry = Running::start_on(listener, settings)?;
+            let entry = RunningInstance::start_on(listener, settings)?;
             if make.control {
                 let control = Controller::start(&entry.app.settings, entry.addr);
                 rig.controls.push(control);
@@ -151,7 +151,7 @@
     }
 
     /// The entries that run.
-    pub fn running(&self) -> impl Iterator<Item = &Running> {
+    pub fn running(&self) -> impl Iterator<Item = &RunningInstance> {
         self.entries.iter().flatten()
     }
 
@@ -187,7 +187,7 @@
         // The killed entry's socket closes when its tasks are dropped, which is a moment later.
         let start = Instant::now();
         loop {
-            match Running::start(settings.clone()).await {
+            match RunningInstance::start(settings.clone()).await {
                 Ok(entry) => {
                     self.entries[at] = Some(entry);
                     return Ok(());
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -27,5 +27,5 @@
 pub mod weights;
 
 pub use app::App;
-pub use server::Running;
+pub use server::RunningInstance;
 pub use settings::Settings;
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -45,7 +45,7 @@
 }
 
 /// An instance that runs.
-pub struct Running {
+pub struct RunningInstance {
     /// Where it listens.
     pub addr: SocketAddr,
     /// What it holds.
@@ -54,7 +54,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Running {
+impl RunningInstance {
     /// Starts an instance.
     ///
     /// # Errors
--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -12,7 +12,7 @@
 use rig::Rig;
 use rig::contracts;
 use serde_json::json;
-use serve::Running;
+use serve::RunningInstance;
 use standin::Fault;
 use standin::engine;
 use tokio::io::copy_bidirectional;
@@ -121,12 +121,12 @@
 }
 
 /// An instance that reaches the platform and the upstreams, and no other instance.
-async fn apart(rig: &Rig) -> Running {
+async fn apart(rig: &Rig) -> RunningInstance {
     start(rig, "ost-0", &rig.parts.shared).await
 }
 
 /// An instance that reaches the platform through `way`, and all instances of the rig.
-async fn behind(rig: &Rig, way: SocketAddr) -> Running {
+async fn behind(rig: &Rig, way: SocketAddr) -> RunningInstance {
     let platform = rig.parts.platform.host.addr.to_string();
     let mut text = rig.parts.shared.replace(&platform, &way.to_string());
     for (name, addr) in ["nord-0", "syd-0"].iter().zip(rig.addrs()) {
@@ -136,10 +136,10 @@
     start(rig, "vest-0", &text).await
 }
 
-async fn start(rig: &Rig, name: &str, shared: &str) -> Running {
+async fn start(rig: &Rig, name: &str, shared: &str) -> RunningInstance {
     let text =
         format!("{shared}[instance]\nname = {name}\ndomain = {name}\nlisten = 127.0.0.1:0\n");
-    let running = Running::start(serve::settings::read(name, &text).unwrap());
+    let running = RunningInstance::start(serve::settings::read(name, &text).unwrap());
     let running = running.await.unwrap();
     until(async || {
         running.app.newest_revision() >= rig.entries[0].as_ref().unwrap().app.newest_revision()
@@ -380,7 +380,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let reads = || {
-            let used = |entry: &Running| entry.app.plat.budget().used(CallKind::Read);
+            let used = |entry: &RunningInstance| entry.app.plat.budget().used(CallKind::Read);
             rig.running().map(used).sum::<u64>()
         };
         tokio::time::sleep(WATCHED).await;
