--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -20,7 +20,7 @@
     logs::init(&settings.logs)?;
     args::program::block_on(async {
         let running = RunningInstance::start(settings).await?;
-        if !running.until_told().await {
+        if !running.run_until_stopped().await {
             bail!("requests were cut off at the end of the grace period");
         }
         Ok(())
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -131,7 +131,7 @@
     }
 
     /// Waits until an operator or a signal tells it to leave, then leaves.
-    pub async fn until_told(self) -> bool {
+    pub async fn run_until_stopped(self) -> bool {
         let signal = terminated();
         tokio::select! {
             () = self.app.leave.notified() => (),
