--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -39,7 +39,7 @@
     logs::init(&settings.logs)?;
     args::program::block_on(async {
         let controller = Controller::start(&settings, settings.me.address);
-        serve::server::terminated().await;
+        serve::server::wait_for_termination().await;
         controller.stop().await;
         Ok(())
     })
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -156,6 +156,6 @@
     std::fs::write(&file, text)?;
     args::print_line!("operators snipeway status --config {}", file.display());
     args::print_line!("interrupt to end");
-    serve::server::terminated().await;
+    serve::server::wait_for_termination().await;
     rig.leave().await
 }
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -132,7 +132,7 @@
 
     /// Waits until an operator or a signal tells it to leave, then leaves.
     pub async fn run_until_stopped(self) -> bool {
-        let signal = terminated();
+        let signal = wait_for_termination();
         tokio::select! {
             () = self.app.leave.notified() => (),
             () = signal => (),
@@ -142,7 +142,7 @@
 }
 
 /// Waits for an interrupt or a request to terminate.
-pub async fn terminated() {
+pub async fn wait_for_termination() {
     use tokio::signal::unix::SignalKind;
     use tokio::signal::unix::signal;
     let (Ok(mut term), Ok(mut int)) = (
