--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -13,7 +13,7 @@
 use plat::keys;
 use route::UpstreamSpec;
 use serve::audit;
-use serve::weights::Version;
+use serve::weights::StoredVersion;
 use tokio::task::JoinSet;
 use weight::Action;
 use weight::Plan;
@@ -143,7 +143,7 @@
         let Ok(Some(item)) = self.platform.get(&keys::weight(&self.model)).await else {
             return;
         };
-        if let Ok(version) = serde_json::from_slice::<Version>(&item.value) {
+        if let Ok(version) = serde_json::from_slice::<StoredVersion>(&item.value) {
             plan.announce(version.version);
         }
     }
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -38,7 +38,7 @@
 /// An announcement as the platform keeps it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Version {
+pub struct StoredVersion {
     /// The newest version.
     pub version: u64,
     /// The customer that announced it.
@@ -59,7 +59,7 @@
     complete::model(app, &held, &model)?;
     let asked: AnnounceVersion = complete::parse(app, call.body).await?;
     let customer = held.stored.contract.customer.clone();
-    let new = Version {
+    let new = StoredVersion {
         version: asked.version,
         customer,
     };
@@ -88,11 +88,11 @@
 ///
 /// A version never falls: the write is conditional on the revision that was read, and reading
 /// back settles a write whose answer was lost.
-async fn write(app: &App, model: &str, new: &Version) -> Result<Option<u64>, PlatError> {
+async fn write(app: &App, model: &str, new: &StoredVersion) -> Result<Option<u64>, PlatError> {
     let key = keys::weight(model);
     let item = app.plat.get(&key).await?;
     let rev = item.as_ref().map_or(0, |item| item.rev);
-    let known = item.and_then(|item| serde_json::from_slice::<Version>(&item.value).ok());
+    let known = item.and_then(|item| serde_json::from_slice::<StoredVersion>(&item.value).ok());
     let known = known.map_or(0, |known| known.version);
     if known >= new.version {
         return Ok(Some(known));
