--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -46,7 +46,7 @@
 use crate::limits;
 use crate::limits::LimitPermit;
 use crate::refuse;
-use crate::suspect::Sent;
+use crate::suspect::OutgoingRequest;
 use crate::trace::Trace;
 
 /// Serves `/v1/completions`.
@@ -198,7 +198,7 @@
 }
 
 /// What a completion asks for: the same for each attempt of a customer.
-fn sent(job: &Job, trace: &Trace) -> Sent {
+fn sent(job: &Job, trace: &Trace) -> OutgoingRequest {
     let CompletionRequest {
         model,
         prompt,
@@ -211,13 +211,13 @@
     } = &job.asked;
     let how = format!("{max_tokens} {seed:?} {temperature:?} {top_p:?} {stop:?} {prompt}");
     let customer = job.entry.customer.as_bytes();
-    Sent {
-        print: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
+    OutgoingRequest {
+        fingerprint: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
         id: trace.id.to_string(),
     }
 }
 
-fn order(job: &Job, sent: &Sent, trace: &Trace) -> generate::Order {
+fn order(job: &Job, sent: &OutgoingRequest, trace: &Trace) -> generate::Order {
     let attempt = trace.id.attempt(trace.attempts);
     generate::Order {
         attempt,
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -44,7 +44,7 @@
 use crate::limits;
 use crate::limits::LimitPermit;
 use crate::refuse;
-use crate::suspect::Sent;
+use crate::suspect::OutgoingRequest;
 use crate::trace::Trace;
 
 /// Header by which an upstream says that it is leaving.
@@ -214,7 +214,10 @@
     let mut ask = Requirements::default();
     let print = print(&job.entry, dispatcher, outbound);
     let id = trace.id.to_string();
-    let sent = Sent { print, id };
+    let sent = OutgoingRequest {
+        fingerprint: print,
+        id,
+    };
     // Whether an attempt before may have run; a refusal speaks of all of them.
     let mut before = Attempt::new().refuse();
     dispatcher.earn();
@@ -289,7 +292,7 @@
 async fn send(
     app: &App,
     job: &Job,
-    sent: &Sent,
+    sent: &OutgoingRequest,
     permit: Permit,
     attempt: Attempt<Unsent>,
 ) -> Result<Response<Bytes>, (Ran, String)> {
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -25,7 +25,7 @@
 
 use crate::App;
 use crate::dispatcher::Permit;
-use crate::suspect::Sent;
+use crate::suspect::OutgoingRequest;
 
 /// Silence after which a stream counts as cut. An engine that holds a request back for want of a
 /// slot sends nothing either, so this is long.
@@ -87,7 +87,7 @@
     /// The request, without what is there already.
     pub generate: GenerateRequest,
     /// What is sent, for what upstreams do under it.
-    pub(crate) sent: Sent,
+    pub(crate) sent: OutgoingRequest,
     /// Lowest weight version that will do.
     pub floor: u64,
     /// When it has to be over, on the monotonic clock.
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -27,7 +27,7 @@
 use crate::limits;
 use crate::limits::LimitPermit;
 use crate::meter;
-use crate::suspect::Sent;
+use crate::suspect::OutgoingRequest;
 
 /// Time that a sample may take at one engine.
 const LIMIT: Millis = 10 * 60_000;
@@ -68,7 +68,7 @@
         return;
     };
     let sent = sent(work, &begin);
-    if app.crashes.is_blocked(|| sent.print.into()) {
+    if app.crashes.is_blocked(|| sent.fingerprint.into()) {
         // The step keeps it until its trainer ends the step.
         give_back(work, index, ordinal, begin.partial, PLACE).await;
         return;
@@ -93,11 +93,11 @@
 }
 
 /// What a sample asks for: the same for each attempt of its step.
-fn sent(work: &Work, begin: &Assignment) -> Sent {
+fn sent(work: &Work, begin: &Assignment) -> OutgoingRequest {
     let (customer, model) = (work.customer().as_bytes(), &work.dispatcher.name);
     let how = format!("{} {} {}", begin.index, begin.max_tokens, begin.prompt);
-    Sent {
-        print: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
+    OutgoingRequest {
+        fingerprint: Fingerprint::new("POST", model, GENERATE, customer, how.as_bytes()),
         id: work.request.to_string(),
     }
 }
@@ -138,7 +138,7 @@
     app: &Arc<App>,
     work: &Work,
     begin: Assignment,
-    sent: Sent,
+    sent: OutgoingRequest,
     permit: Permit,
     passage: &LimitPermit,
 ) {
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -20,7 +20,7 @@
 
 use super::work::Work;
 use crate::App;
-use crate::suspect::Sent;
+use crate::suspect::OutgoingRequest;
 
 /// Time that a scorer has for one sample.
 const LIMIT: Millis = 5_000;
@@ -106,11 +106,11 @@
     };
     let customer = contract.customer.as_bytes();
     let how = format!("{prompt} {text}");
-    let sent = Sent {
-        print: Fingerprint::new("POST", scorer, SCORE, customer, how.as_bytes()),
+    let sent = OutgoingRequest {
+        fingerprint: Fingerprint::new("POST", scorer, SCORE, customer, how.as_bytes()),
         id: work.request.to_string(),
     };
-    if app.crashes.is_blocked(|| sent.print.into()) {
+    if app.crashes.is_blocked(|| sent.fingerprint.into()) {
         return Err(ScoreError::Quarantined);
     }
     let deadline = app.clock.now() + LIMIT;
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -23,18 +23,18 @@
 
 /// A request on its way to upstreams.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct OutgoingRequest {
     /// What it asks for.
-    pub(crate) print: Fingerprint,
+    pub(crate) fingerprint: Fingerprint,
     /// Its id, for lines.
     pub(crate) id: String,
 }
 
-impl Sent {
+impl OutgoingRequest {
     /// Refuses the request if it may not run; `ran` tells whether it may have before.
     pub(crate) async fn check(&self, app: &App, deadline: Millis, ran: Ran) -> Result<(), Problem> {
         let time = deadline.saturating_sub(app.clock.now());
-        let Some(left) = app.crashes.admit(self.print.into(), time).await else {
+        let Some(left) = app.crashes.admit(self.fingerprint.into(), time).await else {
             return Ok(());
         };
         let problem = Problem::new(Type::Quarantined, ran);
@@ -46,7 +46,7 @@
 
     /// The upstreams at which other suspects are.
     pub(crate) fn apart(&self, app: &App) -> Vec<Name> {
-        let starts = app.crashes.upstreams_to_avoid(|| self.print.into());
+        let starts = app.crashes.upstreams_to_avoid(|| self.fingerprint.into());
         let names = starts.iter().filter_map(|start| start.split_once('@'));
         names.filter_map(|(name, _)| name.parse().ok()).collect()
     }
@@ -54,7 +54,7 @@
     /// Notes that the request goes to an upstream, if it is a suspect.
     pub(crate) fn stay(&self, app: &App, spec: &UpstreamSpec) -> Option<SuspectGuard> {
         app.crashes
-            .track_suspect(|| self.print.into(), &start(app, spec))
+            .track_suspect(|| self.fingerprint.into(), &start(app, spec))
     }
 
     /// Looks whether an upstream has crashed after the connection broke there.
@@ -64,7 +64,7 @@
         let start = start(app, spec);
         let looking =
             app.crashes
-                .check_upstream(&self.id, self.print.into(), &start, spec.addr, left);
+                .check_upstream(&self.id, self.fingerprint.into(), &start, spec.addr, left);
         looking.await;
     }
 
@@ -78,7 +78,7 @@
 
     /// Notes that an upstream has answered it whole.
     pub(crate) fn whole(&self, app: &App) {
-        app.crashes.record_success(|| self.print.into());
+        app.crashes.record_success(|| self.fingerprint.into());
     }
 }
 
