--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -153,7 +153,7 @@
     let mut before = Attempt::new().refuse();
     job.dispatcher.earn();
     loop {
-        sent.check(app, job.deadline, before).await?;
+        sent.check_quarantine(app, job.deadline, before).await?;
         ask.avoid.extend(sent.apart(app));
         let permit = match job
             .dispatcher
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -223,7 +223,8 @@
     dispatcher.earn();
     loop {
         let attempt = Attempt::new();
-        sent.check(app, outbound.deadline, before).await?;
+        sent.check_quarantine(app, outbound.deadline, before)
+            .await?;
         ask.avoid.extend(sent.apart(app));
         let permit = match dispatcher
             .acquire(&job.entry, ask.clone(), outbound.deadline)
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -32,7 +32,12 @@
 
 impl OutgoingRequest {
     /// Refuses the request if it may not run; `ran` tells whether it may have before.
-    pub(crate) async fn check(&self, app: &App, deadline: Millis, ran: Ran) -> Result<(), Problem> {
+    pub(crate) async fn check_quarantine(
+        &self,
+        app: &App,
+        deadline: Millis,
+        ran: Ran,
+    ) -> Result<(), Problem> {
         let time = deadline.saturating_sub(app.clock.now());
         let Some(left) = app.crashes.admit(self.fingerprint.into(), time).await else {
             return Ok(());
