--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -154,7 +154,7 @@
     job.dispatcher.earn();
     loop {
         sent.check_quarantine(app, job.deadline, before).await?;
-        ask.avoid.extend(sent.apart(app));
+        ask.avoid.extend(sent.upstreams_to_avoid(app));
         let permit = match job
             .dispatcher
             .acquire(&job.entry, ask.clone(), job.deadline)
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -225,7 +225,7 @@
         let attempt = Attempt::new();
         sent.check_quarantine(app, outbound.deadline, before)
             .await?;
-        ask.avoid.extend(sent.apart(app));
+        ask.avoid.extend(sent.upstreams_to_avoid(app));
         let permit = match dispatcher
             .acquire(&job.entry, ask.clone(), outbound.deadline)
             .await
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -123,7 +123,7 @@
     };
     let avoid = work.avoid.lock().get(&begin.index).cloned();
     let mut avoid: Vec<_> = avoid.into_iter().collect();
-    avoid.extend(sent(work, begin).apart(app));
+    avoid.extend(sent(work, begin).upstreams_to_avoid(app));
     let ask = Requirements {
         blocks: blocks(&begin.prompt),
         min_version: begin.min_version,
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -115,7 +115,7 @@
     }
     let deadline = app.clock.now() + LIMIT;
     let apart = Requirements {
-        avoid: sent.apart(app),
+        avoid: sent.upstreams_to_avoid(app),
         ..Requirements::default()
     };
     let permit = dispatcher.acquire(&entry, apart, deadline).await;
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -50,7 +50,7 @@
     }
 
     /// The upstreams at which other suspects are.
-    pub(crate) fn apart(&self, app: &App) -> Vec<Name> {
+    pub(crate) fn upstreams_to_avoid(&self, app: &App) -> Vec<Name> {
         let starts = app.crashes.upstreams_to_avoid(|| self.fingerprint.into());
         let names = starts.iter().filter_map(|start| start.split_once('@'));
         names.filter_map(|(name, _)| name.parse().ok()).collect()
