--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -239,7 +239,7 @@
         let upstream = permit.spec.name.clone();
         trace.upstream = Some(upstream.clone());
         trace.attempts += 1;
-        let stay = sent.stay(app, &permit.spec);
+        let stay = sent.track_suspect(app, &permit.spec);
         let (ran, why) = match send(app, job, &sent, permit, attempt).await {
             Ok(answer) => return Ok(answer),
             Err(failed) => failed,
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -104,7 +104,7 @@
 ) -> End {
     assembly.restart(order.attempt);
     let left = order.deadline.saturating_sub(app.clock.now());
-    let stay = order.sent.stay(app, &permit.spec);
+    let stay = order.sent.track_suspect(app, &permit.spec);
     let whole = attempt(app, &permit, order, assembly, sink);
     let end = match tokio::time::timeout(Duration::from_millis(left), whole).await {
         Ok(end) => end,
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -128,7 +128,7 @@
     let uri = uri(permit.spec.addr, SCORE);
     let limit = Duration::from_millis(LIMIT);
     let spec = permit.spec.clone();
-    let stay = sent.stay(app, &spec);
+    let stay = sent.track_suspect(app, &spec);
     let scored: Result<ScoreResponse, _> = app.http.json(Method::POST, &uri, &asked, limit).await;
     permit.end(scored.is_ok());
     match &scored {
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -57,7 +57,7 @@
     }
 
     /// Notes that the request goes to an upstream, if it is a suspect.
-    pub(crate) fn stay(&self, app: &App, spec: &UpstreamSpec) -> Option<SuspectGuard> {
+    pub(crate) fn track_suspect(&self, app: &App, spec: &UpstreamSpec) -> Option<SuspectGuard> {
         app.crashes
             .track_suspect(|| self.fingerprint.into(), &start(app, spec))
     }
