--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -339,7 +339,7 @@
         Err(error) => {
             permit.end(false);
             if matches!(error, SendError::Broken) {
-                sent.broke(app, &spec).await;
+                sent.check_crash(app, &spec).await;
             }
             Err((attempt.fail(), error.to_string()))
         }
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -133,7 +133,7 @@
     permit.end(scored.is_ok());
     match &scored {
         Ok(_) => sent.whole(app),
-        Err(JsonError::Send(SendError::Broken)) => sent.broke(app, &spec).await,
+        Err(JsonError::Send(SendError::Broken)) => sent.check_crash(app, &spec).await,
         Err(_) => (),
     }
     drop(stay);
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -63,7 +63,7 @@
     }
 
     /// Looks whether an upstream has crashed after the connection broke there.
-    pub(crate) async fn broke(&self, app: &App, spec: &UpstreamSpec) {
+    pub(crate) async fn check_crash(&self, app: &App, spec: &UpstreamSpec) {
         let leaving = app.view.lock().is_leaving(&spec.name).unwrap_or(false);
         let left = move || leaving;
         let start = start(app, spec);
