--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -112,7 +112,7 @@
     };
     learn(app, &permit, assembly.version());
     match &end {
-        End::Whole => order.sent.whole(app),
+        End::Whole => order.sent.record_success(app),
         End::Early(Ran::Unknown, Why::Cut) => order.sent.check_crash(app, &permit.spec).await,
         End::Early(..) | End::Unwanted => (),
     }
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -132,7 +132,7 @@
     let scored: Result<ScoreResponse, _> = app.http.json(Method::POST, &uri, &asked, limit).await;
     permit.end(scored.is_ok());
     match &scored {
-        Ok(_) => sent.whole(app),
+        Ok(_) => sent.record_success(app),
         Err(JsonError::Send(SendError::Broken)) => sent.check_crash(app, &spec).await,
         Err(_) => (),
     }
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -77,12 +77,12 @@
     /// ran.
     pub(crate) fn answered(&self, app: &App, status: StatusCode) {
         if !status.is_server_error() {
-            self.whole(app);
+            self.record_success(app);
         }
     }
 
     /// Notes that an upstream has answered it whole.
-    pub(crate) fn whole(&self, app: &App) {
+    pub(crate) fn record_success(&self, app: &App) {
         app.crashes.record_success(|| self.fingerprint.into());
     }
 }
