--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -324,7 +324,7 @@
             }
             permit.end(!failed(answer.status()));
             attempt.answer();
-            sent.answered(app, answer.status());
+            sent.record_answer(app, answer.status());
             Ok(answer)
         }
         Err(SendError::Unconnected) => {
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -75,7 +75,7 @@
 
     /// Notes that an upstream has answered a call whole. A failure of the upstream does not tell that the call
     /// ran.
-    pub(crate) fn answered(&self, app: &App, status: StatusCode) {
+    pub(crate) fn record_answer(&self, app: &App, status: StatusCode) {
         if !status.is_server_error() {
             self.record_success(app);
         }
