--- a/crates/serve/src/app.rs
+++ b/crates/serve/src/app.rs
@@ -1,4 +1,4 @@
-//! Everything that one instance holds.
+//! The shared state of one instance.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,7 +24,7 @@
 
 use crate::Settings;
 use crate::audit;
-use crate::cache::Cache;
+use crate::cache::WeightCache;
 use crate::dispatcher::Dispatcher;
 use crate::history::History;
 use crate::journal::Journal;
@@ -33,51 +33,51 @@
 use crate::steps::Steps;
 use clock::Clock;
 
-/// Everything that one instance holds.
+/// The shared state of one instance: its settings, clients, queues and caches.
 pub struct App {
-    /// What it was told.
+    /// The settings that the instance was started with.
     pub settings: Settings,
-    /// Its clocks.
+    /// Monotonic and wall clock.
     pub clock: Clock,
     /// The contracts in force.
     pub contracts: RwLock<Registry>,
-    /// The limits of each contract.
+    /// The rate and concurrency limits of each contract.
     pub limits: Limits,
     /// The queue and upstreams of each model and service.
     pub dispatchers: Map<Name, Arc<Dispatcher>>,
-    /// Towards upstreams and peers.
+    /// The HTTP client for upstreams and peers.
     pub http: net::Client,
-    /// Towards the platform.
+    /// The client for the platform's key-value service.
     pub plat: plat::Client,
-    /// Non-idempotent requests.
+    /// The journal of non-idempotent requests.
     pub journal: Journal,
-    /// Steps that it works on.
+    /// The steps that this instance runs.
     pub steps: Steps,
-    /// The fleet as it sees it.
+    /// This instance's view of the membership.
     pub view: Mutex<View>,
-    /// Whether it is leaving.
+    /// Begun when the instance stops accepting connections.
     pub drain: Drain,
-    /// Set as soon as it begins to leave, before it stops accepting.
+    /// Set when the instance begins to leave, while it still accepts connections.
     pub leaving: AtomicBool,
-    /// An operator told it to leave.
-    pub leave: Notify,
-    /// Weight versions, on an instance that has a disk.
-    pub cache: Option<Cache>,
-    /// Which requests crash upstreams.
+    /// Notified when an operator requests a drain.
+    pub drain_requested: Notify,
+    /// The cache of weight versions; [`None`] if the settings name no folder for it.
+    pub cache: Option<WeightCache>,
+    /// Tracks which requests crash upstreams.
     pub crashes: Arc<CrashTracker>,
-    /// What happened lately.
+    /// The history of recent requests and upstreams.
     pub history: History,
-    /// One more than the monotonic time at which the contracts were last known to be the newest;
-    /// 0 for never.
-    known: AtomicU64,
+    /// One more than the monotonic time, in milliseconds, at which the contracts were last confirmed as
+    /// the newest; 0 if they never were.
+    confirmed_at: AtomicU64,
 }
 
 impl App {
-    /// Makes an instance out of its settings.
+    /// Creates the state of an instance from its settings.
     ///
     /// # Errors
     ///
-    /// Returns [`UnknownPlugin`] when the settings name a policy that is not there.
+    /// Returns [`UnknownPlugin`] if the settings name a policy that is not registered.
     pub fn new(settings: Settings) -> Result<Arc<Self>, UnknownPlugin> {
         let clock = Clock::default();
         let mut dispatchers = Map::default();
@@ -85,7 +85,7 @@
             let dispatcher = Dispatcher::new(pool, &settings.me, &settings.upstreams, clock)?;
             dispatchers.insert(pool.name.clone(), Arc::new(dispatcher));
         }
-        let view = view(&settings, clock);
+        let view = initial_view(&settings, clock);
         let plat = plat::Client::new(settings.platform.clone());
         Ok(Arc::new(Self {
             journal: Journal::new(settings.journal, plat.clone(), clock),
@@ -99,78 +99,82 @@
             view: Mutex::new(view),
             drain: Drain::default(),
             leaving: AtomicBool::new(false),
-            leave: Notify::new(),
+            drain_requested: Notify::new(),
             crashes: Arc::default(),
             history: History::default(),
             cache: settings
                 .weights
                 .folder
                 .clone()
-                .map(|folder| Cache::new(folder, &settings.weights.store)),
-            known: AtomicU64::new(0),
+                .map(|folder| WeightCache::new(folder, &settings.weights.store)),
+            confirmed_at: AtomicU64::new(0),
             settings,
         }))
     }
 
-    /// Puts contracts in force where they are newer; tells how many were.
+    /// Applies the contracts that are newer than those in force and returns their number.
     ///
-    /// They go in by revision and under one lock: peers ask by the newest revision that they hold,
-    /// so whoever holds one must hold all below it, at every moment at which it can be asked.
-    pub fn offer(&self, mut contracts: Vec<ActiveContract>, source: &str) -> usize {
+    /// They are applied in the order of their revisions and under one lock: a peer requests the
+    /// contracts above its newest revision, so an instance that holds a revision must also hold every
+    /// lower one whenever another instance can read its registry.
+    pub fn apply_contracts(&self, mut contracts: Vec<ActiveContract>, source: &str) -> usize {
         contracts.sort_by_key(|new| new.rev);
         let mut applied = 0;
         let mut registry = self.contracts.write();
         for new in contracts {
             let customer = new.stored.contract.customer.clone();
-            let before = registry.by_name(&customer).map_or(0, |held| held.rev);
+            let before = registry.by_name(&customer).map_or(0, |active| active.rev);
             let (rev, change) = (new.rev, new.stored.change.clone());
             if registry.apply(new) == ApplyResult::Stale {
                 continue;
             }
             applied += 1;
             let before = format!("revision {before}");
-            let what = format!("contract in force from {source}");
+            let message = format!("contract in force from {source}");
             let instance = &self.settings.me.name;
-            audit::log_change(instance, &what, &customer, &before, &change, rev);
+            audit::log_change(instance, &message, &customer, &before, &change, rev);
         }
         drop(registry);
         if applied > 0 {
             let instance = self.settings.me.name.to_string();
             let newest = self.newest_revision() as f64;
-            metrics::gauge!(meter::REVISION, "instance" => instance).set(newest);
+            metrics::gauge!(meter::CONTRACT_REVISION, "instance" => instance).set(newest);
         }
         applied
     }
 
-    /// The newest contract revision in force.
+    /// Returns the newest contract revision in force.
     pub fn newest_revision(&self) -> Revision {
         self.contracts.read().newest_revision()
     }
 
-    /// Notes that the contracts were the newest `age` milliseconds ago.
-    pub fn confirm(&self, age: Millis) {
-        let at = self.clock.now().saturating_sub(age) + 1;
-        self.known.fetch_max(at, Ordering::Relaxed);
+    /// Records that the contracts were confirmed as the newest `age` milliseconds ago.
+    pub fn confirm_contracts(&self, age: Millis) {
+        let confirmed_at = self.clock.now().saturating_sub(age) + 1;
+        self.confirmed_at.fetch_max(confirmed_at, Ordering::Relaxed);
     }
 
-    /// Milliseconds since the contracts were known to be the newest, if they ever were.
-    pub fn known(&self) -> Option<Millis> {
-        let at = self.known.load(Ordering::Relaxed).checked_sub(1)?;
-        Some(self.clock.now().saturating_sub(at))
+    /// Returns the milliseconds since the contracts were last confirmed as the newest, or [`None`] if
+    /// they never were.
+    pub fn contracts_age(&self) -> Option<Millis> {
+        let confirmed_at = self.confirmed_at.load(Ordering::Relaxed).checked_sub(1)?;
+        Some(self.clock.now().saturating_sub(confirmed_at))
     }
 
-    /// Tells whether this instance takes calls: it is not leaving, and knows contracts.
+    /// Returns whether this instance can serve calls: it is not draining, and it holds contracts
+    /// or a confirmation that there are none.
     pub fn is_ready(&self) -> bool {
-        !self.drain.is_begun() && (self.known().is_some() || self.newest_revision() > 0)
+        !self.drain.is_begun() && (self.contracts_age().is_some() || self.newest_revision() > 0)
     }
 }
 
-fn view(settings: &Settings, clock: Clock) -> View {
+/// Creates the view of an instance with the peers from its settings.
+fn initial_view(settings: &Settings, clock: Clock) -> View {
     let me = Member {
         name: settings.me.name.clone(),
         domain: settings.me.domain.clone(),
         addr: settings.me.address,
-        // The time of the start tells this life from a former one.
+        // The start time is higher than the incarnation of any earlier run of this instance.
         incarnation: clock.wall(),
         state: MemberState::Alive,
     };
--- a/crates/serve/src/audit.rs
+++ b/crates/serve/src/audit.rs
@@ -1,7 +1,15 @@
-//! The audit trail's lines: who or what changed something.
+//! Lines of the audit trail, which records every change with its origin.
 
-/// Writes a line of the audit trail.
-pub fn log_change(instance: &str, what: &str, subject: &str, before: &str, after: &str, rev: i64) {
+/// Writes one line to the audit trail: `message` describes the change, `before` and `after` are the
+/// values of `subject`, and `rev` is the revision on the platform.
+pub fn log_change(
+    instance: &str,
+    message: &str,
+    subject: &str,
+    before: &str,
+    after: &str,
+    rev: i64,
+) {
     log::info!(
         target: logs::AUDIT_TARGET,
         instance = instance,
@@ -9,6 +17,6 @@
         before = before,
         after = after,
         revision = rev;
-        "{what}"
+        "{message}"
     );
 }
--- a/crates/serve/src/auth.rs
+++ b/crates/serve/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls.
+//! Authentication of callers by bearer token.
 
 use contract::registry::ActiveContract;
 use http::header::AUTHORIZATION;
@@ -10,14 +10,15 @@
 use crate::App;
 use crate::trace::Trace;
 
-/// Finds the contract of a call's bearer token.
+/// Returns the contract that a call's bearer token belongs to and records its customer in the trace.
 ///
 /// # Errors
 ///
-/// Returns a refusal when there is no token, or no contract has it.
+/// Returns a [`Problem`] of type [`Type::Unauthorized`] if the token is missing or no contract in force
+/// has it.
 pub fn authenticate(app: &App, call: &Call, trace: &mut Trace) -> Result<ActiveContract, Problem> {
-    let text = call.header(AUTHORIZATION.as_str());
-    let token = text.and_then(|text| text.strip_prefix("Bearer "));
+    let header = call.header(AUTHORIZATION.as_str());
+    let token = header.and_then(|header| header.strip_prefix("Bearer "));
     let refuse = |detail: &str| {
         let problem = Problem::new(Type::Unauthorized, Attempt::new().refuse());
         Err(problem.with_detail(detail))
--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Probes of peers, and the news that go with them.
+//! Gossip: probes of peers, and the rumours and contracts that probes carry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,118 +29,122 @@
 use crate::meter;
 use crate::poll;
 
-/// Time that a probe may take.
-const PROBE: Duration = Duration::from_millis(400);
+/// Timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time that a probe through helpers may take.
-const HELP: Duration = Duration::from_millis(900);
+/// Timeout of a probe that another instance sends on this instance's behalf.
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Bytes of a peer's answer.
-const MOST: usize = 4 << 20;
+/// Maximum size of a peer's response in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Change of a demand, as a part of it, that peers are told of.
-const CHANGE: f64 = 0.2;
+/// Relative change of a customer's demand from which on it is reported to peers at once.
+const MIN_DEMAND_CHANGE: f64 = 0.2;
 
-/// Seconds after which demands are told though they have not changed.
-const REPEAT: u64 = 10;
+/// Number of probe intervals after which unchanged demands are reported again.
+const REPORT_INTERVALS: u64 = 10;
 
-/// Why a message with a peer failed.
+/// An exchange of messages with a peer failed.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum ExchangeError {
-    /// The message could not be written or read.
+    /// A message could not be encoded or decoded.
     #[error(transparent)]
     Peer(#[from] PeerError),
-    /// There is no answer.
+    /// No response arrived.
     #[error(transparent)]
     Send(#[from] SendError),
-    /// The peer refused it.
+    /// The peer answered with a status other than 200.
     #[error("the peer answered with status {0}")]
     Status(StatusCode),
-    /// The address makes no URI.
+    /// The request could not be built.
     #[error("the request could not be made")]
     Request,
 }
 
-/// Sends a signed message to a peer and reads its answer.
+/// Sends a signed message to a peer and returns its response.
 ///
 /// # Errors
 ///
-/// Returns [`ExchangeError`].
+/// Returns [`ExchangeError`] if the message cannot be sent, the response does not arrive within `timeout`, or
+/// the peer rejects the message.
 pub async fn exchange<T: Serialize, R: DeserializeOwned>(
     app: &App,
     addr: SocketAddr,
     path: &str,
     message: &T,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<R, ExchangeError> {
     let bytes = peer::encode(message)?;
-    let sign = app.settings.secret.sign(path, &bytes);
-    count(app, "out", bytes.len());
+    let signature = app.settings.secret.sign(path, &bytes);
+    count_bytes(app, "out", bytes.len());
     let request = Request::post(net::client::uri(addr, path))
         .header(CONTENT_TYPE, peer::MEDIA_TYPE)
         .header(peer::VERSION_HEADER, peer::VERSION)
-        .header(peer::MAC_HEADER, sign)
+        .header(peer::MAC_HEADER, signature)
         .body(Full::new(Bytes::from(bytes)))
         .map_err(|_| ExchangeError::Request)?;
-    let answer = app.http.fetch(request, limit, MOST).await?;
-    count(app, "in", answer.body().len());
-    if answer.status() != StatusCode::OK {
-        return Err(ExchangeError::Status(answer.status()));
+    let response = app.http.fetch(request, timeout, MAX_RESPONSE_BYTES).await?;
+    count_bytes(app, "in", response.body().len());
+    if response.status() != StatusCode::OK {
+        return Err(ExchangeError::Status(response.status()));
     }
-    Ok(peer::decode(answer.body())?)
+    Ok(peer::decode(response.body())?)
 }
 
-/// Counts bytes of messages with peers.
-pub fn count(app: &App, way: &'static str, bytes: usize) {
+/// Counts the bytes of a message from a peer (`direction` is `in`) or to a peer (`out`).
+pub fn count_bytes(app: &App, direction: &'static str, bytes: usize) {
     let instance = app.settings.me.name.to_string();
-    metrics::counter!(meter::PEER_BYTES, "instance" => instance, "way" => way)
+    metrics::counter!(meter::PEER_BYTES, "instance" => instance, "way" => direction)
         .increment(bytes as u64);
 }
 
-/// Probes peers until the instance leaves.
+/// Probes peers and reports this instance's demand and crashes to them, until the task is aborted.
 pub async fn run(app: Arc<App>) {
-    let mut told = Vec::new();
-    let mut crashes = Observations::default();
-    let mut turn = 0;
+    let mut reported_demands = Vec::new();
+    let mut reported_crashes = Observations::default();
+    let mut round = 0;
     loop {
-        turn += 1;
-        second(&app, turn, &mut told);
-        tell_crashes(&app, &mut crashes);
+        round += 1;
+        update_shares(&app, round, &mut reported_demands);
+        report_crashes(&app, &mut reported_crashes);
         let probes = app.view.lock().tick(app.clock.now());
         for probe in probes {
             let app = app.clone();
-            tokio::spawn(async move { reach(&app, probe).await });
+            tokio::spawn(async move { probe_peer(&app, probe).await });
         }
-        // Jitter keeps instances that started together from probing together.
+        // Jitter prevents instances that started together from probing in step.
         let pause = PROBE_INTERVAL as f64 * (0.9 + 0.2 * rand::random::<f64>());
         tokio::time::sleep(Duration::from_millis(pause as u64)).await;
     }
 }
 
-/// Tells peers of crashes if there is something new.
-fn tell_crashes(app: &App, told: &mut Observations) {
+/// Reports the crashes that this instance observed if they changed since the last report.
+fn report_crashes(app: &App, reported: &mut Observations) {
     app.crashes.prune();
-    let report = app.crashes.local_observations();
-    if report != *told {
-        *told = report.clone();
-        app.view.lock().report_crashes(app.clock.wall(), report);
+    let observations = app.crashes.local_observations();
+    if observations != *reported {
+        *reported = observations.clone();
+        app.view
+            .lock()
+            .report_crashes(app.clock.wall(), observations);
     }
 }
 
-/// What is done once a second: demands are measured, shares adapted.
-fn second(app: &App, turn: u64, told: &mut Vec<fleet::rumour::Demand>) {
-    let demands = limits::second(app);
+/// Updates the shares of limits and queues, and reports changed demands to peers. Called once per probe
+/// interval.
+fn update_shares(app: &App, round: u64, reported: &mut Vec<fleet::rumour::Demand>) {
+    let demands = limits::update_demand(app);
     let changed = |d: &fleet::rumour::Demand| {
-        let before = told.iter().find(|t| t.customer == d.customer);
-        let before = before.map_or(0.0, |t| t.rate);
-        (d.rate - before).abs() > CHANGE * before.max(d.rate)
+        let before = reported.iter().find(|r| r.customer == d.customer);
+        let before = before.map_or(0.0, |r| r.rate);
+        (d.rate - before).abs() > MIN_DEMAND_CHANGE * before.max(d.rate)
     };
-    let due = turn.is_multiple_of(REPEAT) || demands.iter().any(changed);
+    let due = round.is_multiple_of(REPORT_INTERVALS) || demands.iter().any(changed);
     let mut view = app.view.lock();
-    if due && !(demands.is_empty() && told.is_empty()) {
+    if due && !(demands.is_empty() && reported.is_empty()) {
         view.report_demand(app.clock.wall(), demands.clone());
-        *told = demands;
+        *reported = demands;
     }
     let live = view.live().count();
     drop(view);
@@ -151,14 +155,14 @@
         .for_each(|dispatcher| dispatcher.share(live as u32));
 }
 
-/// Probes a peer, then through helpers if it is silent.
-async fn reach(app: &Arc<App>, probe: Probe) {
-    if ping(app, &probe, None, PROBE).await.is_ok() {
+/// Probes a peer. If it does not answer, asks other instances to probe it.
+async fn probe_peer(app: &Arc<App>, probe: Probe) {
+    if send_ping(app, &probe, None, PROBE_TIMEOUT).await.is_ok() {
         return;
     }
     let now = app.clock.now();
-    let silence = app.view.lock().probe_failed(&probe.name, false, now);
-    let ProbeFailure::AskHelpers(helpers) = silence else {
+    let failure = app.view.lock().probe_failed(&probe.name, false, now);
+    let ProbeFailure::AskHelpers(helpers) = failure else {
         return;
     };
     let member = {
@@ -166,8 +170,8 @@
         view.all().find(|member| member.name == probe.name).cloned()
     };
     for helper in helpers {
-        let answer = ping(app, &helper, member.clone(), HELP).await;
-        if answer.is_ok_and(|pong| pong.reached.is_some()) {
+        let response = send_ping(app, &helper, member.clone(), INDIRECT_PROBE_TIMEOUT).await;
+        if response.is_ok_and(|pong| pong.reached.is_some()) {
             return;
         }
     }
@@ -176,41 +180,42 @@
         .probe_failed(&probe.name, true, app.clock.now());
 }
 
-/// Sends one probe and takes in what the answer says.
-async fn ping(
+/// Sends a probe to an instance and applies its response.
+async fn send_ping(
     app: &Arc<App>,
     to: &Probe,
     probe: Option<Member>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<Pong, ExchangeError> {
-    let message = message(app, &to.domain, probe);
-    let pong: Pong = exchange(app, to.addr, peer::PING, &message, limit).await?;
-    let behind = pong.newest < app.newest_revision();
-    take_in(app, &pong.from, pong.newest, pong.known, &pong.rumours);
-    app.offer(pong.contracts.clone(), "a peer");
-    if behind {
-        // The peer's answer shows that it lacks something: the next message brings it.
-        let mut message = self::message(app, &to.domain, None);
+    let message = build_ping(app, &to.domain, probe);
+    let pong: Pong = exchange(app, to.addr, peer::PING, &message, timeout).await?;
+    let is_behind = pong.newest < app.newest_revision();
+    apply_message(app, &pong.from, pong.newest, pong.known, &pong.rumours);
+    app.apply_contracts(pong.contracts.clone(), "a peer");
+    if is_behind {
+        // The peer lacks contracts according to its response; a second message sends them.
+        let mut message = build_ping(app, &to.domain, None);
         message.contracts = app.contracts.read().newer_than(pong.newest);
-        let _: Pong = exchange(app, to.addr, peer::PING, &message, limit).await?;
+        let _: Pong = exchange(app, to.addr, peer::PING, &message, timeout).await?;
     }
     Ok(pong)
 }
 
-fn message(app: &App, domain: &Name, probe: Option<Member>) -> Ping {
+/// Builds a probe for an instance of `domain`.
+fn build_ping(app: &App, domain: &Name, probe: Option<Member>) -> Ping {
     let mut view = app.view.lock();
     Ping {
         from: view.me().clone(),
         rumours: view.outgoing(domain),
         newest: app.newest_revision(),
-        known: app.known(),
+        known: app.contracts_age(),
         contracts: Vec::new(),
         probe,
     }
 }
 
-/// Takes in what a message says of its sender.
-fn take_in(
+/// Applies a message from a peer: that the peer is alive, its rumours, and the age of its contracts.
+fn apply_message(
     app: &Arc<App>,
     from: &Member,
     newest: contract::Revision,
@@ -218,28 +223,30 @@
     rumours: &[Rumour],
 ) {
     let now = app.clock.now();
-    let mut news = Vec::new();
+    let mut new_rumours = Vec::new();
     let mut view = app.view.lock();
     view.probe_answered(from, now);
     for rumour in rumours {
         if view.receive(rumour.clone(), now) {
-            news.push(rumour);
+            new_rumours.push(rumour);
         }
     }
     drop(view);
-    news.into_iter().for_each(|rumour| act(app, rumour));
-    // A peer at the same revision that has heard from the platform later vouches for it.
+    new_rumours
+        .into_iter()
+        .for_each(|rumour| apply_rumour(app, rumour));
+    // A peer at the same revision whose confirmation is more recent confirms this instance's contracts too.
     if let Some(age) = known
         && newest == app.newest_revision()
     {
-        app.confirm(age);
+        app.confirm_contracts(age);
     }
 }
 
-/// Does what follows from a piece of news.
-fn act(app: &Arc<App>, rumour: &Rumour) {
+/// Applies a rumour to the upstreams or crash reports that it is about.
+fn apply_rumour(app: &Arc<App>, rumour: &Rumour) {
     match rumour {
-        Rumour::Upstream { name, leaving, .. } => crate::sync::leaving(app, name, *leaving),
+        Rumour::Upstream { name, leaving, .. } => crate::sync::set_leaving(app, name, *leaving),
         Rumour::Engine {
             name,
             version,
@@ -247,7 +254,7 @@
             ..
         } => {
             for dispatcher in app.dispatchers.values() {
-                poll::believe(dispatcher, name, *version, *leaving);
+                poll::apply_state(dispatcher, name, *version, *leaving);
             }
         }
         Rumour::Crashes { report, .. } => app.crashes.merge(report),
@@ -255,12 +262,12 @@
     }
 }
 
-/// Answers a probe.
-pub async fn pong(app: &Arc<App>, ping: Ping) -> Pong {
-    take_in(app, &ping.from, ping.newest, ping.known, &ping.rumours);
-    app.offer(ping.contracts, "a peer");
+/// Handles a probe from a peer and returns the response to it.
+pub async fn handle_ping(app: &Arc<App>, ping: Ping) -> Pong {
+    apply_message(app, &ping.from, ping.newest, ping.known, &ping.rumours);
+    app.apply_contracts(ping.contracts, "a peer");
     let reached = match ping.probe {
-        Some(member) => match self::ping_boxed(app, &member).await {
+        Some(member) => match self::is_reachable(app, &member).await {
             true => Some(member),
             false => None,
         },
@@ -272,25 +279,28 @@
         from: view.me().clone(),
         rumours: view.outgoing(&ping.from.domain),
         newest: app.newest_revision(),
-        known: app.known(),
+        known: app.contracts_age(),
         contracts,
         reached,
     }
 }
 
-async fn ping_boxed(app: &Arc<App>, member: &Member) -> bool {
-    ping(app, &Probe::of(member), None, PROBE).await.is_ok()
+/// Returns whether a member answers a probe.
+async fn is_reachable(app: &Arc<App>, member: &Member) -> bool {
+    send_ping(app, &Probe::of(member), None, PROBE_TIMEOUT)
+        .await
+        .is_ok()
 }
 
-/// Tells a few peers goodbye, so that they stop counting on this instance at once.
-pub async fn leave(app: &Arc<App>) {
+/// Announces to a few peers that this instance leaves, so that they stop sending it requests at once.
+pub async fn announce_leaving(app: &Arc<App>) {
     let probes = {
         let mut view = app.view.lock();
         view.leave();
         view.tick(app.clock.now())
     };
     for probe in probes {
-        // A goodbye that is lost costs a suspicion.
-        let _ = ping(app, &probe, None, PROBE).await;
+        // If the announcement is lost, peers suspect this instance once it stops answering probes.
+        let _ = send_ping(app, &probe, None, PROBE_TIMEOUT).await;
     }
 }
--- a/crates/serve/src/history.rs
+++ b/crates/serve/src/history.rs
@@ -1,4 +1,4 @@
-//! What happened to the last requests and steps, for `explain`.
+//! The history of recent requests and upstreams, shown by the `explain` command.
 
 use std::collections::VecDeque;
 
@@ -9,60 +9,62 @@
 use serde::Serialize;
 use wire::caller::HistoryEntry;
 
-/// Entries that are kept.
-const ROOM: usize = 4_096;
+/// Maximum number of subjects in the history.
+const MAX_SUBJECTS: usize = 4_096;
 
-/// What happened to one request or upstream.
+/// The history of one request or upstream.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct SubjectHistory {
-    /// What it is about: a request's identifier, or a name.
+    /// The subject: the identifier of a request, or the name of an upstream.
     pub about: String,
-    /// The instance that tells it.
+    /// The instance that recorded the history.
     pub instance: Name,
-    /// The customer, when there is one.
+    /// The customer of a request, if known.
     pub customer: Option<Name>,
-    /// What happened, in order.
+    /// The events, oldest first.
     pub notes: Vec<HistoryEntry>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
-    stories: Map<String, SubjectHistory>,
+struct Entries {
+    subjects: Map<String, SubjectHistory>,
+    /// The keys of `subjects`, oldest first.
     order: VecDeque<String>,
 }
 
-/// A bounded memory of stories.
+/// The histories of the most recent subjects, in a bounded amount of memory.
 #[derive(Debug, Default)]
 pub struct History {
-    kept: Mutex<Kept>,
+    entries: Mutex<Entries>,
 }
 
-/// Notes that are kept of one story.
-const NOTES: usize = 64;
+/// Maximum number of events per subject.
+const MAX_NOTES: usize = 64;
 
 impl History {
-    /// Keeps a story; the oldest one goes when there is no room.
-    pub fn keep(&self, story: SubjectHistory) {
-        let mut kept = self.kept.lock();
-        let about = story.about.clone();
-        if let Some(known) = kept.stories.get_mut(&about) {
-            known.notes.extend(story.notes);
-            let extra = known.notes.len().saturating_sub(NOTES);
-            known.notes.drain(..extra);
+    /// Adds the events of a subject. Beyond [`MAX_NOTES`] its oldest events are removed, and beyond
+    /// [`MAX_SUBJECTS`] the oldest subject is.
+    pub fn record(&self, history: SubjectHistory) {
+        let mut entries = self.entries.lock();
+        let about = history.about.clone();
+        if let Some(known) = entries.subjects.get_mut(&about) {
+            known.notes.extend(history.notes);
+            let excess = known.notes.len().saturating_sub(MAX_NOTES);
+            known.notes.drain(..excess);
             return;
         }
-        kept.stories.insert(about.clone(), story);
-        kept.order.push_back(about);
-        if kept.order.len() > ROOM
-            && let Some(old) = kept.order.pop_front()
+        entries.subjects.insert(about.clone(), history);
+        entries.order.push_back(about);
+        if entries.order.len() > MAX_SUBJECTS
+            && let Some(oldest) = entries.order.pop_front()
         {
-            kept.stories.remove(&old);
+            entries.subjects.remove(&oldest);
         }
     }
 
-    /// Finds the story of a request or name.
+    /// Returns the history of a subject, or [`None`] if it is unknown or already removed.
     pub fn find(&self, about: &str) -> Option<SubjectHistory> {
-        self.kept.lock().stories.get(about).cloned()
+        self.entries.lock().subjects.get(about).cloned()
     }
 }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry's shell: it carries out over HTTP what the pure crates decide.
+//! The I/O shell of an entry: HTTP servers, clients and tasks that carry out the decisions of the crates without
+//! I/O.
 
 pub mod app;
 pub mod audit;
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of contracts on this instance.
+//! Enforcement of contract limits on this instance.
 
 use std::sync::Arc;
 
@@ -19,44 +19,47 @@
 use crate::App;
 use crate::trace::Trace;
 
-/// Weight of the newest second in the mean demand.
-const SMOOTH: f64 = 0.3;
+/// Weight of the newest second in the exponential moving average of demand.
+const SMOOTHING_FACTOR: f64 = 0.3;
 
-/// Demand a second below which a customer is not reported to peers.
-const QUIET: f64 = 0.05;
+/// Demand, in requests per second, up to which a customer is not reported to peers.
+const MIN_REPORTED_DEMAND: f64 = 0.05;
 
-/// A contract's gate with its demand.
+/// A contract's limiter, with this instance's share of the limits and the demand it has measured.
 #[derive(Debug)]
-struct Limiter {
+struct CustomerLimiter {
     rev: i64,
-    gate: ContractLimiter,
-    split: ShareTracker,
+    limiter: ContractLimiter,
+    share: ShareTracker,
+    /// Requests that arrived since the last measurement.
     arrived: u32,
+    /// Moving average of the requests per second.
     demand: f64,
 }
 
-/// The limits of contracts on this instance.
+/// The limiters of all customers on this instance.
 #[derive(Debug, Default)]
 pub struct Limits {
-    limiters: ShardedMap<Name, Limiter>,
+    customers: ShardedMap<Name, CustomerLimiter>,
 }
 
-/// A request that passed its contract's limits; dropping it frees its place.
+/// The permit of a request that its contract's limits admitted. Dropping it releases its place under the
+/// concurrency limit.
 pub struct LimitPermit {
     app: Arc<App>,
     customer: Name,
 }
 
 impl LimitPermit {
-    /// Charges tokens that the request generated.
+    /// Charges the contract for tokens that the request generated.
     pub fn charge(&self, tokens: u32) {
         let now = self.app.clock.now();
         self.app
             .limits
-            .limiters
-            .with_shard(&self.customer, |limiters| {
-                if let Some(limiter) = limiters.get_mut(&self.customer) {
-                    limiter.gate.charge(now, f64::from(tokens));
+            .customers
+            .with_shard(&self.customer, |customers| {
+                if let Some(entry) = customers.get_mut(&self.customer) {
+                    entry.limiter.charge(now, f64::from(tokens));
                 }
             });
     }
@@ -66,63 +69,72 @@
     fn drop(&mut self) {
         self.app
             .limits
-            .limiters
-            .with_shard(&self.customer, |limiters| {
-                if let Some(limiter) = limiters.get_mut(&self.customer) {
-                    limiter.gate.release();
+            .customers
+            .with_shard(&self.customer, |customers| {
+                if let Some(entry) = customers.get_mut(&self.customer) {
+                    entry.limiter.release();
                 }
             });
     }
 }
 
-fn share(app: &App, customer: &str, mine: f64) -> LimitShare {
+/// Returns this instance's share of a customer's limits, where `demand` is its own demand in requests per
+/// second.
+fn limit_share(app: &App, customer: &str, demand: f64) -> LimitShare {
     let view = app.view.lock();
     let others = view.peer_demands(customer, app.clock.now());
-    LimitShare::split(view.limit_shares(), &others, mine)
+    LimitShare::split(view.limit_shares(), &others, demand)
 }
 
-/// Runs `f` on the gate of a contract, made or brought up to its revision first.
-fn with_gate<R>(app: &App, held: &ActiveContract, f: impl FnOnce(&mut Limiter, Millis) -> R) -> R {
-    let contract = &held.stored.contract;
+/// Runs `f` on the limiter of a contract, which is first created or updated to the contract's revision.
+fn with_limiter<R>(
+    app: &App,
+    active: &ActiveContract,
+    f: impl FnOnce(&mut CustomerLimiter, Millis) -> R,
+) -> R {
+    let contract = &active.stored.contract;
     let customer = &contract.customer;
     let now = app.clock.now();
-    // The share is read before the shard is locked, so that no two locks are held at once.
-    let share = share(app, customer, 0.0);
-    app.limits.limiters.with_shard(customer, |limiters| {
-        let limiter = limiters.entry(customer.clone()).or_insert_with(|| Limiter {
-            rev: held.rev,
-            gate: ContractLimiter::new(contract, share, now),
-            split: ShareTracker::new(share),
-            arrived: 0,
-            demand: 0.0,
-        });
-        if limiter.rev < held.rev {
-            limiter.rev = held.rev;
-            limiter.gate.resize(contract, limiter.split.share(), now);
+    // Computed before the shard is locked, so that two locks are never active at once.
+    let share = limit_share(app, customer, 0.0);
+    app.limits.customers.with_shard(customer, |customers| {
+        let entry = customers
+            .entry(customer.clone())
+            .or_insert_with(|| CustomerLimiter {
+                rev: active.rev,
+                limiter: ContractLimiter::new(contract, share, now),
+                share: ShareTracker::new(share),
+                arrived: 0,
+                demand: 0.0,
+            });
+        if entry.rev < active.rev {
+            entry.rev = active.rev;
+            entry.limiter.resize(contract, entry.share.share(), now);
         }
-        f(limiter, now)
+        f(entry, now)
     })
 }
 
-/// Lets a request pass its contract's limits.
+/// Admits a request that may generate `tokens` tokens under its contract's limits.
 ///
 /// # Errors
 ///
-/// Returns a refusal that names the contract's line.
+/// Returns a [`Problem`] of type [`Type::OverLimit`] that names the contract setting and the time to retry
+/// after.
 pub fn admit(
     app: &Arc<App>,
-    held: &ActiveContract,
+    active: &ActiveContract,
     tokens: u32,
     trace: &mut Trace,
 ) -> Result<LimitPermit, Problem> {
-    let passed = with_gate(app, held, |limiter, now| {
-        limiter.arrived += 1;
-        limiter.gate.admit(now, f64::from(tokens))
+    let decision = with_limiter(app, active, |entry, now| {
+        entry.arrived += 1;
+        entry.limiter.admit(now, f64::from(tokens))
     });
-    match passed {
+    match decision {
         LimitDecision::Admitted => Ok(LimitPermit {
             app: app.clone(),
-            customer: held.stored.contract.customer.clone(),
+            customer: active.stored.contract.customer.clone(),
         }),
         LimitDecision::Rejected { limit, retry_after } => {
             let detail = format!("the contract's line {:?} decides", limit.key());
@@ -133,38 +145,39 @@
     }
 }
 
-/// Lets a sample of a step pass its contract's limits.
+/// Admits a sample of a step under its contract's limits. A sample does not count as demand.
 ///
 /// # Errors
 ///
-/// Returns the milliseconds after which to ask again.
+/// Returns the time to retry after, in milliseconds.
 pub fn admit_sample(
     app: &Arc<App>,
-    held: &ActiveContract,
+    active: &ActiveContract,
     tokens: f64,
 ) -> Result<LimitPermit, Millis> {
-    let passed = with_gate(app, held, |limiter, now| {
-        limiter.gate.admit_sample(now, tokens)
+    let decision = with_limiter(app, active, |entry, now| {
+        entry.limiter.admit_sample(now, tokens)
     });
-    match passed {
+    match decision {
         LimitDecision::Admitted => Ok(LimitPermit {
             app: app.clone(),
-            customer: held.stored.contract.customer.clone(),
+            customer: active.stored.contract.customer.clone(),
         }),
         LimitDecision::Rejected { retry_after, .. } => Err(retry_after),
     }
 }
 
-/// Measures the demand of the last second, adapts the shares, and returns what peers should know.
-pub fn second(app: &App) -> Vec<Demand> {
+/// Measures the demand of the last second, updates this instance's shares, and returns the demands to report
+/// to peers. Called about once per second.
+pub fn update_demand(app: &App) -> Vec<Demand> {
     let contracts: Vec<Arc<_>> = {
         let registry = app.contracts.read();
-        registry.all().map(|held| held.stored.clone()).collect()
+        registry.all().map(|active| active.stored.clone()).collect()
     };
     let mut demands = Vec::new();
     for stored in contracts {
-        let rate = adapt(app, &stored.contract);
-        if rate > QUIET {
+        let rate = update_share(app, &stored.contract);
+        if rate > MIN_REPORTED_DEMAND {
             demands.push(Demand {
                 customer: stored.contract.customer.clone(),
                 rate,
@@ -174,23 +187,24 @@
     demands
 }
 
-fn adapt(app: &App, contract: &Contract) -> f64 {
+/// Updates the demand and share of one customer; returns its demand in requests per second.
+fn update_share(app: &App, contract: &Contract) -> f64 {
     let customer = &contract.customer;
-    let demand = app.limits.limiters.with_shard(customer, |limiters| {
-        let limiter = limiters.get_mut(customer)?;
-        let arrived = f64::from(std::mem::take(&mut limiter.arrived));
-        limiter.demand += SMOOTH * (arrived - limiter.demand);
-        Some(limiter.demand)
+    let demand = app.limits.customers.with_shard(customer, |customers| {
+        let entry = customers.get_mut(customer)?;
+        let arrived = f64::from(std::mem::take(&mut entry.arrived));
+        entry.demand += SMOOTHING_FACTOR * (arrived - entry.demand);
+        Some(entry.demand)
     });
     let Some(demand) = demand else {
         return 0.0;
     };
-    let share = share(app, customer, demand);
+    let share = limit_share(app, customer, demand);
     let now: Millis = app.clock.now();
-    app.limits.limiters.with_shard(customer, |limiters| {
-        if let Some(limiter) = limiters.get_mut(customer) {
-            limiter.split.update(share, now);
-            limiter.gate.resize(contract, limiter.split.share(), now);
+    app.limits.customers.with_shard(customer, |customers| {
+        if let Some(entry) = customers.get_mut(customer) {
+            entry.share.update(share, now);
+            entry.limiter.resize(contract, entry.share.share(), now);
         }
     });
     demand
--- a/crates/serve/src/operator.rs
+++ b/crates/serve/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators read: status and explanations. Signed like the messages of peers.
+//! Handlers for operators and monitoring. Calls under `/operator` are signed like messages between peers.
 
 use std::sync::Arc;
 
@@ -15,19 +15,19 @@
 use crate::meter;
 use crate::peer;
 
-/// Serves `/operator/status`.
+/// Handles `POST /operator/status`.
 pub async fn status(app: Arc<App>, call: Call) -> Reply {
-    match peer::check(&app, call).await {
-        Ok(_) => body::json(StatusCode::OK, &state(&app)),
-        Err(reply) => *reply,
+    match peer::verify(&app, call).await {
+        Ok(_) => body::json(StatusCode::OK, &instance_status(&app)),
+        Err(error) => *error,
     }
 }
 
-fn state(app: &App) -> Status {
+fn instance_status(app: &App) -> Status {
     let now = app.clock.now();
     let mut upstreams = Vec::new();
     for dispatcher in app.dispatchers.values() {
-        dispatcher.all(|all| upstreams.extend(all.iter().map(|u| upstream(u, now))));
+        dispatcher.all(|all| upstreams.extend(all.iter().map(|u| upstream_state(u, now))));
     }
     upstreams.sort_by(|a, b| a.name.cmp(&b.name));
     let view = app.view.lock();
@@ -35,14 +35,14 @@
         me: view.me().clone(),
         ready: app.is_ready(),
         newest: app.newest_revision(),
-        known: app.known(),
+        known: app.contracts_age(),
         reader: view.is_reader(),
         members: view.all().cloned().collect(),
         upstreams,
     }
 }
 
-fn upstream(u: &Upstream, now: u64) -> UpstreamState {
+fn upstream_state(u: &Upstream, now: u64) -> UpstreamState {
     let standing = match u.health.availability(now) {
         Availability::Open(1.0) => "open".into(),
         Availability::Open(part) => format!("returning at {:.0}%", part * 100.0),
@@ -60,31 +60,31 @@
     }
 }
 
-/// Serves `/operator/explain/{request or upstream}`.
+/// Handles `POST /operator/explain/{about}`, where `about` is a request identifier or an upstream.
 pub async fn explain(app: Arc<App>, call: Call) -> Reply {
     let about = call.segment(2).to_owned();
-    match peer::check(&app, call).await {
+    match peer::verify(&app, call).await {
         Ok(_) => match app.history.find(&about) {
-            Some(story) => body::json(StatusCode::OK, &story),
-            None => missing(),
+            Some(history) => body::json(StatusCode::OK, &history),
+            None => not_found(),
         },
-        Err(reply) => *reply,
+        Err(error) => *error,
     }
 }
 
-/// Serves `/operator/steps/{step}`.
+/// Handles `POST /operator/steps/{step}`: the state of a step that this instance runs.
 pub async fn step(app: Arc<App>, call: Call) -> Reply {
     let step = call.segment(2).to_owned();
-    match peer::check(&app, call).await {
+    match peer::verify(&app, call).await {
         Ok(_) => match app.steps.state(&step, &app.settings.me.name) {
             Some(state) => body::json(StatusCode::OK, &state),
-            None => missing(),
+            None => not_found(),
         },
-        Err(reply) => *reply,
+        Err(error) => *error,
     }
 }
 
-fn missing() -> Reply {
+fn not_found() -> Reply {
     body::reply(
         StatusCode::NOT_FOUND,
         "text/plain",
@@ -92,23 +92,23 @@
     )
 }
 
-/// Serves `/operator/drain`: the instance begins to leave.
+/// Handles `POST /operator/drain`: starts the graceful shutdown.
 pub async fn drain(app: Arc<App>, call: Call) -> Reply {
-    match peer::check(&app, call).await {
+    match peer::verify(&app, call).await {
         Ok(_) => {
-            app.leave.notify_one();
+            app.drain_requested.notify_one();
             body::reply(StatusCode::ACCEPTED, "text/plain", "leaving\n")
         }
-        Err(reply) => *reply,
+        Err(error) => *error,
     }
 }
 
-/// Serves `/healthz`: the process answers.
+/// Handles `GET /healthz`: always 200 while the process answers.
 pub async fn health(_: Arc<App>, _: Call) -> Reply {
     body::reply(StatusCode::OK, "text/plain", "ok\n")
 }
 
-/// Serves `/readyz`: the balancer may send callers here.
+/// Handles `GET /readyz`: 200 if the balancer may send callers to this instance, otherwise 503.
 pub async fn ready(app: Arc<App>, _: Call) -> Reply {
     match app.is_ready() && !app.leaving.load(std::sync::atomic::Ordering::Relaxed) {
         true => body::reply(StatusCode::OK, "text/plain", "ready\n"),
@@ -116,7 +116,7 @@
     }
 }
 
-/// Serves `/metrics`.
+/// Handles `GET /metrics`.
 pub async fn metrics(app: Arc<App>, _: Call) -> Reply {
     let instance = app.settings.me.name.to_string();
     for kind in [
@@ -126,7 +126,7 @@
         plat::budget::CallKind::Watch,
     ] {
         let used = app.plat.budget().used(kind) as f64;
-        metrics::gauge!(meter::PLATFORM, "instance" => instance.clone(), "kind" => kind.name())
+        metrics::gauge!(meter::PLATFORM_CALLS, "instance" => instance.clone(), "kind" => kind.name())
             .set(used);
     }
     body::reply(StatusCode::OK, "text/plain; version=0.0.4", meter::render())
--- a/crates/serve/src/peer.rs
+++ b/crates/serve/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls of peers: signed MessagePack.
+//! Handlers for messages from peers, which are signed MessagePack.
 
 use std::sync::Arc;
 
@@ -19,48 +19,56 @@
 use crate::journal::Own;
 use crate::steps;
 
-/// Bytes of a peer's message.
-const MOST: usize = 4 << 20;
+/// Maximum size of a message in bytes.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Reads a call of a peer and checks its signature.
+/// Reads the body of a call and verifies its signature and protocol version.
 ///
 /// # Errors
 ///
-/// Returns the refusal to send.
-pub async fn check(app: &App, call: Call) -> Result<Bytes, Box<Reply>> {
+/// Returns the error reply to send: 403 if the signature is wrong, 400 if the body cannot be read or the version
+/// is unsupported.
+pub async fn verify(app: &App, call: Call) -> Result<Bytes, Box<Reply>> {
     let path = call.uri.path().to_owned();
-    let sign = call.header(peer::MAC_HEADER).map(str::to_owned);
+    let signature = call.header(peer::MAC_HEADER).map(str::to_owned);
     let version = call.header(peer::VERSION_HEADER).unwrap_or("").to_owned();
-    let bytes = match body::read(call.body, MOST).await {
+    let bytes = match body::read(call.body, MAX_MESSAGE_BYTES).await {
         Ok(bytes) => bytes,
-        Err(error) => return Err(refuse(StatusCode::BAD_REQUEST, &error)),
+        Err(error) => return Err(reject(StatusCode::BAD_REQUEST, &error)),
     };
-    if let Err(error) = app.settings.secret.check(&path, &bytes, sign.as_deref()) {
-        return Err(refuse(StatusCode::FORBIDDEN, &error));
+    if let Err(error) = app
+        .settings
+        .secret
+        .check(&path, &bytes, signature.as_deref())
+    {
+        return Err(reject(StatusCode::FORBIDDEN, &error));
     }
     if version != peer::VERSION.to_string() {
         let error = PeerError::Version(version);
-        return Err(refuse(StatusCode::BAD_REQUEST, &error));
+        return Err(reject(StatusCode::BAD_REQUEST, &error));
     }
-    gossip::count(app, "in", bytes.len());
+    gossip::count_bytes(app, "in", bytes.len());
     Ok(bytes)
 }
 
-fn refuse(status: StatusCode, error: &dyn std::error::Error) -> Box<Reply> {
+/// Logs a rejected call and returns the error reply.
+fn reject(status: StatusCode, error: &dyn std::error::Error) -> Box<Reply> {
     let text = error.to_string();
-    log::warn!(target: "peer", error = text.as_str(); "refused a peer's call");
+    log::warn!(target: "peer", error = text.as_str(); "rejected a call from a peer");
     Box::new(body::reply(status, "text/plain", text))
 }
 
-async fn message<T: DeserializeOwned>(app: &App, call: Call) -> Result<T, Box<Reply>> {
-    let bytes = check(app, call).await?;
-    peer::decode(&bytes).map_err(|error| refuse(StatusCode::BAD_REQUEST, &error))
+/// Verifies a call and decodes its message.
+async fn decode_message<T: DeserializeOwned>(app: &App, call: Call) -> Result<T, Box<Reply>> {
+    let bytes = verify(app, call).await?;
+    peer::decode(&bytes).map_err(|error| reject(StatusCode::BAD_REQUEST, &error))
 }
 
-fn answer<T: Serialize>(app: &App, value: &T) -> Reply {
+/// Encodes a response to a peer.
+fn reply<T: Serialize>(app: &App, value: &T) -> Reply {
     match peer::encode(value) {
         Ok(bytes) => {
-            gossip::count(app, "out", bytes.len());
+            gossip::count_bytes(app, "out", bytes.len());
             body::reply(StatusCode::OK, peer::MEDIA_TYPE, bytes)
         }
         Err(error) => {
@@ -70,20 +78,20 @@
     }
 }
 
-/// Serves probes.
+/// Handles gossip probes.
 pub async fn ping(app: Arc<App>, call: Call) -> Reply {
-    match message(&app, call).await {
+    match decode_message(&app, call).await {
         Ok(ping) => {
-            let pong = gossip::pong(&app, ping).await;
-            answer(&app, &pong)
+            let pong = gossip::handle_ping(&app, ping).await;
+            reply(&app, &pong)
         }
-        Err(reply) => *reply,
+        Err(error) => *error,
     }
 }
 
-/// Serves questions to the journal.
+/// Handles journal requests of peers on shards that this instance writes.
 pub async fn journal(app: Arc<App>, call: Call) -> Reply {
-    let journaled = match message(&app, call).await {
+    let response = match decode_message(&app, call).await {
         Ok(JournalRequest::Ask {
             key,
             print,
@@ -92,50 +100,50 @@
         }) => {
             let deadline = app.clock.now() + left;
             let own = Own::Peers;
-            let answer = app
+            let decision = app
                 .journal
                 .ask_here(key, print, attempt, deadline, own)
                 .await;
-            JournalReply::Answer(answer.into())
+            JournalReply::Answer(decision.into())
         }
         Ok(JournalRequest::Note(record)) => {
             app.journal.note_here(record);
             JournalReply::Noted
         }
-        Err(reply) => return *reply,
+        Err(error) => return *error,
     };
-    answer(&app, &journaled)
+    reply(&app, &response)
 }
 
-/// Serves pulls of a step that this instance works on, or takes over.
+/// Handles forwarded pulls of a step that this instance runs or takes over.
 pub async fn pull(app: Arc<App>, call: Call) -> Reply {
-    match message(&app, call).await {
+    match decode_message(&app, call).await {
         Ok(pull) => {
             let pulled = steps::relayed(&app, pull).await;
-            answer(&app, &pulled)
+            reply(&app, &pulled)
         }
-        Err(reply) => *reply,
+        Err(error) => *error,
     }
 }
 
-/// Serves the news that a step is over.
+/// Handles the notification that a step has ended; replies whether this instance ran the step.
 pub async fn end(app: Arc<App>, call: Call) -> Reply {
-    match message(&app, call).await {
+    match decode_message(&app, call).await {
         Ok(end) => {
-            let known = steps::end_here(&app, &end);
-            answer(&app, &known)
+            let is_known = steps::end_here(&app, &end);
+            reply(&app, &is_known)
         }
-        Err(reply) => *reply,
+        Err(error) => *error,
     }
 }
 
-/// Serves the question whether a step has ended.
+/// Handles the query whether a step has ended.
 pub async fn ended(app: Arc<App>, call: Call) -> Reply {
-    match message(&app, call).await {
+    match decode_message(&app, call).await {
         Ok(step) => {
-            let heard = steps::heard(&app, step).await;
-            answer(&app, &heard)
+            let has_ended = steps::heard(&app, step).await;
+            reply(&app, &has_ended)
         }
-        Err(reply) => *reply,
+        Err(error) => *error,
     }
 }
--- a/crates/serve/src/poll.rs
+++ b/crates/serve/src/poll.rs
@@ -1,7 +1,8 @@
-//! Load reports of engines, asked for now and then.
+//! Polling of the engines' load reports.
 //!
-//! Each engine is asked by two instances of its failure domain, whatever the number of instances;
-//! when what it states changes they pass that on as news. Load itself comes with answers.
+//! Two instances of an engine's failure domain poll it, regardless of the number of instances. They gossip
+//! changes of its weight version and of its leaving state. Its load is not gossiped: the other instances read it
+//! from its responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,10 +21,10 @@
 use kernel::rendezvous_rank;
 use wire::caller::HistoryEntry;
 
-/// Time that a report may take.
-const LIMIT: Duration = Duration::from_millis(800);
+/// Timeout of a request for a load report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Asks the engines of this failure domain for their load until the instance ends.
+/// Polls the engines that this instance is responsible for, until the task is aborted.
 pub async fn run(app: Arc<App>) {
     loop {
         for dispatcher in app
@@ -34,24 +35,25 @@
             let specs: Vec<UpstreamSpec> =
                 dispatcher.all(|all| all.iter().map(|u| u.spec.clone()).collect());
             for spec in specs {
-                if !is_mine(&app, &spec) {
+                if !is_poller(&app, &spec) {
                     continue;
                 }
                 let (app, dispatcher) = (app.clone(), dispatcher.clone());
-                tokio::spawn(async move { ask(&app, &dispatcher, &spec).await });
+                tokio::spawn(async move { poll_engine(&app, &dispatcher, &spec).await });
             }
         }
-        let pause = app.settings.weights.poll as f64 * (0.9 + 0.2 * rand::random::<f64>());
+        let pause = app.settings.weights.poll_interval as f64 * (0.9 + 0.2 * rand::random::<f64>());
         tokio::time::sleep(Duration::from_millis(pause as u64)).await;
     }
 }
 
-/// Instances that ask an engine: one could be cut off from it without being silent to its peers.
-const ASKERS: usize = 2;
+/// Number of instances that poll each engine. A single one could lose its connection to the engine while its
+/// peers still consider it alive.
+const POLLERS_PER_ENGINE: usize = 2;
 
-/// Tells whether this instance asks the engine: those with the highest rank do, among the live
-/// ones of the engine's failure domain, or of all when none there is live.
-fn is_mine(app: &App, spec: &UpstreamSpec) -> bool {
+/// Returns whether this instance polls the engine. The instances with the highest rendezvous rank do, among the
+/// live ones of the engine's failure domain, or among all live ones if it has none.
+fn is_poller(app: &App, spec: &UpstreamSpec) -> bool {
     let view = app.view.lock();
     let mut live: Vec<_> = view
         .live()
@@ -62,32 +64,37 @@
         live = view.live().map(|member| member.name.clone()).collect();
     }
     live.sort_by_key(|name| std::cmp::Reverse(rendezvous_rank(name, &*spec.name)));
-    live.iter().take(ASKERS).any(|name| *name == view.me().name)
+    live.iter()
+        .take(POLLERS_PER_ENGINE)
+        .any(|name| *name == view.me().name)
 }
 
-/// Takes over what an engine states.
-pub fn believe(dispatcher: &Arc<Dispatcher>, name: &str, version: Option<u64>, leaving: bool) {
+/// Applies an engine's reported state to the upstream `name`; `version` is [`None`] if the engine reports no single
+/// version.
+pub fn apply_state(dispatcher: &Arc<Dispatcher>, name: &str, version: Option<u64>, leaving: bool) {
     dispatcher.update(name, |upstream| {
         upstream.version = version.or(upstream.version);
         upstream
             .health
             .set_leaving(LeavingSource::Upstream, leaving);
-        // An engine in the middle of a failed swap may use either version for the next token.
+        // An engine whose swap failed partway may use either version for the next token.
         upstream.health.set_quarantined(version.is_none());
     });
 }
 
-async fn ask(app: &Arc<App>, dispatcher: &Arc<Dispatcher>, spec: &UpstreamSpec) {
+/// Requests an engine's load report, applies it, and gossips it if the version or the leaving state changed.
+async fn poll_engine(app: &Arc<App>, dispatcher: &Arc<Dispatcher>, spec: &UpstreamSpec) {
     let uri = net::client::uri(spec.addr, LOAD);
-    let answer: Result<LoadReport, _> = app.http.json(Method::GET, &uri, &(), LIMIT).await;
-    let Ok(load) = answer else {
-        // Its requests will show whether it is dead; a lost report alone says little.
+    let response: Result<LoadReport, _> =
+        app.http.json(Method::GET, &uri, &(), REPORT_TIMEOUT).await;
+    let Ok(load) = response else {
+        // Failed requests show whether the engine is down; a single lost report does not.
         return;
     };
-    let single = load.stated.single_version();
+    let reported = load.stated.single_version();
     let before = dispatcher.all(|all| {
-        let found = all.iter().find(|u| u.spec.name == spec.name);
-        found.map(|u| {
+        let engine = all.iter().find(|u| u.spec.name == spec.name);
+        engine.map(|u| {
             (
                 u.version,
                 u.health.is_quarantined(),
@@ -96,38 +103,44 @@
         })
     });
     dispatcher.heard(&spec.name, load.running);
-    believe(dispatcher, &spec.name, single, load.leaving);
+    apply_state(dispatcher, &spec.name, reported, load.leaving);
     let Some((version, quarantined, leaving)) = before else {
         return;
     };
-    let same = version == single.or(version) && quarantined == single.is_none();
-    if !same || leaving != load.leaving {
+    let is_unchanged = version == reported.or(version) && quarantined == reported.is_none();
+    if !is_unchanged || leaving != load.leaving {
         let rumour = Rumour::Engine {
             name: spec.name.clone(),
-            version: single,
+            version: reported,
             leaving: load.leaving,
             at: app.clock.wall(),
         };
         app.view.lock().receive(rumour, app.clock.now());
     }
-    tell(app, spec, version, single, quarantined);
+    record_change(app, spec, version, reported, quarantined);
 }
 
-/// Notes what changed, for `explain`.
-fn tell(app: &App, spec: &UpstreamSpec, before: Option<u64>, now: Option<u64>, quarantined: bool) {
-    let what = match (before, now) {
+/// Records a change of an engine's version or quarantine in the history.
+fn record_change(
+    app: &App,
+    spec: &UpstreamSpec,
+    before: Option<u64>,
+    now: Option<u64>,
+    quarantined: bool,
+) {
+    let change = match (before, now) {
         (Some(before), Some(now)) if before == now && quarantined => "out of quarantine".into(),
         (before, Some(now)) if before != Some(now) => format!("states version {now}"),
         (_, None) if !quarantined => "quarantined: it states no single version".into(),
         _ => return,
     };
-    app.history.keep(SubjectHistory {
+    app.history.record(SubjectHistory {
         about: spec.name.to_string(),
         instance: app.settings.me.name.clone(),
         customer: None,
         notes: vec![HistoryEntry {
             at: app.clock.wall(),
-            what: what.into(),
+            what: change.into(),
         }],
     });
 }
--- a/crates/serve/src/refuse.rs
+++ b/crates/serve/src/refuse.rs
@@ -1,4 +1,4 @@
-//! Turning results into answers.
+//! Conversion of results into replies to callers.
 
 use http::HeaderValue;
 use http::StatusCode;
@@ -18,15 +18,15 @@
 use crate::meter;
 use crate::trace::Trace;
 
-/// Makes the answer of a refusal.
-pub fn reply(problem: &Problem) -> Reply {
+/// Converts a problem into a reply.
+pub fn from_problem(problem: &Problem) -> Reply {
     let status = StatusCode::from_u16(problem.status);
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut reply = body::json(status, problem);
     let headers = reply.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(problem::MEDIA_TYPE));
     if let Some(after) = problem.retry_after_ms {
-        // Whole seconds, rounded up: coming back early would only be refused again.
+        // Seconds, rounded up: a retry that comes too early would be rejected again.
         headers.insert(RETRY_AFTER, HeaderValue::from(after.div_ceil(1_000)));
     }
     if problem.kind == Type::Unauthorized {
@@ -38,11 +38,11 @@
     reply
 }
 
-/// Ends a call: counts and logs it, keeps its story, and names it in the answer.
+/// Finishes a call: counts and logs it, records its trace in the history, and adds its identifier to the reply.
 pub fn finish(app: &App, mut trace: Trace, result: Result<Reply, Problem>) -> Reply {
     let outcome = match &result {
         Ok(reply) => reply.status().as_u16().to_string(),
-        Err(problem) => word(problem.kind),
+        Err(problem) => type_name(problem.kind),
     };
     if let Err(problem) = &result {
         let ran = serde_json::to_value(problem.ran).unwrap_or_default();
@@ -51,12 +51,12 @@
         trace.note(format!("refused: {outcome}, ran: {ran}; {detail}"));
     }
     record(app, &trace, &outcome);
-    let mut reply = result.unwrap_or_else(|problem| self::reply(&problem));
+    let mut reply = result.unwrap_or_else(|problem| from_problem(&problem));
     let id = trace.id.to_string();
     if let Ok(value) = HeaderValue::from_str(&id) {
         reply.headers_mut().insert(REQUEST_ID, value);
     }
-    app.history.keep(SubjectHistory {
+    app.history.record(SubjectHistory {
         about: id,
         instance: app.settings.me.name.clone(),
         customer: trace.customer,
@@ -65,18 +65,19 @@
     reply
 }
 
-/// The type of a refusal as a word.
-pub fn word(kind: Type) -> String {
+/// Returns the name of a problem type as it is written in JSON.
+pub fn type_name(kind: Type) -> String {
     let value = serde_json::to_value(kind).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
 
+/// Writes the log line and the metrics of a call.
 fn record(app: &App, trace: &Trace, outcome: &str) {
     let instance = app.settings.me.name.to_string();
     let customer = trace.customer.as_deref().unwrap_or("-").to_owned();
     let upstream = trace.upstream.as_deref().unwrap_or("-");
     let seconds = trace.age() as f64 / 1_000.0;
-    metrics::histogram!(meter::SECONDS, "instance" => instance.clone(), "kind" => trace.kind)
+    metrics::histogram!(meter::REQUEST_SECONDS, "instance" => instance.clone(), "kind" => trace.kind)
         .record(seconds);
     log::info!(
         target: "entry",
--- a/crates/serve/src/router.rs
+++ b/crates/serve/src/router.rs
@@ -1,4 +1,4 @@
-//! Which path goes where.
+//! The routes of an entry.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -27,7 +27,8 @@
 use crate::trace::Trace;
 use crate::weights;
 
-fn every() -> Vec<Method> {
+/// Returns all HTTP methods.
+fn all_methods() -> Vec<Method> {
     vec![
         Method::GET,
         Method::HEAD,
@@ -41,10 +42,12 @@
     ]
 }
 
-/// Draws one path: the given method goes to `function`, every other one is refused.
-macro_rules! draw {
+/// Adds a route: calls with the given method go to `$function`, calls with any other method are rejected.
+macro_rules! add_route {
     ($route:ident, $app:ident, $method:expr, $path:expr, $function:path) => {
-        let others = every().into_iter().filter(|method| *method != $method);
+        let others = all_methods()
+            .into_iter()
+            .filter(|method| *method != $method);
         $route
             .request(vec![$method], $path)
             .to_new_handler(Glue::new($app, $function));
@@ -54,57 +57,57 @@
     };
 }
 
-/// Draws every path of an entry.
+/// Builds the router of an entry.
 pub fn router(app: &Arc<App>) -> Router {
     build_simple_router(|route| {
-        draw!(route, app, Method::POST, "/v1/completions", complete::serve);
-        draw!(route, app, Method::POST, "/v1/steps", steps::open);
-        draw!(
+        add_route!(route, app, Method::POST, "/v1/completions", complete::serve);
+        add_route!(route, app, Method::POST, "/v1/steps", steps::open);
+        add_route!(
             route,
             app,
             Method::POST,
             "/v1/steps/:step/pull",
             steps::pull
         );
-        draw!(route, app, Method::DELETE, "/v1/steps/:step", steps::end);
-        draw!(
+        add_route!(route, app, Method::DELETE, "/v1/steps/:step", steps::end);
+        add_route!(
             route,
             app,
             Method::POST,
             "/v1/weights/:model",
             weights::announce
         );
-        draw!(route, app, Method::GET, "/healthz", operator::health);
-        draw!(route, app, Method::GET, "/readyz", operator::ready);
-        draw!(route, app, Method::GET, "/metrics", operator::metrics);
-        draw!(
+        add_route!(route, app, Method::GET, "/healthz", operator::health);
+        add_route!(route, app, Method::GET, "/readyz", operator::ready);
+        add_route!(route, app, Method::GET, "/metrics", operator::metrics);
+        add_route!(
             route,
             app,
             Method::POST,
             "/operator/status",
             operator::status
         );
-        draw!(route, app, Method::POST, "/operator/drain", operator::drain);
-        draw!(
+        add_route!(route, app, Method::POST, "/operator/drain", operator::drain);
+        add_route!(
             route,
             app,
             Method::POST,
             "/operator/explain/:about",
             operator::explain
         );
-        draw!(
+        add_route!(
             route,
             app,
             Method::POST,
             "/operator/steps/:step",
             operator::step
         );
-        draw!(route, app, Method::POST, peer::PING, peers::ping);
-        draw!(route, app, Method::POST, peer::JOURNAL, peers::journal);
-        draw!(route, app, Method::POST, peer::STEP_PULL, peers::pull);
-        draw!(route, app, Method::POST, peer::STEP_END, peers::end);
-        draw!(route, app, Method::POST, steps::ASKED, peers::ended);
-        draw!(
+        add_route!(route, app, Method::POST, peer::PING, peers::ping);
+        add_route!(route, app, Method::POST, peer::JOURNAL, peers::journal);
+        add_route!(route, app, Method::POST, peer::STEP_PULL, peers::pull);
+        add_route!(route, app, Method::POST, peer::STEP_END, peers::end);
+        add_route!(route, app, Method::POST, steps::ASKED, peers::ended);
+        add_route!(
             route,
             app,
             Method::GET,
@@ -113,18 +116,19 @@
         );
         for path in ["/v1/services/:service", "/v1/services/:service/*"] {
             route
-                .request(every(), path)
+                .request(all_methods(), path)
                 .to_new_handler(Glue::new(app, forward::serve));
         }
         for path in ["/", "/*"] {
             route
-                .request(every(), path)
-                .to_new_handler(Glue::new(app, nowhere));
+                .request(all_methods(), path)
+                .to_new_handler(Glue::new(app, unknown_path));
         }
     })
 }
 
-fn refused(app: &App, call: &Call, kind: Type) -> impl Future<Output = Reply> + use<> {
+/// Rejects a call that no route serves.
+fn reject(app: &App, call: &Call, kind: Type) -> impl Future<Output = Reply> + use<> {
     let trace = Trace::begin("unrouted", app.clock);
     let problem = Problem::new(kind, Attempt::new().refuse());
     let problem = problem.with_detail(format!("{} {}", call.method, call.uri.path()));
@@ -132,10 +136,10 @@
     std::future::ready(reply)
 }
 
-async fn nowhere(app: Arc<App>, call: Call) -> Reply {
-    refused(&app, &call, Type::NotFound).await
+async fn unknown_path(app: Arc<App>, call: Call) -> Reply {
+    reject(&app, &call, Type::NotFound).await
 }
 
 async fn wrong_method(app: Arc<App>, call: Call) -> Reply {
-    refused(&app, &call, Type::Method).await
+    reject(&app, &call, Type::Method).await
 }
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -19,47 +19,47 @@
 use crate::suspect;
 use crate::sync;
 
-/// Time for which an instance that leaves still accepts: the balancer asks for readiness now and
-/// then, and sends callers here until it has heard.
-pub const NOTICE: Duration = Duration::from_millis(1_500);
+/// Time for which a leaving instance still accepts connections. The balancer polls readiness and sends callers
+/// here until its next poll.
+pub const DRAIN_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Time that the journal has for its last records.
-const FLUSH: Duration = Duration::from_secs(3);
+/// Maximum time for the journal to write its last records.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An instance cannot start.
+/// An instance could not be started.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum StartError {
-    /// The settings name a policy that is not there.
+    /// The settings name a policy that is not registered.
     #[error(transparent)]
     Plugin(#[from] UnknownPlugin),
-    /// The address cannot be listened at.
+    /// The instance could not listen at its address.
     #[error("could not listen at {addr}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The cause.
         #[source]
         cause: io::Error,
     },
 }
 
-/// An instance that runs.
+/// A running instance.
 pub struct RunningInstance {
-    /// Where it listens.
+    /// The address at which the instance listens.
     pub addr: SocketAddr,
-    /// What it holds.
+    /// The shared state of the instance.
     pub app: Arc<App>,
     server: JoinHandle<bool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl RunningInstance {
-    /// Starts an instance.
+    /// Starts an instance at the listen address of its settings.
     ///
     /// # Errors
     ///
-    /// Returns [`StartError`].
+    /// Returns [`StartError`] if the address is unavailable or a policy is not registered.
     pub async fn start(settings: Settings) -> Result<Self, StartError> {
         let addr = settings.me.listen;
         let listener = TcpListener::bind(addr).await;
@@ -67,13 +67,13 @@
         Self::start_on(listener, settings)
     }
 
-    /// Starts an instance on a socket that is bound already.
+    /// Starts an instance on a socket that is already bound.
     ///
     /// # Errors
     ///
-    /// Returns [`StartError`].
+    /// Returns [`StartError`] if the socket has no local address or a policy is not registered.
     pub fn start_on(listener: TcpListener, settings: Settings) -> Result<Self, StartError> {
-        meter::begin();
+        meter::install();
         let addr = settings.me.listen;
         let bound = listener.local_addr();
         let addr = bound.map_err(|cause| StartError::Listen { addr, cause })?;
@@ -102,23 +102,23 @@
         })
     }
 
-    /// Leaves gracefully: readiness falls first, then nothing more is accepted, running requests
-    /// end, and the journal writes its last records. Tells whether all requests ended.
+    /// Shuts down gracefully: reports itself not ready, then stops accepting connections, waits for running
+    /// requests, and lets the journal write its last records. Returns whether all requests ended in time.
     pub async fn drain(self) -> bool {
         let name = self.app.settings.me.name.clone();
         log::info!(target: "entry", instance = &*name; "leaving");
         self.app.leaving.store(true, Ordering::Relaxed);
-        gossip::leave(&self.app).await;
-        tokio::time::sleep(NOTICE).await;
+        gossip::announce_leaving(&self.app).await;
+        tokio::time::sleep(DRAIN_DELAY).await;
         self.app.drain.begin();
-        let whole = self.server.await.unwrap_or(false);
-        self.app.journal.flush(FLUSH).await;
+        let completed = self.server.await.unwrap_or(false);
+        self.app.journal.flush(FLUSH_TIMEOUT).await;
         self.tasks.iter().for_each(JoinHandle::abort);
-        log::info!(target: "entry", instance = &*name, whole = whole; "left");
-        whole
+        log::info!(target: "entry", instance = &*name, whole = completed; "left");
+        completed
     }
 
-    /// Stops as if the process had been killed.
+    /// Stops at once, as if the process had been killed.
     pub fn kill(self) {
         self.server.abort();
         self.tasks.iter().for_each(JoinHandle::abort);
@@ -130,18 +130,19 @@
         }
     }
 
-    /// Waits until an operator or a signal tells it to leave, then leaves.
+    /// Runs until an operator or a signal requests the shutdown, then shuts down gracefully. Returns whether all
+    /// requests ended in time.
     pub async fn run_until_stopped(self) -> bool {
         let signal = wait_for_termination();
         tokio::select! {
-            () = self.app.leave.notified() => (),
+            () = self.app.drain_requested.notified() => (),
             () = signal => (),
         }
         self.drain().await
     }
 }
 
-/// Waits for an interrupt or a request to terminate.
+/// Waits for the signal `SIGINT` or `SIGTERM`.
 pub async fn wait_for_termination() {
     use tokio::signal::unix::SignalKind;
     use tokio::signal::unix::signal;
@@ -149,7 +150,7 @@
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
     ) else {
-        // Without handlers the signals end the process, which is the best that is left.
+        // Without handlers these signals end the process, so there is nothing to wait for.
         return std::future::pending().await;
     };
     tokio::select! {
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance, a function a section.
+//! The settings of an instance. Each section of the file has a function that reads it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,102 +20,102 @@
 use step::Policy;
 use wire::peer::Secret;
 
-/// This instance.
+/// The identity and addresses of this instance, from section `[instance]`.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// Its name.
+    /// The name, unique among all instances.
     pub name: Name,
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: Name,
-    /// Where it listens.
+    /// The address to listen at.
     pub listen: SocketAddr,
-    /// Where peers reach it; where it listens unless the settings say otherwise.
+    /// The address at which peers reach this instance; by default the same as `listen`.
     pub address: SocketAddr,
 }
 
-/// A peer that the settings name.
+/// A peer, from a section `[peer NAME]`.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its name.
+    /// The name.
     pub name: Name,
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: Name,
-    /// Where it listens.
+    /// The address at which the peer is reached.
     pub address: SocketAddr,
 }
 
-/// A model or service with its policies.
+/// The upstreams of a model or service and its policies, from a section `[pool NAME]`.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// The model or service.
+    /// The name of the model or service.
     pub name: Name,
-    /// What serves it.
+    /// The kind of upstreams.
     pub kind: UpstreamKind,
-    /// In which order its queue lets requests go.
+    /// The name of the queue's ordering policy.
     pub order: &'static str,
-    /// How an upstream is chosen.
+    /// The name of the policy that chooses an upstream.
     pub chooser: &'static str,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue: usize,
 }
 
-/// Bounds on what callers send and receive.
+/// Bounds on requests and responses, from section `[limits]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Bytes of a body.
+    /// Maximum size of a request body in bytes.
     pub max_body: usize,
-    /// Bytes of an answer.
+    /// Maximum size of an upstream's response in bytes.
     pub max_answer: usize,
-    /// Time in which a body must come.
+    /// Maximum time to receive a request body.
     pub body_timeout: Duration,
     /// Bounds on connections.
     pub limits: Limits,
 }
 
-/// The journal of non-idempotent requests.
+/// The journal of non-idempotent requests, from section `[journal]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Journal {
-    /// Shards; the same on all instances, and never changed.
+    /// Number of shards. It must be the same on all instances and must never change.
     pub shards: u32,
-    /// How long a key is kept.
+    /// Minimum time for which the state of an idempotency key is kept, in milliseconds.
     pub retention: Millis,
 }
 
-/// Weights and load reports.
+/// Distribution of weights and polling of load reports, from section `[weights]`.
 #[derive(Clone, Debug)]
 pub struct Weights {
-    /// Time between two load reports of an engine.
-    pub poll: Millis,
-    /// Where the weight store is; empty when engines know it themselves.
+    /// Interval between load reports of an engine, in milliseconds.
+    pub poll_interval: Millis,
+    /// URL of the weight store, before `/MODEL/VERSION`; empty if engines know it themselves.
     pub store: String,
-    /// Folder of this instance's cache; [`None`] when it has no disk.
+    /// Folder of this instance's weight cache; [`None`] if it has no disk.
     pub folder: Option<PathBuf>,
-    /// Instances of this failure domain that have a cache.
+    /// Addresses of the instances of this failure domain that have a weight cache.
     pub caches: Vec<SocketAddr>,
 }
 
-/// Settings of an instance.
+/// The settings of an instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This instance.
     pub me: Instance,
     /// Addresses of the platform's key-value service.
     pub platform: Vec<SocketAddr>,
-    /// The key that instances share.
+    /// The key that signs messages between instances.
     pub secret: Secret,
-    /// Peers to begin with.
+    /// The initial peers; more are learned by gossip.
     pub peers: Vec<Peer>,
-    /// Models and services.
+    /// The pools of models and services.
     pub pools: Vec<Pool>,
-    /// Upstreams.
+    /// The upstreams of all pools.
     pub upstreams: Vec<UpstreamSpec>,
-    /// Bounds on what callers send and receive.
+    /// Bounds on requests and responses.
     pub bounds: Bounds,
-    /// The journal.
+    /// The journal of non-idempotent requests.
     pub journal: Journal,
-    /// The policy of steps.
+    /// The name of the policy that steps use.
     pub policy: &'static str,
-    /// Weights and load reports.
+    /// Distribution of weights and polling of load reports.
     pub weights: Weights,
     /// Logging.
     pub logs: logs::Settings,
@@ -125,27 +125,27 @@
 ///
 /// # Errors
 ///
-/// Returns every mistake of the file at once.
+/// Returns [`SettingsErrors`] with all errors of the file.
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
-    let me = read_section(&mut doc, "instance", me);
+    let me = read_section(&mut doc, "instance", read_instance);
     let platform = read_section(&mut doc, "platform", read_platform);
     let secret = read_section(&mut doc, "peers", read_secret);
-    let bounds = read_section(&mut doc, "limits", bounds);
-    let journal = read_section(&mut doc, "journal", journal);
-    let policy = read_section(&mut doc, "steps", policy);
-    let weights = read_section(&mut doc, "weights", weights);
-    let logs = read_section(&mut doc, "log", log);
+    let bounds = read_section(&mut doc, "limits", read_bounds);
+    let journal = read_section(&mut doc, "journal", read_journal);
+    let policy = read_section(&mut doc, "steps", read_policy);
+    let weights = read_section(&mut doc, "weights", read_weights);
+    let logs = read_section(&mut doc, "log", read_logs);
     let peers = read_sections(&mut doc, "peer", read_peer);
-    let pools = read_sections(&mut doc, "pool", pool);
-    let upstreams = upstreams(&mut doc, &pools);
+    let pools = read_sections(&mut doc, "pool", read_pool);
+    let upstreams = read_upstreams(&mut doc, &pools);
     doc.finish()?;
-    // An absent part has left a mistake, so `finish` has returned by now if there was one.
-    let absent = || SettingsErrors(Vec::new());
+    // Unreachable: a missing section has reported an error, so `finish` has returned it.
+    let missing = || SettingsErrors(Vec::new());
     Ok(Settings {
-        me: me.ok_or_else(absent)?,
-        platform: platform.ok_or_else(absent)?,
-        secret: secret.ok_or_else(absent)?,
+        me: me.ok_or_else(missing)?,
+        platform: platform.ok_or_else(missing)?,
+        secret: secret.ok_or_else(missing)?,
         peers,
         pools,
         upstreams,
@@ -157,7 +157,7 @@
     })
 }
 
-/// Reads one section.
+/// Reads the section `[name]` and reports keys that `read` does not know.
 pub fn read_section<T>(doc: &mut Document, name: &str, read: impl FnOnce(&mut Section) -> T) -> T {
     let mut section = doc.take_section(name);
     let value = read(&mut section);
@@ -165,7 +165,7 @@
     value
 }
 
-/// Reads every section `[kind NAME]`.
+/// Reads all sections `[kind NAME]`; those for which `read` returns [`None`] are left out.
 pub fn read_sections<T>(
     doc: &mut Document,
     kind: &str,
@@ -179,15 +179,15 @@
     all
 }
 
-const NAME: &str = "a name of a-z, 0-9, '.', '_' and '-'";
-const ADDRESS: &str = "an IP address and a port";
-const SPAN: &str = "a span of time such as 250ms or 5s";
+const EXPECTED_NAME: &str = "a name of a-z, 0-9, '.', '_' and '-'";
+const EXPECTED_ADDRESS: &str = "an IP address and a port";
+const EXPECTED_DURATION: &str = "a span of time such as 250ms or 5s";
 
-fn me(s: &mut Section) -> Option<Instance> {
-    let name = s.require("name", NAME);
-    let domain = s.require("domain", NAME);
-    let listen = s.require("listen", ADDRESS);
-    let address = s.get("address", ADDRESS).or(listen);
+fn read_instance(s: &mut Section) -> Option<Instance> {
+    let name = s.require("name", EXPECTED_NAME);
+    let domain = s.require("domain", EXPECTED_NAME);
+    let listen = s.require("listen", EXPECTED_ADDRESS);
+    let address = s.get("address", EXPECTED_ADDRESS).or(listen);
     Some(Instance {
         name: name?,
         domain: domain?,
@@ -196,7 +196,7 @@
     })
 }
 
-/// Reads `[platform]`.
+/// Reads the addresses of section `[platform]`.
 pub fn read_platform(s: &mut Section) -> Option<Vec<SocketAddr>> {
     let list = s.require::<List<SocketAddr>>("addresses", "addresses separated by commas")?;
     if list.0.is_empty() {
@@ -205,23 +205,23 @@
     Some(list.0)
 }
 
-/// Fewest characters of the key that instances share.
-const SECRET: usize = 16;
+/// Minimum length of the shared key in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Reads `[peers]`.
+/// Reads the shared key of section `[peers]`.
 pub fn read_secret(s: &mut Section) -> Option<Secret> {
     let text = s.require::<String>("secret", "a text of at least 16 characters")?;
-    if text.len() < SECRET {
+    if text.len() < MIN_SECRET_BYTES {
         s.report_invalid("secret", "a text of at least 16 characters");
     }
     Some(Secret::new(&text))
 }
 
-/// Reads a `[peer NAME]`.
+/// Reads a section `[peer NAME]`.
 pub fn read_peer(s: &mut Section) -> Option<Peer> {
-    let name = label(s);
-    let domain = s.require("domain", NAME);
-    let address = s.require("address", ADDRESS);
+    let name = section_name(s);
+    let domain = s.require("domain", EXPECTED_NAME);
+    let address = s.require("address", EXPECTED_ADDRESS);
     Some(Peer {
         name: name?,
         domain: domain?,
@@ -229,19 +229,24 @@
     })
 }
 
-/// The name in the section's title.
-fn label(s: &mut Section) -> Option<Name> {
+/// Returns the name in the title of a section.
+fn section_name(s: &mut Section) -> Option<Name> {
     let name = s.label().parse().ok();
     if name.is_none() {
-        s.report_invalid("[title]", NAME);
+        s.report_invalid("[title]", EXPECTED_NAME);
     }
     name
 }
 
-fn plugin_of<P: plugin::Plugin>(s: &mut Section, key: &'static str, default: &str) -> &'static str {
-    let asked: String = s.get_or(key, "a name", default.to_owned());
-    match plugin::find::<P>(&asked) {
-        Ok(found) => found.name(),
+/// Reads the name of a policy of kind `P` and returns it, or an empty string if no such policy is registered.
+fn plugin_name<P: plugin::Plugin>(
+    s: &mut Section,
+    key: &'static str,
+    default: &str,
+) -> &'static str {
+    let requested: String = s.get_or(key, "a name", default.to_owned());
+    match plugin::find::<P>(&requested) {
+        Ok(plugin) => plugin.name(),
         Err(_) => {
             s.report_invalid(key, "the name of a policy; see the table in README.md");
             ""
@@ -249,11 +254,11 @@
     }
 }
 
-fn pool(s: &mut Section) -> Option<Pool> {
-    let name = label(s);
+fn read_pool(s: &mut Section) -> Option<Pool> {
+    let name = section_name(s);
     let kind = s.require("kind", "engine or service");
-    let order = plugin_of::<QueueOrder>(s, "order", "fair");
-    let chooser = plugin_of::<Chooser>(s, "chooser", "scored");
+    let order = plugin_name::<QueueOrder>(s, "order", "fair");
+    let chooser = plugin_name::<Chooser>(s, "chooser", "scored");
     let queue = s.get_or("queue", "a number of requests", 1_024);
     Some(Pool {
         name: name?,
@@ -264,15 +269,15 @@
     })
 }
 
-fn upstreams(doc: &mut Document, pools: &[Pool]) -> Vec<UpstreamSpec> {
+fn read_upstreams(doc: &mut Document, pools: &[Pool]) -> Vec<UpstreamSpec> {
     read_sections(doc, "upstream", |s| {
-        let name = label(s);
-        let addr = s.require("address", ADDRESS);
-        let domain = s.require("domain", NAME);
+        let name = section_name(s);
+        let addr = s.require("address", EXPECTED_ADDRESS);
+        let domain = s.require("domain", EXPECTED_NAME);
         let slots = s.get_or("slots", "a number of requests", 16);
         let fencing = s.get_or("fencing", "true or false", false);
         let pool = s.require::<Name>("pool", "the name of a [pool NAME] section")?;
-        let Some(found) = pools.iter().find(|known| known.name == pool) else {
+        let Some(owner) = pools.iter().find(|known| known.name == pool) else {
             s.report_invalid("pool", "the name of a [pool NAME] section");
             return None;
         };
@@ -282,7 +287,7 @@
         Some(UpstreamSpec {
             name: name?,
             addr: addr?,
-            kind: found.kind,
+            kind: owner.kind,
             pool,
             domain: domain?,
             slots,
@@ -291,29 +296,33 @@
     })
 }
 
-fn bounds(s: &mut Section) -> Bounds {
-    let base = Limits::default();
-    let span = |span: DurationMs| Duration::from_millis(span.0);
+fn read_bounds(s: &mut Section) -> Bounds {
+    let defaults = Limits::default();
+    let duration = |setting: DurationMs| Duration::from_millis(setting.0);
     let max_body = s.get_or("body", "a number of bytes", 1 << 20);
     let max_answer = s.get_or("answer", "a number of bytes", 8 << 20);
-    let body_timeout = s.get_or("patience", SPAN, DurationMs(10_000));
-    let headers = s.get_or("headers", SPAN, DurationMs(10_000));
-    let grace = s.get_or("grace", SPAN, DurationMs(600_000));
-    let connections = s.get_or("connections", "a number of connections", base.connections);
+    let body_timeout = s.get_or("patience", EXPECTED_DURATION, DurationMs(10_000));
+    let headers = s.get_or("headers", EXPECTED_DURATION, DurationMs(10_000));
+    let grace = s.get_or("grace", EXPECTED_DURATION, DurationMs(600_000));
+    let connections = s.get_or(
+        "connections",
+        "a number of connections",
+        defaults.connections,
+    );
     Bounds {
         max_body,
         max_answer,
-        body_timeout: span(body_timeout),
+        body_timeout: duration(body_timeout),
         limits: Limits {
             connections,
-            headers: span(headers),
-            head: base.head,
-            grace: span(grace),
+            headers: duration(headers),
+            head: defaults.head,
+            grace: duration(grace),
         },
     }
 }
 
-fn journal(s: &mut Section) -> Journal {
+fn read_journal(s: &mut Section) -> Journal {
     let shards = s.get_or("shards", "a number of shards", 16);
     let retention = s.get_or(
         "keep",
@@ -327,12 +336,12 @@
     Journal { shards, retention }
 }
 
-fn policy(s: &mut Section) -> &'static str {
-    plugin_of::<Policy>(s, "policy", "longest")
+fn read_policy(s: &mut Section) -> &'static str {
+    plugin_name::<Policy>(s, "policy", "longest")
 }
 
-fn weights(s: &mut Section) -> Weights {
-    let poll = s.get_or("poll", SPAN, DurationMs(1_000));
+fn read_weights(s: &mut Section) -> Weights {
+    let poll_interval = s.get_or("poll", EXPECTED_DURATION, DurationMs(1_000));
     let store = s.get_or("store", "the URL before /MODEL/VERSION", String::new());
     let folder = s.get::<PathBuf>("folder", "a folder");
     let caches = s.get_or(
@@ -347,19 +356,19 @@
         );
     }
     Weights {
-        poll: poll.0.max(10),
+        poll_interval: poll_interval.0.max(10),
         store,
         folder,
         caches: caches.0,
     }
 }
 
-fn log(s: &mut Section) -> logs::Settings {
-    let base = logs::Settings::default();
+fn read_logs(s: &mut Section) -> logs::Settings {
+    let defaults = logs::Settings::default();
     logs::Settings {
-        level: s.get_or("level", "error, warn, info, debug or off", base.level),
-        format: s.get_or("form", "pairs or json", base.format),
+        level: s.get_or("level", "error, warn, info, debug or off", defaults.level),
+        format: s.get_or("form", "pairs or json", defaults.format),
         audit: s.get::<PathBuf>("audit", "a file"),
-        sink: base.sink,
+        sink: defaults.sink,
     }
 }
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -1,4 +1,4 @@
-//! Requests that crash upstreams, as this instance's parts meet them.
+//! Crash tracking of requests that are sent to upstreams.
 
 use std::sync::Arc;
 
@@ -17,101 +17,108 @@
 
 use crate::App;
 
-/// Time within which the crash of an upstream is one and the same, whoever notices it, in milliseconds:
-/// upstreams keep their name, and take some seconds to start again.
-const START: Millis = 5_000;
+/// Time within which crashes of an upstream count as one crash, whichever instances observe them, in
+/// milliseconds. An upstream keeps its name when it restarts, and a restart takes some seconds.
+const CRASH_WINDOW_MS: Millis = 5_000;
 
-/// A request on its way to upstreams.
+/// A request that is sent to upstreams.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingRequest {
-    /// What it asks for.
+    /// The fingerprint of what is requested, equal for all attempts.
     pub(crate) fingerprint: Fingerprint,
-    /// Its id, for lines.
+    /// The request identifier, for log lines.
     pub(crate) id: String,
 }
 
 impl OutgoingRequest {
-    /// Refuses the request if it may not run; `ran` tells whether it may have before.
+    /// Rejects the request if it is quarantined, and waits until `deadline` at most for a pending decision. `ran` tells
+    /// whether an earlier attempt may have run.
     pub(crate) async fn check_quarantine(
         &self,
         app: &App,
         deadline: Millis,
         ran: Ran,
     ) -> Result<(), Problem> {
-        let time = deadline.saturating_sub(app.clock.now());
-        let Some(left) = app.crashes.admit(self.fingerprint.into(), time).await else {
+        let timeout = deadline.saturating_sub(app.clock.now());
+        let Some(remaining) = app.crashes.admit(self.fingerprint.into(), timeout).await else {
             return Ok(());
         };
         let problem = Problem::new(Type::Quarantined, ran);
         match ran {
-            Ran::No => Err(problem.retry_after(left)),
+            Ran::No => Err(problem.retry_after(remaining)),
             Ran::Unknown => Err(problem),
         }
     }
 
-    /// The upstreams at which other suspects are.
+    /// Returns the upstreams that run other suspects if this request is a suspect.
     pub(crate) fn upstreams_to_avoid(&self, app: &App) -> Vec<Name> {
-        let starts = app.crashes.upstreams_to_avoid(|| self.fingerprint.into());
-        let names = starts.iter().filter_map(|start| start.split_once('@'));
+        let runs = app.crashes.upstreams_to_avoid(|| self.fingerprint.into());
+        let names = runs.iter().filter_map(|run| run.split_once('@'));
         names.filter_map(|(name, _)| name.parse().ok()).collect()
     }
 
-    /// Notes that the request goes to an upstream, if it is a suspect.
+    /// Records that the request runs on an upstream if the request is a suspect, until the guard is dropped.
     pub(crate) fn track_suspect(&self, app: &App, spec: &UpstreamSpec) -> Option<SuspectGuard> {
         app.crashes
-            .track_suspect(|| self.fingerprint.into(), &start(app, spec))
+            .track_suspect(|| self.fingerprint.into(), &upstream_run(app, spec))
     }
 
-    /// Looks whether an upstream has crashed after the connection broke there.
+    /// Checks whether an upstream has crashed after its connection broke, and records the crash if so.
     pub(crate) async fn check_crash(&self, app: &App, spec: &UpstreamSpec) {
         let leaving = app.view.lock().is_leaving(&spec.name).unwrap_or(false);
-        let left = move || leaving;
-        let start = start(app, spec);
-        let looking =
-            app.crashes
-                .check_upstream(&self.id, self.fingerprint.into(), &start, spec.addr, left);
-        looking.await;
+        let has_left = move || leaving;
+        let run = upstream_run(app, spec);
+        let check = app.crashes.check_upstream(
+            &self.id,
+            self.fingerprint.into(),
+            &run,
+            spec.addr,
+            has_left,
+        );
+        check.await;
     }
 
-    /// Notes that an upstream has answered a call whole. A failure of the upstream does not tell that the call
-    /// ran.
+    /// Records that an upstream has answered a call completely. A server error does not count as a success, since
+    /// it does not show that the call ran.
     pub(crate) fn record_answer(&self, app: &App, status: StatusCode) {
         if !status.is_server_error() {
             self.record_success(app);
         }
     }
 
-    /// Notes that an upstream has answered it whole.
+    /// Records that an upstream has answered the request completely.
     pub(crate) fn record_success(&self, app: &App) {
         app.crashes.record_success(|| self.fingerprint.into());
     }
 }
 
-fn start(app: &App, spec: &UpstreamSpec) -> Arc<str> {
-    format!("{}@{}", spec.name, app.clock.wall() / START).into()
+/// Returns the name of an upstream's current run: the upstream and the crash window, as `NAME@NUMBER`.
+fn upstream_run(app: &App, spec: &UpstreamSpec) -> Arc<str> {
+    format!("{}@{}", spec.name, app.clock.wall() / CRASH_WINDOW_MS).into()
 }
 
-/// Learns what others have seen before, and keeps what this instance sees at the platform.
+/// Reads the crash records of all instances from the platform, deletes expired ones, and publishes this instance's
+/// record whenever it changes.
 pub(crate) async fn run(app: Arc<App>) {
-    let watch: &CrashTracker = &app.crashes;
+    let tracker: &CrashTracker = &app.crashes;
     match app.plat.list(keys::CRASHES).await {
         Ok(range) => {
             let items = &range.items;
             items
                 .iter()
-                .for_each(|item| crash::report::merge_record(watch, item));
+                .for_each(|item| crash::report::merge_record(tracker, item));
             crash::report::delete_expired(&app.plat, items, app.clock.wall()).await;
         }
-        Err(error) => failed(Err(&error)),
+        Err(error) => log_failure(Err(&error)),
     }
     let me = app.view.lock().me().clone();
     let key = keys::crashes(&me.name, me.incarnation);
-    crash::report::publish(watch, &app.plat, &key, failed).await;
+    crash::report::publish(tracker, &app.plat, &key, log_failure).await;
 }
 
-fn failed(done: Result<(), &PlatError>) {
-    if let Err(error) = done {
+fn log_failure(result: Result<(), &PlatError>) {
+    if let Err(error) = result {
         let error = error.to_string();
-        log::warn!(target: "crash", error = error.as_str(); "record of crashes not reached");
+        log::warn!(target: "crash", error = error.as_str(); "could not read or write crash records");
     }
 }
--- a/crates/serve/src/sync.rs
+++ b/crates/serve/src/sync.rs
@@ -1,8 +1,7 @@
-//! Reading the platform for the failure domain.
+//! Replication of contracts and leaving upstreams from the platform.
 //!
-//! One instance reads for all of its failure domain, and its peers hear of it with the probes.
-//! Any other instance reads as well once it has not heard for some seconds that its contracts are
-//! the newest.
+//! One instance of each failure domain, the reader, reads the platform and gossips what it read. Any other
+//! instance reads too once its contracts have not been confirmed as the newest for some seconds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,104 +20,114 @@
 
 use crate::App;
 
-/// Time without news after which an instance reads though it is not the reader.
-const PATIENCE: Millis = 8_000;
+/// Age of the last confirmation, in milliseconds, from which on an instance reads without being the reader.
+const MAX_UNCONFIRMED_MS: Millis = 8_000;
 
-/// Time between two looks at whether to read.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval between checks whether this instance has to read.
+const DUE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two small reads while a watch is silent.
-const CHECK: Duration = Duration::from_secs(3);
+/// Interval between small reads that show whether the platform is reachable.
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time after which everything is read anew: a connection that was cut without a word would leave
-/// a watch silent for good.
-const AGAIN: Duration = Duration::from_secs(60);
+/// Interval between full reads, which recover the changes that a watch misses when its connection is lost without
+/// being closed.
+const FULL_READ_INTERVAL: Duration = Duration::from_secs(60);
 
-/// First pause after a failure; it doubles with each.
-const PAUSE: Millis = 200;
+/// Base of the pause before the platform is read again, in milliseconds. It doubles with each consecutive failure.
+const MIN_BACKOFF_MS: Millis = 200;
 
-/// Longest pause after a failure.
-const LONGEST: Millis = 5_000;
+/// Maximum pause before the platform is read again, in milliseconds. A read that lasted longer than this resets the
+/// backoff.
+const MAX_BACKOFF_MS: Millis = 5_000;
 
-/// Reads the platform whenever it is this instance's turn.
+/// Reads the platform while this instance has to, until the task is aborted.
 pub async fn run(app: Arc<App>) {
     let mut failures = 0_u32;
     loop {
         if !is_due(&app) {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(DUE_CHECK_INTERVAL).await;
             continue;
         }
-        let before = app.clock.now();
-        let error = read(&app).await;
-        let lasted = app.clock.now() - before;
-        if let Err(error) = &error {
+        let started = app.clock.now();
+        let result = follow_platform(&app).await;
+        let duration = app.clock.now() - started;
+        if let Err(error) = &result {
             let text = error.to_string();
             log::warn!(target: "sync", error = text.as_str(); "could not follow the platform");
         }
-        failures = match lasted > LONGEST || error.is_ok() {
+        failures = match duration > MAX_BACKOFF_MS || result.is_ok() {
             true => 0,
             false => failures + 1,
         };
-        // Half of the pause is random, so that instances that lost the platform together do not
-        // return to it together.
-        let span = (PAUSE << failures.min(10)).min(LONGEST) as f64;
-        let pause = span * (0.5 + 0.5 * rand::random::<f64>());
+        // Half of the pause is random, so that instances that lost the platform at the same time do not
+        // reconnect at the same time.
+        let backoff = (MIN_BACKOFF_MS << failures.min(10)).min(MAX_BACKOFF_MS) as f64;
+        let pause = backoff * (0.5 + 0.5 * rand::random::<f64>());
         tokio::time::sleep(Duration::from_millis(pause as u64)).await;
     }
 }
 
+/// Returns whether this instance has to read the platform.
 fn is_due(app: &App) -> bool {
-    let reader = app.view.lock().is_reader();
-    reader || app.known().is_none_or(|age| age > PATIENCE)
+    let is_reader = app.view.lock().is_reader();
+    is_reader
+        || app
+            .contracts_age()
+            .is_none_or(|age| age > MAX_UNCONFIRMED_MS)
 }
 
-/// Reads everything, then follows the changes for as long as it is this instance's turn.
-async fn read(app: &Arc<App>) -> Result<(), PlatError> {
+/// Reads all contracts and leaving upstreams, then watches for changes while this instance is the reader, up to
+/// [`FULL_READ_INTERVAL`].
+async fn follow_platform(app: &Arc<App>) -> Result<(), PlatError> {
     let range = app.plat.list(keys::CONTRACTS).await?;
-    let contracts = range.items.iter().filter_map(contract).collect();
-    app.offer(contracts, "the platform");
-    app.confirm(0);
-    let listed = app.plat.list(keys::LEAVING).await?;
-    for item in &listed.items {
-        news(app, &item.key, true);
+    let contracts = range.items.iter().filter_map(parse_contract).collect();
+    app.apply_contracts(contracts, "the platform");
+    app.confirm_contracts(0);
+    let leaving = app.plat.list(keys::LEAVING).await?;
+    for item in &leaving.items {
+        apply_leaving(app, &item.key, true);
     }
-    let mut contracts = app.plat.watch(keys::CONTRACTS, range.rev + 1).await?;
-    let mut upstreams = app.plat.watch(keys::LEAVING, listed.rev + 1).await?;
-    let end = Instant::now() + AGAIN;
-    let mut check = tokio::time::interval(CHECK);
+    let mut contract_changes = app.plat.watch(keys::CONTRACTS, range.rev + 1).await?;
+    let mut leaving_changes = app.plat.watch(keys::LEAVING, leaving.rev + 1).await?;
+    let end = Instant::now() + FULL_READ_INTERVAL;
+    let mut confirm = tokio::time::interval(CONFIRM_INTERVAL);
     while app.view.lock().is_reader() && Instant::now() < end {
         tokio::select! {
-            changes = contracts.next() => follow(app, changes?),
-            changes = upstreams.next() => follow(app, changes?),
-            _ = check.tick() => {
-                // A watch is silent while nothing changes, for minutes on some platforms. A small
-                // read shows that the platform is there, or peers would all begin to read.
+            changes = contract_changes.next() => apply_changes(app, changes?),
+            changes = leaving_changes.next() => apply_changes(app, changes?),
+            _ = confirm.tick() => {
+                // A watch yields nothing while nothing changes, on some platforms for minutes. Without this read
+                // the contracts would stay unconfirmed and every peer would begin to read.
                 app.plat.get(keys::CONTRACTS).await?;
-                app.confirm(0);
+                app.confirm_contracts(0);
             }
         }
     }
     Ok(())
 }
 
-fn follow(app: &Arc<App>, changes: Vec<Change>) {
+/// Applies changes from either watch.
+fn apply_changes(app: &Arc<App>, changes: Vec<Change>) {
     for change in changes {
         match change {
             Change::Put(item) if item.key.starts_with(keys::LEAVING) => {
-                news(app, &item.key, true);
+                apply_leaving(app, &item.key, true);
+            }
+            Change::Delete(key, _) if key.starts_with(keys::LEAVING) => {
+                apply_leaving(app, &key, false)
             }
-            Change::Delete(key, _) if key.starts_with(keys::LEAVING) => news(app, &key, false),
             Change::Put(item) => {
-                app.offer(contract(&item).into_iter().collect(), "the platform");
+                app.apply_contracts(parse_contract(&item).into_iter().collect(), "the platform");
             }
-            // A contract is never deleted: a customer that leaves gets one that covers nothing.
+            // Contracts are never deleted: a customer that leaves gets a contract that covers nothing.
             Change::Delete(..) | Change::Progress(_) => (),
         }
     }
-    app.confirm(0);
+    app.confirm_contracts(0);
 }
 
-fn contract(item: &Item) -> Option<ActiveContract> {
+/// Parses a contract that the platform stores; logs an error and returns [`None`] if it is invalid.
+fn parse_contract(item: &Item) -> Option<ActiveContract> {
     let stored: Result<StoredContract, _> = serde_json::from_slice(&item.value);
     match stored {
         Ok(stored) => Some(ActiveContract {
@@ -126,17 +135,17 @@
             stored: Arc::new(stored),
         }),
         Err(error) => {
-            // The old contract stays in force; the operator's tool writes none like this.
+            // The previous contract stays in force. The operator's tool never writes an invalid one.
             let error = error.to_string();
             log::error!(target: "sync", key = item.key.as_str(), error = error.as_str();
-                "a contract at the platform could not be read");
+                "could not parse a contract from the platform");
             None
         }
     }
 }
 
-/// Passes on what the platform's list says of an upstream.
-fn news(app: &Arc<App>, key: &str, is_leaving: bool) {
+/// Applies and gossips whether the platform lists an upstream as leaving; `key` is its key on the platform.
+fn apply_leaving(app: &Arc<App>, key: &str, is_leaving: bool) {
     let Some(name) = key.strip_prefix(keys::LEAVING) else {
         return;
     };
@@ -150,12 +159,12 @@
     };
     let now = app.clock.now();
     if app.view.lock().receive(rumour, now) {
-        leaving(app, &name, is_leaving);
+        set_leaving(app, &name, is_leaving);
     }
 }
 
-/// Takes an upstream out of, or back into, the choice.
-pub fn leaving(app: &Arc<App>, name: &Name, is_leaving: bool) {
+/// Excludes an upstream from the choice of upstreams, or includes it again.
+pub fn set_leaving(app: &Arc<App>, name: &Name, is_leaving: bool) {
     for dispatcher in app.dispatchers.values() {
         dispatcher.judge(name, |health| {
             health.set_leaving(LeavingSource::Platform, is_leaving)
--- a/crates/serve/src/trace.rs
+++ b/crates/serve/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is known of one request while it is served.
+//! The trace of one request while it is served.
 
 use kernel::Millis;
 use kernel::Name;
@@ -7,28 +7,28 @@
 
 use clock::Clock;
 
-/// What is known of one request while it is served; becomes a log line and an entry of the
-/// history.
+/// The trace of one request while it is served. When the request ends, it becomes a log line and an
+/// entry of the history.
 #[derive(Debug)]
 pub struct Trace {
-    /// Its identifier.
+    /// The identifier of the request.
     pub id: RequestId,
-    /// What kind of call it is.
+    /// The kind of call, used as a metrics label.
     pub kind: &'static str,
-    /// The customer, once known.
+    /// The customer, once the call is authenticated.
     pub customer: Option<Name>,
-    /// The upstream that served it or failed it last.
+    /// The upstream of the last attempt.
     pub upstream: Option<Name>,
-    /// Attempts that were made.
+    /// Number of attempts at upstreams.
     pub attempts: u32,
-    /// What happened, in order.
+    /// The events, oldest first.
     pub notes: Vec<HistoryEntry>,
-    began: Millis,
+    started_at: Millis,
     clock: Clock,
 }
 
 impl Trace {
-    /// Begins with a fresh identifier.
+    /// Starts a trace with a new request identifier.
     pub fn begin(kind: &'static str, clock: Clock) -> Self {
         Self {
             id: RequestId::generate(),
@@ -37,12 +37,12 @@
             upstream: None,
             attempts: 0,
             notes: Vec::new(),
-            began: clock.now(),
+            started_at: clock.now(),
             clock,
         }
     }
 
-    /// Notes what happened.
+    /// Adds an event with the current time.
     pub fn note(&mut self, what: impl Into<Box<str>>) {
         self.notes.push(HistoryEntry {
             at: self.clock.wall(),
@@ -50,8 +50,8 @@
         });
     }
 
-    /// Milliseconds since it began.
+    /// Returns the milliseconds since the trace was started.
     pub fn age(&self) -> Millis {
-        self.clock.now() - self.began
+        self.clock.now() - self.started_at
     }
 }
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -1,4 +1,4 @@
-//! Announcements of weight versions: `POST /v1/weights/{model}`.
+//! Announcements of new weight versions by customers: `POST /v1/weights/{model}`.
 
 use std::sync::Arc;
 
@@ -29,73 +29,78 @@
 use crate::refuse;
 use crate::trace::Trace;
 
-/// Tries to write an announcement that others race with.
-const TRIES: usize = 5;
+/// Maximum number of attempts to write an announcement when other writers conflict with it.
+const MAX_ATTEMPTS: usize = 5;
 
-/// When to come back while the platform is away, in milliseconds.
-const LATER: u64 = 1_000;
+/// Time after which a caller should retry while the platform is unavailable, in milliseconds.
+const RETRY_AFTER_MS: u64 = 1_000;
 
-/// An announcement as the platform keeps it.
+/// An announcement as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoredVersion {
-    /// The newest version.
+    /// The newest announced version.
     pub version: u64,
-    /// The customer that announced it.
+    /// The customer that announced the version.
     pub customer: Name,
 }
 
-/// Serves `POST /v1/weights/{model}`.
+/// Handles `POST /v1/weights/{model}` and returns the newest announced version.
 pub async fn announce(app: Arc<App>, call: Call) -> Reply {
     let mut trace = Trace::begin("weights", app.clock);
-    let result = announced(&app, call, &mut trace).await;
+    let result = announce_version(&app, call, &mut trace).await;
     let reply = result.map(|version| body::json(StatusCode::OK, &AnnouncedVersion { version }));
     refuse::finish(&app, trace, reply)
 }
 
-async fn announced(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<u64, Problem> {
-    let held = auth::authenticate(app, &call, trace)?;
+async fn announce_version(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<u64, Problem> {
+    let active = auth::authenticate(app, &call, trace)?;
     let model = call.segment(2).to_owned();
-    complete::model(app, &held, &model)?;
+    complete::model(app, &active, &model)?;
     let asked: AnnounceVersion = complete::parse(app, call.body).await?;
-    let customer = held.stored.contract.customer.clone();
+    let customer = active.stored.contract.customer.clone();
     let new = StoredVersion {
         version: asked.version,
         customer,
     };
-    let mut unclear = false;
-    for _ in 0..TRIES {
-        match write(app, &model, &new).await {
+    let mut indeterminate = false;
+    for _ in 0..MAX_ATTEMPTS {
+        match try_write(app, &model, &new).await {
             Ok(Some(version)) => return Ok(version),
             Ok(None) => (),
-            Err(error) if error.is_indeterminate() => unclear = true,
-            Err(error) => return Err(refusal(&error, unclear)),
+            Err(error) if error.is_indeterminate() => indeterminate = true,
+            Err(error) => return Err(refusal(&error, indeterminate)),
         }
     }
-    Err(refusal(&PlatError::NoAnswer, unclear))
+    Err(refusal(&PlatError::NoAnswer, indeterminate))
 }
 
-fn refusal(error: &PlatError, unclear: bool) -> Problem {
-    let ran = match unclear {
+/// Returns the problem for a failed announcement; `indeterminate` tells whether an earlier write may
+/// have been applied.
+fn refusal(error: &PlatError, indeterminate: bool) -> Problem {
+    let ran = match indeterminate {
         true => Ran::Unknown,
         false => Attempt::new().refuse(),
     };
     let problem = Problem::new(Type::Platform, ran);
-    problem.with_detail(error.to_string()).retry_after(LATER)
+    problem
+        .with_detail(error.to_string())
+        .retry_after(RETRY_AFTER_MS)
 }
 
-/// Writes an announcement unless a newer one is there; [`None`] when another write came between.
+/// Writes an announcement unless the platform has the same or a newer version. Returns the newest version, or
+/// [`None`] if a concurrent write changed the key.
 ///
-/// A version never falls: the write is conditional on the revision that was read, and reading
-/// back settles a write whose answer was lost.
-async fn write(app: &App, model: &str, new: &StoredVersion) -> Result<Option<u64>, PlatError> {
+/// A stored version never decreases, because the write is conditional on the revision that was read. If the
+/// response to a write is lost, the next attempt reads the key and finds out whether the write was applied.
+async fn try_write(app: &App, model: &str, new: &StoredVersion) -> Result<Option<u64>, PlatError> {
     let key = keys::weight(model);
     let item = app.plat.get(&key).await?;
     let rev = item.as_ref().map_or(0, |item| item.rev);
-    let known = item.and_then(|item| serde_json::from_slice::<StoredVersion>(&item.value).ok());
-    let known = known.map_or(0, |known| known.version);
-    if known >= new.version {
-        return Ok(Some(known));
+    let stored = item.and_then(|item| serde_json::from_slice::<StoredVersion>(&item.value).ok());
+    let stored = stored.map_or(0, |stored| stored.version);
+    if stored >= new.version {
+        return Ok(Some(stored));
     }
     let value = serde_json::to_vec(new).map_err(|_| PlatError::Garbled)?;
     let txn = Txn {
@@ -107,9 +112,9 @@
         TxnOutcome::Conflict => Ok(None),
         TxnOutcome::At(rev) => {
             let instance = &app.settings.me.name;
-            let (before, after) = (known.to_string(), new.version.to_string());
-            let what = format!("weights announced by {}", new.customer);
-            audit::log_change(instance, &what, model, &before, &after, rev);
+            let (before, after) = (stored.to_string(), new.version.to_string());
+            let message = format!("weights announced by {}", new.customer);
+            audit::log_change(instance, &message, model, &before, &after, rev);
             Ok(Some(new.version))
         }
     }
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -172,7 +172,7 @@
 
         for _ in 0..120 {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            let ages = readers.iter().filter_map(|entry| entry.app.known());
+            let ages = readers.iter().filter_map(|entry| entry.app.contracts_age());
             oldest = ages.fold(oldest, u64::max);
         }
 
