--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -194,7 +194,7 @@
     app.apply_contracts(pong.contracts.clone(), "a peer");
     if is_behind {
         // The peer lacks contracts according to its response; a second message sends them.
-        let mut message = build_ping(app, &to.domain, None);
+        let mut message = self::build_ping(app, &to.domain, None);
         message.contracts = app.contracts.read().newer_than(pong.newest);
         let _: Pong = exchange(app, to.addr, peer::PING, &message, timeout).await?;
     }
--- a/crates/serve/src/refuse.rs
+++ b/crates/serve/src/refuse.rs
@@ -51,7 +51,7 @@
         trace.note(format!("refused: {outcome}, ran: {ran}; {detail}"));
     }
     record(app, &trace, &outcome);
-    let mut reply = result.unwrap_or_else(|problem| from_problem(&problem));
+    let mut reply = result.unwrap_or_else(|problem| self::from_problem(&problem));
     let id = trace.id.to_string();
     if let Ok(value) = HeaderValue::from_str(&id) {
         reply.headers_mut().insert(REQUEST_ID, value);
--- a/crates/serve/src/suspect.rs
+++ b/crates/serve/src/suspect.rs
@@ -31,8 +31,8 @@
 }
 
 impl OutgoingRequest {
-    /// Rejects the request if it is quarantined, and waits until `deadline` at most for a pending decision. `ran` tells
-    /// whether an earlier attempt may have run.
+    /// Rejects the request if it is quarantined, and waits until `deadline` at most for a pending decision.
+    /// `ran` tells whether an earlier attempt may have run.
     pub(crate) async fn check_quarantine(
         &self,
         app: &App,
@@ -78,8 +78,8 @@
         check.await;
     }
 
-    /// Records that an upstream has answered a call completely. A server error does not count as a success, since
-    /// it does not show that the call ran.
+    /// Records that an upstream has answered a call completely. A server error does not count as a success,
+    /// since it does not show that the call ran.
     pub(crate) fn record_answer(&self, app: &App, status: StatusCode) {
         if !status.is_server_error() {
             self.record_success(app);
@@ -97,8 +97,8 @@
     format!("{}@{}", spec.name, app.clock.wall() / CRASH_WINDOW_MS).into()
 }
 
-/// Reads the crash records of all instances from the platform, deletes expired ones, and publishes this instance's
-/// record whenever it changes.
+/// Reads the crash records of all instances from the platform, deletes expired ones, and publishes this
+/// instance's record whenever it changes.
 pub(crate) async fn run(app: Arc<App>) {
     let tracker: &CrashTracker = &app.crashes;
     match app.plat.list(keys::CRASHES).await {
