--- a/crates/serve/tests/poison.rs
+++ b/crates/serve/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams that run them.
+//! Quarantine of requests that crash the upstreams that run them.
 
 use std::time::Duration;
 
@@ -17,18 +17,20 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-/// Upstreams that such a request may end: three, and one while the third is looked at.
-const MOST: usize = 4;
+/// Maximum number of upstreams that one request may crash: three, and one more while the third is being
+/// checked.
+const MAX_CRASHES: usize = 4;
 
-/// Time within which instances hear of one another's crashes: some rounds of probes.
-const HEARD: Duration = Duration::from_secs(6);
+/// Time for crash reports to reach all instances: some probe intervals.
+const GOSSIP_DELAY: Duration = Duration::from_secs(6);
 
 fn block<F: Future>(future: F) -> F::Output {
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
-/// Two failure domains with two entries each, and upstreams that a body with the word can end.
-async fn fixture(more: &str) -> Rig {
+/// Starts two failure domains with two entries each, and upstreams that crash on a body that contains
+/// [`FATAL`].
+async fn start_rig(more: &str) -> Rig {
     let make = Make {
         entries: 2,
         engines: 4,
@@ -51,73 +53,74 @@
     rig.parts.engines.iter().map(|part| &part.host.faults)
 }
 
-/// Upstreams that have ended.
-fn ended<'a>(all: impl Iterator<Item = &'a Faults>) -> usize {
+/// Returns the number of upstreams that have crashed.
+fn crash_count<'a>(all: impl Iterator<Item = &'a Faults>) -> usize {
     all.filter(|faults| faults.get().down).count()
 }
 
-fn update(rig: &Rig, at: usize, body: &'static str) -> Asked {
+fn update(rig: &Rig, entry: usize, body: &'static str) -> Asked {
     let path = "/v1/services/portal/size/1";
-    Asked::new(rig.addrs()[at], "aarhus", Method::PUT, path).body(body)
+    Asked::new(rig.addrs()[entry], "aarhus", Method::PUT, path).body(body)
 }
 
-async fn problem(asked: Asked) -> Problem {
-    asked.send().await.unwrap().problem().unwrap()
+async fn send_for_problem(call: Asked) -> Problem {
+    call.send().await.unwrap().problem().unwrap()
 }
 
-// Symptom: a service has no upstream left. Sequence: one call, under a new id each time, ends the upstream that
-// runs it; an entry tries the next one, and so does another entry. Cause: nobody counted what a call did.
+// Guards against losing every upstream of a service to one call. Each attempt has a new request identifier
+// and crashes its upstream; without crash counts by fingerprint, this entry and the others retry it on the
+// next upstream.
 #[test]
-fn a_call_that_ends_its_upstreams_is_sent_no_more() {
+fn a_call_that_crashes_its_upstreams_is_quarantined() {
     block(async {
-        let mut rig = fixture("").await;
-
-        let first = problem(update(&rig, 0, FATAL)).await;
-        tokio::time::sleep(HEARD).await;
-        let again = problem(update(&rig, 0, FATAL)).await;
-        let known = ended(services(&rig));
-        let there = problem(update(&rig, 3, FATAL)).await;
-        let other = update(&rig, 3, "hello").send().await.unwrap();
-        for at in 0..4 {
-            rig.kill(at);
-            rig.revive(at).await.unwrap();
+        let mut rig = start_rig("").await;
+
+        let first = send_for_problem(update(&rig, 0, FATAL)).await;
+        tokio::time::sleep(GOSSIP_DELAY).await;
+        let repeated = send_for_problem(update(&rig, 0, FATAL)).await;
+        let crashed = crash_count(services(&rig));
+        let other_entry = send_for_problem(update(&rig, 3, FATAL)).await;
+        let harmless = update(&rig, 3, "hello").send().await.unwrap();
+        for entry in 0..4 {
+            rig.kill(entry);
+            rig.revive(entry).await.unwrap();
         }
         rig.reach(1).await.unwrap();
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let anew = problem(update(&rig, 1, FATAL)).await;
+        let after_restart = send_for_problem(update(&rig, 1, FATAL)).await;
 
-        assert!(known <= MOST, "{known} upstreams ended");
+        assert!(crashed <= MAX_CRASHES, "{crashed} upstreams crashed");
         assert_eq!(first.ran, route::Ran::Unknown);
-        for problem in [again, there, anew] {
+        for problem in [repeated, other_entry, after_restart] {
             assert_eq!(
                 (problem.kind, problem.ran),
                 (Type::Quarantined, route::Ran::No)
             );
             assert!(problem.retry_after_ms > Some(500_000));
         }
-        assert_eq!(ended(services(&rig)), known);
-        assert_eq!(other.status, StatusCode::OK);
+        assert_eq!(crash_count(services(&rig)), crashed);
+        assert_eq!(harmless.status, StatusCode::OK);
     });
 }
 
-// The same where a customer's order may run only once: each key is a call of its own, and each one ended an
-// upstream.
+// Guards against the same loss by non-idempotent calls: each idempotency key is a new call, and without a
+// common fingerprint each of them crashes another upstream.
 #[test]
-fn an_order_that_ends_its_upstreams_is_sent_no_more() {
+fn an_order_that_crashes_its_upstreams_is_quarantined() {
     block(async {
-        let rig = fixture("").await;
-        let order = |at: usize| {
-            let order = Asked::order(rig.addrs()[0], "aarhus", &format!("key-{at}"));
+        let rig = start_rig("").await;
+        let order = |number: usize| {
+            let order = Asked::order(rig.addrs()[0], "aarhus", &format!("key-{number}"));
             order.body(FATAL)
         };
 
         let mut kinds = Vec::new();
-        for at in 0..7 {
-            kinds.push(problem(order(at)).await.kind);
+        for number in 0..7 {
+            kinds.push(send_for_problem(order(number)).await.kind);
         }
 
-        let ended = ended(services(&rig));
-        assert!(ended <= MOST, "{ended} upstreams ended");
+        let crashed = crash_count(services(&rig));
+        assert!(crashed <= MAX_CRASHES, "{crashed} upstreams crashed");
         assert_eq!(kinds.last(), Some(&Type::Quarantined));
     });
 }
@@ -126,30 +129,34 @@
     whole = { false },
     streamed = { true },
 )]
-fn a_completion_that_ends_its_engines_is_sent_no_more(stream: bool) {
+fn a_completion_that_crashes_its_engines_is_quarantined(stream: bool) {
     block(async {
-        let rig = fixture("deadline = 20s\n").await;
+        let rig = start_rig("deadline = 20s\n").await;
         let body = json!({
             "model": "fitting", "prompt": "a fatal case", "max_tokens": 40, "seed": 7,
             "stream": stream,
         });
 
         for _ in 0..4 {
-            let asked = Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body);
-            // A stream is cut off, so that it does not look whole.
-            let _ = asked.send().await;
+            let call = Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body);
+            // A failed stream is cut off, so that it does not look complete; sending then returns an error.
+            let _ = call.send().await;
         }
 
-        let ended = ended(engines(&rig));
-        assert!((3..=MOST).contains(&ended), "{ended} engines ended");
+        let crashed = crash_count(engines(&rig));
+        assert!(
+            (3..=MAX_CRASHES).contains(&crashed),
+            "{crashed} engines crashed"
+        );
     });
 }
 
-// A sample ended one engine after the other; its step's other samples lost their runs each time.
+// Guards against a sample that crashes one engine after another: each crash also interrupts the other samples
+// of the step that run there.
 #[test]
-fn a_sample_that_ends_its_engines_is_held() {
+fn a_sample_that_crashes_its_engines_is_quarantined() {
     block(async {
-        let rig = fixture("staleness = 1\n").await;
+        let rig = start_rig("staleness = 1\n").await;
         let open = json!({
             "model": "fitting", "groups": ["case 0", "a fatal case", "case 2"], "samples": 1,
             "max_tokens": 40, "version": 1,
@@ -157,7 +164,7 @@
         let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
         let opened: OpenedStep = opened.send().await.unwrap().json().unwrap();
 
-        let (mut cursor, mut got) = (String::new(), Vec::new());
+        let (mut cursor, mut indices) = (String::new(), Vec::new());
         for _ in 0..16 {
             let path = format!("/v1/steps/{}/pull", opened.step);
             let pull = json!({"version": 1, "cursor": cursor, "limit": 9, "wait_ms": 300});
@@ -165,22 +172,25 @@
                 .send()
                 .await;
             let batch: Batch = answer.unwrap().json().unwrap();
-            got.extend(batch.samples.iter().map(|sample| sample.index));
+            indices.extend(batch.samples.iter().map(|sample| sample.index));
             cursor = batch.cursor;
         }
 
-        let ended = ended(engines(&rig));
-        assert!((3..=MOST).contains(&ended), "{ended} engines ended");
-        got.sort_unstable();
-        assert_eq!(got, [0, 2]);
+        let crashed = crash_count(engines(&rig));
+        assert!(
+            (3..=MAX_CRASHES).contains(&crashed),
+            "{crashed} engines crashed"
+        );
+        indices.sort_unstable();
+        assert_eq!(indices, [0, 2]);
     });
 }
 
-// A sample's request for its score ended one scorer after the other.
+// Guards against a score request that crashes one scorer after another.
 #[test]
-fn a_request_for_a_score_that_ends_its_scorers_is_sent_no_more() {
+fn a_score_request_that_crashes_its_scorers_is_quarantined() {
     block(async {
-        let rig = fixture("staleness = 1\nscorer = portal\nunscored = wait\n").await;
+        let rig = start_rig("staleness = 1\nscorer = portal\nunscored = wait\n").await;
         for faults in engines(&rig) {
             faults.change(|fault| fault.fatal = false);
         }
@@ -194,7 +204,10 @@
         tokio::time::sleep(Duration::from_secs(4)).await;
 
         assert!(status.is_success());
-        let ended = ended(services(&rig));
-        assert!((3..=MOST).contains(&ended), "{ended} scorers ended");
+        let crashed = crash_count(services(&rig));
+        assert!(
+            (3..=MAX_CRASHES).contains(&crashed),
+            "{crashed} scorers crashed"
+        );
     });
 }
--- a/crates/serve/tests/refusals.rs
+++ b/crates/serve/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Bad calls: each gets its own typed answer, and none takes the instance down.
+//! Invalid calls: each one gets a typed error response, and the instance keeps serving.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,14 +35,14 @@
     Asked::new(to, "aarhus", method, path).body(body.to_owned())
 }
 
-const STEP: &str = r#"{"model":"fitting","groups":["a"],"samples":1,"version":1}"#;
+const OPEN_STEP: &str = r#"{"model":"fitting","groups":["a"],"samples":1,"version":1}"#;
 
 #[parameterized(
-    nowhere = { Method::GET, "/v2/x", "", Type::NotFound },
-    method = { Method::GET, "/v1/completions", "", Type::Method },
-    service = { Method::GET, "/v1/services/voucher/x", "", Type::NotCovered },
-    model = { Method::POST, "/v1/completions", r#"{"model":"x","prompt":"p"}"#, Type::NotCovered },
-    no_json = { Method::POST, "/v1/completions", "{", Type::BadRequest },
+    unknown_path = { Method::GET, "/v2/x", "", Type::NotFound },
+    wrong_method = { Method::GET, "/v1/completions", "", Type::Method },
+    unknown_service = { Method::GET, "/v1/services/voucher/x", "", Type::NotCovered },
+    unknown_model = { Method::POST, "/v1/completions", r#"{"model":"x","prompt":"p"}"#, Type::NotCovered },
+    invalid_json = { Method::POST, "/v1/completions", "{", Type::BadRequest },
     no_prompt = { Method::POST, "/v1/completions", r#"{"model":"fitting"}"#, Type::BadRequest },
     unknown_field = {
         Method::POST, "/v1/completions", r#"{"model":"fitting","prompt":"p","x":1}"#,
@@ -58,11 +58,11 @@
         r#"{"model":"fitting","groups":[],"samples":1,"version":1}"#, Type::BadRequest
     },
     unknown_step = { Method::POST, "/v1/steps/x.nord-0/pull", r#"{"version":1}"#, Type::NotFound },
-    odd_step = { Method::POST, "/v1/steps/%00/pull", r#"{"version":1}"#, Type::NotFound },
-    end_unknown = { Method::DELETE, "/v1/steps/x.nord-0", "", Type::NotFound },
-    weights_model = { Method::POST, "/v1/weights/x", r#"{"version":1}"#, Type::NotCovered },
+    invalid_step = { Method::POST, "/v1/steps/%00/pull", r#"{"version":1}"#, Type::NotFound },
+    end_of_unknown_step = { Method::DELETE, "/v1/steps/x.nord-0", "", Type::NotFound },
+    weights_of_unknown_model = { Method::POST, "/v1/weights/x", r#"{"version":1}"#, Type::NotCovered },
 )]
-fn a_bad_call_is_refused_and_not_run(method: Method, path: &str, body: &str, expected: Type) {
+fn an_invalid_call_is_rejected_and_not_run(method: Method, path: &str, body: &str, expected: Type) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let to = rig.addrs()[0];
@@ -87,11 +87,11 @@
 }
 
 #[parameterized(
-    none = { None },
-    wrong = { Some("Bearer token-of-nobody") },
-    scheme = { Some("Basic dG9rZW4tYWFyaHVz") },
+    missing = { None },
+    unknown = { Some("Bearer token-of-nobody") },
+    wrong_scheme = { Some("Basic dG9rZW4tYWFyaHVz") },
 )]
-fn a_call_without_a_good_token_is_refused(header: Option<&str>) {
+fn a_call_without_a_valid_token_is_rejected(header: Option<&str>) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let mut lookup = Asked::lookup(rig.addrs()[0], "aarhus");
@@ -109,27 +109,32 @@
 
 #[parameterized(
     long_body = { Asked::body, "x-a", "1", Type::TooLarge },
-    deadline = { keep, "x-request-timeout-ms", "soon", Type::BadRequest },
-    no_time = { keep, "x-request-timeout-ms", "0", Type::BadRequest },
+    invalid_timeout = { unchanged, "x-request-timeout-ms", "soon", Type::BadRequest },
+    zero_timeout = { unchanged, "x-request-timeout-ms", "0", Type::BadRequest },
 )]
-fn bad_parts_are_named(body: fn(Asked, String) -> Asked, name: &str, value: &str, expected: Type) {
+fn an_invalid_part_is_rejected_by_its_type(
+    set_body: fn(Asked, String) -> Asked,
+    name: &str,
+    value: &str,
+    expected: Type,
+) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let order = Asked::order(rig.addrs()[0], "aarhus", "k").header(name, value);
 
-        let answer = body(order, "x".repeat(1_001)).send().await.unwrap();
+        let answer = set_body(order, "x".repeat(1_001)).send().await.unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, expected);
         assert!(rig.parts.ran().is_empty());
     });
 }
 
-fn keep(asked: Asked, _: String) -> Asked {
-    asked
+fn unchanged(call: Asked, _: String) -> Asked {
+    call
 }
 
-/// Sends the beginning of a request and nothing more; returns what comes back.
-async fn half(to: SocketAddr, text: &str) -> String {
+/// Sends the start of a request and nothing more; returns the response.
+async fn send_partial(to: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut answer = Vec::new();
@@ -138,9 +143,8 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-// Symptom: the instance takes no more calls.
-// Sequence: callers open connections, send half a request and stay.
-// Cause: no bound on the time in which headers or a body must come.
+// Guards against connections that are never released: callers connect, send part of a request and stay
+// connected. Without timeouts for headers and bodies, the instance runs out of connections.
 #[parameterized(
     headers = { "GET /v1/services/portal/x HTTP/1.1\r\nhost: a\r\n", "" },
     body = {
@@ -148,58 +152,65 @@
          authorization: Bearer token-aarhus\r\ncontent-length: 10\r\n\r\nhalf",
         "slow-request"
     },
-    garbage = { "\x16\x03\x01 no http at all\r\n\r\n", "400" },
+    not_http = { "\x16\x03\x01 no http at all\r\n\r\n", "400" },
 )]
-fn half_a_request_is_cut_off(text: &str, part: &str) {
+fn an_incomplete_request_times_out(text: &str, expected: &str) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let to = rig.addrs()[0];
 
-        let answer = half(to, text).await;
+        let answer = send_partial(to, text).await;
 
-        assert!(answer.contains(part), "{answer}");
+        assert!(answer.contains(expected), "{answer}");
         assert!(rig.parts.ran().is_empty());
         let after = Asked::lookup(to, "aarhus").send().await.unwrap();
         assert_eq!(after.status, StatusCode::OK);
     });
 }
 
-// Symptom: somebody on the network makes instances believe what is not so.
-// Sequence: a message for peers comes without the shared key's signature, or for another version.
-// Cause: peers that are believed by their address.
+// Guards against forged gossip: a message without a signature by the shared key, or for another protocol
+// version, must not be applied, whatever address it comes from.
 #[parameterized(
     unsigned = { None, "1", StatusCode::FORBIDDEN },
-    wrong = { Some("00"), "1", StatusCode::FORBIDDEN },
-    version = { Some("good"), "9", StatusCode::BAD_REQUEST },
-    no_message = { Some("good"), "1", StatusCode::BAD_REQUEST },
+    wrong_signature = { Some("00"), "1", StatusCode::FORBIDDEN },
+    wrong_version = { Some("valid"), "9", StatusCode::BAD_REQUEST },
+    invalid_message = { Some("valid"), "1", StatusCode::BAD_REQUEST },
 )]
-fn a_strange_peer_is_refused(sign: Option<&str>, version: &str, expected: StatusCode) {
+fn an_invalid_peer_message_is_rejected(
+    signature: Option<&str>,
+    version: &str,
+    expected: StatusCode,
+) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let path = wire::peer::PING;
         let secret = wire::peer::Secret::new(rig::parts::SECRET);
-        let good = secret.sign(path, b"x");
-        let mut asked = call(rig.addrs()[0], Method::POST, path, "x");
-        asked = asked.header(wire::peer::VERSION_HEADER, version);
-        if let Some(sign) = sign {
-            let sign = if sign == "good" { &good } else { sign };
-            asked = asked.header(wire::peer::MAC_HEADER, sign);
+        let valid = secret.sign(path, b"x");
+        let mut message = call(rig.addrs()[0], Method::POST, path, "x");
+        message = message.header(wire::peer::VERSION_HEADER, version);
+        if let Some(signature) = signature {
+            let signature = if signature == "valid" {
+                &valid
+            } else {
+                signature
+            };
+            message = message.header(wire::peer::MAC_HEADER, signature);
         }
 
-        let answer = asked.send().await.unwrap();
+        let answer = message.send().await.unwrap();
 
         assert_eq!(answer.status, expected);
     });
 }
 
 #[test]
-fn a_step_belongs_to_its_customer() {
+fn a_step_is_hidden_from_other_customers() {
     block(async {
         let mut make = make();
         make.contracts.push(contracts::text("other", ""));
         let rig = Rig::start(&make).await.unwrap();
         let to = rig.addrs()[0];
-        let opened = call(to, Method::POST, "/v1/steps", STEP)
+        let opened = call(to, Method::POST, "/v1/steps", OPEN_STEP)
             .send()
             .await
             .unwrap();
@@ -213,12 +224,12 @@
     });
 }
 
-/// Waits until a call is on its way to the service.
-async fn begun(rig: &Rig) {
+/// Waits until a call has been sent to the service.
+async fn wait_for_attempt(rig: &Rig) {
     let dispatcher = &rig.running().next().unwrap().app.dispatchers["portal"];
-    let under_way = || dispatcher.all(|all| all.iter().any(|one| one.outstanding > 0));
+    let has_attempt = || dispatcher.all(|all| all.iter().any(|u| u.outstanding > 0));
     let waiting = async {
-        while !under_way() {
+        while !has_attempt() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
@@ -227,12 +238,11 @@
         .expect("no call was sent to the service");
 }
 
-// Symptom: a lookup is refused with the promise that it has not run, and it has.
-// Sequence: an upstream runs it and its answer is lost; another call takes the place before the second attempt,
-// and the deadline passes while that waits.
-// Cause: the refusal looked at the attempt that was not begun, not at those before it.
+// Guards against a rejection that claims the call has not run although an earlier attempt has. An upstream
+// runs the lookup and its response is lost; other calls take the slot, and the deadline passes while the
+// second attempt is queued. The rejection must consider all attempts, not only the one that was not started.
 #[test]
-fn a_call_that_may_have_run_before_is_not_refused_as_not_run() {
+fn a_call_with_an_earlier_attempt_is_not_rejected_as_not_run() {
     block(async {
         let make = Make { slots: 1, ..make() };
         let rig = Rig::start(&make).await.unwrap();
@@ -245,7 +255,7 @@
 
         let first = lookup().header("x-request-timeout-ms", "170");
         let others = async {
-            begun(&rig).await;
+            wait_for_attempt(&rig).await;
             let calls = [lookup(), lookup(), lookup()];
             let _ = tokio::join!(calls[0].send(), calls[1].send(), calls[2].send());
         };
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -1,4 +1,5 @@
-//! Contracts in force: everywhere within seconds, never reverting, whatever the platform does.
+//! Replication of contracts: a change is in force on every entry within seconds and never reverts, whatever
+//! faults the platform has.
 
 use std::time::Duration;
 
@@ -29,11 +30,11 @@
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
-fn read(more: &str) -> Contract {
+fn contract(more: &str) -> Contract {
     ini::parse("test", &contracts::text("aarhus", more)).unwrap()
 }
 
-fn down() -> Fault {
+fn platform_down() -> Fault {
     Fault {
         down: true,
         ..Fault::default()
@@ -41,7 +42,12 @@
 }
 
 async fn apply(rig: &Rig, more: &str) -> i64 {
-    match rig.contracts().apply("op", None, read(more)).await.unwrap() {
+    match rig
+        .contracts()
+        .apply("op", None, contract(more))
+        .await
+        .unwrap()
+    {
         Applied::InForce(rev) => rev,
         other => panic!("{other:?}"),
     }
@@ -70,16 +76,15 @@
     });
 }
 
-// Symptom: a restarted instance turns every caller away while the platform is down.
-// Sequence: the platform goes away, an entry is killed and starts again.
-// Cause: contracts that only the platform can tell.
+// Guards against a restarted entry that rejects every caller during an outage of the platform: it is killed
+// and restarted while the platform is down, so it must get the contracts from its peers.
 #[test]
-fn a_restarted_entry_learns_from_its_peers() {
+fn a_restarted_entry_gets_contracts_from_its_peers() {
     block(async {
         let mut rig = Rig::start(&make()).await.unwrap();
         let rev = apply(&rig, "rate = 7\n").await;
         rig.reach(rev).await.unwrap();
-        rig.parts.platform.host.faults.set(down());
+        rig.parts.platform.host.faults.set(platform_down());
         rig.kill(2);
 
         rig.revive(2).await.unwrap();
@@ -96,11 +101,11 @@
     });
 }
 
-// Symptom: the balancer sends callers to an instance that refuses them all.
-// Sequence: an instance starts while neither the platform nor any peer can be reached.
-// Cause: readiness that only means that the process runs.
+// Guards against a balancer that sends callers to an instance that rejects them all: the instance starts
+// while neither the platform nor a peer is reachable, so it has no contracts and must not report itself
+// ready.
 #[test]
-fn an_entry_that_knows_nothing_is_not_ready() {
+fn an_entry_without_contracts_is_not_ready() {
     block(async {
         let make = Make {
             domains: vec!["nord"],
@@ -110,7 +115,7 @@
         };
         let mut rig = Rig::start(&make).await.unwrap();
         rig.kill(0);
-        rig.parts.platform.host.faults.set(down());
+        rig.parts.platform.host.faults.set(platform_down());
 
         rig.revive(0).await.unwrap();
 
@@ -130,17 +135,17 @@
     });
 }
 
-// Symptom: some instances stay on the old contract after the platform was away.
-// Sequence: the watch breaks; the change is made while it is broken, its revision compacted away.
-// Cause: following a watch without reading again.
+// Guards against instances that keep an old contract after an outage of the platform: the watch breaks, and
+// the contract changes before the watch is resumed. If the revision was compacted, only a full read finds the
+// change.
 #[parameterized(
-    gap = { false },
+    outage = { false },
     compacted = { true },
 )]
-fn changes_during_a_gap_are_found(compacted: bool) {
+fn changes_after_an_outage_are_found(compacted: bool) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        rig.parts.platform.host.faults.set(down());
+        rig.parts.platform.host.faults.set(platform_down());
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         rig.parts.platform.host.faults.set(Fault::default());
         let rev = apply(&rig, "rate = 9\n").await;
@@ -152,9 +157,9 @@
     });
 }
 
-// Symptom: contracts look unconfirmed though nothing is wrong, and instances that need not read do.
-// Sequence: nothing changes for a while, and the platform's watches say nothing meanwhile.
-// Cause: taking the silence of the reader's watch for news that are overdue.
+// Guards against contracts that count as unconfirmed in normal operation, so that instances other than the
+// reader read the platform too. Nothing changes for a while, and the platform's watches yield nothing; that
+// must not count as an outage.
 #[test]
 fn a_silent_watch_does_not_leave_contracts_unconfirmed() {
     block(async {
@@ -182,10 +187,10 @@
 }
 
 #[test]
-fn an_old_token_stops_working() {
+fn a_replaced_token_is_rejected() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let mut contract = read("");
+        let mut contract = contract("");
         contract.token_digest = contract::TokenDigest::of("token-new");
         let applied = rig.contracts().apply("op", None, contract).await.unwrap();
         let Applied::InForce(rev) = applied else {
@@ -203,11 +208,10 @@
     });
 }
 
-// Symptom: an operator's change vanishes without a word.
-// Sequence: two operators read the same revision, and both amend.
-// Cause: the last write wins.
+// Guards against a lost update: two operators read the same revision and both amend it. The second write must
+// fail with a conflict instead of replacing the first.
 #[test]
-fn of_two_operators_one_is_told_of_the_conflict() {
+fn the_second_of_two_conflicting_changes_is_rejected() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let contracts = rig.contracts();
@@ -215,11 +219,11 @@
         let base = contracts.show(&customer).await.unwrap().unwrap().rev;
 
         let first = contracts
-            .apply("ida", Some(base), read("rate = 5\n"))
+            .apply("ida", Some(base), contract("rate = 5\n"))
             .await
             .unwrap();
         let second = contracts
-            .apply("bo", Some(base), read("rate = 6\n"))
+            .apply("bo", Some(base), contract("rate = 6\n"))
             .await
             .unwrap();
 
@@ -232,42 +236,44 @@
                 .iter()
                 .any(|line| line.after.as_deref() == Some("rate = 5"))
         );
-        let trail = contracts.audit(Some(&customer)).await.unwrap();
-        let who: Vec<_> = trail.iter().map(|(_, audit)| &*audit.operator).collect();
-        assert_eq!(who, ["rig", "ida"]);
+        let audit_trail = contracts.audit(Some(&customer)).await.unwrap();
+        let operators: Vec<_> = audit_trail
+            .iter()
+            .map(|(_, audit)| &*audit.operator)
+            .collect();
+        assert_eq!(operators, ["rig", "ida"]);
     });
 }
 
 #[test]
-fn two_operators_at_the_same_moment_do_not_both_win() {
+fn only_one_of_concurrent_changes_is_applied() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let contracts = rig.contracts();
         let customer = "aarhus".parse().unwrap();
         let base = contracts.show(&customer).await.unwrap().unwrap().rev;
 
-        let tries: Vec<_> = (1..=8)
+        let tasks: Vec<_> = (1..=8)
             .map(|rate| {
                 let contracts = contracts.clone();
-                let contract = read(&format!("rate = {rate}\n"));
+                let contract = contract(&format!("rate = {rate}\n"));
                 tokio::spawn(async move { contracts.apply("op", Some(base), contract).await })
             })
             .collect();
-        let mut won = 0;
-        for one in tries {
-            let applied = one.await.unwrap().unwrap();
-            won += u32::from(matches!(applied, Applied::InForce(_)));
+        let mut in_force = 0;
+        for task in tasks {
+            let applied = task.await.unwrap().unwrap();
+            in_force += u32::from(matches!(applied, Applied::InForce(_)));
         }
 
-        assert_eq!(won, 1);
+        assert_eq!(in_force, 1);
     });
 }
 
-// Symptom: the tool says "failed" and the change is in force, or the reverse.
-// Sequence: the platform carries the write out, and its answer never comes.
-// Cause: taking silence for failure.
+// Guards against a change that is reported as failed although it is in force: the platform applies the write,
+// and its response is lost. The tool must read the result back.
 #[test]
-fn a_change_whose_answer_is_lost_is_settled() {
+fn a_change_with_a_lost_response_is_resolved() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let contracts = rig.contracts();
@@ -277,7 +283,7 @@
         faults.change(|fault| fault.mute_writes = 1);
 
         let applied = contracts
-            .apply("op", None, read("rate = 5\n"))
+            .apply("op", None, contract("rate = 5\n"))
             .await
             .unwrap();
 
@@ -289,7 +295,7 @@
 }
 
 #[test]
-fn a_change_that_cannot_be_settled_says_so() {
+fn a_change_that_cannot_be_resolved_is_reported_as_unknown() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let contracts = rig.contracts();
@@ -297,16 +303,16 @@
         faults.change(|fault| fault.mute_writes = u32::MAX);
         let customer = "aarhus".parse().unwrap();
 
-        let applied = contracts.apply("op", None, read("rate = 5\n"));
-        let down = async {
+        let applied = contracts.apply("op", None, contract("rate = 5\n"));
+        let outage = async {
             while rig.parts.platform.part.dump("/snipeway/audit/").len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             faults.change(|fault| fault.down = true);
         };
-        let (applied, ()) = tokio::join!(applied, down);
+        let (applied, ()) = tokio::join!(applied, outage);
 
-        // The read back may have come before the platform went down.
+        // The tool may have read the result back before the platform went down.
         let change = match applied.unwrap() {
             Applied::NotKnown { change } => change,
             Applied::InForce(_) => return,
@@ -319,10 +325,10 @@
 }
 
 #[test]
-fn two_customers_cannot_have_one_token() {
+fn two_customers_cannot_share_a_token() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let mut contract = read("");
+        let mut contract = contract("");
         contract.customer = "other".parse().unwrap();
 
         let error = rig
@@ -335,14 +341,14 @@
     });
 }
 
-// Symptom: an upstream that is leaving gets new work for as long as its peers' news take.
-// Sequence: the platform lists it as leaving; or it says so itself; a few instances hear of it.
-// Cause: each instance finding out for itself.
+// Guards against new calls to an upstream that is leaving. The platform lists it as leaving, or the upstream
+// reports it in its responses, so that only a few instances know at first; these must gossip it to all others
+// within seconds.
 #[parameterized(
     listed = { true },
-    said = { false },
+    reported = { false },
 )]
-fn a_leaving_upstream_gets_nothing_new_within_seconds(listed: bool) {
+fn a_leaving_upstream_gets_no_new_calls_after_seconds(listed: bool) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let leaving = &rig.parts.services[0];
@@ -356,7 +362,7 @@
             plat.txn(&txn).await.unwrap();
         } else {
             leaving.host.faults.change(|fault| fault.leaving = true);
-            // The first answer says so.
+            // The first response reports that the upstream is leaving.
             for _ in 0..8 {
                 for addr in rig.addrs() {
                     Asked::lookup(addr, "aarhus").send().await.unwrap();
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -1,4 +1,4 @@
-//! Completions: the whole answer to the caller's own request, or an error that says so.
+//! Completions: a caller gets the complete answer to its own request or an error.
 
 use std::time::Duration;
 
@@ -18,12 +18,13 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-const MEDIAN: u32 = 60;
+/// Median length of an engine's answers in tokens.
+const MEDIAN_TOKENS: u32 = 60;
 
 fn make() -> Make {
     Make {
         engine: engine::Make {
-            median: MEDIAN,
+            median: MEDIAN_TOKENS,
             ..engine::Make::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 20s\n")],
@@ -31,44 +32,45 @@
     }
 }
 
-fn ask(rig: &Rig, prompt: &str, stream: bool) -> Asked {
+fn completion(rig: &Rig, prompt: &str, stream: bool) -> Asked {
     let body = json!({
         "model": "fitting", "prompt": prompt, "max_tokens": 400, "seed": 7, "stream": stream,
     });
     Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body)
 }
 
-fn right(prompt: &str) -> String {
-    text::whole(prompt, 7, text::length(prompt, 7, MEDIAN, 400))
+/// Returns the complete answer to a prompt.
+fn expected_text(prompt: &str) -> String {
+    text::whole(prompt, 7, text::length(prompt, 7, MEDIAN_TOKENS, 400))
 }
 
-fn set(rig: &Rig, fault: Fault) {
+/// Sets the faults of all engines.
+fn set_fault(rig: &Rig, fault: Fault) {
     rig.parts
         .engines
         .iter()
         .for_each(|e| e.host.faults.set(fault));
 }
 
-// Symptom: a parent gets a mangled or shortened answer.
-// Sequence: the engine's stream is doubled and reordered, or cut once or twice on the way.
-// Cause: pieces joined in the order of arrival; the end of a connection taken for the end of the
-// answer.
+// Guards against a mangled or truncated answer: the engine's stream has duplicated and reordered chunks, or
+// its connection is cut once or twice. Chunks must not be joined in the order of arrival, and the end of a
+// connection must not be taken for the end of the answer.
 #[parameterized(
-    quiet = { Fault::default() },
+    no_fault = { Fault::default() },
     shuffled = { Fault { shuffle: true, ..Fault::default() } },
     cut = { Fault { cut: 3, ..Fault::default() } },
     slow = { Fault { slow: 3.0, ..Fault::default() } },
 )]
-fn answers_are_whole(fault: Fault) {
+fn answers_are_complete(fault: Fault) {
     tokio::runtime::Runtime::new().unwrap().block_on(async {
         let rig = Rig::start(&make()).await.unwrap();
-        set(&rig, fault);
-        let prompt = short();
+        set_fault(&rig, fault);
+        let prompt = short_prompt();
 
-        let answer = ask(&rig, &prompt, false).send().await.unwrap();
+        let answer = completion(&rig, &prompt, false).send().await.unwrap();
 
         let done: CompletionResponse = answer.json().unwrap();
-        assert_eq!(done.choices[0].text, right(&prompt));
+        assert_eq!(done.choices[0].text, expected_text(&prompt));
         let tokens = done.usage.unwrap().completion_tokens;
         let span = Span {
             from: 0,
@@ -79,19 +81,19 @@
     });
 }
 
-/// A prompt whose answer takes at most three cut streams of three chunks.
-fn short() -> String {
-    let fits = |prompt: &String| (30..72).contains(&text::length(prompt, 7, MEDIAN, 400));
+/// Returns a prompt whose answer takes at most three cut streams of three chunks.
+fn short_prompt() -> String {
+    let fits = |prompt: &String| (30..72).contains(&text::length(prompt, 7, MEDIAN_TOKENS, 400));
     (0..).map(|n| format!("case {n}")).find(fits).unwrap()
 }
 
-/// A prompt whose answer takes many chunks.
-fn long() -> String {
-    let fits = |prompt: &String| text::length(prompt, 7, MEDIAN, 400) > 120;
+/// Returns a prompt whose answer takes many chunks.
+fn long_prompt() -> String {
+    let fits = |prompt: &String| text::length(prompt, 7, MEDIAN_TOKENS, 400) > 120;
     (0..).map(|n| format!("case {n}")).find(fits).unwrap()
 }
 
-/// The events of a streamed answer.
+/// Returns the data of the events of a streamed answer.
 fn events(body: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(body).into_owned();
     let data = text.lines().filter_map(|line| line.strip_prefix("data: "));
@@ -99,11 +101,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_streamed_answer_is_whole_and_ends_with_done() {
+async fn a_streamed_answer_is_complete_and_ends_with_done() {
     let rig = Rig::start(&make()).await.unwrap();
-    let prompt = short();
+    let prompt = short_prompt();
 
-    let answer = ask(&rig, &prompt, true).send().await.unwrap();
+    let answer = completion(&rig, &prompt, true).send().await.unwrap();
 
     let events = events(&answer.body);
     assert_eq!(answer.header("content-type"), Some("text/event-stream"));
@@ -112,18 +114,17 @@
     let pieces: Vec<CompletionResponse> =
         pieces.map(|e| serde_json::from_str(e).unwrap()).collect();
     let text: String = pieces.iter().map(|p| p.choices[0].text.as_str()).collect();
-    assert_eq!(text, right(&prompt));
+    assert_eq!(text, expected_text(&prompt));
     assert!(pieces.len() > 2);
     assert!(pieces.last().unwrap().choices[0].finish_reason.is_some());
 }
 
-// Symptom: a caller takes half an answer for all of it.
-// Sequence: every engine dies in the middle of a stream whose first pieces were passed on.
-// Cause: ending the stream properly though the rest is missing.
+// Guards against a partial answer that looks complete: every engine's stream is cut after its first chunks
+// were passed on to the caller. The caller's stream must not end normally while the rest is missing.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_cannot_be_finished_says_so() {
+async fn a_stream_that_cannot_be_completed_fails() {
     let rig = Rig::start(&make()).await.unwrap();
-    set(
+    set_fault(
         &rig,
         Fault {
             cut: 1,
@@ -131,49 +132,48 @@
         },
     );
 
-    let answer = ask(&rig, &long(), true).send().await;
+    let answer = completion(&rig, &long_prompt(), true).send().await;
 
-    // The connection breaks after the error, so the body is not even whole as HTTP.
+    // The connection is closed after the error event, so the HTTP body is incomplete too.
     assert!(answer.is_err());
-    set(
+    set_fault(
         &rig,
         Fault {
             down: true,
             ..Fault::default()
         },
     );
-    let answer = ask(&rig, "a long case", false).send().await.unwrap();
+    let answer = completion(&rig, "a long case", false).send().await.unwrap();
     assert!(matches!(
         answer.problem().unwrap().kind,
         Type::Upstream | Type::NoUpstream
     ));
 }
 
-// Symptom: engines work for callers who have left.
-// Sequence: a caller closes its connection in the middle of a long stream.
-// Cause: an upstream request that outlives its caller.
+// Guards against engines that keep generating for a disconnected caller: the caller closes its connection
+// during a long stream, and the upstream request must be cancelled with it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_who_leaves_frees_the_engine() {
+async fn a_disconnected_caller_releases_the_engine() {
     let mut make = make();
     make.engine.speed = 20.0;
     let rig = Rig::start(&make).await.unwrap();
-    let asked = ask(&rig, "a long case", true);
-    let call = tokio::spawn(async move { asked.send().await });
+    let stream = completion(&rig, "a long case", true);
+    let call = tokio::spawn(async move { stream.send().await });
     let app = rig.running().next().unwrap().app.clone();
     let running = || app.dispatchers["fitting"].all(outstanding);
-    wait(|| running() == 1).await;
+    wait_until(|| running() == 1).await;
 
     call.abort();
 
-    wait(|| running() == 0).await;
-    let load = rig.parts.engines.iter().map(|e| e.host.addr);
-    for addr in load {
-        let free = async || {
+    wait_until(|| running() == 0).await;
+    let addrs = rig.parts.engines.iter().map(|e| e.host.addr);
+    for addr in addrs {
+        let is_free = async || {
             let load = Asked::new(addr, "-", Method::GET, wire::engine::LOAD);
             let load: wire::engine::LoadReport = load.send().await.unwrap().json().unwrap();
             load.running == 0
         };
-        while !free().await {
+        while !is_free().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -183,48 +183,46 @@
     all.iter().map(|u| u.outstanding).sum()
 }
 
-/// Waits for up to ten seconds.
-async fn wait(done: impl Fn() -> bool) {
+/// Waits up to ten seconds for a condition.
+async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..500 {
-        if done() {
+        if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("it did not happen within ten seconds");
+    panic!("the condition was not met within ten seconds");
 }
 
-// Symptom: a graceful stop cuts callers off.
-// Sequence: an entry is told to leave while a stream of seconds runs.
-// Cause: closing connections, or ending the process, as soon as it is told.
+// Guards against a drain that cuts callers off: an entry is drained while a stream runs for some more
+// seconds. It must wait for the stream before it closes connections.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_lets_a_running_stream_end_whole() {
+async fn a_drain_completes_a_running_stream() {
     let mut make = make();
     make.engine.speed = 80.0;
     let mut rig = Rig::start(&make).await.unwrap();
-    let asked = ask(&rig, &long(), true);
-    let call = tokio::spawn(async move { asked.send().await });
+    let stream = completion(&rig, &long_prompt(), true);
+    let call = tokio::spawn(async move { stream.send().await });
     let entry = rig.entries[0].take().unwrap();
     let app = entry.app.clone();
-    wait(|| app.dispatchers["fitting"].all(outstanding) == 1).await;
+    wait_until(|| app.dispatchers["fitting"].all(outstanding) == 1).await;
 
-    let whole = entry.drain().await;
+    let completed = entry.drain().await;
 
     let answer = call.await.unwrap().unwrap();
-    assert!(whole);
+    assert!(completed);
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(events(&answer.body).last().map(String::as_str), Some(DONE));
-    let refused = ask(&rig, "x", false).send().await.unwrap();
-    assert_eq!(refused.status, StatusCode::OK, "the other entry serves on");
+    let later = completion(&rig, "x", false).send().await.unwrap();
+    assert_eq!(later.status, StatusCode::OK, "the other entry still serves");
 }
 
-// Symptom: a caller is told only at its deadline that nothing can be done.
-// Sequence: every engine is out.
-// Cause: waiting in the hope that one returns.
+// Guards against a call that is rejected only at its deadline: every engine is leaving, so it must be
+// rejected at once instead of waiting for an engine to return.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_hopeless_call_is_refused_at_once() {
+async fn a_call_without_available_engines_is_rejected_at_once() {
     let rig = Rig::start(&make()).await.unwrap();
-    set(
+    set_fault(
         &rig,
         Fault {
             leaving: true,
@@ -233,14 +231,15 @@
     );
     let app = rig.running().next().unwrap().app.clone();
     let now = || app.clock.now();
-    let out = |u: &route::Upstream| u.health.availability(now()) == route::Availability::Leaving;
-    wait(|| app.dispatchers["fitting"].all(|all| all.iter().all(out))).await;
+    let is_leaving =
+        |u: &route::Upstream| u.health.availability(now()) == route::Availability::Leaving;
+    wait_until(|| app.dispatchers["fitting"].all(|all| all.iter().all(is_leaving))).await;
 
-    let asked = ask(&rig, "x", false);
+    let asked = completion(&rig, "x", false);
     let call = asked.send();
     let answer = tokio::time::timeout(Duration::from_secs(5), call).await;
 
-    let answer = answer.expect("refused long before the deadline of 20 s");
+    let answer = answer.expect("rejected long before the deadline of 20 s");
     let answer = answer.unwrap();
     assert_eq!(answer.problem().unwrap().kind, Type::NoUpstream);
     assert!(answer.header("retry-after").is_some());
