--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -86,7 +86,7 @@
 pub struct Weights {
     /// Interval between load reports of an engine, in milliseconds.
     pub poll_interval: Millis,
-    /// URL of the weight store, before `/MODEL/VERSION`; empty if engines know it themselves.
+    /// URL of the weight store, before `/MODEL/VERSION`; empty if engines have their own setting for it.
     pub store: String,
     /// Folder of this instance's weight cache; [`None`] if it has no disk.
     pub folder: Option<PathBuf>,
