--- a/crates/serve/src/gossip.rs
+++ b/crates/serve/src/gossip.rs
@@ -26,8 +26,8 @@
 
 use crate::App;
 use crate::limits;
+use crate::load_reports;
 use crate::meter;
-use crate::poll;
 
 /// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
@@ -254,7 +254,7 @@
             ..
         } => {
             for dispatcher in app.dispatchers.values() {
-                poll::apply_state(dispatcher, name, *version, *leaving);
+                load_reports::apply_state(dispatcher, name, *version, *leaving);
             }
         }
         Rumour::Crashes { report, .. } => app.crashes.merge(report),
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -13,8 +13,8 @@
 use crate::App;
 use crate::Settings;
 use crate::gossip;
+use crate::load_reports;
 use crate::meter;
-use crate::poll;
 use crate::router::router;
 use crate::suspect;
 use crate::sync;
@@ -84,7 +84,7 @@
         let tasks = vec![
             tokio::spawn(gossip::run(app.clone())),
             tokio::spawn(sync::run(app.clone())),
-            tokio::spawn(poll::run(app.clone())),
+            tokio::spawn(load_reports::run(app.clone())),
             tokio::spawn(suspect::run(app.clone())),
         ];
         log::info!(
