--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -38,6 +38,7 @@
 
 use crate::App;
 use crate::auth;
+use crate::crashes::OutgoingRequest;
 use crate::dispatcher::Dispatcher;
 use crate::forward;
 use crate::generate;
@@ -46,7 +47,6 @@
 use crate::limits;
 use crate::limits::LimitPermit;
 use crate::refuse;
-use crate::suspect::OutgoingRequest;
 use crate::trace::Trace;
 
 /// Serves `/v1/completions`.
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -39,12 +39,12 @@
 
 use crate::App;
 use crate::auth;
+use crate::crashes::OutgoingRequest;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::Permit;
 use crate::limits;
 use crate::limits::LimitPermit;
 use crate::refuse;
-use crate::suspect::OutgoingRequest;
 use crate::trace::Trace;
 
 /// Header by which an upstream says that it is leaving.
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -24,8 +24,8 @@
 use wire::engine::RUNNING;
 
 use crate::App;
+use crate::crashes::OutgoingRequest;
 use crate::dispatcher::Permit;
-use crate::suspect::OutgoingRequest;
 
 /// Silence after which a stream counts as cut. An engine that holds a request back for want of a
 /// slot sends nothing either, so this is long.
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -12,11 +12,11 @@
 
 use crate::App;
 use crate::Settings;
+use crate::crashes;
 use crate::gossip;
 use crate::load_reports;
 use crate::meter;
 use crate::router::router;
-use crate::suspect;
 use crate::sync;
 
 /// Time for which a leaving instance still accepts connections. The balancer polls readiness and sends callers
@@ -85,7 +85,7 @@
             tokio::spawn(gossip::run(app.clone())),
             tokio::spawn(sync::run(app.clone())),
             tokio::spawn(load_reports::run(app.clone())),
-            tokio::spawn(suspect::run(app.clone())),
+            tokio::spawn(crashes::run(app.clone())),
         ];
         log::info!(
             target: "entry",
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -19,6 +19,7 @@
 use super::score;
 use super::work::Work;
 use crate::App;
+use crate::crashes::OutgoingRequest;
 use crate::dispatcher::Permit;
 use crate::generate;
 use crate::generate::End;
@@ -27,7 +28,6 @@
 use crate::limits;
 use crate::limits::LimitPermit;
 use crate::meter;
-use crate::suspect::OutgoingRequest;
 
 /// Time that a sample may take at one engine.
 const LIMIT: Millis = 10 * 60_000;
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -20,7 +20,7 @@
 
 use super::work::Work;
 use crate::App;
-use crate::suspect::OutgoingRequest;
+use crate::crashes::OutgoingRequest;
 
 /// Time that a scorer has for one sample.
 const LIMIT: Millis = 5_000;
