--- a/crates/serve/src/complete.rs
+++ b/crates/serve/src/complete.rs
@@ -46,7 +46,7 @@
 use crate::generate::Sink;
 use crate::limits;
 use crate::limits::LimitPermit;
-use crate::refuse;
+use crate::reply;
 use crate::trace::Trace;
 
 /// Serves `/v1/completions`.
@@ -54,14 +54,14 @@
     let mut trace = Trace::begin("completion", app.clock);
     let job = match accept(&app, call, &mut trace).await {
         Ok(job) => job,
-        Err(problem) => return refuse::finish(&app, trace, Err(problem)),
+        Err(problem) => return reply::finish(&app, trace, Err(problem)),
     };
     if job.asked.stream {
         return stream(app, job, trace).await;
     }
     let result = run(&app, &job, &mut trace, &mut Quiet).await;
     let reply = result.map(|sample| body::json(StatusCode::OK, &whole(&job, trace.id, sample)));
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 /// A completion that passed its contract's limits.
@@ -336,7 +336,7 @@
                 Err(problem)
             }
         };
-        refuse::finish(&app, trace, result);
+        reply::finish(&app, trace, result);
     });
     reply
 }
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -44,7 +44,7 @@
 use crate::dispatcher::Permit;
 use crate::limits;
 use crate::limits::LimitPermit;
-use crate::refuse;
+use crate::reply;
 use crate::trace::Trace;
 
 /// Header by which an upstream says that it is leaving.
@@ -83,7 +83,7 @@
 pub async fn serve(app: Arc<App>, call: Call) -> Reply {
     let mut trace = Trace::begin("service", app.clock);
     let result = run(&app, call, &mut trace).await;
-    refuse::finish(&app, trace, result)
+    reply::finish(&app, trace, result)
 }
 
 fn no(kind: Type) -> Problem {
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod meter;
 pub mod operator;
 pub mod peer;
-pub mod refuse;
+pub mod reply;
 pub mod router;
 pub mod server;
 pub mod settings;
--- a/crates/serve/src/router.rs
+++ b/crates/serve/src/router.rs
@@ -22,7 +22,7 @@
 use crate::forward;
 use crate::operator;
 use crate::peer as peers;
-use crate::refuse;
+use crate::reply;
 use crate::steps;
 use crate::trace::Trace;
 use crate::weights;
@@ -132,7 +132,7 @@
     let trace = Trace::begin("unrouted", app.clock);
     let problem = Problem::new(kind, Attempt::new().refuse());
     let problem = problem.with_detail(format!("{} {}", call.method, call.uri.path()));
-    let reply = refuse::finish(app, trace, Err(problem));
+    let reply = reply::finish(app, trace, Err(problem));
     std::future::ready(reply)
 }
 
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -49,7 +49,7 @@
 use crate::complete;
 use crate::gossip;
 use crate::meter;
-use crate::refuse;
+use crate::reply;
 use crate::trace::Trace;
 use ledger::Head;
 use work::Work;
@@ -113,7 +113,7 @@
     let mut trace = Trace::begin("step-open", app.clock);
     let result = opened(&app, call, &mut trace).await;
     let reply = result.map(|opened| body::json(StatusCode::CREATED, &opened));
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 async fn opened(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
@@ -189,7 +189,7 @@
     let mut trace = Trace::begin("step-pull", app.clock);
     let result = pulled(&app, call, &mut trace).await;
     let reply = result.map(|batch| body::json(StatusCode::OK, &batch));
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 async fn pulled(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
@@ -294,7 +294,7 @@
         *reply.status_mut() = StatusCode::NO_CONTENT;
         reply
     });
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 async fn ended(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<(), Problem> {
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -26,7 +26,7 @@
 use crate::audit;
 use crate::auth;
 use crate::complete;
-use crate::refuse;
+use crate::reply;
 use crate::trace::Trace;
 
 /// Maximum number of attempts to write an announcement when other writers conflict with it.
@@ -50,7 +50,7 @@
     let mut trace = Trace::begin("weights", app.clock);
     let result = announce_version(&app, call, &mut trace).await;
     let reply = result.map(|version| body::json(StatusCode::OK, &AnnouncedVersion { version }));
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 async fn announce_version(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<u64, Problem> {
