--- a/crates/serve/src/history.rs
+++ b/crates/serve/src/history.rs
@@ -43,8 +43,8 @@
 const MAX_NOTES: usize = 64;
 
 impl History {
-    /// Adds the events of a subject. Beyond [`MAX_NOTES`] its oldest events are removed, and beyond
-    /// [`MAX_SUBJECTS`] the oldest subject is.
+    /// Adds the events of a subject. Removes its oldest events, or the oldest subject, when a maximum is
+    /// exceeded.
     pub fn record(&self, history: SubjectHistory) {
         let mut entries = self.entries.lock();
         let about = history.about.clone();
