--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -140,7 +140,7 @@
     let pools = read_sections(&mut doc, "pool", read_pool);
     let upstreams = read_upstreams(&mut doc, &pools);
     doc.finish()?;
-    // Unreachable: a missing section has reported an error, so `finish` has returned it.
+    // Unreachable: a missing value has been reported as an error, which `finish` returns.
     let missing = || SettingsErrors(Vec::new());
     Ok(Settings {
         me: me.ok_or_else(missing)?,
