--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -13,7 +13,7 @@
 use plat::keys;
 use route::UpstreamSpec;
 use serve::audit;
-use serve::weights::Version;
+use serve::weights::StoredVersion;
 use tokio::task::JoinSet;
 use weight::Action;
 use weight::Plan;
@@ -96,7 +96,7 @@
     async fn run_with_lease(&self, mut lease: Lease<Held>) {
         let name = self.lease_name();
         let fence = lease.fencing_token().0;
-        audit::line(
+        audit::log_change(
             &self.instance,
             "lease taken",
             &name,
@@ -127,7 +127,7 @@
             }
         }
         drop(guard);
-        audit::line(
+        audit::log_change(
             &self.instance,
             "lease lost",
             &name,
@@ -143,7 +143,7 @@
         let Ok(Some(item)) = self.platform.get(&keys::weight(&self.model)).await else {
             return;
         };
-        if let Ok(version) = serde_json::from_slice::<Version>(&item.value) {
+        if let Ok(version) = serde_json::from_slice::<StoredVersion>(&item.value) {
             plan.announce(version.version);
         }
     }
@@ -190,11 +190,11 @@
             Action::Order { engine, version } => self.send_order(&engine, version, lease).await,
             Action::Quarantine { engine, reason } => {
                 let reason = format!("{reason:?}");
-                audit::line(&self.instance, "quarantined", &engine, "", &reason, fence);
+                audit::log_change(&self.instance, "quarantined", &engine, "", &reason, fence);
                 true
             }
             Action::Release { engine } => {
-                audit::line(&self.instance, "out of quarantine", &engine, "", "", fence);
+                audit::log_change(&self.instance, "out of quarantine", &engine, "", "", fence);
                 true
             }
         }
@@ -215,7 +215,7 @@
         let outcome = orders::send(&self.http, engine, lease, self.clock, order).await;
         let fence = lease.fencing_token().0;
         let after = format!("load version {version}: {outcome:?}");
-        audit::line(&self.instance, "order", name, "", &after, fence);
+        audit::log_change(&self.instance, "order", name, "", &after, fence);
         !matches!(outcome, Outcome::Lapsed | Outcome::Fenced)
     }
 }
--- a/crates/operate/src/settings.rs
+++ b/crates/operate/src/settings.rs
@@ -5,11 +5,11 @@
 use conf::Document;
 use conf::SettingsErrors;
 use serve::settings::Peer;
-use serve::settings::many;
-use serve::settings::one;
-use serve::settings::peer;
-use serve::settings::platform;
-use serve::settings::secret;
+use serve::settings::read_peer;
+use serve::settings::read_platform;
+use serve::settings::read_secret;
+use serve::settings::read_section;
+use serve::settings::read_sections;
 use wire::peer::Secret;
 
 /// Settings of the operators' tool: the same sections as an instance has.
@@ -30,9 +30,9 @@
 /// Returns every mistake of the file at once.
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
-    let platform = one(&mut doc, "platform", platform);
-    let secret = one(&mut doc, "peers", secret);
-    let peers = many(&mut doc, "peer", peer);
+    let platform = read_section(&mut doc, "platform", read_platform);
+    let secret = read_section(&mut doc, "peers", read_secret);
+    let peers = read_sections(&mut doc, "peer", read_peer);
     doc.finish()?;
     let absent = || SettingsErrors(Vec::new());
     Ok(Settings {
--- a/crates/serve/src/completions.rs
+++ b/crates/serve/src/completions.rs
@@ -38,15 +38,15 @@
 
 use crate::App;
 use crate::auth;
+use crate::crashes::OutgoingRequest;
 use crate::dispatcher::Dispatcher;
 use crate::forward;
 use crate::generate;
 use crate::generate::AttemptResult;
 use crate::generate::Sink;
 use crate::limits;
-use crate::limits::Passage;
-use crate::refuse;
-use crate::suspect::Sent;
+use crate::limits::LimitPermit;
+use crate::reply;
 use crate::trace::Trace;
 
 /// Serves `/v1/completions`.
@@ -54,14 +54,14 @@
     let mut trace = Trace::begin("completion", app.clock);
     let job = match accept(&app, call, &mut trace).await {
         Ok(job) => job,
-        Err(problem) => return refuse::finish(&app, trace, Err(problem)),
+        Err(problem) => return reply::finish(&app, trace, Err(problem)),
     };
     if job.request.stream {
         return stream(app, job, trace).await;
     }
     let result = run(&app, &job, &mut trace, &mut DiscardSink).await;
     let reply = result.map(|sample| body::json(StatusCode::OK, &response(&job, trace.id, sample)));
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 /// A completion that was admitted by its contract's limits.
@@ -70,7 +70,7 @@
     dispatcher: Arc<Dispatcher>,
     entry: QueueEntry,
     class: u8,
-    passage: Passage,
+    passage: LimitPermit,
     deadline: Millis,
 }
 
@@ -114,7 +114,7 @@
 }
 
 async fn accept(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Job, Problem> {
-    let active_contract = auth::contract(app, &call, trace)?;
+    let active_contract = auth::authenticate(app, &call, trace)?;
     let contract = &active_contract.stored.contract;
     let deadline = app.clock.now() + forward::timeout(&call, contract)?;
     let request: CompletionRequest = parse_body(app, call.body).await?;
@@ -123,7 +123,7 @@
         return Err(deny(Type::BadRequest).with_detail(detail));
     }
     let dispatcher = engine_dispatcher(app, &active_contract, &request.model)?;
-    let passage = limits::pass(app, &active_contract, request.max_tokens, trace)?;
+    let passage = limits::admit(app, &active_contract, request.max_tokens, trace)?;
     let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
@@ -158,8 +158,8 @@
     let mut prior = Attempt::new().refuse();
     job.dispatcher.earn_retry();
     loop {
-        sent.check(app, job.deadline, prior).await?;
-        requirements.avoid.extend(sent.apart(app));
+        sent.check_quarantine(app, job.deadline, prior).await?;
+        requirements.avoid.extend(sent.upstreams_to_avoid(app));
         let permit = match job
             .dispatcher
             .acquire(&job.entry, requirements.clone(), job.deadline)
@@ -205,7 +205,7 @@
 
 /// Identifies a completion request; the result has the same fingerprint for all attempts and
 /// repetitions of the request by a customer.
-fn sent_request(job: &Job, trace: &Trace) -> Sent {
+fn sent_request(job: &Job, trace: &Trace) -> OutgoingRequest {
     let CompletionRequest {
         model,
         prompt,
@@ -218,13 +218,13 @@
     } = &job.request;
     let body = format!("{max_tokens} {seed:?} {temperature:?} {top_p:?} {stop:?} {prompt}");
     let customer = job.entry.customer.as_bytes();
-    Sent {
-        print: Fingerprint::new("POST", model, GENERATE, customer, body.as_bytes()),
+    OutgoingRequest {
+        fingerprint: Fingerprint::new("POST", model, GENERATE, customer, body.as_bytes()),
         id: trace.id.to_string(),
     }
 }
 
-fn attempt_spec(job: &Job, sent: &Sent, trace: &Trace) -> generate::AttemptSpec {
+fn attempt_spec(job: &Job, sent: &OutgoingRequest, trace: &Trace) -> generate::AttemptSpec {
     let attempt = trace.id.attempt(trace.attempts);
     generate::AttemptSpec {
         attempt,
@@ -346,7 +346,7 @@
                 Err(problem)
             }
         };
-        refuse::finish(&app, trace, result);
+        reply::finish(&app, trace, result);
     });
     reply
 }
--- a/crates/serve/src/dispatcher.rs
+++ b/crates/serve/src/dispatcher.rs
@@ -144,7 +144,7 @@
     /// Returns [`UnknownPlugin`] if the settings name an unknown queue order or chooser.
     pub fn new(
         pool: &settings::Pool,
-        me: &settings::Me,
+        me: &settings::Instance,
         upstreams: &[UpstreamSpec],
         clock: Clock,
     ) -> Result<Self, UnknownPlugin> {
@@ -245,7 +245,7 @@
 
     fn record_queue_length(&self, state: &State) {
         let (instance, pool) = (self.instance.to_string(), self.name.to_string());
-        metrics::gauge!(meter::QUEUED, "instance" => instance, "pool" => pool)
+        metrics::gauge!(meter::QUEUED_REQUESTS, "instance" => instance, "pool" => pool)
             .set(state.queue.len() as f64);
     }
 
@@ -285,7 +285,7 @@
         };
         let (instance, pool) = (self.instance.to_string(), self.name.to_string());
         metrics::counter!(
-            meter::ATTEMPTS, "instance" => instance, "pool" => pool, "outcome" => label
+            meter::UPSTREAM_ATTEMPTS, "instance" => instance, "pool" => pool, "outcome" => label
         )
         .increment(1);
         let now = self.clock.now();
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -39,12 +39,12 @@
 
 use crate::App;
 use crate::auth;
+use crate::crashes::OutgoingRequest;
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::Permit;
 use crate::limits;
-use crate::limits::Passage;
-use crate::refuse;
-use crate::suspect::Sent;
+use crate::limits::LimitPermit;
+use crate::reply;
 use crate::trace::Trace;
 
 /// Response header by which an upstream reports that it is leaving.
@@ -85,7 +85,7 @@
 pub async fn serve(app: Arc<App>, call: Call) -> Reply {
     let mut trace = Trace::begin("service", app.clock);
     let result = run(&app, call, &mut trace).await;
-    refuse::finish(&app, trace, result)
+    reply::finish(&app, trace, result)
 }
 
 /// Builds the refusal of a call of which nothing was sent to an upstream.
@@ -94,7 +94,7 @@
 }
 
 async fn run(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Reply, Problem> {
-    let active_contract = auth::contract(app, &call, trace)?;
+    let active_contract = auth::authenticate(app, &call, trace)?;
     let contract = &active_contract.stored.contract;
     let service = call.segment(2).to_owned();
     if !contract.has_service(&service) {
@@ -114,7 +114,7 @@
     let outbound = outbound(app, call, path, non_idempotent, deadline).await?;
     // The limits are checked before the key is claimed, so that a call that the contract does not
     // allow causes no write to the journal.
-    let passage = limits::pass(app, &active_contract, 0, trace)?;
+    let passage = limits::admit(app, &active_contract, 0, trace)?;
     let job = Job {
         dispatcher,
         entry: entry(contract),
@@ -133,7 +133,7 @@
     entry: QueueEntry,
     outbound: OutboundCall,
     #[expect(dead_code, reason = "its drop releases the concurrency slot")]
-    passage: Passage,
+    passage: LimitPermit,
 }
 
 fn entry(contract: &Contract) -> QueueEntry {
@@ -168,10 +168,10 @@
 /// Returns a refusal if the body is too large, arrives too slowly or is incomplete.
 pub async fn read_body(app: &App, body: gotham::helpers::http::Body) -> Result<Bytes, Problem> {
     let bounds = &app.settings.bounds;
-    let read = body::read(body, bounds.body);
+    let read = body::read(body, bounds.max_body);
     let with_error =
         |kind: Type, error: &body::ReadError| deny(kind).with_detail(error.to_string());
-    match tokio::time::timeout(bounds.patience, read).await {
+    match tokio::time::timeout(bounds.body_timeout, read).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(error @ body::ReadError::Long(_))) => Err(with_error(Type::TooLarge, &error)),
         Ok(Err(error)) => Err(with_error(Type::BadRequest, &error)),
@@ -220,14 +220,17 @@
     let mut requirements = Requirements::default();
     let print = fingerprint(&job.entry, dispatcher, outbound);
     let id = trace.id.to_string();
-    let sent = Sent { print, id };
+    let sent = OutgoingRequest {
+        fingerprint: print,
+        id,
+    };
     // Whether any earlier attempt may have run, since a refusal reports on all attempts.
     let mut prior = Attempt::new().refuse();
     dispatcher.earn_retry();
     loop {
         let attempt = Attempt::new();
-        sent.check(app, outbound.deadline, prior).await?;
-        requirements.avoid.extend(sent.apart(app));
+        sent.check_quarantine(app, outbound.deadline, prior).await?;
+        requirements.avoid.extend(sent.upstreams_to_avoid(app));
         let permit = match dispatcher
             .acquire(&job.entry, requirements.clone(), outbound.deadline)
             .await
@@ -241,7 +244,7 @@
         let upstream = permit.spec.name.clone();
         trace.upstream = Some(upstream.clone());
         trace.attempts += 1;
-        let suspect_guard = sent.stay(app, &permit.spec);
+        let suspect_guard = sent.track_suspect(app, &permit.spec);
         let (ran, error) = match send(app, job, &sent, permit, attempt).await {
             Ok(response) => return Ok(response),
             Err(failure) => failure,
@@ -300,7 +303,7 @@
 async fn send(
     app: &App,
     job: &Job,
-    sent: &Sent,
+    sent: &OutgoingRequest,
     permit: Permit,
     attempt: Attempt<Unsent>,
 ) -> Result<Response<Bytes>, (Ran, String)> {
@@ -321,7 +324,7 @@
     let left = (outbound.deadline + outbound.grace).saturating_sub(app.clock.now());
     let timeout = Duration::from_millis(left);
     let attempt = attempt.send();
-    let max_bytes = app.settings.bounds.answer;
+    let max_bytes = app.settings.bounds.max_answer;
     match app.http.fetch(request, timeout, max_bytes).await {
         Ok(response) => {
             record_headers(dispatcher, &permit.spec.name, &response);
@@ -331,7 +334,7 @@
             }
             permit.finish(!is_failure(response.status()));
             attempt.answer();
-            sent.answered(app, response.status());
+            sent.record_answer(app, response.status());
             Ok(response)
         }
         Err(SendError::Unconnected) => {
@@ -346,7 +349,7 @@
         Err(error) => {
             permit.finish(false);
             if matches!(error, SendError::Broken) {
-                sent.broke(app, &spec).await;
+                sent.check_crash(app, &spec).await;
             }
             Err((attempt.fail(), error.to_string()))
         }
--- a/crates/serve/src/forward/keyed.rs
+++ b/crates/serve/src/forward/keyed.rs
@@ -65,7 +65,7 @@
     };
     // A key may be at most half as old as its retention time, because clocks may differ by the
     // other half.
-    if created + app.settings.journal.keep / 2 < app.clock.wall() {
+    if created + app.settings.journal.retention / 2 < app.clock.wall() {
         return Err(Problem::new(Type::KeyExpired, Ran::Unknown));
     }
     Ok(())
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -24,8 +24,8 @@
 use wire::engine::RUNNING;
 
 use crate::App;
+use crate::crashes::OutgoingRequest;
 use crate::dispatcher::Permit;
-use crate::suspect::Sent;
 
 /// Time without data after which a stream is considered broken. It is long because an engine also
 /// sends nothing while a request waits there for a free slot.
@@ -88,7 +88,7 @@
     /// The request to the engine; its `resume` and `offset` are set from the assembly.
     pub request: GenerateRequest,
     /// The request as tracked for crashes of upstreams.
-    pub(crate) sent: Sent,
+    pub(crate) sent: OutgoingRequest,
     /// Lowest acceptable weight version.
     pub min_version: u64,
     /// Deadline on the monotonic clock, in milliseconds.
@@ -105,7 +105,7 @@
 ) -> AttemptResult {
     assembly.restart(spec.attempt);
     let left = spec.deadline.saturating_sub(app.clock.now());
-    let suspect_guard = spec.sent.stay(app, &permit.spec);
+    let suspect_guard = spec.sent.track_suspect(app, &permit.spec);
     let attempt = run_to_end(app, &permit, spec, assembly, sink);
     let result = match tokio::time::timeout(Duration::from_millis(left), attempt).await {
         Ok(result) => result,
@@ -113,9 +113,9 @@
     };
     record_version(app, &permit, assembly.version());
     match &result {
-        AttemptResult::Complete => spec.sent.whole(app),
+        AttemptResult::Complete => spec.sent.record_success(app),
         AttemptResult::Failed(Ran::Unknown, AttemptError::Broken) => {
-            spec.sent.broke(app, &permit.spec).await
+            spec.sent.check_crash(app, &permit.spec).await
         }
         AttemptResult::Failed(..) | AttemptResult::Cancelled => (),
     }
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -69,7 +69,7 @@
     pub fn new(settings: settings::Journal, plat: Client, clock: Clock) -> Self {
         let shard = |_| {
             Arc::new(SharedShard {
-                shard: Mutex::new(Shard::new(settings.keep)),
+                shard: Mutex::new(Shard::new(settings.retention)),
                 pending: Notify::new(),
                 decided: Notify::new(),
                 failures: AtomicU32::new(0),
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -49,7 +49,7 @@
 use crate::completions;
 use crate::gossip;
 use crate::meter;
-use crate::refuse;
+use crate::reply;
 use crate::trace::Trace;
 use active::ActiveStep;
 use storage::Head;
@@ -115,11 +115,11 @@
     let mut trace = Trace::begin("step-open", app.clock);
     let result = handle_open(&app, call, &mut trace).await;
     let reply = result.map(|opened| body::json(StatusCode::CREATED, &opened));
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 async fn handle_open(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<OpenedStep, Problem> {
-    let active_contract = auth::contract(app, &call, trace)?;
+    let active_contract = auth::authenticate(app, &call, trace)?;
     let open: OpenStep = completions::parse_body(app, call.body).await?;
     completions::engine_dispatcher(app, &active_contract, &open.model)?;
     let contract = &active_contract.stored.contract;
@@ -193,11 +193,11 @@
     let mut trace = Trace::begin("step-pull", app.clock);
     let result = handle_pull(&app, call, &mut trace).await;
     let reply = result.map(|batch| body::json(StatusCode::OK, &batch));
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 async fn handle_pull(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
-    let contract = auth::contract(app, &call, trace)?;
+    let contract = auth::authenticate(app, &call, trace)?;
     let step = call.segment(2).to_owned();
     let pull: PullRequest = completions::parse_body(app, call.body).await?;
     let customer = contract.stored.contract.customer.clone();
@@ -264,7 +264,7 @@
 fn count_delivered(app: &App, customer: &Name, samples: usize) {
     let instance = app.settings.me.name.to_string();
     let customer = customer.to_string();
-    metrics::counter!(meter::SAMPLES, "instance" => instance, "customer" => customer)
+    metrics::counter!(meter::DELIVERED_SAMPLES, "instance" => instance, "customer" => customer)
         .increment(samples as u64);
 }
 
@@ -281,7 +281,7 @@
     if head.customer != message.customer {
         return Err(deny(Type::NotFound).with_detail("step"));
     }
-    let contract = app.book.read().by_name(&head.customer).cloned();
+    let contract = app.contracts.read().by_name(&head.customer).cloned();
     let contract = contract.ok_or_else(|| deny(Type::Unauthorized))?;
     let total = head.spec.total();
     let cursor = Cursor::parse(&message.pull.cursor, total);
@@ -299,11 +299,11 @@
         *reply.status_mut() = StatusCode::NO_CONTENT;
         reply
     });
-    refuse::finish(&app, trace, reply)
+    reply::finish(&app, trace, reply)
 }
 
 async fn handle_end(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<(), Problem> {
-    let contract = auth::contract(app, &call, trace)?;
+    let contract = auth::authenticate(app, &call, trace)?;
     let customer = contract.stored.contract.customer.clone();
     let step = call.segment(2).to_owned();
     let message = StepEnd { step, customer };
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -19,15 +19,15 @@
 use super::active::ActiveStep;
 use super::score;
 use crate::App;
+use crate::crashes::OutgoingRequest;
 use crate::dispatcher::Permit;
 use crate::generate;
 use crate::generate::AttemptError;
 use crate::generate::AttemptResult;
 use crate::generate::Sink;
 use crate::limits;
-use crate::limits::Passage;
+use crate::limits::LimitPermit;
 use crate::meter;
-use crate::suspect::Sent;
 
 /// Maximum time that an attempt waits for an engine, and separately that it runs there.
 const ATTEMPT_TIMEOUT: Millis = 10 * 60_000;
@@ -63,18 +63,18 @@
 /// Makes one attempt at a sample and records its result in the step.
 pub(super) async fn attempt(app: &Arc<App>, step: &ActiveStep, assignment: Assignment) {
     let (index, ordinal) = (assignment.index, assignment.ordinal);
-    let contract = app.book.read().by_name(step.customer()).cloned();
+    let contract = app.contracts.read().by_name(step.customer()).cloned();
     let Some(contract) = contract else {
         give_back(step, index, ordinal, assignment.partial, MIN_RETRY_DELAY).await;
         return;
     };
     let sent = sent_request(step, &assignment);
-    if app.crashes.is_blocked(|| sent.print.into()) {
+    if app.crashes.is_blocked(|| sent.fingerprint.into()) {
         // A quarantined sample stays in the step until the trainer ends the step.
         give_back(step, index, ordinal, assignment.partial, MAX_RETRY_DELAY).await;
         return;
     }
-    let passage = match limits::pass_sample(app, &contract, f64::from(assignment.max_tokens)) {
+    let passage = match limits::admit_sample(app, &contract, f64::from(assignment.max_tokens)) {
         Ok(passage) => passage,
         Err(delay) => {
             give_back(
@@ -108,14 +108,14 @@
 }
 
 /// Identifies the request for a sample; the result is equal for all its attempts in a step.
-fn sent_request(step: &ActiveStep, assignment: &Assignment) -> Sent {
+fn sent_request(step: &ActiveStep, assignment: &Assignment) -> OutgoingRequest {
     let (customer, model) = (step.customer().as_bytes(), &step.dispatcher.name);
     let body = format!(
         "{} {} {}",
         assignment.index, assignment.max_tokens, assignment.prompt
     );
-    Sent {
-        print: Fingerprint::new("POST", model, GENERATE, customer, body.as_bytes()),
+    OutgoingRequest {
+        fingerprint: Fingerprint::new("POST", model, GENERATE, customer, body.as_bytes()),
         id: step.request.to_string(),
     }
 }
@@ -144,7 +144,7 @@
     };
     let avoid = step.avoid.lock().get(&assignment.index).cloned();
     let mut avoid: Vec<_> = avoid.into_iter().collect();
-    avoid.extend(sent_request(step, assignment).apart(app));
+    avoid.extend(sent_request(step, assignment).upstreams_to_avoid(app));
     let requirements = Requirements {
         blocks: blocks(&assignment.prompt),
         min_version: assignment.min_version,
@@ -162,9 +162,9 @@
     app: &Arc<App>,
     step: &ActiveStep,
     assignment: Assignment,
-    sent: Sent,
+    sent: OutgoingRequest,
     permit: Permit,
-    passage: &Passage,
+    passage: &LimitPermit,
 ) {
     let (index, ordinal) = (assignment.index, assignment.ordinal);
     let engine = permit.spec.name.clone();
@@ -228,7 +228,7 @@
         FinishResult::Stale => {
             let instance = app.settings.me.name.to_string();
             let customer = step.customer().to_string();
-            metrics::counter!(meter::STALE, "instance" => instance, "customer" => customer)
+            metrics::counter!(meter::STALE_SAMPLES, "instance" => instance, "customer" => customer)
                 .increment(1);
         }
     }
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -20,7 +20,7 @@
 
 use super::active::ActiveStep;
 use crate::App;
-use crate::suspect::Sent;
+use crate::crashes::OutgoingRequest;
 
 /// Timeout of a scoring request.
 const SCORE_TIMEOUT: Millis = 5_000;
@@ -57,7 +57,7 @@
 pub(super) async fn score(app: &App, step: &ActiveStep, prompt: &str, sample: &mut Sample) {
     let mut attempts = 0;
     loop {
-        let active_contract = app.book.read().by_name(step.customer()).cloned();
+        let active_contract = app.contracts.read().by_name(step.customer()).cloned();
         let Some(active_contract) = active_contract else {
             return;
         };
@@ -110,16 +110,16 @@
     };
     let customer = contract.customer.as_bytes();
     let body = format!("{prompt} {text}");
-    let sent = Sent {
-        print: Fingerprint::new("POST", scorer, SCORE, customer, body.as_bytes()),
+    let sent = OutgoingRequest {
+        fingerprint: Fingerprint::new("POST", scorer, SCORE, customer, body.as_bytes()),
         id: step.request.to_string(),
     };
-    if app.crashes.is_blocked(|| sent.print.into()) {
+    if app.crashes.is_blocked(|| sent.fingerprint.into()) {
         return Err(ScoreError::Quarantined);
     }
     let deadline = app.clock.now() + SCORE_TIMEOUT;
     let requirements = Requirements {
-        avoid: sent.apart(app),
+        avoid: sent.upstreams_to_avoid(app),
         ..Requirements::default()
     };
     let permit = dispatcher.acquire(&entry, requirements, deadline).await;
@@ -132,13 +132,13 @@
     let uri = uri(permit.spec.addr, SCORE);
     let timeout = Duration::from_millis(SCORE_TIMEOUT);
     let spec = permit.spec.clone();
-    let suspect_guard = sent.stay(app, &spec);
+    let suspect_guard = sent.track_suspect(app, &spec);
     let result: Result<ScoreResponse, _> =
         app.http.json(Method::POST, &uri, &request, timeout).await;
     permit.finish(result.is_ok());
     match &result {
-        Ok(_) => sent.whole(app),
-        Err(JsonError::Send(SendError::Broken)) => sent.broke(app, &spec).await,
+        Ok(_) => sent.record_success(app),
+        Err(JsonError::Send(SendError::Broken)) => sent.check_crash(app, &spec).await,
         Err(_) => (),
     }
     drop(suspect_guard);
--- /dev/null
+++ b/crates/serve/tests/quarantine.rs
@@ -0,0 +1,213 @@
+//! Quarantine of requests that crash the upstreams that run them.
+
+use std::time::Duration;
+
+use http::Method;
+use http::StatusCode;
+use rig::Asked;
+use rig::Make;
+use rig::Rig;
+use rig::contracts;
+use serde_json::json;
+use standin::Faults;
+use standin::fault::FATAL;
+use wire::Problem;
+use wire::caller::Batch;
+use wire::caller::OpenedStep;
+use wire::problem::Type;
+use yare::parameterized;
+
+/// Maximum number of upstreams that one request may crash: three, and one more while the third is being
+/// checked.
+const MAX_CRASHES: usize = 4;
+
+/// Time for crash reports to reach all instances: some probe intervals.
+const GOSSIP_DELAY: Duration = Duration::from_secs(6);
+
+fn block<F: Future>(future: F) -> F::Output {
+    tokio::runtime::Runtime::new().unwrap().block_on(future)
+}
+
+/// Starts two failure domains with two entries each, and upstreams that crash on a body that contains
+/// [`FATAL`].
+async fn start_rig(more: &str) -> Rig {
+    let make = Make {
+        entries: 2,
+        engines: 4,
+        services: 4,
+        contracts: vec![contracts::text("aarhus", more)],
+        ..Make::default()
+    };
+    let rig = Rig::start(&make).await.unwrap();
+    for faults in services(&rig).chain(engines(&rig)) {
+        faults.change(|fault| fault.fatal = true);
+    }
+    rig
+}
+
+fn services(rig: &Rig) -> impl Iterator<Item = &Faults> {
+    rig.parts.services.iter().map(|part| &part.host.faults)
+}
+
+fn engines(rig: &Rig) -> impl Iterator<Item = &Faults> {
+    rig.parts.engines.iter().map(|part| &part.host.faults)
+}
+
+/// Returns the number of upstreams that have crashed.
+fn crash_count<'a>(all: impl Iterator<Item = &'a Faults>) -> usize {
+    all.filter(|faults| faults.get().down).count()
+}
+
+fn update(rig: &Rig, entry: usize, body: &'static str) -> Asked {
+    let path = "/v1/services/portal/size/1";
+    Asked::new(rig.addrs()[entry], "aarhus", Method::PUT, path).body(body)
+}
+
+async fn send_for_problem(call: Asked) -> Problem {
+    call.send().await.unwrap().problem().unwrap()
+}
+
+// Guards against losing every upstream of a service to one call. Each attempt has a new request identifier
+// and crashes its upstream; without crash counts by fingerprint, this entry and the others retry it on the
+// next upstream.
+#[test]
+fn a_call_that_crashes_its_upstreams_is_quarantined() {
+    block(async {
+        let mut rig = start_rig("").await;
+
+        let first = send_for_problem(update(&rig, 0, FATAL)).await;
+        tokio::time::sleep(GOSSIP_DELAY).await;
+        let repeated = send_for_problem(update(&rig, 0, FATAL)).await;
+        let crashed = crash_count(services(&rig));
+        let other_entry = send_for_problem(update(&rig, 3, FATAL)).await;
+        let harmless = update(&rig, 3, "hello").send().await.unwrap();
+        for entry in 0..4 {
+            rig.kill(entry);
+            rig.revive(entry).await.unwrap();
+        }
+        rig.reach(1).await.unwrap();
+        tokio::time::sleep(Duration::from_millis(500)).await;
+        let after_restart = send_for_problem(update(&rig, 1, FATAL)).await;
+
+        assert!(crashed <= MAX_CRASHES, "{crashed} upstreams crashed");
+        assert_eq!(first.ran, route::Ran::Unknown);
+        for problem in [repeated, other_entry, after_restart] {
+            assert_eq!(
+                (problem.kind, problem.ran),
+                (Type::Quarantined, route::Ran::No)
+            );
+            assert!(problem.retry_after_ms > Some(500_000));
+        }
+        assert_eq!(crash_count(services(&rig)), crashed);
+        assert_eq!(harmless.status, StatusCode::OK);
+    });
+}
+
+// Guards against the same loss by non-idempotent calls: each idempotency key is a new call, and without a
+// common fingerprint each of them crashes another upstream.
+#[test]
+fn an_order_that_crashes_its_upstreams_is_quarantined() {
+    block(async {
+        let rig = start_rig("").await;
+        let order = |number: usize| {
+            let order = Asked::order(rig.addrs()[0], "aarhus", &format!("key-{number}"));
+            order.body(FATAL)
+        };
+
+        let mut kinds = Vec::new();
+        for number in 0..7 {
+            kinds.push(send_for_problem(order(number)).await.kind);
+        }
+
+        let crashed = crash_count(services(&rig));
+        assert!(crashed <= MAX_CRASHES, "{crashed} upstreams crashed");
+        assert_eq!(kinds.last(), Some(&Type::Quarantined));
+    });
+}
+
+#[parameterized(
+    whole = { false },
+    streamed = { true },
+)]
+fn a_completion_that_crashes_its_engines_is_quarantined(stream: bool) {
+    block(async {
+        let rig = start_rig("deadline = 20s\n").await;
+        let body = json!({
+            "model": "fitting", "prompt": "a fatal case", "max_tokens": 40, "seed": 7,
+            "stream": stream,
+        });
+
+        for _ in 0..4 {
+            let call = Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body);
+            // A failed stream is cut off, so that it does not look complete; sending then returns an error.
+            let _ = call.send().await;
+        }
+
+        let crashed = crash_count(engines(&rig));
+        assert!(
+            (3..=MAX_CRASHES).contains(&crashed),
+            "{crashed} engines crashed"
+        );
+    });
+}
+
+// Guards against a sample that crashes one engine after another: each crash also interrupts the other samples
+// of the step that run there.
+#[test]
+fn a_sample_that_crashes_its_engines_is_quarantined() {
+    block(async {
+        let rig = start_rig("staleness = 1\n").await;
+        let open = json!({
+            "model": "fitting", "groups": ["case 0", "a fatal case", "case 2"], "samples": 1,
+            "max_tokens": 40, "version": 1,
+        });
+        let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
+        let opened: OpenedStep = opened.send().await.unwrap().json().unwrap();
+
+        let (mut cursor, mut indices) = (String::new(), Vec::new());
+        for _ in 0..16 {
+            let path = format!("/v1/steps/{}/pull", opened.step);
+            let pull = json!({"version": 1, "cursor": cursor, "limit": 9, "wait_ms": 300});
+            let answer = Asked::json(rig.addrs()[0], "aarhus", &path, &pull)
+                .send()
+                .await;
+            let batch: Batch = answer.unwrap().json().unwrap();
+            indices.extend(batch.samples.iter().map(|sample| sample.index));
+            cursor = batch.cursor;
+        }
+
+        let crashed = crash_count(engines(&rig));
+        assert!(
+            (3..=MAX_CRASHES).contains(&crashed),
+            "{crashed} engines crashed"
+        );
+        indices.sort_unstable();
+        assert_eq!(indices, [0, 2]);
+    });
+}
+
+// Guards against a score request that crashes one scorer after another.
+#[test]
+fn a_score_request_that_crashes_its_scorers_is_quarantined() {
+    block(async {
+        let rig = start_rig("staleness = 1\nscorer = portal\nunscored = wait\n").await;
+        for faults in engines(&rig) {
+            faults.change(|fault| fault.fatal = false);
+        }
+        let open = json!({
+            "model": "fitting", "groups": ["a fatal case", "case 1"], "samples": 1,
+            "max_tokens": 40, "version": 1,
+        });
+
+        let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
+        let status = opened.send().await.unwrap().status;
+        tokio::time::sleep(Duration::from_secs(4)).await;
+
+        assert!(status.is_success());
+        let crashed = crash_count(services(&rig));
+        assert!(
+            (3..=MAX_CRASHES).contains(&crashed),
+            "{crashed} scorers crashed"
+        );
+    });
+}
