--- a/crates/serve/src/meter.rs
+++ b/crates/serve/src/meter.rs
@@ -61,7 +61,7 @@
     );
     metrics::describe_gauge!(PLATFORM_CALLS, "calls of the platform by kind");
     metrics::describe_gauge!(CONTRACT_REVISION, "the newest contract revision in force");
-    metrics::describe_gauge!(MEMBERS, "live instances in this instance's view");
+    metrics::describe_gauge!(MEMBERS, "live instances in this one's eyes");
     metrics::describe_counter!(DELIVERED_SAMPLES, "samples delivered to trainers");
     metrics::describe_counter!(
         crash::CRASHES_METRIC,
