--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of messages.
+//! Bodies of requests and responses.
 
 use std::io;
 
@@ -18,29 +18,29 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-/// The answer to a call.
+/// Response of a server to a [`Call`](crate::Call).
 pub type Reply = Response<Body>;
 
-/// Why a body could not be read whole.
+/// Error while reading a body.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum ReadError {
-    /// It has more bytes than are allowed.
+    /// The body exceeds the limit, in bytes.
     #[error("the body has more than {0} bytes")]
     Long(usize),
-    /// The connection broke before its end.
+    /// The connection broke before the end of the body.
     #[error("the body was cut off")]
     Cut,
-    /// It did not come in time.
+    /// The body did not arrive in time.
     #[error("the body did not come in time")]
     Late,
 }
 
-/// Reads a body whole.
+/// Reads a whole body.
 ///
 /// # Errors
 ///
-/// Returns [`ReadError`] when it is longer than `limit` bytes or does not come to its end.
+/// Returns [`ReadError`] when the body is longer than `limit` bytes or the connection breaks before its end.
 pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, ReadError>
 where
     B: http_body::Body<Data = Bytes>,
@@ -53,30 +53,30 @@
     }
 }
 
-/// Makes a body of bytes that are there already.
+/// Creates a body from bytes in memory.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     let body = Full::new(bytes.into());
     Body::new(body.map_err(|never| match never {}))
 }
 
-/// Passes a body on as it comes, without holding more of it than a connection does. One that breaks
-/// ends the connection to the receiver without its proper end.
+/// Forwards a received body chunk by chunk, without buffering it. When the sender's connection breaks, the
+/// receiver's connection is closed before the end of the body.
 pub fn pass(body: Incoming) -> Body {
     Body::new(body.map_err(io::Error::other))
 }
 
-/// The sending end of a body that is made while it is sent.
+/// Sender of the chunks of a streamed body.
 ///
-/// An error ends the connection without the body's proper end, so that the receiver sees that it
-/// was cut.
+/// Sending an error closes the connection before the end of the body, so that the receiver notices that it is
+/// truncated.
 pub type Sender = mpsc::Sender<io::Result<Bytes>>;
 
-/// Chunks of a streamed body that may wait for a slow receiver.
-const CHUNKS: usize = 32;
+/// Limit on the number of chunks buffered for a slow receiver.
+const MAX_BUFFERED_CHUNKS: usize = 32;
 
-/// Makes a body that is sent as its chunks come.
+/// Creates a streamed body and the sender of its chunks.
 pub fn stream() -> (Sender, Body) {
-    let (sender, receiver) = mpsc::channel(CHUNKS);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let chunks = futures_util::stream::unfold(receiver, |mut receiver| async {
         let chunk: io::Result<Bytes> = receiver.recv().await?;
         Some((chunk, receiver))
@@ -85,7 +85,7 @@
     (sender, Body::new(StreamBody::new(frames)))
 }
 
-/// Makes an answer with a body of a given type.
+/// Creates a response with a body of the content type `kind`.
 pub fn reply(status: StatusCode, kind: &'static str, bytes: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(full(bytes));
     *reply.status_mut() = status;
@@ -94,12 +94,12 @@
     reply
 }
 
-/// Makes an answer whose body is JSON.
+/// Creates a response with a JSON body; when the value can't be encoded, an empty one with status 500.
 pub fn json<T: serde::Serialize>(status: StatusCode, value: &T) -> Reply {
     match serde_json::to_vec(value) {
         Ok(bytes) => reply(status, "application/json", bytes),
         Err(error) => {
-            log::error!(error = error.to_string().as_str(); "could not encode an answer");
+            log::error!(error = error.to_string().as_str(); "could not encode a JSON response");
             reply(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "text/plain",
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that tells a failed connect from a request that may have been received.
+//! HTTP client that distinguishes a failed connect from a request that the server may have received.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -21,52 +21,52 @@
 use crate::body;
 use crate::connect::Connector;
 
-/// Time for which an idle connection is kept; below the usual limit of servers, so that a request
-/// is rarely sent into a connection that its server is closing.
-const IDLE: Duration = Duration::from_secs(3);
+/// Time for which an idle connection is kept. It is below the usual idle timeout of servers, so that a request is
+/// rarely sent on a connection that its server is closing.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Silence after which the kernel asks the other end whether it is still there.
+/// Idle time after which the kernel sends the first TCP keepalive probe.
 ///
-/// A connection may go silent for good while new ones work, and a waiting watch would then hear
-/// nothing of a change until its own time is over. With the pause and the tries below such a
-/// connection is given up after two seconds.
-const PROBE: Duration = Duration::from_secs(1);
+/// A connection may be dropped silently while new ones work, and a watch that waits on it would not receive a change
+/// before its own timeout. With the interval and the number of probes below, such a connection is closed after two
+/// seconds.
+const KEEPALIVE_TIME: Duration = Duration::from_secs(1);
 
-/// Pause between two of these questions.
-const PROBE_PAUSE: Duration = Duration::from_millis(500);
+/// Time between two keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Questions without an answer after which a connection is given up.
-const PROBES: u32 = 2;
+/// Number of unanswered keepalive probes after which a connection is closed.
+const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Time after which sent bytes that nobody acknowledged end their connection.
-const UNACKED: Duration = Duration::from_secs(2);
+/// Time after which a connection with unacknowledged bytes is closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time that a connect may take.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Timeout of a connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why there is no answer.
+/// Error of a request without a usable response.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum SendError {
-    /// No connection was made: nothing was sent.
+    /// No connection was established, so nothing was sent.
     #[error("could not connect")]
     Unconnected,
-    /// The connection broke after the request was sent, or while it was.
+    /// The connection broke while the request was sent, or afterwards.
     #[error("the connection broke")]
     Broken,
-    /// No answer came in time.
+    /// No response arrived in time.
     #[error("no answer came in time")]
     Late,
-    /// The answer is longer than allowed.
+    /// The response is longer than allowed.
     #[error("the answer is too long")]
     Long,
-    /// The answer's body is not what it should be.
+    /// The response's body could not be decoded.
     #[error("the answer could not be understood")]
     Garbled,
 }
 
 impl SendError {
-    /// Tells whether it is certain that nothing was sent.
+    /// Returns whether it is certain that nothing was sent.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Unconnected)
     }
@@ -82,16 +82,16 @@
     }
 }
 
-/// Tells whether an address refuses connections, as one does that nobody listens on.
+/// Returns whether an address refuses connections within `limit`, as one without a listener does.
 pub async fn refuses(addr: SocketAddr, limit: Duration) -> bool {
-    let opening = tokio::time::timeout(limit, TcpStream::connect(addr)).await;
-    matches!(opening, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
+    let connected = tokio::time::timeout(limit, TcpStream::connect(addr)).await;
+    matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Tells whether an address accepts connections.
+/// Returns whether an address accepts a connection within `limit`.
 pub async fn accepts(addr: SocketAddr, limit: Duration) -> bool {
-    let opening = tokio::time::timeout(limit, TcpStream::connect(addr)).await;
-    matches!(opening, Ok(Ok(_)))
+    let connected = tokio::time::timeout(limit, TcpStream::connect(addr)).await;
+    matches!(connected, Ok(Ok(_)))
 }
 
 /// An HTTP client with a pool of connections.
@@ -107,71 +107,71 @@
 }
 
 impl Client {
-    /// Makes a client without connections.
+    /// Creates a client without open connections.
     pub fn new() -> Self {
-        Self::idle(IDLE)
+        Self::idle(IDLE_TIMEOUT)
     }
 
-    /// Makes a client without connections, which keeps idle ones for a time.
-    pub fn idle(idle: Duration) -> Self {
+    /// Creates a client without open connections, which closes idle ones after `timeout`.
+    pub fn idle(timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT));
-        connector.set_keepalive(Some(PROBE));
-        connector.set_keepalive_interval(Some(PROBE_PAUSE));
-        connector.set_keepalive_retries(Some(PROBES));
-        connector.set_tcp_user_timeout(Some(UNACKED));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
+        connector.set_keepalive(Some(KEEPALIVE_TIME));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
+        connector.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
         let inner = legacy::Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(idle)
+            .pool_idle_timeout(timeout)
             .pool_timer(TokioTimer::new())
             .build(Connector(connector));
         Self { inner }
     }
 
-    /// Sends a request and waits until the head of the answer is there.
+    /// Sends a request and waits up to `limit` for the head of the response.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError`]; only [`SendError::Unconnected`] says that nothing was sent.
+    /// Returns [`SendError`]; it is certain that nothing was sent only with [`SendError::Unconnected`].
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
         limit: Duration,
     ) -> Result<Response<Incoming>, SendError> {
         match tokio::time::timeout(limit, self.inner.request(request)).await {
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => Err(SendError::Unconnected),
             Ok(Err(_)) => Err(SendError::Broken),
             Err(_) => Err(SendError::Late),
         }
     }
 
-    /// Sends a request and reads the whole answer, at most `most` bytes of it.
+    /// Sends a request and reads the whole response, both within `limit`.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError`].
+    /// Returns [`SendError`], also when the body is longer than `max_bytes`.
     pub async fn fetch(
         &self,
         request: Request<Full<Bytes>>,
         limit: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Response<Bytes>, SendError> {
-        let whole = async {
-            let answer = self.send(request, limit).await?;
-            let (head, body) = answer.into_parts();
-            let bytes = body::read(body, most).await?;
+        let exchange = async {
+            let response = self.send(request, limit).await?;
+            let (head, body) = response.into_parts();
+            let bytes = body::read(body, max_bytes).await?;
             Ok(Response::from_parts(head, bytes))
         };
-        let timed = tokio::time::timeout(limit, whole).await;
-        timed.unwrap_or(Err(SendError::Late))
+        let result = tokio::time::timeout(limit, exchange).await;
+        result.unwrap_or(Err(SendError::Late))
     }
 
-    /// Exchanges JSON with a server.
+    /// Sends a value as JSON and decodes the JSON response, within `limit`.
     ///
     /// # Errors
     ///
-    /// Returns [`JsonError`].
+    /// Returns [`JsonError`], also for a response whose status is not a success.
     pub async fn json<T: serde::Serialize, R: serde::de::DeserializeOwned>(
         &self,
         method: Method,
@@ -186,30 +186,30 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(bytes)))
             .map_err(|_| JsonError::Encode)?;
-        let answer = self.fetch(request, limit, MOST).await?;
-        if !answer.status().is_success() {
-            let body = String::from_utf8_lossy(answer.body()).into_owned();
-            let status = answer.status();
+        let response = self.fetch(request, limit, MAX_JSON_BYTES).await?;
+        if !response.status().is_success() {
+            let body = String::from_utf8_lossy(response.body()).into_owned();
+            let status = response.status();
             return Err(JsonError::Status { status, body });
         }
-        serde_json::from_slice(answer.body()).map_err(|_| SendError::Garbled.into())
+        serde_json::from_slice(response.body()).map_err(|_| SendError::Garbled.into())
     }
 }
 
-/// Most bytes of a JSON answer.
-const MOST: usize = 16 << 20;
+/// Limit on the size of a JSON response, in bytes.
+const MAX_JSON_BYTES: usize = 16 << 20;
 
-/// Why an exchange of JSON failed.
+/// Error of an exchange of JSON with a server.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum JsonError {
-    /// The request could not be written.
+    /// The request could not be encoded.
     #[error("could not encode the request")]
     Encode,
-    /// There is no answer.
+    /// There is no usable response.
     #[error(transparent)]
     Send(#[from] SendError),
-    /// The answer is a refusal.
+    /// The response's status is not a success.
     #[error("the server answered {status}: {body}")]
     Status {
         /// The status.
@@ -220,7 +220,7 @@
 }
 
 impl JsonError {
-    /// Tells whether it is certain that nothing was sent.
+    /// Returns whether it is certain that nothing was sent.
     pub fn is_unsent(&self) -> bool {
         match self {
             Self::Encode => true,
@@ -230,7 +230,7 @@
     }
 }
 
-/// Makes the URI of a path at an address.
+/// Returns the URI of a path at an address.
 pub fn uri(addr: SocketAddr, path: &str) -> String {
     format!("http://{addr}{path}")
 }
--- a/crates/net/src/events.rs
+++ b/crates/net/src/events.rs
@@ -7,22 +7,22 @@
 use http_body_util::BodyStream;
 use hyper::body::Incoming;
 
-/// The data that ends a stream of completions.
+/// Data of the event that ends a stream of completions.
 pub const DONE: &str = "[DONE]";
 
-/// What comes out of a stream of events.
+/// Item of a stream of events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The data of one event.
     Data(String),
-    /// The connection broke, or what came is no event stream.
+    /// The connection broke, or the body is not an event stream.
     Broken,
 }
 
-/// Reads the events of an answer's body.
+/// Reads the events of a response body.
 ///
-/// The stream ends after [`Event::Broken`] or at the end of the body; whether the body's content
-/// is whole is for the reader of the data to judge.
+/// The stream ends after [`Event::Broken`] or at the end of the body. The caller has to check whether the data is
+/// complete, for instance by [`DONE`].
 pub fn read(body: Incoming) -> impl Stream<Item = Event> + Send + Unpin {
     let frames = BodyStream::new(body).filter_map(|frame| async {
         match frame {
@@ -38,7 +38,7 @@
     Box::pin(events)
 }
 
-/// Writes one event; `data` has no line breaks.
+/// Encodes one event; `data` must not contain line breaks.
 pub fn write(data: &str) -> Bytes {
     Bytes::from(format!("data: {data}\n\n"))
 }
--- a/crates/net/src/glue.rs
+++ b/crates/net/src/glue.rs
@@ -1,4 +1,4 @@
-//! The bridge between gotham's router and plain async functions.
+//! Adapter that makes async functions handlers of gotham's router.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 use crate::Reply;
 
-/// One call as it came in.
+/// A request as a server received it.
 #[derive(Debug)]
 pub struct Call {
     /// The method.
@@ -30,46 +30,46 @@
     pub headers: HeaderMap,
     /// The body, not yet read.
     pub body: Body,
-    /// Who called.
+    /// Address of the client, if known.
     pub from: Option<SocketAddr>,
 }
 
 impl Call {
-    /// The text of a header, when there is one and it is text.
+    /// Returns the value of a header, unless it is absent or not visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The path's segment at `at`, counted from 0.
-    pub fn segment(&self, at: usize) -> &str {
-        self.uri.path().split('/').nth(at + 1).unwrap_or("")
+    /// Returns the path segment at `index`, counted from 0; empty if there is none.
+    pub fn segment(&self, index: usize) -> &str {
+        self.uri.path().split('/').nth(index + 1).unwrap_or("")
     }
 
-    /// The path and query from the segment at `at` on, with a leading slash.
-    pub fn rest(&self, at: usize) -> String {
-        let whole = self.uri.path_and_query().map_or("/", |all| all.as_str());
-        let rest = whole.splitn(at + 2, '/').nth(at + 1).unwrap_or("");
+    /// Returns the path from the segment at `index` on and the query, with a leading slash.
+    pub fn rest(&self, index: usize) -> String {
+        let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
+        let rest = path.splitn(index + 2, '/').nth(index + 1).unwrap_or("");
         format!("/{rest}")
     }
 }
 
-type Answer = Pin<Box<dyn Future<Output = Reply> + Send>>;
-type Function<A> = Arc<dyn Fn(Arc<A>, Call) -> Answer + Send + Sync>;
+type ReplyFuture = Pin<Box<dyn Future<Output = Reply> + Send>>;
+type BoxedFn<A> = Arc<dyn Fn(Arc<A>, Call) -> ReplyFuture + Send + Sync>;
 
-/// An async function as a handler of gotham's router.
+/// Async function as a handler of gotham's router; `A` is the application state that it is called with.
 pub struct Glue<A> {
     app: AssertUnwindSafe<Arc<A>>,
-    function: AssertUnwindSafe<Function<A>>,
+    function: AssertUnwindSafe<BoxedFn<A>>,
 }
 
 impl<A> Glue<A> {
-    /// Wraps a function with what it works on.
+    /// Wraps a function and the application state that it is called with.
     pub fn new<F, Fut>(app: &Arc<A>, function: F) -> Self
     where
         F: Fn(Arc<A>, Call) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = Reply> + Send + 'static,
     {
-        let boxed: Function<A> = Arc::new(move |app, call| Box::pin(function(app, call)));
+        let boxed: BoxedFn<A> = Arc::new(move |app, call| Box::pin(function(app, call)));
         Self {
             app: AssertUnwindSafe(app.clone()),
             function: AssertUnwindSafe(boxed),
@@ -103,7 +103,7 @@
             body: Body::take_from(&mut state),
             from: client_addr(&state),
         };
-        let answer = (self.function.0)(self.app.0, call);
-        Box::pin(async move { Ok((state, answer.await)) })
+        let reply = (self.function.0)(self.app.0, call);
+        Box::pin(async move { Ok((state, reply.await)) })
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP plumbing: a client with deadlines, an accept loop that drains, and the bridge between
-//! plain async functions and gotham's router.
+//! HTTP client with timeouts, HTTP server with graceful shutdown, and an adapter that makes async functions
+//! handlers of gotham's router.
 
 pub mod body;
 pub mod client;
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,7 +1,7 @@
-//! The accept loop.
+//! HTTP server with graceful shutdown.
 //!
-//! gotham's own server cannot drain, bound its connections or time out slow headers, so the loop
-//! is hyper-util's and hands each request to gotham's router.
+//! gotham's own server can't drain, limit its connections or time out slow headers. This accept loop serves
+//! connections with hyper-util and passes each request to gotham's router.
 
 use std::net::SocketAddr;
 use std::panic::AssertUnwindSafe;
@@ -25,16 +25,16 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Bounds on connections.
+/// Limits of a server's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at the same time; more wait to be accepted.
+    /// Number of concurrent connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Time in which the headers of a request must come.
+    /// Time within which the headers of a request must arrive.
     pub headers: Duration,
-    /// Bytes of a request's head.
+    /// Size of a request's head, in bytes.
     pub head: usize,
-    /// Time that running requests have after a drain begins; then they are cut off.
+    /// Time for running requests to end after a drain begins; then their connections are closed.
     pub grace: Duration,
 }
 
@@ -49,10 +49,10 @@
     }
 }
 
-/// Pause after a failed accept, which mostly means that file descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which is usually caused by a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Tells servers to stop.
+/// Signal that makes servers shut down gracefully.
 #[derive(Clone, Debug)]
 pub struct Drain {
     sender: Arc<watch::Sender<bool>>,
@@ -66,12 +66,12 @@
 }
 
 impl Drain {
-    /// Makes servers stop accepting and end once their running requests have.
+    /// Makes servers stop accepting connections and return once their running requests have ended.
     pub fn begin(&self) {
         self.sender.send_replace(true);
     }
 
-    /// Tells whether the drain has begun.
+    /// Returns whether the drain has begun.
     pub fn is_begun(&self) -> bool {
         *self.sender.borrow()
     }
@@ -79,12 +79,12 @@
     /// Waits until the drain begins.
     pub async fn begun(&self) {
         let mut receiver = self.sender.subscribe();
-        // The sender lives as long as `self`, so waiting cannot fail.
+        // Waiting can't fail: `self` keeps the sender alive.
         let _ = receiver.wait_for(|begun| *begun).await;
     }
 }
 
-/// Serves connections until the drain begins, and then until running requests have ended.
+/// Serves connections until the drain begins, then waits until running requests have ended.
 ///
 /// Returns whether all requests ended within the grace period.
 pub async fn serve<H>(listener: TcpListener, handler: H, limits: Limits, drain: Drain) -> bool
@@ -93,14 +93,14 @@
 {
     let handler = Arc::new(handler);
     let graceful = GracefulShutdown::new();
-    // Dropping the set ends its connections, so that a server that is stopped at once leaves none.
+    // Dropping the set closes its connections, so that a server whose future is dropped leaves none open.
     let mut connections = JoinSet::new();
-    let room = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     loop {
         let permit = tokio::select! {
             biased;
             () = drain.begun() => break,
-            permit = room.clone().acquire_owned() => permit,
+            permit = permits.clone().acquire_owned() => permit,
         };
         let accepted = tokio::select! {
             biased;
@@ -111,11 +111,11 @@
             Ok(pair) => pair,
             Err(error) => {
                 log::warn!(error = error.to_string().as_str(); "could not accept a connection");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let connection = connect(stream, from, &handler, limits, &graceful);
+        let connection = serve_connection(stream, from, &handler, limits, &graceful);
         connections.spawn(async move {
             connection.await;
             drop(permit);
@@ -128,7 +128,7 @@
         .is_ok()
 }
 
-fn connect<H>(
+fn serve_connection<H>(
     stream: TcpStream,
     from: SocketAddr,
     handler: &Arc<H>,
@@ -143,7 +143,7 @@
         let state = State::from_request(request, from);
         call_handler(handler.clone(), AssertUnwindSafe(state))
     });
-    // Small answers must not wait for a delayed acknowledgement; an error here only costs time.
+    // Otherwise small responses wait for a delayed acknowledgment. A failure only adds latency.
     let _ = stream.set_nodelay(true);
     let mut builder = Builder::new(TokioExecutor::new());
     builder
@@ -155,7 +155,7 @@
     async move {
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         if let Err(error) = watcher.watch(connection).await {
-            log::debug!(error = error.to_string().as_str(); "a connection ended early");
+            log::debug!(error = error.to_string().as_str(); "a connection ended with an error");
         }
     }
 }
--- a/crates/net/tests/client.rs
+++ b/crates/net/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! Tests of the HTTP client.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-// Symptom: an engine carries out an order of a holder that has long been replaced.
-// Sequence: the order is sent while the network holds it up, and given up; the network heals.
-// Cause: after an ordinary close the kernel goes on sending; only a reset takes the bytes back.
+// Guards against an engine that executes an order of a former leaseholder: the order is sent during a network
+// partition and times out, and the partition heals. After an ordinary close the kernel would still deliver the bytes;
+// only a reset discards them.
 #[tokio::test]
-async fn a_request_that_is_given_up_ends_its_connection_with_a_reset() {
+async fn a_request_that_times_out_resets_its_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let uri = format!("http://{}/", listener.local_addr().unwrap());
     let server = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut bytes = Vec::new();
-        // Ends with the client's last word, or with the reset if that is faster.
+        // Returns once the client closes the connection, or with an error if the reset arrives first.
         let _ = stream.read_to_end(&mut bytes).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
         stream.write_all(b"too late").await
@@ -28,13 +28,13 @@
     let request = Request::post(uri).body(Full::new(Bytes::from("order")));
 
     let client = net::Client::new();
-    let answer = client
+    let response = client
         .send(request.unwrap(), Duration::from_millis(100))
         .await;
 
-    assert!(matches!(answer, Err(net::SendError::Late)));
-    let end = server.await.unwrap();
-    let kind = end.unwrap_err().kind();
+    assert!(matches!(response, Err(net::SendError::Late)));
+    let written = server.await.unwrap();
+    let kind = written.unwrap_err().kind();
     assert!(
         [ErrorKind::ConnectionReset, ErrorKind::BrokenPipe].contains(&kind),
         "{kind}"
