--- a/crates/net/src/glue.rs
+++ b/crates/net/src/glue.rs
@@ -57,12 +57,12 @@
 type BoxedFn<A> = Arc<dyn Fn(Arc<A>, Call) -> ReplyFuture + Send + Sync>;
 
 /// Async function as a handler of gotham's router; `A` is the application state that it is called with.
-pub struct Glue<A> {
+pub struct HandlerFn<A> {
     app: AssertUnwindSafe<Arc<A>>,
     function: AssertUnwindSafe<BoxedFn<A>>,
 }
 
-impl<A> Glue<A> {
+impl<A> HandlerFn<A> {
     /// Wraps a function and the application state that it is called with.
     pub fn new<F, Fut>(app: &Arc<A>, function: F) -> Self
     where
@@ -77,7 +77,7 @@
     }
 }
 
-impl<A> Clone for Glue<A> {
+impl<A> Clone for HandlerFn<A> {
     fn clone(&self) -> Self {
         Self {
             app: AssertUnwindSafe(self.app.0.clone()),
@@ -86,7 +86,7 @@
     }
 }
 
-impl<A: Send + Sync + 'static> NewHandler for Glue<A> {
+impl<A: Send + Sync + 'static> NewHandler for HandlerFn<A> {
     type Instance = Self;
 
     fn new_handler(&self) -> gotham::anyhow::Result<Self> {
@@ -94,7 +94,7 @@
     }
 }
 
-impl<A: Send + Sync + 'static> Handler for Glue<A> {
+impl<A: Send + Sync + 'static> Handler for HandlerFn<A> {
     fn handle(self, mut state: State) -> Pin<Box<HandlerFuture>> {
         let call = Call {
             method: Method::take_from(&mut state),
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -12,6 +12,6 @@
 pub use client::Client;
 pub use client::SendError;
 pub use glue::Call;
-pub use glue::Glue;
+pub use glue::HandlerFn;
 pub use server::Drain;
 pub use server::Limits;
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -10,7 +10,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use net::Call;
 use net::Drain;
-use net::Glue;
+use net::HandlerFn;
 use net::Limits;
 use net::Reply;
 use plat::Client;
@@ -115,12 +115,12 @@
             app: app.clone(),
             scrape,
         });
-        serve(inner, Glue::new(&shared, inside), &Drain::default());
+        serve(inner, HandlerFn::new(&shared, inside), &Drain::default());
         if let Some(gate) = gate {
             // Goes on while the instance leaves, to say that it is not ready.
-            serve(gate, Glue::new(&app, ready), &Drain::default());
+            serve(gate, HandlerFn::new(&app, ready), &Drain::default());
         }
-        let front = Glue::new(&app, front::answer);
+        let front = HandlerFn::new(&app, front::answer);
         let front = callers.map(|callers| serve(callers, front, &drain));
         app.plat.set_relay(Arc::new(Through(Arc::downgrade(&app))));
         tokio::spawn(member::keep(app.clone()));
@@ -180,7 +180,7 @@
 
 fn serve<A: Send + Sync + 'static>(
     listener: TcpListener,
-    handler: Glue<A>,
+    handler: HandlerFn<A>,
     drain: &Drain,
 ) -> JoinHandle<bool> {
     let limits = Limits {
--- a/crates/serve/src/router.rs
+++ b/crates/serve/src/router.rs
@@ -9,7 +9,7 @@
 use gotham::router::builder::build_simple_router;
 use http::Method;
 use net::Call;
-use net::Glue;
+use net::HandlerFn;
 use net::Reply;
 use route::Attempt;
 use wire::Problem;
@@ -47,10 +47,10 @@
         let others = every().into_iter().filter(|method| *method != $method);
         $route
             .request(vec![$method], $path)
-            .to_new_handler(Glue::new($app, $function));
+            .to_new_handler(HandlerFn::new($app, $function));
         $route
             .request(others.collect::<Vec<_>>(), $path)
-            .to_new_handler(Glue::new($app, wrong_method));
+            .to_new_handler(HandlerFn::new($app, wrong_method));
     };
 }
 
@@ -114,12 +114,12 @@
         for path in ["/v1/services/:service", "/v1/services/:service/*"] {
             route
                 .request(every(), path)
-                .to_new_handler(Glue::new(app, forward::serve));
+                .to_new_handler(HandlerFn::new(app, forward::serve));
         }
         for path in ["/", "/*"] {
             route
                 .request(every(), path)
-                .to_new_handler(Glue::new(app, nowhere));
+                .to_new_handler(HandlerFn::new(app, nowhere));
         }
     })
 }
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -13,7 +13,7 @@
 use http::StatusCode;
 use net::Call;
 use net::Drain;
-use net::Glue;
+use net::HandlerFn;
 use net::Limits;
 use net::Reply;
 use net::body;
@@ -95,7 +95,7 @@
         Method::DELETE,
     ];
     build_simple_router(|route| {
-        let glue = || Glue::new(app, call::<A>);
+        let glue = || HandlerFn::new(app, call::<A>);
         route.request(methods.clone(), "/").to_new_handler(glue());
         route.request(methods, "/*").to_new_handler(glue());
     })
