--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -109,11 +109,11 @@
 impl Client {
     /// Creates a client without open connections.
     pub fn new() -> Self {
-        Self::idle(IDLE_TIMEOUT)
+        Self::with_idle_timeout(IDLE_TIMEOUT)
     }
 
     /// Creates a client without open connections, which closes idle ones after `timeout`.
-    pub fn idle(timeout: Duration) -> Self {
+    pub fn with_idle_timeout(timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
