--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -61,7 +61,7 @@
 
 /// Forwards a received body chunk by chunk, without buffering it. When the sender's connection breaks, the
 /// receiver's connection is closed before the end of the body.
-pub fn pass(body: Incoming) -> Body {
+pub fn forward(body: Incoming) -> Body {
     Body::new(body.map_err(io::Error::other))
 }
 
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -92,7 +92,7 @@
     match app.peers.send(request, limit).await {
         Ok(answer) if answer.status() == StatusCode::OK => {
             let kind = answer.headers().get(CONTENT_TYPE).cloned();
-            let mut reply = Reply::new(net::body::pass(answer.into_body()));
+            let mut reply = Reply::new(net::body::forward(answer.into_body()));
             reply
                 .headers_mut()
                 .extend(kind.map(|kind| (CONTENT_TYPE, kind)));
