--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -31,9 +31,9 @@
     /// Number of concurrent connections; further ones wait to be accepted.
     pub connections: usize,
     /// Time within which the headers of a request must arrive.
-    pub headers: Duration,
+    pub header_timeout: Duration,
     /// Size of a request's head, in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Time for running requests to end after a drain begins; then their connections are closed.
     pub grace: Duration,
 }
@@ -42,8 +42,8 @@
     fn default() -> Self {
         Self {
             connections: 4_096,
-            headers: Duration::from_secs(10),
-            head: 32 << 10,
+            header_timeout: Duration::from_secs(10),
+            head_bytes: 32 << 10,
             grace: Duration::from_secs(600),
         }
     }
@@ -149,8 +149,8 @@
     builder
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.headers)
-        .max_buf_size(limits.head);
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.head_bytes);
     let watcher = graceful.watcher();
     async move {
         let connection = builder.serve_connection(TokioIo::new(stream), service);
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -184,7 +184,7 @@
     drain: &Drain,
 ) -> JoinHandle<bool> {
     let limits = Limits {
-        headers: HEADERS,
+        header_timeout: HEADERS,
         ..Limits::default()
     };
     let drain = drain.clone();
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -302,8 +302,8 @@
         patience: span(patience),
         limits: Limits {
             connections,
-            headers: span(headers),
-            head: base.head,
+            header_timeout: span(headers),
+            head_bytes: base.head_bytes,
             grace: span(grace),
         },
     }
