--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -27,13 +27,13 @@
 pub enum ReadError {
     /// The body exceeds the limit, in bytes.
     #[error("the body has more than {0} bytes")]
-    Long(usize),
+    TooLong(usize),
     /// The connection broke before the end of the body.
     #[error("the body was cut off")]
-    Cut,
+    Truncated,
     /// The body did not arrive in time.
     #[error("the body did not come in time")]
-    Late,
+    Timeout,
 }
 
 /// Reads a whole body.
@@ -48,8 +48,8 @@
 {
     match Limited::new(body, limit).collect().await {
         Ok(all) => Ok(all.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(ReadError::Long(limit)),
-        Err(_) => Err(ReadError::Cut),
+        Err(error) if error.is::<LengthLimitError>() => Err(ReadError::TooLong(limit)),
+        Err(_) => Err(ReadError::Truncated),
     }
 }
 
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -56,10 +56,10 @@
     Broken,
     /// No response arrived in time.
     #[error("no answer came in time")]
-    Late,
+    Timeout,
     /// The response is longer than allowed.
     #[error("the answer is too long")]
-    Long,
+    TooLong,
     /// The response's body could not be decoded.
     #[error("the answer could not be understood")]
     Garbled,
@@ -75,9 +75,9 @@
 impl From<body::ReadError> for SendError {
     fn from(error: body::ReadError) -> Self {
         match error {
-            body::ReadError::Long(_) => Self::Long,
-            body::ReadError::Cut => Self::Broken,
-            body::ReadError::Late => Self::Late,
+            body::ReadError::TooLong(_) => Self::TooLong,
+            body::ReadError::Truncated => Self::Broken,
+            body::ReadError::Timeout => Self::Timeout,
         }
     }
 }
@@ -142,7 +142,7 @@
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => Err(SendError::Unconnected),
             Ok(Err(_)) => Err(SendError::Broken),
-            Err(_) => Err(SendError::Late),
+            Err(_) => Err(SendError::Timeout),
         }
     }
 
@@ -164,7 +164,7 @@
             Ok(Response::from_parts(head, bytes))
         };
         let result = tokio::time::timeout(limit, exchange).await;
-        result.unwrap_or(Err(SendError::Late))
+        result.unwrap_or(Err(SendError::Timeout))
     }
 
     /// Sends a value as JSON and decodes the JSON response, within `limit`.
--- a/crates/net/tests/client.rs
+++ b/crates/net/tests/client.rs
@@ -32,7 +32,7 @@
         .send(request.unwrap(), Duration::from_millis(100))
         .await;
 
-    assert!(matches!(response, Err(net::SendError::Late)));
+    assert!(matches!(response, Err(net::SendError::Timeout)));
     let written = server.await.unwrap();
     let kind = written.unwrap_err().kind();
     assert!(
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -107,7 +107,7 @@
     };
     let body = match net::body::read(body, plan.max_body).await {
         Ok(body) => body,
-        Err(net::body::ReadError::Long(_)) => return ("long", Refusal::Long.reply()),
+        Err(net::body::ReadError::TooLong(_)) => return ("long", Refusal::Long.reply()),
         Err(_) => return ("cut", Refusal::Wrong.reply()),
     };
     match route.kind {
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -197,7 +197,7 @@
         match self.app.http.send(request, FIRST).await {
             Ok(answer) => self.answer(sample, draft, answer, place).await,
             Err(net::SendError::Unconnected) => Ended::Broken("no connection"),
-            Err(net::SendError::Late) => Ended::Broken("no answer"),
+            Err(net::SendError::Timeout) => Ended::Broken("no answer"),
             Err(_) => Ended::Broken(CONNECTION),
         }
     }
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -208,7 +208,7 @@
                     return self.protocol.decode(call, answer.status(), answer.body());
                 }
                 Err(error) if error.is_unsent() => (),
-                Err(SendError::Garbled | SendError::Long) => return Err(PlatError::Garbled),
+                Err(SendError::Garbled | SendError::TooLong) => return Err(PlatError::Garbled),
                 Err(_) => return Err(PlatError::NoAnswer),
             }
         }
--- a/crates/serve/src/cache.rs
+++ b/crates/serve/src/cache.rs
@@ -120,7 +120,7 @@
         let mut body = answer.into_body();
         loop {
             let frame = tokio::time::timeout(SILENCE, body.frame()).await;
-            let frame = frame.map_err(|_| net::SendError::Late)?;
+            let frame = frame.map_err(|_| net::SendError::Timeout)?;
             let Some(frame) = frame else {
                 break;
             };
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -167,9 +167,9 @@
     let refuse = |kind: Type, error: &body::ReadError| no(kind).with_detail(error.to_string());
     match tokio::time::timeout(bounds.patience, reading).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(error @ body::ReadError::Long(_))) => Err(refuse(Type::TooLarge, &error)),
+        Ok(Err(error @ body::ReadError::TooLong(_))) => Err(refuse(Type::TooLarge, &error)),
         Ok(Err(error)) => Err(refuse(Type::BadRequest, &error)),
-        Err(_) => Err(refuse(Type::SlowRequest, &body::ReadError::Late)),
+        Err(_) => Err(refuse(Type::SlowRequest, &body::ReadError::Timeout)),
     }
 }
 
@@ -328,9 +328,9 @@
             let attempt = attempt.unconnected(NoConnection::connect_failed());
             Err((attempt.refuse(), SendError::Unconnected.to_string()))
         }
-        Err(SendError::Late) => {
+        Err(SendError::Timeout) => {
             permit.timed_out(left);
-            Err((attempt.fail(), SendError::Late.to_string()))
+            Err((attempt.fail(), SendError::Timeout.to_string()))
         }
         Err(error) => {
             permit.end(false);
