--- a/crates/entry/src/cli.rs
+++ b/crates/entry/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line.
+//! Command line of `snipeway-entry`.
 
 use args::CliSpec;
 use args::Opt;
 
-/// The command line of the program.
+/// Specification of the command line.
 pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-entry",
     about: "Serves callers, peers and operators on an entry instance",
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! `snipeway-entry`: runs on every entry instance and serves callers, peers and operators.
+//! `snipeway-entry`: the process of an entry instance, which serves callers, peers and operators.
 
 pub mod cli;
 mod run;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Serves until told to leave.
+//! Runs the server until a signal or an operator starts its shutdown.
 
 use args::ParsedArgs;
 use eyre::bail;
@@ -8,8 +8,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the settings are wrong, the instance cannot start, or requests were cut
-/// off when it left.
+/// Returns an error when the settings are not valid, the instance can't start, or requests were still running at
+/// the end of the grace period.
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let file: String = parsed.require("config", "a file")?;
     let settings = serve::settings::read(&file, &conf::load(&file)?)?;
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Entries as processes of their own, that can be killed, stopped and resumed.
+//! Fleet whose entries are separate processes that can be killed, paused and resumed.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 use rustix::process::Signal;
 use rustix::process::kill_process;
 
-/// An entry as a process.
+/// An entry in a process of its own.
 pub(crate) struct Entry {
     pub(crate) addr: SocketAddr,
     file: PathBuf,
@@ -40,34 +40,34 @@
         kill_process(pid, signal).unwrap();
     }
 
-    /// Kills it, as a crash does.
+    /// Kills the process, as a crash does.
     pub(crate) fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.child.wait().unwrap();
     }
 
-    /// Starts it again after it was killed.
+    /// Starts the entry again after it was killed.
     pub(crate) fn restart(&mut self) {
         *self = Self::spawn(self.file.clone(), self.addr);
     }
 
-    /// Stops it in the middle of whatever it does.
+    /// Suspends the process.
     pub(crate) fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process after a pause.
     pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Tells it to leave.
+    /// Asks the process to shut down gracefully.
     pub(crate) fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits until it ends; tells whether it ended well.
-    pub(crate) async fn ended(&mut self) -> bool {
+    /// Waits until the process exits, and returns whether it exited with success.
+    pub(crate) async fn wait_exit(&mut self) -> bool {
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
@@ -76,11 +76,11 @@
         }
     }
 
-    /// Waits until it is ready, with the contracts of the fleet.
-    pub(crate) async fn ready(&self) {
+    /// Waits until the entry is ready, that is, has the contracts of the fleet.
+    pub(crate) async fn wait_ready(&self) {
         for _ in 0..1_000 {
-            let asked = Asked::new(self.addr, "-", Method::GET, "/readyz");
-            let answer = asked.send().await;
+            let probe = Asked::new(self.addr, "-", Method::GET, "/readyz");
+            let answer = probe.send().await;
             if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
                 return;
             }
@@ -105,42 +105,43 @@
     }
 }
 
-/// Stand-ins in this process, entries as processes of their own.
+/// Fleet whose stand-ins run in this process and whose entries run in processes of their own.
 pub(crate) struct Fleet {
     pub(crate) parts: Parts,
     pub(crate) entries: Vec<Entry>,
-    /// Beside the entries, in this process.
+    /// Controllers of the entries; they run in this process.
     _controls: Vec<Controller>,
 }
 
-fn free() -> SocketAddr {
+/// Returns an address with a port that is currently unused.
+fn unused_addr() -> SocketAddr {
     let socket = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
     socket.local_addr().unwrap()
 }
 
 impl Fleet {
-    pub(crate) async fn start(make: &Make) -> Self {
-        let parts = Parts::start(make).await.unwrap();
+    pub(crate) async fn start(options: &Make) -> Self {
+        let parts = Parts::start(options).await.unwrap();
         let contracts = operate::Contracts::new(plat::Client::new(vec![parts.platform.host.addr]));
-        for text in &make.contracts {
+        for text in &options.contracts {
             let contract = contract::ini::parse("test", text).unwrap();
             contracts.apply("test", None, contract).await.unwrap();
         }
-        let mut text = parts.shared.clone();
-        let mut places = Vec::new();
-        for domain in &make.domains {
-            for at in 0..make.entries {
-                let (name, addr) = (format!("{domain}-{at}"), free());
-                text += &format!("[peer {name}]\ndomain = {domain}\naddress = {addr}\n");
-                places.push((name, *domain, addr));
+        let mut shared = parts.shared.clone();
+        let mut peers = Vec::new();
+        for domain in &options.domains {
+            for index in 0..options.entries {
+                let (name, addr) = (format!("{domain}-{index}"), unused_addr());
+                shared += &format!("[peer {name}]\ndomain = {domain}\naddress = {addr}\n");
+                peers.push((name, *domain, addr));
             }
         }
         let mut entries = Vec::new();
         let mut controls = Vec::new();
-        for (name, domain, addr) in places {
-            let me = format!("[instance]\nname = {name}\ndomain = {domain}\nlisten = {addr}\n");
+        for (name, domain, addr) in peers {
+            let own = format!("[instance]\nname = {name}\ndomain = {domain}\nlisten = {addr}\n");
             let file = std::env::temp_dir().join(format!("snipeway-test-{}.ini", addr.port()));
-            let settings = format!("{text}{me}");
+            let settings = format!("{shared}{own}");
             std::fs::write(&file, &settings).unwrap();
             let settings = serve::settings::read(&name, &settings).unwrap();
             controls.push(Controller::start(&settings, addr));
@@ -152,7 +153,7 @@
             _controls: controls,
         };
         for entry in &fleet.entries {
-            entry.ready().await;
+            entry.wait_ready().await;
         }
         fleet
     }
--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -1,4 +1,4 @@
-//! Entries as real processes that are killed, stopped and resumed while they serve.
+//! Tests with entries as real processes that are killed, paused and resumed while they serve.
 
 mod common;
 
@@ -17,12 +17,13 @@
 use standin::engine;
 use wire::problem::Type;
 
-const MEDIAN: u32 = 40;
+/// Median length of an engine's output, in tokens.
+const MEDIAN_TOKENS: u32 = 40;
 
-fn make() -> Make {
+fn options() -> Make {
     Make {
         engine: engine::Make {
-            median: MEDIAN,
+            median: MEDIAN_TOKENS,
             ..engine::Make::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 3s\nstaleness = 1\n")],
@@ -30,128 +31,129 @@
     }
 }
 
-/// What became of the orders of a run.
+/// Keys of the orders that one caller sent, by outcome.
 #[derive(Default)]
-struct Seen {
+struct Outcomes {
     created: Vec<String>,
     refused: Vec<String>,
 }
 
-/// Sends orders, each again under its key until it is settled, at entries in turn.
-async fn orders(to: Vec<SocketAddr>, label: &str, count: usize) -> Seen {
-    let mut seen = Seen::default();
+/// Sends `count` orders. Each is retried under its idempotency key, on the entries in turn, until its outcome is known.
+async fn send_orders(entries: Vec<SocketAddr>, label: &str, count: usize) -> Outcomes {
+    let mut outcomes = Outcomes::default();
     for number in 0..count {
         let key = format!("{label}-{number}");
-        for turn in 0..20 {
-            let order = Asked::order(to[(number + turn) % to.len()], "aarhus", &key);
-            let Ok(answer) = order.send().await else {
+        for attempt in 0..20 {
+            let request = Asked::order(entries[(number + attempt) % entries.len()], "aarhus", &key);
+            let Ok(answer) = request.send().await else {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
             match answer.problem() {
                 None => {
-                    seen.created.push(key.clone());
+                    outcomes.created.push(key.clone());
                     break;
                 }
-                Some(problem) if problem.ran == Ran::No && turn == 19 => {
-                    seen.refused.push(key.clone());
+                Some(problem) if problem.ran == Ran::No && attempt == 19 => {
+                    outcomes.refused.push(key.clone());
                 }
                 Some(problem) if problem.kind == Type::KeyInDoubt => break,
                 Some(_) => tokio::time::sleep(Duration::from_millis(20)).await,
             }
         }
     }
-    seen
+    outcomes
 }
 
-/// Checks what callers were told against the services' own logs.
-fn check(fleet: &Fleet, seen: &[Seen]) {
+/// Checks the outcomes that callers received against the logs of the services.
+fn assert_consistent(fleet: &Fleet, outcomes: &[Outcomes]) {
     let ran = fleet.parts.ran();
     assert_eq!(
         fleet.parts.twice(),
         Vec::<String>::new(),
-        "no key runs twice"
+        "no key may run twice"
     );
-    for seen in seen {
+    for outcomes in outcomes {
         assert!(
-            seen.created.iter().all(|key| ran.contains(key)),
-            "created means run"
+            outcomes.created.iter().all(|key| ran.contains(key)),
+            "a created order must have run"
         );
         assert!(
-            seen.refused.iter().all(|key| !ran.contains(key)),
-            "refused means not run"
+            outcomes.refused.iter().all(|key| !ran.contains(key)),
+            "a refused order must not have run"
         );
     }
 }
 
-async fn load(fleet: &Fleet, callers: usize, count: usize) -> Vec<tokio::task::JoinHandle<Seen>> {
-    let to = fleet.addrs();
-    let run = |caller: usize| {
-        let to = to.clone();
-        tokio::spawn(async move { orders(to, &format!("c{caller}"), count).await })
+async fn start_callers(
+    fleet: &Fleet,
+    callers: usize,
+    count: usize,
+) -> Vec<tokio::task::JoinHandle<Outcomes>> {
+    let entries = fleet.addrs();
+    let start = |caller: usize| {
+        let entries = entries.clone();
+        tokio::spawn(async move { send_orders(entries, &format!("c{caller}"), count).await })
     };
-    (0..callers).map(run).collect()
+    (0..callers).map(start).collect()
 }
 
-async fn join(calls: Vec<tokio::task::JoinHandle<Seen>>) -> Vec<Seen> {
-    let mut all = Vec::new();
-    for call in calls {
-        all.push(call.await.unwrap());
+async fn join(callers: Vec<tokio::task::JoinHandle<Outcomes>>) -> Vec<Outcomes> {
+    let mut outcomes = Vec::new();
+    for caller in callers {
+        outcomes.push(caller.await.unwrap());
     }
-    all
+    outcomes
 }
 
-// Symptom: orders run twice, or "not run" is said of one that ran, around a crash.
-// Sequence: entries are killed and started again while callers order, and order again.
-// Cause: knowledge of a run that dies with the process.
+// Guards against orders that run twice, or that are reported as not run although they ran, around a crash. Entries are
+// killed and restarted while callers send and retry orders; the record of a run must not be lost with the process.
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_survive_killed_entries() {
-    let mut fleet = Fleet::start(&make()).await;
-    let calls = load(&fleet, 8, 40).await;
+    let mut fleet = Fleet::start(&options()).await;
+    let callers = start_callers(&fleet, 8, 40).await;
 
-    for turn in 0..6 {
+    for round in 0..6 {
         tokio::time::sleep(Duration::from_millis(150)).await;
-        let entry = &mut fleet.entries[turn % 2];
+        let entry = &mut fleet.entries[round % 2];
         entry.kill();
         entry.restart();
-        entry.ready().await;
+        entry.wait_ready().await;
     }
-    let seen = join(calls).await;
+    let outcomes = join(callers).await;
 
-    check(&fleet, &seen);
-    let created: usize = seen.iter().map(|s| s.created.len()).sum();
+    assert_consistent(&fleet, &outcomes);
+    let created: usize = outcomes.iter().map(|o| o.created.len()).sum();
     assert!(created > 250, "{created} of 320");
 }
 
-// Symptom: a process that was paused resumes and runs an order that another has run since.
-// Sequence: an entry is stopped in the middle of its work for seconds; callers go elsewhere with
-// the same keys; it resumes.
-// Cause: a right to run that is believed in after a pause.
+// Guards against a process that resumes after a pause and runs an order that another entry has run meanwhile. An entry
+// is stopped while it works, callers retry the same keys elsewhere, and it resumes; it must not rely on a claim that
+// it held before the pause.
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_survive_paused_entries() {
-    let mut make = make();
-    make.more = "[journal]\nshards = 1\n".into();
-    let fleet = Fleet::start(&make).await;
-    let calls = load(&fleet, 8, 25).await;
+    let mut options = options();
+    options.more = "[journal]\nshards = 1\n".into();
+    let fleet = Fleet::start(&options).await;
+    let callers = start_callers(&fleet, 8, 25).await;
 
-    for turn in 0..4 {
+    for round in 0..4 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let entry = &fleet.entries[turn % 2];
+        let entry = &fleet.entries[round % 2];
         entry.pause();
         tokio::time::sleep(Duration::from_millis(600)).await;
         entry.resume();
     }
-    let seen = join(calls).await;
+    let outcomes = join(callers).await;
 
-    check(&fleet, &seen);
+    assert_consistent(&fleet, &outcomes);
 }
 
-// Symptom: the trainer's step stalls, or holds samples twice, after a crash in the middle.
-// Sequence: the entry that works on the step is killed and started again, twice.
-// Cause: progress that only the dead process knew.
+// Guards against a step that stalls or returns samples twice after a crash. Entries that work on the step are killed
+// and restarted several times; its progress must not be known to one process alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_trainer_survives_killed_entries() {
-    let mut fleet = Fleet::start(&make()).await;
+    let mut fleet = Fleet::start(&options()).await;
     let trainer = Trainer {
         entries: fleet.addrs(),
         token: contracts::token("aarhus"),
@@ -163,44 +165,43 @@
         train: Duration::from_millis(100),
         version: 1,
         label: "t".into(),
-        median: MEDIAN,
+        median: MEDIAN_TOKENS,
     };
     let run = tokio::spawn(async move { trainer.run().await });
 
-    for turn in 0..3 {
+    for round in 0..3 {
         tokio::time::sleep(Duration::from_millis(400)).await;
-        let entry = &mut fleet.entries[turn % 2];
+        let entry = &mut fleet.entries[round % 2];
         entry.kill();
         entry.restart();
-        entry.ready().await;
+        entry.wait_ready().await;
     }
     let run = tokio::time::timeout(Duration::from_secs(60), run);
-    let seen = run.await.expect("the steps become whole").unwrap();
+    let tally = run.await.expect("the steps must complete").unwrap();
 
-    assert_eq!((seen.steps, seen.samples), (3, 3 * 48));
-    assert_eq!(seen.broken(), 0, "{seen:?}");
-    assert!(seen.failures > 0, "the kills were felt");
+    assert_eq!((tally.steps, tally.samples), (3, 3 * 48));
+    assert_eq!(tally.broken(), 0, "{tally:?}");
+    assert!(tally.failures > 0, "the kills must cause failed calls");
 }
 
-// Symptom: a caller's stream breaks when its instance is replaced.
-// Sequence: the process is told to terminate while a stream of seconds runs.
-// Cause: ending on the signal.
+// Guards against a caller's stream that breaks when its instance is replaced. The process receives SIGTERM while a
+// stream of several seconds runs; it must not exit before the stream has ended.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_terminated_entry_ends_its_streams_whole() {
-    let mut make = make();
-    make.engine.speed = 30.0;
-    make.contracts = vec![contracts::text("aarhus", "deadline = 30s\n")];
-    let mut fleet = Fleet::start(&make).await;
-    let to = fleet.entries[0].addr;
+async fn a_terminated_entry_completes_its_streams() {
+    let mut options = options();
+    options.engine.speed = 30.0;
+    options.contracts = vec![contracts::text("aarhus", "deadline = 30s\n")];
+    let mut fleet = Fleet::start(&options).await;
+    let addr = fleet.entries[0].addr;
     let body = json!({"model": "fitting", "prompt": "a case", "stream": true, "seed": 3});
-    let asked = Asked::json(to, "aarhus", "/v1/completions", &body);
-    let call = tokio::spawn(async move { asked.send().await });
+    let request = Asked::json(addr, "aarhus", "/v1/completions", &body);
+    let call = tokio::spawn(async move { request.send().await });
     tokio::time::sleep(Duration::from_millis(200)).await;
 
     fleet.entries[0].terminate();
     let ready = async || {
-        let asked = Asked::new(to, "-", Method::GET, "/readyz");
-        asked
+        let probe = Asked::new(addr, "-", Method::GET, "/readyz");
+        probe
             .send()
             .await
             .is_ok_and(|answer| answer.status == StatusCode::OK)
@@ -211,5 +212,8 @@
     let answer = call.await.unwrap().unwrap();
 
     assert!(answer.body.ends_with(b"data: [DONE]\n\n"));
-    assert!(fleet.entries[0].ended().await, "it ends with success");
+    assert!(
+        fleet.entries[0].wait_exit().await,
+        "the process must exit with success"
+    );
 }
