--- a/crates/operate/src/ask.rs
+++ b/crates/operate/src/ask.rs
@@ -121,7 +121,7 @@
     }
 
     /// Queries every instance for its state of a step.
-    pub async fn step(&self, step: &str) -> Vec<InstanceResult<StepState>> {
+    pub async fn step_state(&self, step: &str) -> Vec<InstanceResult<StepState>> {
         self.query_all(&format!("/operator/steps/{step}")).await
     }
 
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -180,7 +180,7 @@
         trainer.finish().await;
 
         trainer.check(4);
-        let states = rig.fleet().step(&trainer.step).await;
+        let states = rig.fleet().step_state(&trainer.step).await;
         let state: &StepState = states[0].1.as_ref().unwrap();
         assert_eq!(&*state.instance, "syd-0");
         assert!(state.events[0].what.contains("held"), "{:?}", state.events);
@@ -266,7 +266,7 @@
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         let path = "/v1/weights/fitting";
         let state = async || {
-            let states = rig.fleet().step(&trainer.step).await;
+            let states = rig.fleet().step_state(&trainer.step).await;
             states
                 .into_iter()
                 .find_map(|(_, state)| state.ok())
@@ -287,7 +287,7 @@
         trainer.finish().await;
 
         trainer.check(4);
-        let state = rig.fleet().step(&trainer.step).await;
+        let state = rig.fleet().step_state(&trainer.step).await;
         let state = state.into_iter().find_map(|(_, state)| state.ok()).unwrap();
         assert_eq!(state.counts.stale, 16);
     });
--- a/crates/snipeway/src/cmd/explain.rs
+++ b/crates/snipeway/src/cmd/explain.rs
@@ -28,7 +28,7 @@
             notes(&story.notes);
         }
     }
-    for (_, answer) in fleet.step(about).await {
+    for (_, answer) in fleet.step_state(about).await {
         if let Ok(state) = answer {
             told = true;
             step(&state);
