--- a/crates/snipeway/src/cli.rs
+++ b/crates/snipeway/src/cli.rs
@@ -1,27 +1,28 @@
-//! The command line.
+//! Command line of `snipeway`.
 
 use args::CliSpec;
 use args::Cmd;
 use args::Opt;
 
-const WHO: Opt = Opt {
+const WHO_OPT: Opt = Opt {
     long: "who",
     value: Some("NAME"),
     help: "Who makes the change, for the audit trail (default: $USER)",
 };
 
-const DRY: Opt = Opt {
+const DRY_RUN_OPT: Opt = Opt {
     long: "dry-run",
     value: None,
     help: "Show what would change, and change nothing",
 };
 
-const WAIT: Opt = Opt {
+const WAIT_OPT: Opt = Opt {
     long: "wait",
     value: Some("SECONDS"),
     help: "Wait until it is in force on every instance; name those where it is not",
 };
 
+/// Builds the specification of a command; the pair holds the limits on the number of its operands.
 const fn cmd(
     name: &'static str,
     operands: &'static str,
@@ -39,10 +40,10 @@
     }
 }
 
-/// Operands without a bound.
-const ANY: usize = usize::MAX;
+/// Upper limit of commands that take any number of operands.
+const UNLIMITED: usize = usize::MAX;
 
-/// The command line of the program.
+/// Specification of the command line.
 pub const SPEC: CliSpec = CliSpec {
     program: "snipeway",
     about: "Operates a fleet: contracts, audit trail, status, explanations",
@@ -60,7 +61,7 @@
         cmd(
             "contract check",
             "FILE...",
-            (1, ANY),
+            (1, UNLIMITED),
             "Check contracts without applying them",
             &[],
         ),
@@ -69,12 +70,12 @@
             "FILE",
             (1, 1),
             "Apply a contract",
-            &[WHO, DRY, WAIT],
+            &[WHO_OPT, DRY_RUN_OPT, WAIT_OPT],
         ),
         cmd(
             "contract amend",
             "CUSTOMER KEY=VALUE...",
-            (2, ANY),
+            (2, UNLIMITED),
             "Change lines of a contract",
             &[
                 Opt {
@@ -82,9 +83,9 @@
                     value: Some("N"),
                     help: "The revision that the change is based on, from `contract show`",
                 },
-                WHO,
-                DRY,
-                WAIT,
+                WHO_OPT,
+                DRY_RUN_OPT,
+                WAIT_OPT,
             ],
         ),
         cmd(
@@ -130,7 +131,7 @@
         cmd(
             "explain",
             "REQUEST|STEP|UPSTREAM [FILE...]",
-            (1, ANY),
+            (1, UNLIMITED),
             "Tell what happened, by the instances or by log files (- for standard input)",
             &[],
         ),
@@ -144,7 +145,7 @@
         cmd(
             "settings check",
             "FILE...",
-            (1, ANY),
+            (1, UNLIMITED),
             "Check settings files",
             &[Opt {
                 long: "kind",
--- a/crates/snipeway/src/cmd.rs
+++ b/crates/snipeway/src/cmd.rs
@@ -1,4 +1,4 @@
-//! The commands, each in a file of its own.
+//! Commands, one per module.
 
 mod amend;
 mod apply;
@@ -22,7 +22,7 @@
 
 pub use generate::SPECS;
 
-/// Runs the command that was parsed.
+/// Runs a parsed command.
 pub(crate) async fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     match parsed.cmd {
         "contract check" => check::run(&parsed),
@@ -42,7 +42,8 @@
     }
 }
 
-fn load(parsed: &ParsedArgs) -> eyre::Result<Settings> {
+/// Reads the settings file that `--config` names.
+fn load_settings(parsed: &ParsedArgs) -> eyre::Result<Settings> {
     let file: String = parsed.require("config", "a file")?;
     Ok(operate::settings::read(&file, &conf::load(&file)?)?)
 }
--- a/crates/snipeway/src/cmd/apply.rs
+++ b/crates/snipeway/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `snipeway contract apply`, and what it shares with `amend`.
+//! `snipeway contract apply`, and the parts shared with `amend`.
 
 use std::time::Duration;
 
@@ -12,14 +12,15 @@
 
 /// Applies the contract of a file.
 pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
-    let settings = super::load(parsed)?;
+    let settings = super::load_settings(parsed)?;
     let file = &parsed.operands[0];
     let contract = contract::ini::parse(file, &conf::load(file)?)?;
-    change(parsed, &settings, None, contract).await
+    apply(parsed, &settings, None, contract).await
 }
 
-/// Changes a contract as the options say.
-pub(crate) async fn change(
+/// Applies a contract on top of revision `base`, or of the current one, and prints the outcome. Follows the options
+/// `--dry-run`, `--who` and `--wait`.
+pub(crate) async fn apply(
     parsed: &ParsedArgs,
     settings: &Settings,
     base: Option<i64>,
@@ -27,20 +28,20 @@
 ) -> eyre::Result<()> {
     let contracts = super::contracts(settings);
     if parsed.has("dry-run") {
-        print(&contracts.plan(&contract).await?);
+        print_diff(&contracts.plan(&contract).await?);
         return Ok(());
     }
     let user = std::env::var("USER").unwrap_or_else(|_| "unknown".into());
-    let who = parsed.value("who").unwrap_or(&user);
+    let operator = parsed.value("who").unwrap_or(&user);
     let customer = contract.customer.to_string();
-    match contracts.apply(who, base, contract).await? {
+    match contracts.apply(operator, base, contract).await? {
         ApplyOutcome::InForce(rev) => {
             args::print_line!("in force at the platform at revision {rev}");
-            wait(parsed, settings, rev).await
+            wait_in_force(parsed, settings, rev).await
         }
         ApplyOutcome::Unchanged(rev) => {
             args::print_line!("unchanged at revision {rev}");
-            wait(parsed, settings, rev).await
+            wait_in_force(parsed, settings, rev).await
         }
         ApplyOutcome::Replaced(rev) => {
             args::print_line!(
@@ -50,17 +51,17 @@
         }
         ApplyOutcome::Conflict { rev, theirs } => {
             args::print_line!("another change came first:");
-            print(&theirs);
+            print_diff(&theirs);
             Err(CommandError::Conflict(rev).into())
         }
         ApplyOutcome::Indeterminate { change } => {
-            Err(CommandError::NotKnown(customer, change).into())
+            Err(CommandError::Indeterminate(customer, change).into())
         }
     }
 }
 
-/// Prints a difference.
-pub(crate) fn print(diff: &[LineDiff]) {
+/// Prints the differences between two contracts.
+pub(crate) fn print_diff(diff: &[LineDiff]) {
     if diff.is_empty() {
         args::print_line!("no difference");
     }
@@ -74,20 +75,21 @@
     }
 }
 
-async fn wait(parsed: &ParsedArgs, settings: &Settings, rev: i64) -> eyre::Result<()> {
+/// With `--wait`, waits until a revision is in force on all instances.
+async fn wait_in_force(parsed: &ParsedArgs, settings: &Settings, rev: i64) -> eyre::Result<()> {
     let Some(seconds) = parsed.get::<u64>("wait", "a number of seconds")? else {
         return Ok(());
     };
     let fleet = super::fleet(settings);
     let status = fleet.wait_in_force(rev, Duration::from_secs(seconds)).await;
-    let names = |names: &[kernel::Name]| {
+    let join = |names: &[kernel::Name]| {
         let names: Vec<_> = names.iter().map(ToString::to_string).collect();
         names.join(", ")
     };
-    args::print_line!("in force on: {}", names(&status.in_force));
+    args::print_line!("in force on: {}", join(&status.in_force));
     if status.behind.is_empty() && status.unanswered.is_empty() {
         return Ok(());
     }
-    let (behind, silent) = (names(&status.behind), names(&status.unanswered));
-    Err(CommandError::Behind { behind, silent }.into())
+    let (behind, unanswered) = (join(&status.behind), join(&status.unanswered));
+    Err(CommandError::Behind { behind, unanswered }.into())
 }
--- a/crates/snipeway/src/cmd/check.rs
+++ b/crates/snipeway/src/cmd/check.rs
@@ -3,17 +3,17 @@
 use args::ParsedArgs;
 use conf::SettingsErrors;
 
-/// Checks every file and reports every mistake of all of them.
+/// Checks all files and reports the errors of all of them.
 pub(crate) fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
-    let mut mistakes = Vec::new();
+    let mut errors = Vec::new();
     for file in &parsed.operands {
         match contract::ini::parse(file, &conf::load(file)?) {
             Ok(contract) => args::print_line!("{file}: good, for {}", contract.customer),
-            Err(found) => mistakes.extend(found.0),
+            Err(found) => errors.extend(found.0),
         }
     }
-    if mistakes.is_empty() {
+    if errors.is_empty() {
         return Ok(());
     }
-    Err(SettingsErrors(mistakes).into())
+    Err(SettingsErrors(errors).into())
 }
--- a/crates/snipeway/src/cmd/explain.rs
+++ b/crates/snipeway/src/cmd/explain.rs
@@ -9,39 +9,39 @@
 
 use crate::error::CommandError;
 
-/// Tells what the instances know of a request, a step or an upstream.
+/// Prints the instances' histories of a request, a step or an upstream, or its timeline from log files if any are given.
 pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
-    let about = &parsed.operands[0];
+    let subject = &parsed.operands[0];
     if let [_, files @ ..] = &*parsed.operands
         && !files.is_empty()
     {
-        return story(about, files);
+        return print_timeline(subject, files);
     }
-    let settings = super::load(parsed)?;
+    let settings = super::load_settings(parsed)?;
     let fleet = super::fleet(&settings);
-    let mut told = false;
-    for (name, answer) in fleet.explain(about).await {
-        if let Ok(story) = answer {
-            told = true;
-            let customer = story.customer.as_deref().unwrap_or("-").to_owned();
-            args::print_line!("{about} at {name}, contract {customer}:");
-            notes(&story.notes);
+    let mut found = false;
+    for (name, result) in fleet.explain(subject).await {
+        if let Ok(history) = result {
+            found = true;
+            let customer = history.customer.as_deref().unwrap_or("-").to_owned();
+            args::print_line!("{subject} at {name}, contract {customer}:");
+            print_entries(&history.notes);
         }
     }
-    for (_, answer) in fleet.step_state(about).await {
-        if let Ok(state) = answer {
-            told = true;
-            step(&state);
+    for (_, result) in fleet.step_state(subject).await {
+        if let Ok(state) = result {
+            found = true;
+            print_step(&state);
         }
     }
-    if !told {
-        return Err(CommandError::Unknown(about.clone()).into());
+    if !found {
+        return Err(CommandError::UnknownSubject(subject.clone()).into());
     }
     Ok(())
 }
 
-/// Tells the story of something from log files.
-fn story(about: &str, files: &[String]) -> eyre::Result<()> {
+/// Prints the timeline of a subject from log files; `-` is standard input.
+fn print_timeline(subject: &str, files: &[String]) -> eyre::Result<()> {
     let mut text = String::new();
     for file in files {
         match file.as_str() {
@@ -50,9 +50,9 @@
         }
         text.push('\n');
     }
-    let events = operate::story::collect(about, text.lines());
+    let events = operate::story::collect(subject, text.lines());
     if events.is_empty() {
-        return Err(CommandError::Unknown(about.to_owned()).into());
+        return Err(CommandError::UnknownSubject(subject.to_owned()).into());
     }
     for event in events {
         let fields = event.fields.iter();
@@ -65,15 +65,15 @@
     Ok(())
 }
 
-fn notes(notes: &[HistoryEntry]) {
-    for note in notes {
-        let at = Timestamp::from_millisecond(note.at as i64);
-        let at = at.map_or_else(|_| note.at.to_string(), |at| at.to_string());
-        args::print_line!("  {at}  {}", note.what);
+fn print_entries(entries: &[HistoryEntry]) {
+    for entry in entries {
+        let time = Timestamp::from_millisecond(entry.at as i64);
+        let time = time.map_or_else(|_| entry.at.to_string(), |time| time.to_string());
+        args::print_line!("  {time}  {}", entry.what);
     }
 }
 
-fn step(state: &StepState) {
+fn print_step(state: &StepState) {
     args::print_line!(
         "step {} at {}, contract {}:",
         state.step,
@@ -87,16 +87,16 @@
         state.ready,
         state.running
     );
-    let c = &state.counts;
+    let counts = &state.counts;
     args::print_line!(
         "  {} attempts: {} resumed, {} moved, {} too old and made again, {} given up; {} tokens \
          thrown away",
-        c.begun,
-        c.resumed,
-        c.moved,
-        c.stale,
-        c.lost,
-        c.wasted
+        counts.begun,
+        counts.resumed,
+        counts.moved,
+        counts.stale,
+        counts.lost,
+        counts.wasted
     );
-    notes(&state.events);
+    print_entries(&state.events);
 }
--- a/crates/snipeway/src/cmd/generate.rs
+++ b/crates/snipeway/src/cmd/generate.rs
@@ -6,7 +6,7 @@
 use args::ParsedArgs;
 use eyre::WrapErr;
 
-/// Every program's command line.
+/// Specifications of the command lines of all programs.
 pub const SPECS: [&CliSpec; 7] = [
     &crate::cli::SPEC,
     &entry::cli::SPEC,
@@ -17,7 +17,7 @@
     &platform::cli::SPEC,
 ];
 
-/// Writes the shell completions and man pages of every program.
+/// Writes the shell completions and man pages of all programs.
 pub(crate) fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let folder = Path::new(&parsed.operands[0]);
     for spec in SPECS {
@@ -38,8 +38,8 @@
     Ok(())
 }
 
-fn write(folder: &Path, part: &str, name: &str, text: &str) -> eyre::Result<()> {
-    let folder = folder.join(part);
+fn write(folder: &Path, subfolder: &str, name: &str, text: &str) -> eyre::Result<()> {
+    let folder = folder.join(subfolder);
     let file = folder.join(name);
     std::fs::create_dir_all(&folder)
         .and_then(|()| std::fs::write(&file, text))
--- a/crates/snipeway/src/cmd/list.rs
+++ b/crates/snipeway/src/cmd/list.rs
@@ -4,7 +4,7 @@
 
 /// Lists the contracts with their revisions.
 pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
-    let settings = super::load(parsed)?;
+    let settings = super::load_settings(parsed)?;
     args::print_line!(
         "{:24} {:>9} {:>9} {:>11} {:>6}",
         "CUSTOMER",
@@ -13,15 +13,15 @@
         "CONCURRENCY",
         "CLASS"
     );
-    for held in super::contracts(&settings).list().await? {
-        let c = &held.stored.contract;
+    for current in super::contracts(&settings).list().await? {
+        let contract = &current.stored.contract;
         args::print_line!(
             "{:24} {:>9} {:>9} {:>11} {:>6}",
-            c.customer.to_string(),
-            held.rev,
-            c.request_rate,
-            c.concurrency,
-            c.class
+            contract.customer.to_string(),
+            current.rev,
+            contract.request_rate,
+            contract.concurrency,
+            contract.class
         );
     }
     Ok(())
--- a/crates/snipeway/src/cmd/settings.rs
+++ b/crates/snipeway/src/cmd/settings.rs
@@ -4,22 +4,23 @@
 use args::UsageError;
 use conf::SettingsErrors;
 
-/// Checks every file and reports every mistake of all of them.
+/// Checks all files and reports the errors of all of them.
 pub(crate) fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let kind = parsed.value("kind").unwrap_or("entry");
-    let mut mistakes = Vec::new();
+    let mut errors = Vec::new();
     for file in &parsed.operands {
         match check(kind, file, &conf::load(file)?)? {
             Ok(()) => args::print_line!("{file}: good"),
-            Err(found) => mistakes.extend(found.0),
+            Err(found) => errors.extend(found.0),
         }
     }
-    if mistakes.is_empty() {
+    if errors.is_empty() {
         return Ok(());
     }
-    Err(SettingsErrors(mistakes).into())
+    Err(SettingsErrors(errors).into())
 }
 
+/// Checks a file. The outer error is that of an unknown kind, the inner one lists the errors of the file.
 fn check(kind: &str, file: &str, text: &str) -> Result<Result<(), SettingsErrors>, UsageError> {
     Ok(match kind {
         "entry" => serve::settings::read(file, text).map(drop),
--- a/crates/snipeway/src/cmd/settle.rs
+++ b/crates/snipeway/src/cmd/settle.rs
@@ -6,9 +6,9 @@
 
 use crate::error::CommandError;
 
-/// Says whether a change took effect.
+/// Shows whether a change took effect whose outcome was unknown.
 pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
-    let settings = super::load(parsed)?;
+    let settings = super::load_settings(parsed)?;
     let customer: Name = parsed.operands[0].parse()?;
     let change = &parsed.operands[1];
     match super::contracts(&settings)
@@ -21,7 +21,7 @@
         }
         _ => {
             return Err(
-                CommandError::NotKnown(customer.to_string(), change.as_str().into()).into(),
+                CommandError::Indeterminate(customer.to_string(), change.as_str().into()).into(),
             );
         }
     }
--- a/crates/snipeway/src/cmd/status.rs
+++ b/crates/snipeway/src/cmd/status.rs
@@ -9,10 +9,10 @@
 
 use crate::error::CommandError;
 
-/// Shows every instance, and every upstream in the eyes of all.
+/// Shows the status of every instance, and every upstream as the instances see it.
 pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
-    let settings = super::load(parsed)?;
-    let mut silent = 0;
+    let settings = super::load_settings(parsed)?;
+    let mut unanswered = 0;
     let mut upstreams: BTreeMap<Name, Vec<(Name, UpstreamState)>> = BTreeMap::new();
     args::print_line!(
         "{:20} {:12} {:9} {:>9} {:>11} {:6} {:>5}",
@@ -24,17 +24,17 @@
         "READER",
         "LIVE"
     );
-    for (name, answer) in super::fleet(&settings).status().await {
-        match answer {
+    for (name, result) in super::fleet(&settings).status().await {
+        match result {
             Ok(status) => {
-                instance(&status);
+                print_instance(&status);
                 for upstream in status.upstreams {
-                    let seen = upstreams.entry(upstream.name.clone()).or_default();
-                    seen.push((name.clone(), upstream));
+                    let states = upstreams.entry(upstream.name.clone()).or_default();
+                    states.push((name.clone(), upstream));
                 }
             }
             Err(error) => {
-                silent += 1;
+                unanswered += 1;
                 args::print_line!("{:20} {error}", name.to_string());
             }
         }
@@ -47,21 +47,21 @@
         "VERSION",
         "LATENCY [ms]"
     );
-    for (name, seen) in &upstreams {
-        upstream(name, seen);
+    for (name, states) in &upstreams {
+        print_upstream(name, states);
     }
-    if silent > 0 {
-        return Err(CommandError::Silent(silent).into());
+    if unanswered > 0 {
+        return Err(CommandError::Unanswered(unanswered).into());
     }
     Ok(())
 }
 
-fn instance(status: &Status) {
+fn print_instance(status: &Status) {
     let live = status
         .members
         .iter()
         .filter(|member| member.state.is_live());
-    let known = status
+    let staleness = status
         .known
         .map_or_else(|| "never".into(), |age| age.to_string());
     args::print_line!(
@@ -70,32 +70,34 @@
         status.me.domain.to_string(),
         if status.ready { "ready" } else { "not ready" },
         status.newest,
-        known,
+        staleness,
         if status.reader { "yes" } else { "-" },
         live.count()
     );
 }
 
-fn upstream(name: &Name, seen: &[(Name, UpstreamState)]) {
-    let Some((_, first)) = seen.first() else {
+/// Prints the sum of running requests, the highest latency and version, and each standing other than "open", over the
+/// states that the instances report of an upstream.
+fn print_upstream(name: &Name, states: &[(Name, UpstreamState)]) {
+    let Some((_, first)) = states.first() else {
         return;
     };
-    let running: u32 = seen.iter().map(|(_, state)| state.outstanding).sum();
-    let latency = seen
+    let running: u32 = states.iter().map(|(_, state)| state.outstanding).sum();
+    let latency = states
         .iter()
         .map(|(_, state)| state.latency)
         .fold(0.0, f64::max);
-    let version = seen.iter().filter_map(|(_, state)| state.version).max();
+    let version = states.iter().filter_map(|(_, state)| state.version).max();
     let version = version.map_or_else(|| "-".into(), |version| version.to_string());
-    let odd: Vec<_> = seen
+    let not_open: Vec<_> = states
         .iter()
         .filter(|(_, state)| &*state.standing != "open")
-        .map(|(by, state)| format!("{} for {by}", state.standing))
+        .map(|(instance, state)| format!("{} for {instance}", state.standing))
         .collect();
-    let standing = if odd.is_empty() {
+    let standing = if not_open.is_empty() {
         "open".into()
     } else {
-        odd.join(", ")
+        not_open.join(", ")
     };
     args::print_line!(
         "{:20} {:12} {running:>8} {version:>8} {latency:>12.1}  {standing}",
--- a/crates/snipeway/src/cmd/token.rs
+++ b/crates/snipeway/src/cmd/token.rs
@@ -3,12 +3,12 @@
 use contract::TokenDigest;
 use rand::RngCore;
 
-/// Bytes of a token.
-const BYTES: usize = 24;
+/// Size of a token before it is hex-encoded, in bytes.
+const TOKEN_BYTES: usize = 24;
 
-/// Makes a bearer token, and prints it with the line that its contract needs.
+/// Generates a bearer token, and prints it and the line for its contract.
 pub(crate) fn run() -> eyre::Result<()> {
-    let mut bytes = [0; BYTES];
+    let mut bytes = [0; TOKEN_BYTES];
     rand::rng().fill_bytes(&mut bytes);
     let token = hex::encode(bytes);
     args::print_line!("token, for the customer: {token}");
--- a/crates/snipeway/src/error.rs
+++ b/crates/snipeway/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a command that was understood did not do what it was asked.
+//! Errors of commands whose arguments are valid.
 
-/// Why a command that was understood did not do what it was asked.
+/// Error of a command whose arguments are valid.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub(crate) enum CommandError {
-    /// Another operator was faster.
+    /// Another operator changed the contract first; it is now at this revision.
     #[error("not applied: the contract is at revision {0} now; look, then amend that")]
     Conflict(i64),
-    /// The platform did not answer.
+    /// The platform didn't answer, so the outcome is unknown. Holds the customer and the ID of the change.
     #[error("not known yet whether it took effect; ask again: snipeway contract settle {0} {1}")]
-    NotKnown(String, Box<str>),
-    /// Some instances do not have the revision.
-    #[error("not in force everywhere; behind: {behind}; silent: {silent}")]
+    Indeterminate(String, Box<str>),
+    /// The revision is not in force on all instances.
+    #[error("not in force everywhere; behind: {behind}; silent: {unanswered}")]
     Behind {
-        /// Those that answered without it.
+        /// Names of the instances that have an older revision.
         behind: String,
-        /// Those that did not answer.
-        silent: String,
+        /// Names of the instances whose status query failed.
+        unanswered: String,
     },
-    /// Nobody knows what was asked about.
+    /// No instance has a record of the request, step or upstream.
     #[error("no instance knows of {0}")]
-    Unknown(String),
+    UnknownSubject(String),
     /// The settings do not name the instance.
     #[error("the settings name no instance {0}")]
-    Instance(String),
-    /// An instance did not do it.
+    UnknownInstance(String),
+    /// The query to an instance failed.
     #[error("{0}: {1}")]
-    Asked(String, operate::ask::QueryError),
-    /// Instances did not answer.
+    Query(String, operate::ask::QueryError),
+    /// The queries to this many instances failed.
     #[error("{0} instances did not answer")]
-    Silent(usize),
+    Unanswered(usize),
 }
--- a/crates/snipeway/src/lib.rs
+++ b/crates/snipeway/src/lib.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// Returns the command's error.
+/// Returns the error of the command.
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     args::program::block_on(cmd::run(parsed))
 }
--- a/crates/snipeway/tests/output.rs
+++ b/crates/snipeway/tests/output.rs
@@ -3,11 +3,10 @@
 use std::process::Command;
 use std::process::Stdio;
 
-// Symptom: `snipeway status | head -4` ends with a panic and a stack trace.
-// Sequence: whoever reads the output stops before its end.
-// Cause: printing that takes a closed pipe for a fault of the program.
+// Guards against a panic when the reader closes the pipe before the end of the output, as in
+// `snipeway status | head -4`. A closed pipe must not count as an error of the program.
 #[test]
-fn a_reader_that_stops_early_is_no_failure() {
+fn a_closed_output_pipe_is_not_an_error() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_snipeway"))
         .arg("--help")
         .stdout(Stdio::piped())
@@ -17,10 +16,10 @@
 
     drop(child.stdout.take());
 
-    let ended = child.wait_with_output().unwrap();
+    let output = child.wait_with_output().unwrap();
     assert!(
-        ended.status.success(),
+        output.status.success(),
         "{}",
-        String::from_utf8_lossy(&ended.stderr)
+        String::from_utf8_lossy(&output.stderr)
     );
 }
