--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -5,13 +5,13 @@
 pub mod client;
 mod connect;
 pub mod events;
-pub mod glue;
+pub mod handler;
 pub mod server;
 
 pub use body::Reply;
 pub use client::Client;
 pub use client::SendError;
-pub use glue::Call;
-pub use glue::HandlerFn;
+pub use handler::Call;
+pub use handler::HandlerFn;
 pub use server::Drain;
 pub use server::Limits;
--- a/crates/operate/src/story.rs
+++ b/crates/operate/src/timeline.rs
@@ -79,7 +79,7 @@
 ///     r#"e1 {"at":"1","from":"forward","id":"r1","what":"given up","why":"no upstream"}"#,
 ///     "something else",
 /// ];
-/// let events = operate::story::collect("r1", log.iter().copied());
+/// let events = operate::timeline::collect("r1", log.iter().copied());
 /// assert_eq!(events.len(), 2);
 /// assert_eq!(events[0].what, "given up");
 /// ```
--- a/crates/operate/tests/story.rs
+++ b/crates/operate/tests/timeline.rs
@@ -1,6 +1,6 @@
 //! Tests of timelines from log lines.
 
-use operate::story::collect;
+use operate::timeline::collect;
 
 const LOG: &str = r#"
  0.1 e1 {"at":"1","from":"steps","id":"job","samples":"2","what":"step accepted"}
--- a/crates/snipeway/src/cmd/explain.rs
+++ b/crates/snipeway/src/cmd/explain.rs
@@ -50,7 +50,7 @@
         }
         text.push('\n');
     }
-    let events = operate::story::collect(subject, text.lines());
+    let events = operate::timeline::collect(subject, text.lines());
     if events.is_empty() {
         return Err(CommandError::UnknownSubject(subject.to_owned()).into());
     }
--- a/crates/snipeway/src/error.rs
+++ b/crates/snipeway/src/error.rs
@@ -26,7 +26,7 @@
     UnknownInstance(String),
     /// The query to an instance failed.
     #[error("{0}: {1}")]
-    Query(String, operate::ask::QueryError),
+    Query(String, operate::instances::QueryError),
     /// The queries to this many instances failed.
     #[error("{0} instances did not answer")]
     Unanswered(usize),
