--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,17 +1,17 @@
-//! HTTP plumbing: a client with deadlines, an accept loop that drains, and the bridge between
-//! plain async functions and gotham's router.
+//! HTTP client with timeouts, HTTP server with graceful shutdown, and an adapter that makes async functions
+//! handlers of gotham's router.
 
 pub mod body;
 pub mod client;
 mod connect;
 pub mod events;
-pub mod glue;
+pub mod handler;
 pub mod server;
 
 pub use body::Reply;
 pub use client::Client;
 pub use client::SendError;
-pub use glue::Call;
-pub use glue::Glue;
+pub use handler::Call;
+pub use handler::HandlerFn;
 pub use server::Drain;
 pub use server::Limits;
--- a/crates/serve/src/cache.rs
+++ b/crates/serve/src/cache.rs
@@ -122,7 +122,7 @@
         let mut body = response.into_body();
         loop {
             let frame = tokio::time::timeout(STORE_TIMEOUT, body.frame()).await;
-            let frame = frame.map_err(|_| net::SendError::Late)?;
+            let frame = frame.map_err(|_| net::SendError::Timeout)?;
             let Some(frame) = frame else {
                 break;
             };
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -173,9 +173,9 @@
         |kind: Type, error: &body::ReadError| deny(kind).with_detail(error.to_string());
     match tokio::time::timeout(bounds.body_timeout, read).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(error @ body::ReadError::Long(_))) => Err(with_error(Type::TooLarge, &error)),
+        Ok(Err(error @ body::ReadError::TooLong(_))) => Err(with_error(Type::TooLarge, &error)),
         Ok(Err(error)) => Err(with_error(Type::BadRequest, &error)),
-        Err(_) => Err(with_error(Type::SlowRequest, &body::ReadError::Late)),
+        Err(_) => Err(with_error(Type::SlowRequest, &body::ReadError::Timeout)),
     }
 }
 
@@ -342,9 +342,9 @@
             let attempt = attempt.unconnected(NoConnection::connect_failed());
             Err((attempt.refuse(), SendError::Unconnected.to_string()))
         }
-        Err(SendError::Late) => {
+        Err(SendError::Timeout) => {
             permit.time_out(left);
-            Err((attempt.fail(), SendError::Late.to_string()))
+            Err((attempt.fail(), SendError::Timeout.to_string()))
         }
         Err(error) => {
             permit.finish(false);
--- a/crates/serve/src/router.rs
+++ b/crates/serve/src/router.rs
@@ -9,7 +9,7 @@
 use gotham::router::builder::build_simple_router;
 use http::Method;
 use net::Call;
-use net::Glue;
+use net::HandlerFn;
 use net::Reply;
 use route::Attempt;
 use wire::Problem;
@@ -50,10 +50,10 @@
             .filter(|method| *method != $method);
         $route
             .request(vec![$method], $path)
-            .to_new_handler(Glue::new($app, $function));
+            .to_new_handler(HandlerFn::new($app, $function));
         $route
             .request(others.collect::<Vec<_>>(), $path)
-            .to_new_handler(Glue::new($app, wrong_method));
+            .to_new_handler(HandlerFn::new($app, wrong_method));
     };
 }
 
@@ -129,12 +129,12 @@
         for path in ["/v1/services/:service", "/v1/services/:service/*"] {
             route
                 .request(all_methods(), path)
-                .to_new_handler(Glue::new(app, forward::serve));
+                .to_new_handler(HandlerFn::new(app, forward::serve));
         }
         for path in ["/", "/*"] {
             route
                 .request(all_methods(), path)
-                .to_new_handler(Glue::new(app, unknown_path));
+                .to_new_handler(HandlerFn::new(app, unknown_path));
         }
     })
 }
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -315,8 +315,8 @@
         body_timeout: duration(body_timeout),
         limits: Limits {
             connections,
-            headers: duration(headers),
-            head: defaults.head,
+            header_timeout: duration(headers),
+            head_bytes: defaults.head_bytes,
             grace: duration(grace),
         },
     }
--- a/crates/serve/tests/replication.rs
+++ b/crates/serve/tests/replication.rs
@@ -7,7 +7,7 @@
 use contract::ini;
 use http::Method;
 use http::StatusCode;
-use operate::Applied;
+use operate::ApplyOutcome;
 use rig::Asked;
 use rig::Make;
 use rig::Rig;
@@ -48,7 +48,7 @@
         .await
         .unwrap()
     {
-        Applied::InForce(rev) => rev,
+        ApplyOutcome::InForce(rev) => rev,
         other => panic!("{other:?}"),
     }
 }
@@ -193,7 +193,7 @@
         let mut contract = contract("");
         contract.token_digest = contract::TokenDigest::of("token-new");
         let applied = rig.contracts().apply("op", None, contract).await.unwrap();
-        let Applied::InForce(rev) = applied else {
+        let ApplyOutcome::InForce(rev) = applied else {
             panic!("{applied:?}");
         };
 
@@ -227,8 +227,8 @@
             .await
             .unwrap();
 
-        assert!(matches!(first, Applied::InForce(_)), "{first:?}");
-        let Applied::Conflict { theirs, .. } = second else {
+        assert!(matches!(first, ApplyOutcome::InForce(_)), "{first:?}");
+        let ApplyOutcome::Conflict { theirs, .. } = second else {
             panic!("{second:?}");
         };
         assert!(
@@ -263,7 +263,7 @@
         let mut in_force = 0;
         for task in tasks {
             let applied = task.await.unwrap().unwrap();
-            in_force += u32::from(matches!(applied, Applied::InForce(_)));
+            in_force += u32::from(matches!(applied, ApplyOutcome::InForce(_)));
         }
 
         assert_eq!(in_force, 1);
@@ -289,7 +289,7 @@
 
         let held = contracts.show(&customer).await.unwrap().unwrap();
         assert!(held.rev > before);
-        assert_eq!(applied, Applied::InForce(held.rev));
+        assert_eq!(applied, ApplyOutcome::InForce(held.rev));
         assert_eq!(contracts.audit(Some(&customer)).await.unwrap().len(), 2);
     });
 }
@@ -314,13 +314,13 @@
 
         // The tool may have read the result back before the platform went down.
         let change = match applied.unwrap() {
-            Applied::NotKnown { change } => change,
-            Applied::InForce(_) => return,
+            ApplyOutcome::Indeterminate { change } => change,
+            ApplyOutcome::InForce(_) => return,
             other => panic!("{other:?}"),
         };
         faults.set(Fault::default());
         let settled = contracts.settle(&customer, &change).await.unwrap();
-        assert!(matches!(settled, Applied::InForce(_)), "{settled:?}");
+        assert!(matches!(settled, ApplyOutcome::InForce(_)), "{settled:?}");
     });
 }
 
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -189,7 +189,7 @@
         trainer.finish().await;
 
         trainer.check(4);
-        let states = rig.fleet().step(&trainer.step).await;
+        let states = rig.fleet().step_state(&trainer.step).await;
         let state: &StepState = states[0].1.as_ref().unwrap();
         assert_eq!(&*state.instance, "syd-0");
         assert!(state.events[0].what.contains("held"), "{:?}", state.events);
@@ -272,7 +272,7 @@
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         let path = "/v1/weights/fitting";
         let state = async || {
-            let states = rig.fleet().step(&trainer.step).await;
+            let states = rig.fleet().step_state(&trainer.step).await;
             states
                 .into_iter()
                 .find_map(|(_, state)| state.ok())
@@ -293,7 +293,7 @@
         trainer.finish().await;
 
         trainer.check(4);
-        let state = rig.fleet().step(&trainer.step).await;
+        let state = rig.fleet().step_state(&trainer.step).await;
         let state = state.into_iter().find_map(|(_, state)| state.ok()).unwrap();
         assert_eq!(state.counts.stale, 16);
     });
