--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -183,7 +183,7 @@
     /// Says of each instance that is to be emptied that it is: nothing that lasts is kept outside
     /// the platform's store.
     async fn empty(&mut self, app: &App) -> Result<(), PlatError> {
-        let prefix = app.dialect.places().empty;
+        let prefix = app.dialect.store_keys().drain_requests;
         for item in app.plat.list_stale(prefix).await?.items {
             let Some(name) = item.key.strip_prefix(prefix) else {
                 continue;
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -72,7 +72,7 @@
 
 /// Reads now and then what may be some time old, which is cheap.
 async fn glance(app: &App, targets: &Targets) {
-    let prefix = app.dialect.places().weights;
+    let prefix = app.dialect.store_keys().weights;
     loop {
         sleep(GLANCE).await;
         match app.plat.list_stale(prefix).await {
@@ -86,7 +86,7 @@
 }
 
 async fn listen(app: &App, targets: &Targets) {
-    let prefix = app.dialect.places().weights;
+    let prefix = app.dialect.store_keys().weights;
     let mut reach = Reach::new("announced weights");
     let mut rev = None;
     loop {
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -45,15 +45,15 @@
 
 /// Where the platform's store keeps what others write.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct StoreKeys {
     /// The key of the configuration.
-    pub plan: &'static str,
+    pub configuration: &'static str,
     /// What the keys of listed upstreams begin with.
     pub upstreams: &'static str,
     /// What the keys of announced weights begin with.
     pub weights: &'static str,
     /// What the keys of instances that are to be emptied begin with.
-    pub empty: &'static str,
+    pub drain_requests: &'static str,
 }
 
 /// What a request from outside asks for.
@@ -270,7 +270,7 @@
 /// Translates between a platform's messages and the product's types.
 pub trait Dialect: Send + Sync + 'static {
     /// Where the store keeps what others write.
-    fn places(&self) -> Places;
+    fn store_keys(&self) -> StoreKeys;
 
     /// Reads the configuration.
     ///
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -27,7 +27,7 @@
     pub(super) fn new(app: &App) -> Self {
         Self {
             count: 0,
-            upstreams: PagedList::new(app.dialect.places().upstreams),
+            upstreams: PagedList::new(app.dialect.store_keys().upstreams),
             crashes: PagedList::new(CRASHES),
         }
     }
@@ -79,7 +79,7 @@
 }
 
 async fn read_plan(app: &App, intake: &mut Intake) -> Result<(), PlatError> {
-    let plan = app.plat.get(app.dialect.places().plan).await?;
+    let plan = app.plat.get(app.dialect.store_keys().configuration).await?;
     if app.post(|board| board.set_configuration(plan)) {
         intake.take_plan(app);
     }
