--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -58,9 +58,9 @@
 
 /// What a request from outside asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Operation {
     /// The results of a step from a position on.
-    Read {
+    ReadResults {
         /// The step.
         step: Arc<str>,
         /// The position, counted from 0.
@@ -69,29 +69,29 @@
         wait: Millis,
     },
     /// The body of a sample's request.
-    Body {
+    ReadBody {
         /// The step.
         step: Arc<str>,
         /// The sample.
         sample: Arc<str>,
     },
     /// The end of a step.
-    End {
+    EndStep {
         /// The step.
         step: Arc<str>,
     },
     /// Whatever the route says.
     Route,
     /// The request lacks something that it has to have.
-    Wrong(&'static str),
+    Invalid(&'static str),
 }
 
-impl Asked {
+impl Operation {
     /// Tells whether it concerns a step that was submitted before.
-    pub fn is_of_step(&self) -> bool {
+    pub fn concerns_step(&self) -> bool {
         matches!(
             self,
-            Self::Read { .. } | Self::Body { .. } | Self::End { .. }
+            Self::ReadResults { .. } | Self::ReadBody { .. } | Self::EndStep { .. }
         )
     }
 }
@@ -108,7 +108,7 @@
     /// The last event that it has of a stream that broke, if it says so.
     pub last: Option<Arc<str>>,
     /// What it asks for.
-    pub asked: Asked,
+    pub asked: Operation,
     /// What it brings to say who sends it.
     pub credential: Credential,
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -10,8 +10,8 @@
 
 use crate::App;
 use crate::access;
-use crate::dialect::Asked;
 use crate::dialect::Caller;
+use crate::dialect::Operation;
 use crate::forward;
 use crate::meter;
 use crate::refuse;
@@ -26,8 +26,10 @@
     let caller = app.dialect.caller(&head);
     // Reads of steps have no name of their own; their lines are found by the step's.
     let id = match &caller.asked {
-        Asked::Read { step, .. } | Asked::Body { step, .. } | Asked::End { step } => step.clone(),
-        Asked::Wrong(_) | Asked::Route => caller.id.clone(),
+        Operation::ReadResults { step, .. }
+        | Operation::ReadBody { step, .. }
+        | Operation::EndStep { step } => step.clone(),
+        Operation::Invalid(_) | Operation::Route => caller.id.clone(),
     };
     let (route, mut reply) = dispatch(&app, head, caller, body).await;
     if app.is_leaving() {
@@ -56,11 +58,11 @@
     caller: Caller,
     body: Body,
 ) -> (&'static str, Reply) {
-    if caller.asked.is_of_step() {
+    if caller.asked.concerns_step() {
         return of_step(app, &caller).await;
     }
     match &caller.asked {
-        Asked::Wrong(why) => {
+        Operation::Invalid(why) => {
             log::info!(target: "front", id = &*caller.id, why; "improper request");
             ("wrong", Refusal::Wrong.reply())
         }
@@ -75,16 +77,16 @@
         Err(refusal) => return ("key", refusal.reply()),
     };
     match &caller.asked {
-        Asked::Read { step, from, wait } => {
+        Operation::ReadResults { step, from, wait } => {
             let reply = steps::read(app, step, *from, *wait, &principal).await;
             ("read", reply)
         }
-        Asked::Body { step, sample } => {
+        Operation::ReadBody { step, sample } => {
             let reply = steps::body(app, step, sample, &principal).await;
             ("body", reply)
         }
-        Asked::End { step } => ("end", steps::end(app, step, &principal).await),
-        Asked::Wrong(_) | Asked::Route => ("wrong", Refusal::Wrong.reply()),
+        Operation::EndStep { step } => ("end", steps::end(app, step, &principal).await),
+        Operation::Invalid(_) | Operation::Route => ("wrong", Refusal::Wrong.reply()),
     }
 }
 
