--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -104,11 +104,11 @@
     /// The host.
     pub host: Arc<str>,
     /// Time that the caller will wait, in milliseconds, if it says so.
-    pub deadline: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The last event that it has of a stream that broke, if it says so.
-    pub last: Option<Arc<str>>,
+    pub last_event: Option<Arc<str>>,
     /// What it asks for.
-    pub asked: Operation,
+    pub operation: Operation,
     /// What it brings to say who sends it.
     pub credential: Credential,
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -25,7 +25,7 @@
     let (head, body) = split(call);
     let caller = app.dialect.caller(&head);
     // Reads of steps have no name of their own; their lines are found by the step's.
-    let id = match &caller.asked {
+    let id = match &caller.operation {
         Operation::ReadResults { step, .. }
         | Operation::ReadBody { step, .. }
         | Operation::EndStep { step } => step.clone(),
@@ -58,10 +58,10 @@
     caller: Caller,
     body: Body,
 ) -> (&'static str, Reply) {
-    if caller.asked.concerns_step() {
+    if caller.operation.concerns_step() {
         return of_step(app, &caller).await;
     }
-    match &caller.asked {
+    match &caller.operation {
         Operation::Invalid(why) => {
             log::info!(target: "front", id = &*caller.id, why; "improper request");
             ("wrong", Refusal::Wrong.reply())
@@ -76,7 +76,7 @@
         Ok(principal) => principal,
         Err(refusal) => return ("key", refusal.reply()),
     };
-    match &caller.asked {
+    match &caller.operation {
         Operation::ReadResults { step, from, wait } => {
             let reply = steps::read(app, step, *from, *wait, &principal).await;
             ("read", reply)
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -64,7 +64,7 @@
         timeout: Millis,
         principal: Principal,
     ) -> Self {
-        let wait = caller.deadline.unwrap_or(timeout).min(timeout);
+        let wait = caller.timeout.unwrap_or(timeout).min(timeout);
         Self {
             app: app.clone(),
             head: head.clone(),
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -118,7 +118,7 @@
         team: principal.team().cloned(),
         host: caller.host.clone(),
         path: head.uri.path().into(),
-        left: caller.deadline,
+        left: caller.timeout,
         body: bytes.to_vec(),
     };
     if app.works.get(&submission.id).is_some() {
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -69,7 +69,7 @@
     let mut stream = Stream {
         sent: Sent::new(app, head, caller, body, route.timeout, principal),
         route: route.clone(),
-        last: caller.last.clone(),
+        last: caller.last_event.clone(),
         used: Vec::new(),
     };
     match stream.open(None).await {
