--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -115,13 +115,13 @@
 
 /// A step as it is submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Submitted {
+pub struct StepRequest {
     /// The model.
     pub model: Arc<str>,
     /// The oldest version that may generate its tokens.
-    pub least: u64,
+    pub min_version: u64,
     /// Groups that the trainer waits for.
-    pub wanted: u32,
+    pub required_groups: u32,
     /// The samples.
     pub samples: Vec<Sample>,
 }
@@ -304,7 +304,7 @@
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn submitted(&self, body: &[u8]) -> Result<Submitted, DialectError>;
+    fn decode_step(&self, body: &[u8]) -> Result<StepRequest, DialectError>;
 
     /// Writes results from a position on, as many as one answer may hold.
     fn page(&self, total: u32, from: usize, entries: &[Entry]) -> Vec<u8>;
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -28,7 +28,7 @@
 use crate::claim::Tried;
 use crate::control::orphans;
 use crate::dialect::Caller;
-use crate::dialect::Submitted;
+use crate::dialect::StepRequest;
 use crate::hand;
 use crate::hand::Over;
 use crate::member;
@@ -156,7 +156,7 @@
 /// promises that nothing runs is given only while no write was sent that may yet take effect.
 async fn take(app: &Arc<App>, submission: Submission, origin: Origin) -> Accepted {
     let id = submission.id.clone();
-    let submitted = match app.dialect.submitted(&submission.body) {
+    let submitted = match app.dialect.decode_step(&submission.body) {
         Ok(submitted) => submitted,
         Err(error) => {
             let why = error.to_string();
@@ -209,7 +209,7 @@
     })
 }
 
-fn make_head(app: &App, submission: &Submission, submitted: &Submitted) -> Head {
+fn make_head(app: &App, submission: &Submission, submitted: &StepRequest) -> Head {
     let samples = submitted.samples.iter();
     Head {
         owner: app.me.clone(),
@@ -217,8 +217,8 @@
         host: submission.host.clone(),
         path: submission.path.clone(),
         model: submitted.model.clone(),
-        min_version: submitted.least,
-        required_groups: submitted.wanted,
+        min_version: submitted.min_version,
+        required_groups: submitted.required_groups,
         total: submitted.samples.len() as u32,
         work: samples.map(|one| u64::from(one.expected.max(1))).sum(),
         team: submission.team.clone(),
