--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -128,13 +128,13 @@
 
 /// The head of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Said {
+pub struct AnswerHead {
     /// The attempt that it answers, if it says so.
-    pub id: Option<Box<str>>,
+    pub attempt_id: Option<Box<str>>,
     /// Whether it has not run the request and never will.
-    pub unrun: bool,
+    pub not_executed: bool,
     /// Whether it is not the upstream that was meant, or not the version of weights.
-    pub other: bool,
+    pub misdirected: bool,
     /// The signature of an upstream's application, if it bears one.
     pub signature: Option<Arc<str>>,
     /// Its load.
@@ -344,7 +344,7 @@
     fn scoring(&self, scoring: &Scoring) -> Result<Parts, DialectError>;
 
     /// Reads the head of an upstream's answer.
-    fn said(&self, status: StatusCode, head: &HeaderMap) -> Said;
+    fn decode_answer_head(&self, status: StatusCode, head: &HeaderMap) -> AnswerHead;
 
     /// Reads one event: the lines between two empty ones.
     fn event(&self, block: &str) -> Option<Event>;
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -299,16 +299,19 @@
             };
         }
     };
-    let said = sent.app.dialect.said(answer.status(), answer.headers());
+    let said = sent
+        .app
+        .dialect
+        .decode_answer_head(answer.status(), answer.headers());
     let mut plain = sent.app.plain.lock();
     if let Some(load) = said.load {
         plain.load_reported(&one.id, load, now);
     }
-    if said.unrun || said.other {
+    if said.not_executed || said.misdirected {
         plain.engine_busy(&one.id, now + FULL);
         return Came::Unrun;
     }
-    if let (Some(id), Some(signature)) = (&said.id, said.signature)
+    if let (Some(id), Some(signature)) = (&said.attempt_id, said.signature)
         && **id == *sent.id
     {
         plain.event_received(&one.id, took as f64);
@@ -319,6 +322,6 @@
     plain.engine_failed(&one.id, now);
     let status = answer.status().as_u16();
     log::warn!(target: "forward", id = &*sent.id, upstream = &*one.id, status,
-        answers = said.id.as_deref().unwrap_or("nothing"); "answer of something else");
+        answers = said.attempt_id.as_deref().unwrap_or("nothing"); "answer of something else");
     Came::Unknown
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -210,18 +210,21 @@
         place: &Place<'_>,
     ) -> Ended {
         let now = self.app.clock.now();
-        let said = self.app.dialect.said(answer.status(), answer.headers());
+        let said = self
+            .app
+            .dialect
+            .decode_answer_head(answer.status(), answer.headers());
         {
             let mut fleet = self.app.fleet.lock();
             if let Some(load) = said.load {
                 fleet.load_reported(&self.engine.id, load, now);
             }
-            if said.unrun || said.other {
+            if said.not_executed || said.misdirected {
                 fleet.engine_busy(&self.engine.id, now + FULL);
                 return Ended::Unrun;
             }
         }
-        if said.id.as_deref() != Some(&*sample.id) || said.signature.is_none() {
+        if said.attempt_id.as_deref() != Some(&*sample.id) || said.signature.is_none() {
             return Ended::Broken("answer of something else");
         }
         match answer.status() {
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -159,11 +159,11 @@
             .sent
             .app
             .dialect
-            .said(answer.status(), answer.headers());
-        if said.unrun || said.other {
+            .decode_answer_head(answer.status(), answer.headers());
+        if said.not_executed || said.misdirected {
             return Came::Unrun;
         }
-        match said.id.as_deref() == Some(&*self.sent.id) && said.signature.is_some() {
+        match said.attempt_id.as_deref() == Some(&*self.sent.id) && said.signature.is_some() {
             true => Came::Stream(Box::new(answer), place),
             false => Came::Unknown,
         }
