--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -18,7 +18,7 @@
 
 use crate::App;
 use crate::dialect::DialectError;
-use crate::dialect::Stated;
+use crate::dialect::ReportedState;
 use crate::news;
 use office::Office;
 
@@ -131,16 +131,16 @@
 /// # Errors
 ///
 /// Returns [`StateError`].
-pub async fn state(app: &App, one: &Arc<Upstream>) -> Result<Stated, StateError> {
-    let (method, path) = app.dialect.ask_state();
+pub async fn state(app: &App, one: &Arc<Upstream>) -> Result<ReportedState, StateError> {
+    let (method, path) = app.dialect.state_request();
     let request = http::Request::builder()
         .method(method)
         .uri(net::client::uri(one.addr, path))
         .body(http_body_util::Full::default())?;
     let answer = app.http.fetch(request, STATE, MOST).await?;
-    let stated = app.dialect.stated(answer.body())?;
+    let stated = app.dialect.decode_state(answer.body())?;
     // What it has counts for that start, which the list will name within a second or two.
-    if let (Some(born), Some(listed)) = (stated.born, one.incarnation.started_at)
+    if let (Some(born), Some(listed)) = (stated.started_at, one.incarnation.started_at)
         && born != listed
     {
         return Err(StateError::Start);
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -21,7 +21,7 @@
 use crate::dialect::Order;
 use crate::dialect::Ordered;
 use crate::dialect::Passing;
-use crate::dialect::Stated;
+use crate::dialect::ReportedState;
 use crate::meter;
 
 /// Time that an engine has to answer an order.
@@ -130,7 +130,11 @@
     }
 
     /// Asks engines that may have to load for their state.
-    async fn ask(&self, engines: &[Arc<Upstream>], due: &[LoadOrder]) -> Map<Arc<str>, Stated> {
+    async fn ask(
+        &self,
+        engines: &[Arc<Upstream>],
+        due: &[LoadOrder],
+    ) -> Map<Arc<str>, ReportedState> {
         let mut asks = JoinSet::new();
         let due: Set<_> = due.iter().map(|load| &load.id).collect();
         for one in engines {
@@ -147,7 +151,11 @@
         answers.into_iter().flatten().collect()
     }
 
-    fn seen(&self, engines: &[Arc<Upstream>], states: &Map<Arc<str>, Stated>) -> Vec<EngineState> {
+    fn seen(
+        &self,
+        engines: &[Arc<Upstream>],
+        states: &Map<Arc<str>, ReportedState>,
+    ) -> Vec<EngineState> {
         let fleet = self.app.fleet.lock();
         let one = |one: &Arc<Upstream>| {
             let ordered = self.ordered.get(&one.id);
@@ -176,7 +184,7 @@
         &self,
         engine: &Arc<Upstream>,
         load: &LoadOrder,
-        state: &Stated,
+        state: &ReportedState,
     ) -> Option<(Arc<str>, Loading)> {
         let now = self.app.clock.now();
         // Asked right before each order: the process may have been paused since the last renewal.
@@ -191,7 +199,7 @@
             passing: self.passing(&engine.service),
             holder: self.app.me.instance.clone(),
             fence: self.office.fence(),
-            orders: state.orders,
+            orders: state.accepted_orders,
         };
         let result = self.send(&order).await;
         let (word, pause) = match result {
@@ -208,7 +216,7 @@
         };
         metrics::counter!(meter::ORDERS, "result" => word).increment(1);
         log::info!(target: "control", upstream = &*engine.id, model = &*load.model,
-            version = load.version, fence = self.office.fence(), orders = state.orders,
+            version = load.version, fence = self.office.fence(), orders = state.accepted_orders,
             running = state.running, result = word; "ordered");
         Some((engine.id.clone(), loading))
     }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -156,17 +156,17 @@
 
 /// What an engine states of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stated {
+pub struct ReportedState {
     /// Its models with their versions.
     pub models: Vec<(Arc<str>, u64)>,
     /// Whether it is carrying out an order.
     pub busy: bool,
     /// Orders that it has accepted since it started.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// Requests that it works on.
     pub running: u32,
     /// When it started, in milliseconds since 1970 on its own clock, if it says so.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
 
 /// How running requests pass a change of weights.
@@ -350,14 +350,14 @@
     fn event(&self, block: &str) -> Option<Event>;
 
     /// The request for what an engine states of itself.
-    fn ask_state(&self) -> (Method, &'static str);
+    fn state_request(&self) -> (Method, &'static str);
 
     /// Reads what an engine states of itself.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn stated(&self, body: &[u8]) -> Result<Stated, DialectError>;
+    fn decode_state(&self, body: &[u8]) -> Result<ReportedState, DialectError>;
 
     /// The request that orders a load.
     ///
