--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -20,8 +20,8 @@
 use crate::App;
 use crate::dialect::Order;
 use crate::dialect::Ordered;
-use crate::dialect::Passing;
 use crate::dialect::ReportedState;
+use crate::dialect::SwapMode;
 use crate::meter;
 
 /// Time that an engine has to answer an order.
@@ -222,14 +222,14 @@
     }
 
     /// A sample that has to come from one version must not live through a change of weights.
-    fn passing(&self, service: &str) -> Passing {
+    fn passing(&self, service: &str) -> SwapMode {
         let plan = self.app.plan.load();
         let single = plan
             .as_ref()
             .is_some_and(|plan| plan.routes_to(service).any(|route| route.single_version));
         match single {
-            true => Passing::Drain,
-            false => Passing::Keep,
+            true => SwapMode::Drain,
+            false => SwapMode::Keep,
         }
     }
 
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -171,7 +171,7 @@
 
 /// How running requests pass a change of weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passing {
+pub enum SwapMode {
     /// They end before it.
     Drain,
     /// They go on with the new weights.
@@ -190,7 +190,7 @@
     /// The version.
     pub version: u64,
     /// How running requests pass.
-    pub passing: Passing,
+    pub passing: SwapMode,
     /// Who orders.
     pub holder: Arc<str>,
     /// The fencing number of whoever orders.
