--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -18,7 +18,7 @@
 use super::office::Office;
 use super::targets::Targets;
 use crate::App;
-use crate::dialect::Order;
+use crate::dialect::EngineOrder;
 use crate::dialect::Ordered;
 use crate::dialect::ReportedState;
 use crate::dialect::SwapMode;
@@ -191,15 +191,15 @@
         if !self.office.may_order(now) {
             return None;
         }
-        let order = Order {
+        let order = EngineOrder {
             name: engine.incarnation.name.clone(),
             addr: engine.addr,
             model: load.model.clone(),
             version: load.version,
-            passing: self.passing(&engine.service),
+            swap_mode: self.passing(&engine.service),
             holder: self.app.me.instance.clone(),
-            fence: self.office.fence(),
-            orders: state.accepted_orders,
+            fencing_token: self.office.fence(),
+            prior_orders: state.accepted_orders,
         };
         let result = self.send(&order).await;
         let (word, pause) = match result {
@@ -233,8 +233,8 @@
         }
     }
 
-    async fn send(&self, order: &Order) -> Option<Ordered> {
-        let request = match self.app.dialect.order(order) {
+    async fn send(&self, order: &EngineOrder) -> Option<Ordered> {
+        let request = match self.app.dialect.engine_order_request(order) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -180,7 +180,7 @@
 
 /// An order to load a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct EngineOrder {
     /// The engine's name, so that another one at its address does not take the order.
     pub name: Arc<str>,
     /// Its address.
@@ -190,14 +190,14 @@
     /// The version.
     pub version: u64,
     /// How running requests pass.
-    pub passing: SwapMode,
+    pub swap_mode: SwapMode,
     /// Who orders.
     pub holder: Arc<str>,
     /// The fencing number of whoever orders.
-    pub fence: i64,
+    pub fencing_token: i64,
     /// Orders that the engine must have accepted before, so that an order that is carried out late
     /// does nothing.
-    pub orders: u64,
+    pub prior_orders: u64,
 }
 
 /// What came of an order.
@@ -364,7 +364,10 @@
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn order(&self, order: &Order) -> Result<Request<Full<Bytes>>, DialectError>;
+    fn engine_order_request(
+        &self,
+        order: &EngineOrder,
+    ) -> Result<Request<Full<Bytes>>, DialectError>;
 
     /// Reads what came of an order.
     fn ordered(&self, status: StatusCode) -> Ordered;
