--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -19,7 +19,7 @@
 use super::targets::Targets;
 use crate::App;
 use crate::dialect::EngineOrder;
-use crate::dialect::Ordered;
+use crate::dialect::EngineOrderOutcome;
 use crate::dialect::ReportedState;
 use crate::dialect::SwapMode;
 use crate::meter;
@@ -203,10 +203,10 @@
         };
         let result = self.send(&order).await;
         let (word, pause) = match result {
-            Some(Ordered::Taken) => ("taken", LOADING),
-            Some(Ordered::Conflict) => ("conflict", LATE),
-            Some(Ordered::Fenced) => ("fenced", LATE),
-            Some(Ordered::Refused) => ("refused", LATE),
+            Some(EngineOrderOutcome::Accepted) => ("taken", LOADING),
+            Some(EngineOrderOutcome::Conflict) => ("conflict", LATE),
+            Some(EngineOrderOutcome::Fenced) => ("fenced", LATE),
+            Some(EngineOrderOutcome::Refused) => ("refused", LATE),
             None => ("unanswered", LATE),
         };
         let loading = Loading {
@@ -233,7 +233,7 @@
         }
     }
 
-    async fn send(&self, order: &EngineOrder) -> Option<Ordered> {
+    async fn send(&self, order: &EngineOrder) -> Option<EngineOrderOutcome> {
         let request = match self.app.dialect.engine_order_request(order) {
             Ok(request) => request,
             Err(error) => {
@@ -243,6 +243,6 @@
             }
         };
         let answer = self.app.http.fetch(request, LIMIT, MOST).await.ok()?;
-        Some(self.app.dialect.ordered(answer.status()))
+        Some(self.app.dialect.engine_order_outcome(answer.status()))
     }
 }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -202,9 +202,9 @@
 
 /// What came of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum EngineOrderOutcome {
     /// It is being carried out, or it held already.
-    Taken,
+    Accepted,
     /// The engine is carrying out another one, or has accepted others meanwhile.
     Conflict,
     /// Somebody with a higher fencing number has ordered before.
@@ -370,7 +370,7 @@
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
     /// Reads what came of an order.
-    fn ordered(&self, status: StatusCode) -> Ordered;
+    fn engine_order_outcome(&self, status: StatusCode) -> EngineOrderOutcome;
 
     /// The request that reports how many requests of each team began to run in a window.
     ///
