--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -23,8 +23,8 @@
 use super::kept::Kept;
 use super::office::Office;
 use crate::App;
-use crate::dialect::Account;
 use crate::dialect::Accounted;
+use crate::dialect::UsageReport;
 use crate::member;
 use crate::meter;
 use crate::peer;
@@ -249,13 +249,13 @@
         if !self.office.may_order(now) {
             return None;
         }
-        let account = Account {
+        let account = UsageReport {
             addr: self.to.address,
             report,
             holder: &self.app.me.instance,
-            fence: self.office.fence(),
+            fencing_token: self.office.fence(),
         };
-        let request = match self.app.dialect.account(&account) {
+        let request = match self.app.dialect.usage_report_request(&account) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
@@ -285,7 +285,7 @@
         };
         metrics::counter!(meter::ACCOUNTS, "result" => outcome).increment(1);
         let end = self.windows.end(report.window);
-        log::info!(target: "accounts", window = report.window, fence = account.fence, outcome,
+        log::info!(target: "accounts", window = report.window, fence = account.fencing_token, outcome,
             age_ms = self.app.clock.steady().saturating_sub(end); "window reported");
         came
     }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -215,7 +215,7 @@
 
 /// The report of the requests of one window.
 #[derive(Clone, Copy, Debug)]
-pub struct Account<'a> {
+pub struct UsageReport<'a> {
     /// The address that takes it.
     pub addr: SocketAddr,
     /// The figures.
@@ -223,7 +223,7 @@
     /// Who holds the duty.
     pub holder: &'a str,
     /// The fencing number of whoever holds it.
-    pub fence: i64,
+    pub fencing_token: i64,
 }
 
 /// What came of a report.
@@ -377,7 +377,10 @@
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn account(&self, account: &Account<'_>) -> Result<Request<Full<Bytes>>, DialectError>;
+    fn usage_report_request(
+        &self,
+        account: &UsageReport<'_>,
+    ) -> Result<Request<Full<Bytes>>, DialectError>;
 
     /// Reads what came of a report.
     fn accounted(&self, status: StatusCode) -> Accounted;
