--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -23,8 +23,8 @@
 use super::kept::Kept;
 use super::office::Office;
 use crate::App;
-use crate::dialect::Accounted;
 use crate::dialect::UsageReport;
+use crate::dialect::UsageReportOutcome;
 use crate::member;
 use crate::meter;
 use crate::peer;
@@ -236,14 +236,16 @@
                 continue;
             }
             match self.report(report).await {
-                Some(Accounted::Taken | Accounted::Refused) => self.taken = report.window,
-                Some(Accounted::Busy | Accounted::Fenced) | None => return false,
+                Some(UsageReportOutcome::Accepted | UsageReportOutcome::Refused) => {
+                    self.taken = report.window
+                }
+                Some(UsageReportOutcome::Busy | UsageReportOutcome::Fenced) | None => return false,
             }
         }
         true
     }
 
-    async fn report(&mut self, report: &Report) -> Option<Accounted> {
+    async fn report(&mut self, report: &Report) -> Option<UsageReportOutcome> {
         let now = self.app.clock.now();
         // Asked right before each report: the process may have been paused since the last renewal.
         if !self.office.may_order(now) {
@@ -260,7 +262,7 @@
             Err(error) => {
                 let error = error.to_string();
                 log::error!(target: "accounts", window = report.window, error = error.as_str(); "no report");
-                return Some(Accounted::Refused);
+                return Some(UsageReportOutcome::Refused);
             }
         };
         let answer = self.app.http.fetch(request, LIMIT, MOST).await;
@@ -268,7 +270,7 @@
             Ok(answer) => {
                 self.failing = None;
                 self.reach.back();
-                Some(self.app.dialect.accounted(answer.status()))
+                Some(self.app.dialect.usage_report_outcome(answer.status()))
             }
             Err(_) => {
                 self.failing.get_or_insert(now);
@@ -277,10 +279,10 @@
             }
         };
         let outcome = match came {
-            Some(Accounted::Taken) => "taken",
-            Some(Accounted::Busy) => "busy",
-            Some(Accounted::Fenced) => "fenced",
-            Some(Accounted::Refused) => "refused",
+            Some(UsageReportOutcome::Accepted) => "taken",
+            Some(UsageReportOutcome::Busy) => "busy",
+            Some(UsageReportOutcome::Fenced) => "fenced",
+            Some(UsageReportOutcome::Refused) => "refused",
             None => "unanswered",
         };
         metrics::counter!(meter::ACCOUNTS, "result" => outcome).increment(1);
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -228,9 +228,9 @@
 
 /// What came of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Accounted {
+pub enum UsageReportOutcome {
     /// It was taken, now or before.
-    Taken,
+    Accepted,
     /// Too many calls were made at once; it may be sent again.
     Busy,
     /// Somebody with a higher fencing number has reported before.
@@ -383,7 +383,7 @@
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
     /// Reads what came of a report.
-    fn accounted(&self, status: StatusCode) -> Accounted;
+    fn usage_report_outcome(&self, status: StatusCode) -> UsageReportOutcome;
 
     /// The request that orders a number of upstreams.
     ///
