--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -24,8 +24,8 @@
 use super::office::Office;
 use super::targets::Targets;
 use crate::App;
+use crate::dialect::CapacityOrder;
 use crate::dialect::Granted;
-use crate::dialect::Supply;
 use crate::meter;
 use crate::settings::Accounts;
 
@@ -192,13 +192,13 @@
     }
 
     async fn send(&self, order: &Order) -> Option<Granted> {
-        let supply = Supply {
+        let supply = CapacityOrder {
             addr: self.to.address,
             order,
             holder: &self.app.me.instance,
-            fence: self.office.fence(),
+            fencing_token: self.office.fence(),
         };
-        let request = match self.app.dialect.supply(&supply) {
+        let request = match self.app.dialect.capacity_order_request(&supply) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -241,7 +241,7 @@
 
 /// An order for a number of upstreams.
 #[derive(Clone, Copy, Debug)]
-pub struct Supply<'a> {
+pub struct CapacityOrder<'a> {
     /// The address that takes it.
     pub addr: SocketAddr,
     /// The order.
@@ -249,7 +249,7 @@
     /// Who holds the duty.
     pub holder: &'a str,
     /// The fencing number of whoever holds it.
-    pub fence: i64,
+    pub fencing_token: i64,
 }
 
 /// What came of an order for upstreams.
@@ -390,7 +390,10 @@
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn supply(&self, supply: &Supply<'_>) -> Result<Request<Full<Bytes>>, DialectError>;
+    fn capacity_order_request(
+        &self,
+        supply: &CapacityOrder<'_>,
+    ) -> Result<Request<Full<Bytes>>, DialectError>;
 
     /// Reads what came of an order for upstreams.
     fn granted(&self, status: StatusCode) -> Granted;
