--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -25,7 +25,7 @@
 use super::targets::Targets;
 use crate::App;
 use crate::dialect::CapacityOrder;
-use crate::dialect::Granted;
+use crate::dialect::CapacityOrderOutcome;
 use crate::meter;
 use crate::settings::Accounts;
 
@@ -173,17 +173,23 @@
         let granted = self.send(order).await;
         let now: Millis = self.app.clock.now();
         let outcome = match granted {
-            Some(Granted::Taken) => "taken",
-            Some(Granted::Scarce) => "none to be had",
-            Some(Granted::Busy) => "busy",
-            Some(Granted::Fenced) => "fenced",
-            Some(Granted::Refused) => "refused",
+            Some(CapacityOrderOutcome::Accepted) => "taken",
+            Some(CapacityOrderOutcome::Unavailable) => "none to be had",
+            Some(CapacityOrderOutcome::Busy) => "busy",
+            Some(CapacityOrderOutcome::Fenced) => "fenced",
+            Some(CapacityOrderOutcome::Refused) => "refused",
             None => "unanswered",
         };
         match granted {
-            Some(Granted::Taken) => self.tries.accepted(subject, bounds.startup_ms, now),
-            Some(Granted::Scarce | Granted::Refused) => self.tries.unavailable(subject, now),
-            Some(Granted::Busy | Granted::Fenced) | None => self.tries.unanswered(subject, now),
+            Some(CapacityOrderOutcome::Accepted) => {
+                self.tries.accepted(subject, bounds.startup_ms, now)
+            }
+            Some(CapacityOrderOutcome::Unavailable | CapacityOrderOutcome::Refused) => {
+                self.tries.unavailable(subject, now)
+            }
+            Some(CapacityOrderOutcome::Busy | CapacityOrderOutcome::Fenced) | None => {
+                self.tries.unanswered(subject, now)
+            }
         }
         metrics::counter!(meter::SUPPLIES, "result" => outcome).increment(1);
         log::info!(target: "capacity", service = &*subject.service, domain = &*subject.domain,
@@ -191,7 +197,7 @@
             "upstreams ordered");
     }
 
-    async fn send(&self, order: &Order) -> Option<Granted> {
+    async fn send(&self, order: &Order) -> Option<CapacityOrderOutcome> {
         let supply = CapacityOrder {
             addr: self.to.address,
             order,
@@ -203,10 +209,10 @@
             Err(error) => {
                 let error = error.to_string();
                 log::error!(target: "capacity", error = error.as_str(); "no order");
-                return Some(Granted::Refused);
+                return Some(CapacityOrderOutcome::Refused);
             }
         };
         let answer = self.app.http.fetch(request, LIMIT, MOST).await.ok()?;
-        Some(self.app.dialect.granted(answer.status()))
+        Some(self.app.dialect.capacity_order_outcome(answer.status()))
     }
 }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -254,11 +254,11 @@
 
 /// What came of an order for upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Granted {
+pub enum CapacityOrderOutcome {
     /// It is being carried out.
-    Taken,
+    Accepted,
     /// There are none to be had at the moment.
-    Scarce,
+    Unavailable,
     /// Too many calls were made at once; it may be given again.
     Busy,
     /// Somebody with a higher fencing number has ordered before.
@@ -396,5 +396,5 @@
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
     /// Reads what came of an order for upstreams.
-    fn granted(&self, status: StatusCode) -> Granted;
+    fn capacity_order_outcome(&self, status: StatusCode) -> CapacityOrderOutcome;
 }
