--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -191,7 +191,7 @@
             if self.emptied.contains(name) {
                 continue;
             }
-            let (key, value) = app.dialect.emptied(name);
+            let (key, value) = app.dialect.drained_record(name);
             let txn = Txn {
                 puts: vec![Put::new(key, value)],
                 ..Txn::default()
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -133,7 +133,7 @@
 }
 
 fn note(app: &App, targets: &Targets, item: &Item) {
-    match app.dialect.announced(&item.value) {
+    match app.dialect.decode_announcement(&item.value) {
         Ok((model, version)) => {
             if targets.announce(model.clone(), version, app.clock.now()) {
                 log::info!(target: "control", model = &*model, version, revision = item.rev;
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -277,27 +277,27 @@
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn plan(&self, value: &[u8]) -> Result<Config, DialectError>;
+    fn decode_config(&self, value: &[u8]) -> Result<Config, DialectError>;
 
     /// Reads the entry of a listed upstream.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn listed(&self, key: &str, value: &[u8]) -> Result<Upstream, DialectError>;
+    fn decode_upstream(&self, key: &str, value: &[u8]) -> Result<Upstream, DialectError>;
 
     /// Reads an announced version: the model and the version.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
-    fn announced(&self, value: &[u8]) -> Result<(Arc<str>, u64), DialectError>;
+    fn decode_announcement(&self, value: &[u8]) -> Result<(Arc<str>, u64), DialectError>;
 
     /// The record that says that an instance is empty: its key and its value.
-    fn emptied(&self, instance: &str) -> (String, Vec<u8>);
+    fn drained_record(&self, instance: &str) -> (String, Vec<u8>);
 
     /// Reads the head of a caller's request.
-    fn caller(&self, head: &Parts) -> Caller;
+    fn decode_caller(&self, head: &Parts) -> Caller;
 
     /// Reads the body of a request that submits a step.
     ///
@@ -307,11 +307,11 @@
     fn decode_step(&self, body: &[u8]) -> Result<StepRequest, DialectError>;
 
     /// Writes results from a position on, as many as one answer may hold.
-    fn page(&self, total: u32, from: usize, entries: &[Entry]) -> Vec<u8>;
+    fn encode_page(&self, total: u32, from: usize, entries: &[Entry]) -> Vec<u8>;
 
     /// The headers with which a caller's request goes on to an upstream on somebody's behalf; the upstream
     /// may work on it for `left` milliseconds.
-    fn forward(
+    fn forward_headers(
         &self,
         head: &HeaderMap,
         upstream: &str,
@@ -320,14 +320,14 @@
     ) -> HeaderMap;
 
     /// The headers with which an upstream's answer goes back to the caller.
-    fn back(&self, head: &HeaderMap) -> HeaderMap;
+    fn reply_headers(&self, head: &HeaderMap) -> HeaderMap;
 
     /// The request for a sample's tokens behind event `last`, which is 0 for the first, on somebody's behalf.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`] when the sample's own parts make no request.
-    fn sample(
+    fn sample_request(
         &self,
         sample: &Sample,
         host: &str,
@@ -341,13 +341,13 @@
     /// # Errors
     ///
     /// Returns [`DialectError`] when the sample's own parts make no request.
-    fn scoring(&self, scoring: &Scoring) -> Result<Parts, DialectError>;
+    fn scoring_request_head(&self, scoring: &Scoring) -> Result<Parts, DialectError>;
 
     /// Reads the head of an upstream's answer.
     fn decode_answer_head(&self, status: StatusCode, head: &HeaderMap) -> AnswerHead;
 
     /// Reads one event: the lines between two empty ones.
-    fn event(&self, block: &str) -> Option<Event>;
+    fn decode_event(&self, block: &str) -> Option<Event>;
 
     /// The request for what an engine states of itself.
     fn state_request(&self) -> (Method, &'static str);
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -96,7 +96,7 @@
     let (head, bytes) = answer.into_parts();
     let mut reply = Response::new(net::body::full(bytes));
     *reply.status_mut() = head.status;
-    *reply.headers_mut() = app.dialect.back(&head.headers);
+    *reply.headers_mut() = app.dialect.reply_headers(&head.headers);
     reply
 }
 
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -23,7 +23,7 @@
 pub async fn answer(app: Arc<App>, call: Call) -> Reply {
     let from = app.clock.now();
     let (head, body) = split(call);
-    let caller = app.dialect.caller(&head);
+    let caller = app.dialect.decode_caller(&head);
     // Reads of steps have no name of their own; their lines are found by the step's.
     let id = match &caller.operation {
         Operation::ReadResults { step, .. }
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -17,7 +17,7 @@
 
 /// Puts a configuration in force unless a newer one is.
 fn apply(app: &App, item: &Item) {
-    let plan = match app.dialect.plan(&item.value) {
+    let plan = match app.dialect.decode_config(&item.value) {
         Ok(plan) => plan,
         Err(error) => {
             let error = error.to_string();
@@ -132,7 +132,7 @@
 
     /// Takes in an entry. One that was written by something else names no upstream, and the others hold.
     fn take_entry(&mut self, app: &App, item: &Item) {
-        match app.dialect.listed(&item.key, &item.value) {
+        match app.dialect.decode_upstream(&item.key, &item.value) {
             Ok(one) => {
                 if self.strange.remove(&item.key) {
                     log::info!(target: "news", key = item.key.as_str(); "strange entry gone");
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -180,15 +180,15 @@
     async fn attempt(&self, sample: &Sample, draft: &Mutex<Draft>, place: &Place<'_>) -> Ended {
         let last = draft.lock().last_event;
         let dialect = &self.app.dialect;
-        let request = match dialect.sample(sample, &self.host, &self.engine, last, &self.principal)
-        {
-            Ok(request) => request,
-            Err(error) => {
-                let why = error.to_string();
-                log::warn!(target: "run", id = &*sample.id, why = why.as_str(); "no request");
-                return Ended::Hopeless;
-            }
-        };
+        let request =
+            match dialect.sample_request(sample, &self.host, &self.engine, last, &self.principal) {
+                Ok(request) => request,
+                Err(error) => {
+                    let why = error.to_string();
+                    log::warn!(target: "run", id = &*sample.id, why = why.as_str(); "no request");
+                    return Ended::Hopeless;
+                }
+            };
         // The process may have been paused since it was begun. From here on the time limit bounds what is sent.
         let left = self.permit.deadline().saturating_sub(self.app.clock.now());
         if left == 0 {
@@ -272,7 +272,7 @@
                 Ok(Next::Broken) => return Ended::Broken(STREAM),
                 Err(_) => return Ended::Broken("silent"),
             };
-            let Some(event) = self.app.dialect.event(&block) else {
+            let Some(event) = self.app.dialect.decode_event(&block) else {
                 return Ended::Broken("no event");
             };
             if let Some(next) = event.version {
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -43,7 +43,7 @@
     until: Millis,
 ) -> Option<Arc<str>> {
     let begun = app.clock.now();
-    let head = match app.dialect.scoring(scoring) {
+    let head = match app.dialect.scoring_request_head(scoring) {
         Ok(head) => head,
         Err(error) => {
             let why = error.to_string();
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -201,7 +201,7 @@
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = uri;
         let dialect = &self.app.dialect;
-        *request.headers_mut() = dialect.forward(
+        *request.headers_mut() = dialect.forward_headers(
             &self.head.headers,
             &one.incarnation.name,
             Some(self.left()),
--- a/crates/node/src/shelf.rs
+++ b/crates/node/src/shelf.rs
@@ -59,7 +59,7 @@
 impl Page {
     /// The answer to a caller, who asked for results from a position on.
     pub(crate) fn reply(&self, app: &App, from: usize) -> Reply {
-        let bytes = app.dialect.page(self.total, from, &self.entries);
+        let bytes = app.dialect.encode_page(self.total, from, &self.entries);
         body::reply(StatusCode::OK, "application/json", bytes)
     }
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -177,7 +177,7 @@
         let (sender, out) = net::body::stream();
         let mut reply = Response::new(out);
         *reply.status_mut() = head.status;
-        *reply.headers_mut() = self.sent.app.dialect.back(&head.headers);
+        *reply.headers_mut() = self.sent.app.dialect.reply_headers(&head.headers);
         tokio::spawn(async move {
             let id = self.sent.id.clone();
             let whole = self.pump(body, place, &sender).await;
@@ -199,7 +199,7 @@
         self.sent.answered(head.status);
         let mut reply = Response::new(net::body::full(bytes));
         *reply.status_mut() = head.status;
-        *reply.headers_mut() = self.sent.app.dialect.back(&head.headers);
+        *reply.headers_mut() = self.sent.app.dialect.reply_headers(&head.headers);
         reply
     }
 
@@ -215,7 +215,7 @@
             };
             match next {
                 Next::Block(block) => {
-                    if let Some(event) = self.sent.app.dialect.event(&block) {
+                    if let Some(event) = self.sent.app.dialect.decode_event(&block) {
                         last = Some(event.number.to_string().into());
                     }
                     let block = Bytes::from(block + "\n\n");
