--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -54,7 +54,7 @@
 
 /// On whose behalf somebody asks for a step that was submitted before.
 pub(crate) fn of_step(app: &App, caller: &Caller) -> Result<Principal, Refusal> {
-    let Some(plan) = app.plan.load_full() else {
+    let Some(plan) = app.config.load_full() else {
         // What was submitted without a key is found without one; with one nothing is known of its team.
         return match caller.credential {
             Credential::None => Ok(Principal::NoTeams),
@@ -84,7 +84,7 @@
 
 /// Tells whether the configuration is too old for requests that need a key, where operators want it so.
 pub(crate) fn is_closed(app: &App) -> bool {
-    let plan = app.plan.load();
+    let plan = app.config.load();
     let keys = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
     let Some(bound) = bounds(app).fail_closed.filter(|_| keys) else {
         return false;
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -71,7 +71,7 @@
     /// This start of this instance.
     pub me: Owner,
     /// The configuration, once it is known.
-    pub plan: ArcSwapOption<Config>,
+    pub config: ArcSwapOption<Config>,
     /// The upstreams that are listed.
     pub roster: Mutex<UpstreamList>,
     /// The upstreams of plain services as this instance sees them.
@@ -144,7 +144,7 @@
             plat,
             http: net::Client::idle(IDLE),
             me,
-            plan: ArcSwapOption::empty(),
+            config: ArcSwapOption::empty(),
             roster: Mutex::default(),
             plain: Mutex::default(),
             fleet: Mutex::default(),
@@ -173,7 +173,7 @@
 
     /// What the memory of a service's engines holds.
     pub fn memory(&self, service: &str) -> EngineMemory {
-        let plan = self.plan.load();
+        let plan = self.config.load();
         let service = plan.as_ref().and_then(|plan| plan.service(service));
         let engine = service.and_then(|service| service.engine.as_ref());
         engine.map_or_else(EngineMemory::default, |engine| EngineMemory {
@@ -320,7 +320,7 @@
     /// them away.
     pub fn is_ready(&self) -> bool {
         let known = self.roster.lock().age(self.clock.now()).is_some();
-        let able = known && self.plan.load().is_some() && !access::is_closed(self);
+        let able = known && self.config.load().is_some() && !access::is_closed(self);
         able && self.is_kept() && !self.is_leaving()
     }
 }
--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -157,7 +157,7 @@
     }
 
     fn has_teams(&self) -> bool {
-        let plan = self.app.plan.load();
+        let plan = self.app.config.load();
         plan.as_ref().is_some_and(|plan| plan.teams.is_some())
     }
 
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -82,7 +82,7 @@
         }
         self.ordered.retain(|_, ordered| now < ordered.until);
         self.silent.retain(|_, until| now < *until);
-        let plan = self.app.plan.load_full();
+        let plan = self.app.config.load_full();
         let Some(plan) = plan else { return };
         for service in plan.services() {
             if service.engine.is_some() {
@@ -223,7 +223,7 @@
 
     /// A sample that has to come from one version must not live through a change of weights.
     fn passing(&self, service: &str) -> SwapMode {
-        let plan = self.app.plan.load();
+        let plan = self.app.config.load();
         let single = plan
             .as_ref()
             .is_some_and(|plan| plan.routes_to(service).any(|route| route.single_version));
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -80,7 +80,7 @@
     }
 
     async fn turn(&mut self, targets: &Targets) -> Result<(), PlatError> {
-        let Some(plan) = self.app.plan.load_full() else {
+        let Some(plan) = self.app.config.load_full() else {
             return Ok(());
         };
         let scaled = plan.services().any(|service| service.scaling.is_some());
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -91,7 +91,7 @@
 }
 
 async fn routed(app: &Arc<App>, head: Parts, caller: Caller, body: Body) -> (&'static str, Reply) {
-    let Some(plan) = app.plan.load_full() else {
+    let Some(plan) = app.config.load_full() else {
         // A restarted instance knows no route yet; a 404 now would be an older state.
         log::info!(target: "front", id = &*caller.id; "no configuration yet");
         return ("none", Refusal::Unrun.reply());
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -100,7 +100,7 @@
 
 /// The instances to ask, but for those that did not take a step a moment ago.
 fn candidates(app: &App, submission: &Submission) -> Vec<Member> {
-    let plan = app.plan.load();
+    let plan = app.config.load();
     let route = plan
         .as_ref()
         .and_then(|plan| plan.find_route(&submission.host, &submission.path));
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -37,14 +37,14 @@
 
 /// Replaces the configuration by a newer one; a late answer with an older one changes nothing.
 fn replace(app: &App, plan: Config) -> bool {
-    let held = app.plan.load();
+    let held = app.config.load();
     if held
         .as_ref()
         .is_some_and(|held| held.version >= plan.version)
     {
         return false;
     }
-    app.plan.store(Some(Arc::new(plan)));
+    app.config.store(Some(Arc::new(plan)));
     true
 }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -63,7 +63,7 @@
 
 /// Tokens in an event of a step's engines; 0 when it is not known.
 fn event_tokens(app: &App, head: &Head) -> u64 {
-    let plan = app.plan.load();
+    let plan = app.config.load();
     let route = plan
         .as_ref()
         .and_then(|plan| plan.find_route(&head.host, &head.path));
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -56,7 +56,7 @@
         }
         let Some(route) = self.work.route(self.app) else {
             // Without any configuration nothing is known; with one, the route is gone.
-            if self.app.plan.load().is_some() {
+            if self.app.config.load().is_some() {
                 self.give_up("route gone");
             }
             return Placed::Looked;
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -226,7 +226,7 @@
     }
 
     pub(super) fn route(&self, app: &App) -> Option<Arc<Route>> {
-        let plan = app.plan.load();
+        let plan = app.config.load();
         plan.as_ref()?
             .find_route(&self.head.host, &self.head.path)
             .cloned()
@@ -234,7 +234,7 @@
 
     /// On whose behalf the step runs.
     pub(crate) fn principal(&self, app: &App) -> Principal {
-        let plan = app.plan.load();
+        let plan = app.config.load();
         let configured = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
         Principal::from_record(self.head.team.as_ref(), configured)
     }
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -92,7 +92,7 @@
 }
 
 fn route(app: &App, scoring: &Scoring) -> Option<Arc<Route>> {
-    let plan = app.plan.load();
+    let plan = app.config.load();
     plan.as_ref()?
         .find_route(&scoring.host, &scoring.path)
         .cloned()
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -195,7 +195,7 @@
 
 /// Tells whether an engine of the step's route may have the model.
 fn serves(app: &App, submission: &Submission, model: &str) -> bool {
-    let plan = app.plan.load();
+    let plan = app.config.load();
     let Some(plan) = plan.as_ref() else {
         return false;
     };
