--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -22,7 +22,7 @@
 
 /// Age of the configuration, in milliseconds since it was known to be the newest.
 pub(crate) fn age(app: &App) -> Option<Millis> {
-    app.roster.lock().age(app.clock.now())
+    app.upstreams.lock().age(app.clock.now())
 }
 
 fn bounds(app: &App) -> StalenessLimits {
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -73,7 +73,7 @@
     /// The configuration, once it is known.
     pub config: ArcSwapOption<Config>,
     /// The upstreams that are listed.
-    pub roster: Mutex<UpstreamList>,
+    pub upstreams: Mutex<UpstreamList>,
     /// The upstreams of plain services as this instance sees them.
     pub plain: Mutex<EngineTracker>,
     /// The engines as this instance sees them.
@@ -145,7 +145,7 @@
             http: net::Client::idle(IDLE),
             me,
             config: ArcSwapOption::empty(),
-            roster: Mutex::default(),
+            upstreams: Mutex::default(),
             plain: Mutex::default(),
             fleet: Mutex::default(),
             crashes: Arc::default(),
@@ -186,7 +186,7 @@
     pub(crate) async fn broke(self: &Arc<Self>, id: &str, mark: Identity, one: &Upstream) {
         let (app, start) = (self.clone(), one.id.clone());
         let left = move || {
-            let roster = app.roster.lock();
+            let roster = app.upstreams.lock();
             roster.get(&start).is_none_or(|one| one.leaving)
         };
         self.crashes
@@ -319,7 +319,7 @@
     /// Tells whether callers should come here: an instance without configuration could only turn
     /// them away.
     pub fn is_ready(&self) -> bool {
-        let known = self.roster.lock().age(self.clock.now()).is_some();
+        let known = self.upstreams.lock().age(self.clock.now()).is_some();
         let able = known && self.config.load().is_some() && !access::is_closed(self);
         able && self.is_kept() && !self.is_leaving()
     }
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -92,7 +92,7 @@
     }
 
     fn engines(&self, service: &str) -> Vec<Arc<Upstream>> {
-        let roster = self.app.roster.lock();
+        let roster = self.app.upstreams.lock();
         let engines = roster.of_service(service).filter(|one| !one.leaving);
         engines.cloned().collect()
     }
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -133,7 +133,7 @@
 
     /// The upstreams of a service in each failure domain in which there may be some.
     fn present(&self, service: &str, bounds: &ScalingBounds) -> Vec<DomainUpstreams> {
-        let roster = self.app.roster.lock();
+        let roster = self.app.upstreams.lock();
         let mut all: Vec<_> = bounds
             .prices
             .iter()
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -244,7 +244,12 @@
         // A sample that finds no free place looks again within moments, and writes a line when it has
         // its score or is given up.
         if self.manner == Manner::Caller || !self.used.is_empty() {
-            let age = self.sent.app.roster.lock().age(self.sent.app.clock.now());
+            let age = self
+                .sent
+                .app
+                .upstreams
+                .lock()
+                .age(self.sent.app.clock.now());
             log::info!(target: "forward", id = &*self.sent.id, why, attempts = self.used.len(),
                 outcome = refusal.name(), list_age_ms = age.unwrap_or(0); "given up");
         }
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -12,7 +12,7 @@
 /// Takes in the list of upstreams as it was read at `at`, here or by whoever told it.
 pub(super) fn believe(app: &App, list: &BTreeMap<String, Arc<Upstream>>, rev: i64, at: Millis) {
     let beliefs = {
-        let mut roster = app.roster.lock();
+        let mut roster = app.upstreams.lock();
         let beliefs = roster.update_shared(list.values().cloned(), at);
         // Nothing is to be forgotten of upstreams while none comes or goes.
         if !beliefs.is_empty() {
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -142,7 +142,7 @@
             ..want
         };
         let now = self.app.clock.now();
-        let roster = self.app.roster.lock();
+        let roster = self.app.upstreams.lock();
         let mut fleet = self.app.fleet.lock();
         let round = rounds
             .entry(service.clone())
--- a/crates/node/src/owner/looks.rs
+++ b/crates/node/src/owner/looks.rs
@@ -45,7 +45,7 @@
         }
         self.looked = now;
         let (model, least) = (&work.head.model, work.head.min_version);
-        let roster = app.roster.lock();
+        let roster = app.upstreams.lock();
         let fleet = app.fleet.lock();
         let mine = |one: &&Arc<Upstream>| {
             let mut shares = route.services.iter();
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -317,7 +317,7 @@
             tokens: memory.run_tokens(sample.prompt, draft.last_event),
             memory,
         };
-        let roster = self.app.roster.lock();
+        let roster = self.app.upstreams.lock();
         let fleet = self.app.fleet.lock();
         let left = fleet.remaining_events(sample.expected, draft.last_event);
         let now = self.app.clock.now();
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -224,7 +224,7 @@
             return None;
         }
         let app = &self.app;
-        let roster = app.roster.lock();
+        let roster = app.upstreams.lock();
         let slots = roster
             .of_service(service)
             .map(|one| one.slots)
