--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -75,7 +75,7 @@
     /// The upstreams that are listed.
     pub upstreams: Mutex<UpstreamList>,
     /// The upstreams of plain services as this instance sees them.
-    pub plain: Mutex<EngineTracker>,
+    pub service_tracker: Mutex<EngineTracker>,
     /// The engines as this instance sees them.
     pub fleet: Mutex<EngineTracker>,
     /// Which requests crash upstreams.
@@ -146,7 +146,7 @@
             me,
             config: ArcSwapOption::empty(),
             upstreams: Mutex::default(),
-            plain: Mutex::default(),
+            service_tracker: Mutex::default(),
             fleet: Mutex::default(),
             crashes: Arc::default(),
             room: Notify::new(),
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -294,7 +294,7 @@
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
-            sent.app.plain.lock().engine_failed(&one.id, now);
+            sent.app.service_tracker.lock().engine_failed(&one.id, now);
             let why = error.to_string();
             log::info!(target: "forward", id = &*sent.id, upstream = &*one.id,
                 took_ms = took, why = why.as_str(); "attempt failed");
@@ -308,7 +308,7 @@
         .app
         .dialect
         .decode_answer_head(answer.status(), answer.headers());
-    let mut plain = sent.app.plain.lock();
+    let mut plain = sent.app.service_tracker.lock();
     if let Some(load) = said.load {
         plain.load_reported(&one.id, load, now);
     }
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -16,7 +16,7 @@
         let beliefs = roster.update_shared(list.values().cloned(), at);
         // Nothing is to be forgotten of upstreams while none comes or goes.
         if !beliefs.is_empty() {
-            app.plain.lock().prune(&roster);
+            app.service_tracker.lock().prune(&roster);
             app.fleet.lock().prune(&roster);
         }
         beliefs
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -248,7 +248,7 @@
             ..any
         };
         let now = app.clock.now();
-        let mut plain = app.plain.lock();
+        let mut plain = app.service_tracker.lock();
         let one = plain
             .choose(&roster, &want, now)
             .or_else(|| plain.choose(&roster, &any, now))?;
@@ -281,6 +281,6 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.app.plain.lock().run_ended(&self.one.id, 0);
+        self.app.service_tracker.lock().run_ended(&self.one.id, 0);
     }
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -140,7 +140,7 @@
             Err(error) => {
                 self.sent
                     .app
-                    .plain
+                    .service_tracker
                     .lock()
                     .engine_failed(&one.id, self.sent.app.clock.now());
                 let why = error.to_string();
