--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -77,7 +77,7 @@
     /// The upstreams of plain services as this instance sees them.
     pub service_tracker: Mutex<EngineTracker>,
     /// The engines as this instance sees them.
-    pub fleet: Mutex<EngineTracker>,
+    pub engine_tracker: Mutex<EngineTracker>,
     /// Which requests crash upstreams.
     pub crashes: Arc<CrashTracker>,
     /// What this instance has counted of the requests of teams, if they are reported.
@@ -147,7 +147,7 @@
             config: ArcSwapOption::empty(),
             upstreams: Mutex::default(),
             service_tracker: Mutex::default(),
-            fleet: Mutex::default(),
+            engine_tracker: Mutex::default(),
             crashes: Arc::default(),
             room: Notify::new(),
             members: Mutex::new(Arc::new([])),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -145,7 +145,7 @@
     {
         return Err(StateError::Start);
     }
-    let mut fleet = app.fleet.lock();
+    let mut fleet = app.engine_tracker.lock();
     for (model, version) in &stated.models {
         fleet.version_seen(&one.id, model, *version);
     }
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -156,7 +156,7 @@
         engines: &[Arc<Upstream>],
         states: &Map<Arc<str>, ReportedState>,
     ) -> Vec<EngineState> {
-        let fleet = self.app.fleet.lock();
+        let fleet = self.app.engine_tracker.lock();
         let one = |one: &Arc<Upstream>| {
             let ordered = self.ordered.get(&one.id);
             let state = states.get(&one.id);
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -17,7 +17,7 @@
         // Nothing is to be forgotten of upstreams while none comes or goes.
         if !beliefs.is_empty() {
             app.service_tracker.lock().prune(&roster);
-            app.fleet.lock().prune(&roster);
+            app.engine_tracker.lock().prune(&roster);
         }
         beliefs
     };
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -143,7 +143,7 @@
         };
         let now = self.app.clock.now();
         let roster = self.app.upstreams.lock();
-        let mut fleet = self.app.fleet.lock();
+        let mut fleet = self.app.engine_tracker.lock();
         let round = rounds
             .entry(service.clone())
             .or_insert_with(|| PlacementRound::new(&fleet, &roster, &any, now));
--- a/crates/node/src/owner/looks.rs
+++ b/crates/node/src/owner/looks.rs
@@ -46,7 +46,7 @@
         self.looked = now;
         let (model, least) = (&work.head.model, work.head.min_version);
         let roster = app.upstreams.lock();
-        let fleet = app.fleet.lock();
+        let fleet = app.engine_tracker.lock();
         let mine = |one: &&Arc<Upstream>| {
             let mut shares = route.services.iter();
             shares.any(|share| share.service == one.service)
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -102,7 +102,7 @@
     /// Notes an event, with the milliseconds since the one before it.
     fn event(&self, gap: Option<f64>, tokens: u64) {
         self.tokens.fetch_add(tokens, Ordering::Relaxed);
-        let mut fleet = self.run.app.fleet.lock();
+        let mut fleet = self.run.app.engine_tracker.lock();
         fleet.run_grew(&self.run.engine.id, tokens);
         match gap {
             Some(gap) => fleet.event_received(&self.run.engine.id, gap),
@@ -115,7 +115,7 @@
     fn drop(&mut self) {
         let Run { app, engine, .. } = self.run;
         let tokens = self.tokens.load(Ordering::Relaxed);
-        app.fleet.lock().run_ended(&engine.id, tokens);
+        app.engine_tracker.lock().run_ended(&engine.id, tokens);
         app.room.notify_waiters();
     }
 }
@@ -136,7 +136,7 @@
             self.app.crashes.record_success(|| self.mark(sample));
             let events = draft.lock().last_event;
             self.app
-                .fleet
+                .engine_tracker
                 .lock()
                 .sample_finished(sample.expected, events);
         }
@@ -145,7 +145,7 @@
             Ended::Whole | Ended::Hopeless | Ended::Unrun | Ended::Moved | Ended::Stale
         ) {
             self.app
-                .fleet
+                .engine_tracker
                 .lock()
                 .engine_failed(&self.engine.id, self.app.clock.now());
         }
@@ -215,7 +215,7 @@
             .dialect
             .decode_answer_head(answer.status(), answer.headers());
         {
-            let mut fleet = self.app.fleet.lock();
+            let mut fleet = self.app.engine_tracker.lock();
             if let Some(load) = said.load {
                 fleet.load_reported(&self.engine.id, load, now);
             }
@@ -245,7 +245,7 @@
     /// Tells whether events of a version may be added.
     fn admit(&self, draft: &Draft, version: u64) -> bool {
         self.app
-            .fleet
+            .engine_tracker
             .lock()
             .version_seen(&self.engine.id, &self.model, version);
         let one = draft.versions.iter().all(|have| *have == version);
@@ -318,7 +318,7 @@
             memory,
         };
         let roster = self.app.upstreams.lock();
-        let fleet = self.app.fleet.lock();
+        let fleet = self.app.engine_tracker.lock();
         let left = fleet.remaining_events(sample.expected, draft.last_event);
         let now = self.app.clock.now();
         fleet
