--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -78,7 +78,7 @@
         },
         Ask::Relay(_) if app.plat.is_unserved() => Told::Relay(Err(PlatError::Unreachable)),
         Ask::Tally { owner, tally } => {
-            app.keeper
+            app.snapshots
                 .lock()
                 .update((owner.instance, owner.start), tally);
             Told::Noted
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -83,7 +83,7 @@
     /// What this instance has counted of the requests of teams, if they are reported.
     pub meter: Option<Mutex<Meter>>,
     /// What entry instances have told this one of what they counted.
-    pub keeper: Mutex<SnapshotStore>,
+    pub snapshots: Mutex<SnapshotStore>,
     /// Rings when a place may have become free or an upstream has changed.
     pub room: Notify,
     /// The instances that have entered, this one among them.
@@ -139,7 +139,7 @@
             settings,
             clock,
             meter,
-            keeper: Mutex::default(),
+            snapshots: Mutex::default(),
             dialect,
             plat,
             http: net::Client::idle(IDLE),
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -89,7 +89,7 @@
 
 /// What this instance knows of the requests of a window: what it was told, and what it has counted.
 pub(crate) fn shares(app: &App, window: u64) -> Vec<WindowCounts> {
-    let mut shares = app.keeper.lock().window_counts(window);
+    let mut shares = app.snapshots.lock().window_counts(window);
     if let Some(meter) = app
         .meter
         .as_ref()
