--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -85,7 +85,7 @@
     /// What entry instances have told this one of what they counted.
     pub snapshots: Mutex<SnapshotStore>,
     /// Rings when a place may have become free or an upstream has changed.
-    pub room: Notify,
+    pub capacity_changed: Notify,
     /// The instances that have entered, this one among them.
     pub members: Mutex<Arc<[Member]>>,
     /// Where this instance stands among them.
@@ -149,7 +149,7 @@
             service_tracker: Mutex::default(),
             engine_tracker: Mutex::default(),
             crashes: Arc::default(),
-            room: Notify::new(),
+            capacity_changed: Notify::new(),
             members: Mutex::new(Arc::new([])),
             place: Mutex::default(),
             former: Mutex::default(),
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -25,7 +25,7 @@
         tell(belief, rev);
     }
     metrics::gauge!(crate::meter::AGE).set(0.0);
-    app.room.notify_waiters();
+    app.capacity_changed.notify_waiters();
 }
 
 fn tell(belief: &UpstreamChange, rev: i64) {
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -32,7 +32,7 @@
     }
     metrics::gauge!(crate::meter::VERSION).set(version as f64);
     log::info!(target: "news", version, revision = item.rev; "configuration in force");
-    app.room.notify_waiters();
+    app.capacity_changed.notify_waiters();
 }
 
 /// Replaces the configuration by a newer one; a late answer with an older one changes nothing.
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -135,7 +135,7 @@
                 Some(()) = self.checks.ended() => (),
                 Some(()) = self.looks.ended() => (),
                 () = self.work.bell.notified() => (),
-                () = self.app.room.notified() => (),
+                () = self.app.capacity_changed.notified() => (),
                 () = sleep(pause) => (),
             }
         }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -116,7 +116,7 @@
         let Run { app, engine, .. } = self.run;
         let tokens = self.tokens.load(Ordering::Relaxed);
         app.engine_tracker.lock().run_ended(&engine.id, tokens);
-        app.room.notify_waiters();
+        app.capacity_changed.notify_waiters();
     }
 }
 
