--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -91,7 +91,7 @@
     /// Where this instance stands among them.
     place: Mutex<TreePosition>,
     /// The instances that had entered some time ago, and when they were last seen.
-    former: Mutex<Map<Arc<str>, (Member, Millis)>>,
+    recent_members: Mutex<Map<Arc<str>, (Member, Millis)>>,
     /// Connections to other instances.
     pub peers: net::Client,
     /// What is known of the configuration and the list of upstreams, for others that follow.
@@ -152,7 +152,7 @@
             capacity_changed: Notify::new(),
             members: Mutex::new(Arc::new([])),
             place: Mutex::default(),
-            former: Mutex::default(),
+            recent_members: Mutex::default(),
             peers: net::Client::idle(IDLE),
             board: Mutex::default(),
             news: watch::Sender::default(),
@@ -250,7 +250,7 @@
     pub fn met(&self, members: impl Into<Arc<[Member]>>) {
         let members = members.into();
         let now = self.clock.now();
-        let mut former = self.former.lock();
+        let mut former = self.recent_members.lock();
         former.retain(|_, (_, seen)| now < *seen + FORMER);
         for one in &*members {
             former.insert(one.owner.instance.clone(), (one.clone(), now));
@@ -284,8 +284,8 @@
 
     /// The instances that have entered, and those whose entries are gone since a while. All entries lapse in a long
     /// outage of the platform, though those who wrote them live.
-    pub fn acquainted(&self) -> Vec<Member> {
-        let former = self.former.lock();
+    pub fn recent_members(&self) -> Vec<Member> {
+        let former = self.recent_members.lock();
         former.values().map(|(one, _)| one.clone()).collect()
     }
 
--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -198,7 +198,7 @@
         if let Ok(members) = member::list(self.app).await {
             self.app.met(members);
         }
-        self.app.acquainted()
+        self.app.recent_members()
     }
 
     /// Collects the figures of a window from all who may have some.
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -180,7 +180,7 @@
 /// Tells an instance something, also one whose entry has lapsed though it lives.
 async fn told(app: &App, instance: &str, word: &Ask) -> bool {
     let former = || {
-        let former = app.acquainted();
+        let former = app.recent_members();
         let found = former.iter().find(|one| *one.owner.instance == *instance);
         found.map(|one| one.addr)
     };
