--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -48,7 +48,7 @@
 /// Answers with results as they go to the caller, or with nothing when this instance is not sure of
 /// them.
 async fn tell_page(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
-    let page = match app.works.get(step) {
+    let page = match app.running_steps.get(step) {
         Some(work) => work.page(app, from, wait).await,
         None => None,
     };
@@ -64,7 +64,7 @@
         Ask::Page { .. } => Told::Noted,
         Ask::Submit(submission) => Told::Submit(accept::handed(app, submission).await),
         Ask::Body { step, sample } => {
-            let work = app.works.get(&step);
+            let work = app.running_steps.get(&step);
             Told::Body(work.map(|work| work.body(&sample)))
         }
         Ask::Owner(step) => Told::Owner(hint::known(app, &step)),
@@ -89,7 +89,7 @@
             Told::Noted
         }
         Ask::Taken { step, rev } => {
-            if let Some(work) = app.works.get(&step) {
+            if let Some(work) = app.running_steps.get(&step) {
                 work.replaced(rev);
             }
             Told::Noted
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -99,7 +99,7 @@
     /// Rings when the board has changed.
     pub news: watch::Sender<()>,
     /// The steps that this instance runs.
-    pub works: ShardedMap<Arc<str>, Arc<Work>>,
+    pub running_steps: ShardedMap<Arc<str>, Arc<Work>>,
     /// The steps that this instance is taking over.
     pub taking: Mutex<Set<Arc<str>>>,
     /// What this instance has read of the results of other steps.
@@ -156,7 +156,7 @@
             peers: net::Client::idle(IDLE),
             board: Mutex::default(),
             news: watch::Sender::default(),
-            works: ShardedMap::new(),
+            running_steps: ShardedMap::new(),
             taking: Mutex::default(),
             shelves: ShardedMap::new(),
             again: Mutex::default(),
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -155,7 +155,7 @@
         }
         let now = app.clock.now();
         let owner = (head.owner.instance.clone(), head.owner.start);
-        let mine = head.owner == app.me && app.works.get(&step).is_some();
+        let mine = head.owner == app.me && app.running_steps.get(&step).is_some();
         if self.settled.contains(&step) || live.contains(&owner) || mine {
             self.missing.remove(&step);
             return Ok(());
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -196,7 +196,7 @@
 /// or is among those that the others of its failure domain follow.
 fn wanted(app: &App) -> Millis {
     let place = app.place();
-    if app.settings.role == Role::Control || !app.works.is_empty() || place.is_head {
+    if app.settings.role == Role::Control || !app.running_steps.is_empty() || place.is_head {
         return lease::ACTIVE_TTL;
     }
     match place.is_leaf {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -127,7 +127,7 @@
 
 /// Keeps a step in memory; false when it is run here already, by what the platform says now.
 fn keep(app: &App, work: &Arc<Work>) -> bool {
-    app.works.with_shard(&work.step, |map| {
+    app.running_steps.with_shard(&work.step, |map| {
         if let Some(held) = map.get(&work.step) {
             if held.rev >= work.rev {
                 return false;
@@ -167,7 +167,7 @@
             let _ = timeout(LINGER, lingers).await;
         }
         drop(drive);
-        app.works.with_shard(&work.step, |map| {
+        app.running_steps.with_shard(&work.step, |map| {
             if map
                 .get(&work.step)
                 .is_some_and(|held| Arc::ptr_eq(held, &work))
@@ -188,7 +188,7 @@
     let samples = work.spec.samples.iter();
     let samples: Vec<_> = samples.map(|sample| work.print(sample)).collect();
     let mut drafts = Vec::new();
-    app.works.for_each_shard(|map| {
+    app.running_steps.for_each_shard(|map| {
         for other in map.values() {
             drafts.extend(other.hand(&work.head.model, &samples));
         }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -145,7 +145,7 @@
     /// left of steps is taken up by others.
     pub async fn leave(mut self) {
         let app = &self.app;
-        log::info!(target: "start", steps = app.works.len(); "leaving");
+        log::info!(target: "start", steps = app.running_steps.len(); "leaving");
         app.leave();
         let left = Duration::from_millis(app.settings.grace).mul_f64(PART);
         let ended = timeout(left, async {
@@ -155,13 +155,13 @@
                 // A front that has panicked has no requests left.
                 let _ = front.await;
             }
-            while !app.works.is_empty() {
+            while !app.running_steps.is_empty() {
                 sleep(Duration::from_millis(50)).await;
             }
         });
         let whole = ended.await.is_ok();
         member::leave(app).await;
-        log::info!(target: "start", whole, steps = app.works.len(); "stopped");
+        log::info!(target: "start", whole, steps = app.running_steps.len(); "stopped");
     }
 }
 
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -74,7 +74,7 @@
 
 async fn read_kept(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
     let wait = wait.min(LONGEST);
-    if let Some(work) = app.works.get(step)
+    if let Some(work) = app.running_steps.get(step)
         && let Some(page) = work.page(app, from, wait).await
     {
         return page.reply(app, from);
@@ -154,7 +154,7 @@
 }
 
 async fn body_kept(app: &Arc<App>, step: &Arc<str>, sample: &Arc<str>) -> Reply {
-    let found = match app.works.get(step) {
+    let found = match app.running_steps.get(step) {
         Some(work) => Ok(work.body(sample)),
         None => find_body(app, step, sample).await,
     };
@@ -211,7 +211,7 @@
 }
 
 async fn end_kept(app: &Arc<App>, step: &Arc<str>) -> Reply {
-    let known = app.works.get(step).is_some() || app.shelves.get(step).is_some();
+    let known = app.running_steps.get(step).is_some() || app.shelves.get(step).is_some();
     if !known && hint::owner(app, step).await.is_none() {
         match app.plat.get(&keys::head(step)).await {
             Ok(Some(_)) => (),
@@ -279,7 +279,7 @@
 
 /// Takes in that a step has ended while its head had a revision.
 pub(crate) fn note_end(app: &App, step: &Arc<str>, rev: i64) {
-    if let Some(work) = app.works.get(step) {
+    if let Some(work) = app.running_steps.get(step) {
         work.end(app, rev, "told");
     }
 }
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -121,7 +121,7 @@
         left: caller.timeout,
         body: bytes.to_vec(),
     };
-    if app.works.get(&submission.id).is_some() {
+    if app.running_steps.get(&submission.id).is_some() {
         return Accepted::Kept.reply();
     }
     match hand::over(app, &submission).await {
@@ -133,7 +133,7 @@
 
 /// Accepts a step that another instance hands over; [`None`] when that one had better take it.
 pub async fn handed(app: &Arc<App>, submission: Submission) -> Option<Accepted> {
-    if app.is_leaving() || app.works.len() >= MOST || !keys::is_valid_name(&submission.id) {
+    if app.is_leaving() || app.running_steps.len() >= MOST || !keys::is_valid_name(&submission.id) {
         return None;
     }
     Some(take(app, submission, Origin::Peer).await)
@@ -164,7 +164,7 @@
             return Accepted::Wrong;
         }
     };
-    if app.works.get(&id).is_some() {
+    if app.running_steps.get(&id).is_some() {
         return Accepted::Kept;
     }
     if !serves(app, &submission, &submitted.model) {
@@ -329,7 +329,7 @@
         }
     };
     let ended = head.ended.is_some();
-    let left = head.owner == app.me && app.works.get(id).is_none();
+    let left = head.owner == app.me && app.running_steps.get(id).is_none();
     log::info!(target: "steps", id = &**id, revision = item.rev, instance = &*head.owner.instance, ended;
         "step known already");
     if ended || !left {
