--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -101,7 +101,7 @@
     /// The steps that this instance runs.
     pub running_steps: ShardedMap<Arc<str>, Arc<Work>>,
     /// The steps that this instance is taking over.
-    pub taking: Mutex<Set<Arc<str>>>,
+    pub takeovers: Mutex<Set<Arc<str>>>,
     /// What this instance has read of the results of other steps.
     pub shelves: ShardedMap<Arc<str>, Arc<Shelf>>,
     /// What steps that ended here have left over.
@@ -157,7 +157,7 @@
             board: Mutex::default(),
             news: watch::Sender::default(),
             running_steps: ShardedMap::new(),
-            taking: Mutex::default(),
+            takeovers: Mutex::default(),
             shelves: ShardedMap::new(),
             again: Mutex::default(),
             hints: ShardedMap::new(),
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -302,14 +302,14 @@
 impl Taking {
     fn begin(app: &Arc<App>, step: &Arc<str>) -> Option<Self> {
         let (app, step) = (app.clone(), step.clone());
-        app.taking.lock().insert(step.clone()).then_some(())?;
+        app.takeovers.lock().insert(step.clone()).then_some(())?;
         Some(Self { app, step })
     }
 }
 
 impl Drop for Taking {
     fn drop(&mut self) {
-        self.app.taking.lock().remove(&self.step);
+        self.app.takeovers.lock().remove(&self.step);
     }
 }
 
