--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -105,7 +105,7 @@
     /// What this instance has read of the results of other steps.
     pub shelves: ShardedMap<Arc<str>, Arc<Shelf>>,
     /// What steps that ended here have left over.
-    pub again: Mutex<Leftovers>,
+    pub leftovers: Mutex<Leftovers>,
     /// Who runs the steps that callers ask for here.
     pub hints: ShardedMap<Arc<str>, Hint>,
     /// Instances that get no steps from here until a time.
@@ -159,7 +159,7 @@
             running_steps: ShardedMap::new(),
             takeovers: Mutex::default(),
             shelves: ShardedMap::new(),
-            again: Mutex::default(),
+            leftovers: Mutex::default(),
             hints: ShardedMap::new(),
             shunned: Mutex::default(),
             helper: Mutex::default(),
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -48,7 +48,7 @@
 fn recall(app: &App, head: &Head, spec: &mut Spec) -> Set<u32> {
     let now = app.clock.now();
     let tokens = event_tokens(app, head);
-    let mut known = app.again.lock();
+    let mut known = app.leftovers.lock();
     let mut again = Set::default();
     for (index, sample) in spec.samples.iter_mut().enumerate() {
         let Some(events) = known.take(print::left(head.team.as_deref(), sample), now) else {
@@ -77,7 +77,7 @@
 fn remember(app: &App, work: &Work) {
     let left = work.ledger.lock().incomplete_samples();
     let now = app.clock.now();
-    let mut again = app.again.lock();
+    let mut again = app.leftovers.lock();
     for index in left {
         let index = index as usize;
         let draft = work.drafts[index].lock();
