--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -116,7 +116,7 @@
     /// Whether the platform did not answer the last read for others.
     blind: AtomicBool,
     /// Whether a keeper has heard of what this instance counts.
-    kept: AtomicBool,
+    keeper_confirmed: AtomicBool,
     /// When the instances that have entered were last heard of.
     met: AtomicU64,
     entered: Mutex<Option<Entered>>,
@@ -165,7 +165,7 @@
             helper: Mutex::default(),
             leaving: AtomicBool::new(false),
             blind: AtomicBool::new(false),
-            kept: AtomicBool::new(false),
+            keeper_confirmed: AtomicBool::new(false),
             met: AtomicU64::new(0),
             entered: Mutex::default(),
         })
@@ -305,14 +305,14 @@
     }
 
     /// Notes that a keeper has heard of what this instance counts.
-    pub fn set_kept(&self) {
-        self.kept.store(true, Ordering::Relaxed);
+    pub fn confirm_keeper(&self) {
+        self.keeper_confirmed.store(true, Ordering::Relaxed);
     }
 
     /// Tells whether a keeper knows of this instance, if one has to: what an instance counts that nobody knows is
     /// missing in its window. Callers do not wait for long when no keeper can be reached.
-    fn is_kept(&self) -> bool {
-        let known = self.meter.is_none() || self.kept.load(Ordering::Relaxed);
+    fn is_keeper_confirmed(&self) -> bool {
+        let known = self.meter.is_none() || self.keeper_confirmed.load(Ordering::Relaxed);
         known || self.clock.now() >= KEEPER
     }
 
@@ -321,6 +321,6 @@
     pub fn is_ready(&self) -> bool {
         let known = self.upstreams.lock().age(self.clock.now()).is_some();
         let able = known && self.config.load().is_some() && !access::is_closed(self);
-        able && self.is_kept() && !self.is_leaving()
+        able && self.is_keeper_confirmed() && !self.is_leaving()
     }
 }
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -46,7 +46,7 @@
         for keeper in keepers(&app) {
             if peer::tally(&app, keeper.addr, tally.clone()).await {
                 told = Some((keeper.owner, tally));
-                app.set_kept();
+                app.confirm_keeper();
                 break;
             }
         }
