--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -118,7 +118,7 @@
     /// Whether a keeper has heard of what this instance counts.
     keeper_confirmed: AtomicBool,
     /// When the instances that have entered were last heard of.
-    met: AtomicU64,
+    members_updated: AtomicU64,
     entered: Mutex<Option<Entered>>,
 }
 
@@ -166,7 +166,7 @@
             leaving: AtomicBool::new(false),
             blind: AtomicBool::new(false),
             keeper_confirmed: AtomicBool::new(false),
-            met: AtomicU64::new(0),
+            members_updated: AtomicU64::new(0),
             entered: Mutex::default(),
         })
     }
@@ -247,7 +247,7 @@
     }
 
     /// Notes the instances that have entered.
-    pub fn met(&self, members: impl Into<Arc<[Member]>>) {
+    pub fn set_members(&self, members: impl Into<Arc<[Member]>>) {
         let members = members.into();
         let now = self.clock.now();
         let mut former = self.recent_members.lock();
@@ -262,14 +262,15 @@
         if came + gone > 0 {
             log::info!(target: "member", instances = members.len(), came, gone; "instances known");
         }
-        self.met.store(now, Ordering::Relaxed);
+        self.members_updated.store(now, Ordering::Relaxed);
     }
 
     /// Notes some of the instances that have entered, as long as nobody has told of all.
-    pub fn met_some(&self, some: Vec<Member>, me: &Member) {
+    pub fn set_partial_members(&self, some: Vec<Member>, me: &Member) {
         *self.place.lock() = tree::partial_position(&some, me);
         *self.members.lock() = some.into();
-        self.met.store(self.clock.now(), Ordering::Relaxed);
+        self.members_updated
+            .store(self.clock.now(), Ordering::Relaxed);
     }
 
     /// Where this instance stands among those that have entered.
@@ -278,7 +279,7 @@
     }
 
     /// Tells whether the entries of all were read at once, here or by whoever this instance follows.
-    pub fn is_told(&self) -> bool {
+    pub fn has_full_membership(&self) -> bool {
         self.board.lock().membership().is_some()
     }
 
@@ -290,8 +291,8 @@
     }
 
     /// When the instances that have entered were last heard of.
-    pub fn last_met(&self) -> Millis {
-        self.met.load(Ordering::Relaxed)
+    pub fn members_updated_at(&self) -> Millis {
+        self.members_updated.load(Ordering::Relaxed)
     }
 
     /// Begins to leave: nothing new is taken on.
--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -196,7 +196,7 @@
     /// control instance that has just started as well. Gives those who were there a while ago, too.
     async fn meet(&self) -> Vec<Member> {
         if let Ok(members) = member::list(self.app).await {
-            self.app.met(members);
+            self.app.set_members(members);
         }
         self.app.recent_members()
     }
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -69,8 +69,8 @@
     let mut round = 0;
     loop {
         sleep(pause).await;
-        let (now, met) = (app.clock.now(), app.last_met());
-        let is_young = pause < FOLLOW && !app.is_told();
+        let (now, met) = (app.clock.now(), app.members_updated_at());
+        let is_young = pause < FOLLOW && !app.has_full_membership();
         // Control instances have nobody to tell them unless they lead.
         let waits = app.settings.role == Role::Entry && app.place().is_partial;
         if is_young || waits {
@@ -92,7 +92,7 @@
 
 async fn read_all(app: &App) {
     match list(app).await {
-        Ok(members) => app.met(members),
+        Ok(members) => app.set_members(members),
         Err(error) => unread(&error),
     }
 }
@@ -120,9 +120,9 @@
     members.sort_by(|a, b| a.owner.instance.cmp(&b.owner.instance));
     members.dedup_by(|a, b| a.owner.instance == b.owner.instance);
     match some.more {
-        _ if app.is_told() => (),
-        true => app.met_some(members, &own(app)),
-        false => app.met(members),
+        _ if app.has_full_membership() => (),
+        true => app.set_partial_members(members, &own(app)),
+        false => app.set_members(members),
     }
 }
 
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -119,7 +119,7 @@
     async fn begin(&mut self) {
         let app = self.app;
         let begun = app.clock.now();
-        while app.last_met() == 0 && app.clock.now() < begun + MEET {
+        while app.members_updated_at() == 0 && app.clock.now() < begun + MEET {
             sleep(LOOK).await;
         }
         if !app.place().sources.is_empty() || self.ask_some().await {
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -113,7 +113,7 @@
             new.map(|roll| roll.members.clone())
         };
         if let Some(members) = members {
-            app.met(members);
+            app.set_members(members);
         }
     }
 
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -63,7 +63,7 @@
 /// nobody would know what it counted when the window is reported.
 async fn meet(app: &App) {
     match member::list(app).await {
-        Ok(members) => app.met(members),
+        Ok(members) => app.set_members(members),
         Err(error) => {
             let error = error.to_string();
             log::debug!(target: "accounts", error = error.as_str(); "no keeper known");
