--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -172,7 +172,7 @@
     }
 
     /// What the memory of a service's engines holds.
-    pub fn memory(&self, service: &str) -> EngineMemory {
+    pub fn engine_memory(&self, service: &str) -> EngineMemory {
         let plan = self.config.load();
         let service = plan.as_ref().and_then(|plan| plan.service(service));
         let engine = service.and_then(|service| service.engine.as_ref());
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -69,7 +69,7 @@
         .and_then(|plan| plan.find_route(&head.host, &head.path));
     let service = route.and_then(|route| route.services.first());
     service.map_or(0, |share| {
-        u64::from(app.memory(&share.service).event_tokens)
+        u64::from(app.engine_memory(&share.service).event_tokens)
     })
 }
 
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -122,7 +122,7 @@
         let at = todo.job.index as usize;
         let sample = &self.work.spec.samples[at];
         let draft = self.work.drafts[at].lock();
-        let memory = self.app.memory(service);
+        let memory = self.app.engine_memory(service);
         let want = PlacementRequest {
             service,
             model: Some(&self.work.head.model),
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -125,7 +125,7 @@
     pub async fn go(&self, sample: &Sample, draft: &Mutex<Draft>) -> Ended {
         let begun = self.app.clock.now();
         let first = draft.lock().last_event;
-        let memory = self.app.memory(&self.service);
+        let memory = self.app.engine_memory(&self.service);
         let place = Place {
             run: self,
             tokens: AtomicU64::new(memory.run_tokens(sample.prompt, first)),
@@ -260,7 +260,7 @@
         mut events: Events,
         place: &Place<'_>,
     ) -> Ended {
-        let tokens = u64::from(self.app.memory(&self.service).event_tokens);
+        let tokens = u64::from(self.app.engine_memory(&self.service).event_tokens);
         let mut at = self.app.clock.now();
         let mut seen: u64 = 0;
         loop {
@@ -305,7 +305,7 @@
 
     /// Tells whether the rest of the sample would be whole sooner at another engine.
     fn had_better_move(&self, sample: &Sample, draft: &Draft) -> bool {
-        let memory = self.app.memory(&self.service);
+        let memory = self.app.engine_memory(&self.service);
         let want = PlacementRequest {
             service: &self.service,
             model: Some(&self.model),
