--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -183,7 +183,7 @@
     }
 
     /// Looks whether an upstream has crashed after the connection of a request broke there.
-    pub(crate) async fn broke(self: &Arc<Self>, id: &str, mark: Identity, one: &Upstream) {
+    pub(crate) async fn check_crash(self: &Arc<Self>, id: &str, mark: Identity, one: &Upstream) {
         let (app, start) = (self.clone(), one.id.clone());
         let left = move || {
             let roster = app.upstreams.lock();
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -153,7 +153,7 @@
             && BROKE.contains(why)
         {
             let mark = self.mark(sample);
-            self.app.broke(&sample.id, mark, &self.engine).await;
+            self.app.check_crash(&sample.id, mark, &self.engine).await;
         }
         let took = self.app.clock.now() - begun;
         let outcome = match &ended {
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -145,7 +145,7 @@
 
     /// Looks whether an upstream has crashed after the connection broke there.
     pub(crate) async fn broke(&self, one: &Upstream) {
-        self.app.broke(&self.id, self.mark(), one).await;
+        self.app.check_crash(&self.id, self.mark(), one).await;
     }
 
     /// The meter and the team for which the request counts, if it does: requests for scores do not.
