--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -13,7 +13,7 @@
 
 /// What comes next in a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextEvent {
     /// A whole event.
     Block(String),
     /// The proper end of the stream.
@@ -79,22 +79,22 @@
     }
 
     /// Waits for what comes next. Dropping the wait loses nothing.
-    pub async fn next(&mut self) -> Next {
+    pub async fn next(&mut self) -> NextEvent {
         loop {
             if let Some(block) = self.cutter.pop() {
-                return Next::Block(block);
+                return NextEvent::Block(block);
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     let data: Bytes = frame.into_data().unwrap_or_default();
                     self.cutter.push(&data);
                 }
-                Some(Err(_)) => return Next::Broken,
-                None if self.cutter.is_clean() => return Next::End,
-                None => return Next::Broken,
+                Some(Err(_)) => return NextEvent::Broken,
+                None if self.cutter.is_clean() => return NextEvent::End,
+                None => return NextEvent::Broken,
             }
             if self.cutter.is_long() {
-                return Next::Broken;
+                return NextEvent::Broken;
             }
         }
     }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -21,7 +21,7 @@
 
 use crate::App;
 use crate::events::Events;
-use crate::events::Next;
+use crate::events::NextEvent;
 use crate::owner::Work;
 use crate::print;
 
@@ -266,10 +266,10 @@
         loop {
             let next = timeout(SILENCE, events.next()).await;
             let block = match next {
-                Ok(Next::Block(block)) => block,
-                Ok(Next::End) if draft.lock().last_event > 0 => return Ended::Whole,
-                Ok(Next::End) => return Ended::Broken("empty"),
-                Ok(Next::Broken) => return Ended::Broken(STREAM),
+                Ok(NextEvent::Block(block)) => block,
+                Ok(NextEvent::End) if draft.lock().last_event > 0 => return Ended::Whole,
+                Ok(NextEvent::End) => return Ended::Broken("empty"),
+                Ok(NextEvent::Broken) => return Ended::Broken(STREAM),
                 Err(_) => return Ended::Broken("silent"),
             };
             let Some(event) = self.app.dialect.decode_event(&block) else {
@@ -334,7 +334,7 @@
 /// the end, the sample is asked for again and again until its step is over.
 async fn rest(draft: &Mutex<Draft>, events: &mut Events) -> Ended {
     match timeout(SILENCE, events.next()).await {
-        Ok(Next::End) if draft.lock().last_event > 0 => Ended::Whole,
+        Ok(NextEvent::End) if draft.lock().last_event > 0 => Ended::Whole,
         _ => Ended::Broken("no version"),
     }
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -26,7 +26,7 @@
 use crate::App;
 use crate::dialect::Caller;
 use crate::events::Events;
-use crate::events::Next;
+use crate::events::NextEvent;
 use crate::refuse::Refusal;
 use crate::sent::Place;
 use crate::sent::Sent;
@@ -210,11 +210,11 @@
         let mut last = self.last.clone();
         loop {
             let next = tokio::select! {
-                next = timeout(SILENCE, events.next()) => next.unwrap_or(Next::Broken),
+                next = timeout(SILENCE, events.next()) => next.unwrap_or(NextEvent::Broken),
                 () = sender.closed() => return true,
             };
             match next {
-                Next::Block(block) => {
+                NextEvent::Block(block) => {
                     if let Some(event) = self.sent.app.dialect.decode_event(&block) {
                         last = Some(event.number.to_string().into());
                     }
@@ -223,11 +223,11 @@
                         return true;
                     }
                 }
-                Next::End => {
+                NextEvent::End => {
                     self.sent.answered(StatusCode::OK);
                     return true;
                 }
-                Next::Broken => {
+                NextEvent::Broken => {
                     if let Some(place) = place.take() {
                         self.sent.broke(&place.one).await;
                     }
