--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -53,7 +53,7 @@
     /// A whole answer of the upstream's application.
     Answer(Response<Bytes>, Arc<str>),
     /// The upstream has not run the call and never will.
-    Unrun,
+    NotExecuted,
     /// Whether it ran is not known.
     Unknown,
 }
@@ -73,22 +73,26 @@
     let mut tries = Tries::new(sent, route, Manner::Caller);
     let passed = match timeout(left, tries.answer()).await {
         Ok(passed) => passed,
-        Err(_) => tries.late(),
+        Err(_) => tries.time_out(),
     };
     match passed {
-        Passed::Answer { answer, .. } => back(app, answer),
-        Passed::Refused(refusal) => refusal.reply(),
+        ForwardOutcome::Answer { answer, .. } => back(app, answer),
+        ForwardOutcome::Refused(refusal) => refusal.reply(),
     }
 }
 
 /// Asks a scorer for the score of a sample, once: within `limit`, and no longer than the request
 /// has time.
-pub(crate) async fn score(sent: Arc<Sent>, route: &Route, limit: Duration) -> Passed {
+pub(crate) async fn forward_score(
+    sent: Arc<Sent>,
+    route: &Route,
+    limit: Duration,
+) -> ForwardOutcome {
     let left = Duration::from_millis(sent.left()).min(limit);
     let mut tries = Tries::new(sent, route, Manner::Scorer);
     match timeout(left, tries.answer()).await {
         Ok(passed) => passed,
-        Err(_) => tries.late(),
+        Err(_) => tries.time_out(),
     }
 }
 
@@ -101,7 +105,7 @@
 }
 
 /// What came of passing a request on.
-pub(crate) enum Passed {
+pub(crate) enum ForwardOutcome {
     /// A whole answer of the upstream's application, with its signature.
     Answer {
         /// The answer.
@@ -128,11 +132,11 @@
     sent: Arc<Sent>,
     route: &'a Route,
     service: Option<Arc<str>>,
-    used: Vec<Arc<str>>,
+    tried: Vec<Arc<str>>,
     running: JoinSet<Came>,
-    manner: Manner,
+    requester: Manner,
     /// Whether it may have run somewhere.
-    unclear: bool,
+    may_have_run: bool,
 }
 
 impl<'a> Tries<'a> {
@@ -141,46 +145,48 @@
             sent,
             route,
             service: Config::pick_service(route, rand::random()).cloned(),
-            used: Vec::new(),
+            tried: Vec::new(),
             running: JoinSet::new(),
-            manner,
-            unclear: false,
+            requester: manner,
+            may_have_run: false,
         }
     }
 
     fn may_repeat(&self) -> bool {
-        self.manner == Manner::Scorer || self.route.kind == RouteKind::Idempotent
+        self.requester == Manner::Scorer || self.route.kind == RouteKind::Idempotent
     }
 
-    async fn answer(&mut self) -> Passed {
-        let queue = self.manner == Manner::Caller;
+    async fn answer(&mut self) -> ForwardOutcome {
+        let queue = self.requester == Manner::Caller;
         if let Some(left) = self.sent.admit().await {
             return self.refuse(Refusal::Quarantined(left), POISON);
         }
-        if !self.begin(queue) {
+        if !self.start_attempt(queue) {
             return self.give_up("no upstream has room");
         }
         loop {
             let came = tokio::select! {
                 Some(came) = self.running.join_next() => came,
                 () = sleep(HEDGE), if self.may_hedge() => {
-                    self.begin(false);
+                    self.start_attempt(false);
                     continue;
                 }
             };
             // A panicked attempt leaves open whether it was sent.
             match came.unwrap_or(Came::Unknown) {
-                Came::Answer(answer, signature) => return Passed::Answer { answer, signature },
-                Came::Unrun => (),
-                Came::Unknown => self.unclear = true,
+                Came::Answer(answer, signature) => {
+                    return ForwardOutcome::Answer { answer, signature };
+                }
+                Came::NotExecuted => (),
+                Came::Unknown => self.may_have_run = true,
             }
-            if self.unclear && !self.may_repeat() {
+            if self.may_have_run && !self.may_repeat() {
                 return self.give_up("outcome unknown");
             }
             if self.sent.admit().await.is_some() {
                 return self.give_up(POISON);
             }
-            if !self.begin(queue) && self.running.is_empty() {
+            if !self.start_attempt(queue) && self.running.is_empty() {
                 return self.give_up("no upstream left");
             }
         }
@@ -189,34 +195,34 @@
     fn may_hedge(&self) -> bool {
         self.may_repeat()
             && self.running.len() == 1
-            && self.used.len() < self.attempts()
+            && self.tried.len() < self.max_attempts()
             && self.sent.verdict() == Verdict::Unrestricted
     }
 
-    fn attempts(&self) -> usize {
+    fn max_attempts(&self) -> usize {
         self.route.max_attempts.max(1) as usize
     }
 
     /// Begins an attempt if one is allowed and an upstream has room; `queue` tells whether it may
     /// wait inside the upstream.
-    fn begin(&mut self, queue: bool) -> bool {
-        if self.used.len() >= self.attempts() {
+    fn start_attempt(&mut self, queue: bool) -> bool {
+        if self.tried.len() >= self.max_attempts() {
             return false;
         }
         let service = self.service.as_deref();
-        let place = service.and_then(|name| self.sent.choose(name, &self.used, queue));
+        let place = service.and_then(|name| self.sent.choose(name, &self.tried, queue));
         let Some(place) = place else {
             return false;
         };
         let one = &place.one;
-        self.used.push(one.id.clone());
+        self.tried.push(one.id.clone());
         let left = self.sent.left();
-        let part = match self.may_repeat() && self.used.len() < self.attempts() {
+        let part = match self.may_repeat() && self.tried.len() < self.max_attempts() {
             true => left / Millis::from(PART),
             false => left,
         };
         log::info!(target: "forward", id = &*self.sent.id, upstream = &*one.id,
-            attempt = self.used.len(), left_ms = left; "sent");
+            attempt = self.tried.len(), left_ms = left; "sent");
         let sent = self.sent.clone();
         self.running
             .spawn(async move { attempt(&sent, place, part).await });
@@ -224,14 +230,14 @@
     }
 
     /// Answers when the time is over. A call that is still at an upstream may have run there.
-    fn late(&self) -> Passed {
-        let sent = self.unclear || !self.running.is_empty();
+    fn time_out(&self) -> ForwardOutcome {
+        let sent = self.may_have_run || !self.running.is_empty();
         let refusal = if sent { Refusal::Late } else { Refusal::Unrun };
         self.refuse(refusal, "time is over")
     }
 
-    fn give_up(&self, why: &str) -> Passed {
-        let sent = self.unclear || !self.running.is_empty();
+    fn give_up(&self, why: &str) -> ForwardOutcome {
+        let sent = self.may_have_run || !self.running.is_empty();
         let refusal = if sent {
             Refusal::Unknown
         } else {
@@ -240,27 +246,27 @@
         self.refuse(refusal, why)
     }
 
-    fn refuse(&self, refusal: Refusal, why: &str) -> Passed {
+    fn refuse(&self, refusal: Refusal, why: &str) -> ForwardOutcome {
         // A sample that finds no free place looks again within moments, and writes a line when it has
         // its score or is given up.
-        if self.manner == Manner::Caller || !self.used.is_empty() {
+        if self.requester == Manner::Caller || !self.tried.is_empty() {
             let age = self
                 .sent
                 .app
                 .upstreams
                 .lock()
                 .age(self.sent.app.clock.now());
-            log::info!(target: "forward", id = &*self.sent.id, why, attempts = self.used.len(),
+            log::info!(target: "forward", id = &*self.sent.id, why, attempts = self.tried.len(),
                 outcome = refusal.name(), list_age_ms = age.unwrap_or(0); "given up");
         }
-        Passed::Refused(refusal)
+        ForwardOutcome::Refused(refusal)
     }
 }
 
 async fn attempt(sent: &Sent, place: Place, part: Millis) -> Came {
     let one = &place.one;
     let Some(request) = sent.request(one, None) else {
-        return Came::Unrun;
+        return Came::NotExecuted;
     };
     let begun = sent.app.clock.now();
     let number = sent.send();
@@ -272,12 +278,12 @@
     if broke {
         sent.broke(one).await;
     }
-    if matches!(came, Came::Unrun) {
+    if matches!(came, Came::NotExecuted) {
         sent.unrun(number);
     }
     let outcome = match &came {
         Came::Answer(..) => "answered",
-        Came::Unrun => "unrun",
+        Came::NotExecuted => "unrun",
         Came::Unknown => "unknown",
     };
     metrics::counter!(meter::ATTEMPTS, "outcome" => outcome).increment(1);
@@ -299,7 +305,7 @@
             log::info!(target: "forward", id = &*sent.id, upstream = &*one.id,
                 took_ms = took, why = why.as_str(); "attempt failed");
             return match error.is_unsent() {
-                true => Came::Unrun,
+                true => Came::NotExecuted,
                 false => Came::Unknown,
             };
         }
@@ -314,7 +320,7 @@
     }
     if said.not_executed || said.misdirected {
         plain.engine_busy(&one.id, now + FULL);
-        return Came::Unrun;
+        return Came::NotExecuted;
     }
     if let (Some(id), Some(signature)) = (&said.attempt_id, said.signature)
         && **id == *sent.id
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -18,7 +18,7 @@
 
 use crate::App;
 use crate::forward;
-use crate::forward::Passed;
+use crate::forward::ForwardOutcome;
 use crate::meter;
 use crate::owner::Work;
 use crate::sent::Sent;
@@ -99,13 +99,15 @@
 }
 
 async fn ask(sent: Sent, route: &Route) -> AttemptResult {
-    match forward::score(Arc::new(sent), route, LIMIT).await {
-        Passed::Answer { answer, signature } if answer.status().is_success() => {
+    match forward::forward_score(Arc::new(sent), route, LIMIT).await {
+        ForwardOutcome::Answer { answer, signature } if answer.status().is_success() => {
             AttemptResult::Scored(signature)
         }
-        Passed::Answer { answer, .. } if answer.status() == StatusCode::INTERNAL_SERVER_ERROR => {
+        ForwardOutcome::Answer { answer, .. }
+            if answer.status() == StatusCode::INTERNAL_SERVER_ERROR =>
+        {
             AttemptResult::Failed
         }
-        Passed::Answer { .. } | Passed::Refused(_) => AttemptResult::Inconclusive,
+        ForwardOutcome::Answer { .. } | ForwardOutcome::Refused(_) => AttemptResult::Inconclusive,
     }
 }
