--- a/crates/node/src/hint.rs
+++ b/crates/node/src/hint.rs
@@ -57,7 +57,7 @@
 }
 
 /// Tells the keeper of a step's hint that this instance runs it.
-pub fn tell(app: &Arc<App>, step: &Arc<str>) {
+pub fn publish(app: &Arc<App>, step: &Arc<str>) {
     let owner = app.me.instance.clone();
     note(app, step.clone(), owner.clone());
     let Some(keeper) = keeper(app, step) else {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -148,7 +148,7 @@
         return;
     }
     app.shelves.remove(&work.step);
-    hint::tell(app, &work.step);
+    hint::publish(app, &work.step);
     let app = app.clone();
     tokio::spawn(async move {
         gather(&app, &work);
