--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -90,7 +90,7 @@
     async fn turn(&mut self, app: &Arc<App>, targets: &Targets) -> Result<(), PlatError> {
         let heads = app.plat.list_stale(keys::HEADS_PREFIX).await?;
         if !heads.items.is_empty() {
-            let entries = app.plat.list_stale(member::INSTANCES).await?;
+            let entries = app.plat.list_stale(member::KEY_PREFIX).await?;
             let live: Set<_> = entries
                 .items
                 .iter()
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -21,7 +21,7 @@
 use crate::settings::Role;
 
 /// What the keys of instances begin with.
-pub const INSTANCES: &str = "snipeway/instance/";
+pub const KEY_PREFIX: &str = "snipeway/instance/";
 
 /// Time between two looks at whether an entry is to be renewed, or has to live for another time.
 const LOOK: Duration = Duration::from_millis(300);
@@ -48,7 +48,7 @@
 
 /// The key of an instance.
 pub fn key(instance: &str) -> String {
-    format!("{INSTANCES}{instance}")
+    format!("{KEY_PREFIX}{instance}")
 }
 
 /// Reads an entry.
@@ -100,7 +100,7 @@
 /// Reads who has entered, or the entries of some if there are many: enough to hear of the rest from one of them.
 /// When a thousand start together and each reads all entries, that alone takes the platform's link for a second.
 pub async fn meet(app: &App) {
-    let mut some = match app.plat.page_stale(INSTANCES, None).await {
+    let mut some = match app.plat.page_stale(KEY_PREFIX, None).await {
         Ok(some) => some,
         Err(error) => return unread(&error),
     };
@@ -108,7 +108,7 @@
         // The first ones are the same for all, and those behind its own key are others for each.
         match app
             .plat
-            .page_stale(INSTANCES, Some(key(&app.me.instance)))
+            .page_stale(KEY_PREFIX, Some(key(&app.me.instance)))
             .await
         {
             Ok(more) => some.items.extend(more.items),
@@ -137,7 +137,7 @@
 ///
 /// Returns [`PlatError`].
 pub async fn list(app: &App) -> Result<Vec<Member>, PlatError> {
-    let range = app.plat.list_stale(INSTANCES).await?;
+    let range = app.plat.list_stale(KEY_PREFIX).await?;
     let members = range.items.iter().filter_map(|item| read(&item.value));
     Ok(members.collect())
 }
