--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -94,7 +94,7 @@
             let live: Set<_> = entries
                 .items
                 .iter()
-                .filter_map(|item| member::read(&item.value))
+                .filter_map(|item| member::decode(&item.value))
                 .map(|member| (member.owner.instance, member.owner.start))
                 .collect();
             let heads = self.decode(&heads.items);
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -52,7 +52,7 @@
 }
 
 /// Reads an entry.
-pub fn read(value: &[u8]) -> Option<Member> {
+pub fn decode(value: &[u8]) -> Option<Member> {
     record::decode(value).ok()
 }
 
@@ -115,7 +115,7 @@
             Err(error) => unread(&error),
         }
     }
-    let members = some.items.iter().filter_map(|item| read(&item.value));
+    let members = some.items.iter().filter_map(|item| decode(&item.value));
     let mut members: Vec<Member> = members.collect();
     members.sort_by(|a, b| a.owner.instance.cmp(&b.owner.instance));
     members.dedup_by(|a, b| a.owner.instance == b.owner.instance);
@@ -138,7 +138,7 @@
 /// Returns [`PlatError`].
 pub async fn list(app: &App) -> Result<Vec<Member>, PlatError> {
     let range = app.plat.list_stale(KEY_PREFIX).await?;
-    let members = range.items.iter().filter_map(|item| read(&item.value));
+    let members = range.items.iter().filter_map(|item| decode(&item.value));
     Ok(members.collect())
 }
 
