--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -195,7 +195,7 @@
     /// Reads who has entered: what is known may be seconds old, and an entry that has just started may have told a
     /// control instance that has just started as well. Gives those who were there a while ago, too.
     async fn meet(&self) -> Vec<Member> {
-        if let Ok(members) = member::list(self.app).await {
+        if let Ok(members) = member::list_members(self.app).await {
             self.app.set_members(members);
         }
         self.app.recent_members()
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -91,7 +91,7 @@
 }
 
 async fn read_all(app: &App) {
-    match list(app).await {
+    match list_members(app).await {
         Ok(members) => app.set_members(members),
         Err(error) => unread(&error),
     }
@@ -136,7 +136,7 @@
 /// # Errors
 ///
 /// Returns [`PlatError`].
-pub async fn list(app: &App) -> Result<Vec<Member>, PlatError> {
+pub async fn list_members(app: &App) -> Result<Vec<Member>, PlatError> {
     let range = app.plat.list_stale(KEY_PREFIX).await?;
     let members = range.items.iter().filter_map(|item| decode(&item.value));
     Ok(members.collect())
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -41,7 +41,7 @@
         self.count += 1;
         // Without them this read is as good.
         let members = match self.count % timing::READS_PER_MEMBER_READ == 1 {
-            true => member::list(app).await.ok(),
+            true => member::list_members(app).await.ok(),
             false => None,
         };
         // Counted from the end of the read: one that takes longer than news may be old would never be passed on, and
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -62,7 +62,7 @@
 /// Reads who has entered. An instance that has just started may serve requests before it knows anybody, and
 /// nobody would know what it counted when the window is reported.
 async fn meet(app: &App) {
-    match member::list(app).await {
+    match member::list_members(app).await {
         Ok(members) => app.set_members(members),
         Err(error) => {
             let error = error.to_string();
