--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -235,7 +235,7 @@
         }
         let age = app.clock.wall().saturating_sub(head.opened);
         if head.ended.is_none() && age <= app.settings.keep {
-            member::shorten(app).await?;
+            member::shorten_ttl(app).await?;
             take_over(app, &step, &item, head).await?;
         }
         settled.insert(step);
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -174,7 +174,7 @@
 /// # Errors
 ///
 /// Returns [`PlatError`].
-pub async fn shorten(app: &App) -> Result<(), PlatError> {
+pub async fn shorten_ttl(app: &App) -> Result<(), PlatError> {
     match app.entered() {
         Some(entered) if entered.ttl > lease::ACTIVE_TTL => enter(app, lease::ACTIVE_TTL).await,
         _ => Ok(()),
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -241,7 +241,7 @@
         Origin::Peer => HANDED,
         Origin::Caller | Origin::Unclear => PATIENCE,
     };
-    if let Err(error) = member::shorten(&app).await {
+    if let Err(error) = member::shorten_ttl(&app).await {
         // It is tried again with the next look at the entry.
         let why = error.to_string();
         log::warn!(target: "steps", id = &*id, why = why.as_str(); "missed late if killed now");
