--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -285,7 +285,7 @@
             Some(UsageReportOutcome::Refused) => "refused",
             None => "unanswered",
         };
-        metrics::counter!(meter::ACCOUNTS, "result" => outcome).increment(1);
+        metrics::counter!(meter::USAGE_REPORTS, "result" => outcome).increment(1);
         let end = self.windows.end(report.window);
         log::info!(target: "accounts", window = report.window, fence = account.fencing_token, outcome,
             age_ms = self.app.clock.steady().saturating_sub(end); "window reported");
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -29,7 +29,7 @@
 pub const ORDERS: &str = "snipeway_orders_total";
 
 /// Reports of the requests of teams, by result.
-pub const ACCOUNTS: &str = "snipeway_usage_reports_total";
+pub const USAGE_REPORTS: &str = "snipeway_usage_reports_total";
 
 /// Orders of upstreams, by result.
 pub const SUPPLIES: &str = "snipeway_upstream_orders_total";
@@ -70,7 +70,7 @@
     metrics::describe_gauge!(crash::QUARANTINED_METRIC, "requests that crash upstreams");
     metrics::describe_counter!(STEPS, "steps by what became of them here");
     metrics::describe_counter!(ORDERS, "orders to engines by result");
-    metrics::describe_counter!(ACCOUNTS, "reports of the requests of teams by result");
+    metrics::describe_counter!(USAGE_REPORTS, "reports of the requests of teams by result");
     metrics::describe_counter!(SUPPLIES, "orders of upstreams by result");
     metrics::describe_gauge!(PLATFORM, "calls of the platform by kind");
     metrics::describe_gauge!(
