--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -191,7 +191,7 @@
                 self.tries.unanswered(subject, now)
             }
         }
-        metrics::counter!(meter::SUPPLIES, "result" => outcome).increment(1);
+        metrics::counter!(meter::CAPACITY_ORDERS, "result" => outcome).increment(1);
         log::info!(target: "capacity", service = &*subject.service, domain = &*subject.domain,
             wanted = order.count, present = count, fence = self.office.fence(), outcome;
             "upstreams ordered");
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -32,7 +32,7 @@
 pub const USAGE_REPORTS: &str = "snipeway_usage_reports_total";
 
 /// Orders of upstreams, by result.
-pub const SUPPLIES: &str = "snipeway_upstream_orders_total";
+pub const CAPACITY_ORDERS: &str = "snipeway_upstream_orders_total";
 
 /// Calls of the platform, by kind.
 pub const PLATFORM: &str = "snipeway_platform_calls_total";
@@ -71,7 +71,7 @@
     metrics::describe_counter!(STEPS, "steps by what became of them here");
     metrics::describe_counter!(ORDERS, "orders to engines by result");
     metrics::describe_counter!(USAGE_REPORTS, "reports of the requests of teams by result");
-    metrics::describe_counter!(SUPPLIES, "orders of upstreams by result");
+    metrics::describe_counter!(CAPACITY_ORDERS, "orders of upstreams by result");
     metrics::describe_gauge!(PLATFORM, "calls of the platform by kind");
     metrics::describe_gauge!(
         DROPPED,
