--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -214,7 +214,7 @@
             version: load.version,
             until: self.app.clock.now() + pause,
         };
-        metrics::counter!(meter::ORDERS, "result" => word).increment(1);
+        metrics::counter!(meter::LOAD_ORDERS, "result" => word).increment(1);
         log::info!(target: "control", upstream = &*engine.id, model = &*load.model,
             version = load.version, fence = self.office.fence(), orders = state.accepted_orders,
             running = state.running, result = word; "ordered");
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -26,7 +26,7 @@
 pub const STEPS: &str = "snipeway_steps_total";
 
 /// Orders to engines, by result.
-pub const ORDERS: &str = "snipeway_orders_total";
+pub const LOAD_ORDERS: &str = "snipeway_orders_total";
 
 /// Reports of the requests of teams, by result.
 pub const USAGE_REPORTS: &str = "snipeway_usage_reports_total";
@@ -69,7 +69,7 @@
     );
     metrics::describe_gauge!(crash::QUARANTINED_METRIC, "requests that crash upstreams");
     metrics::describe_counter!(STEPS, "steps by what became of them here");
-    metrics::describe_counter!(ORDERS, "orders to engines by result");
+    metrics::describe_counter!(LOAD_ORDERS, "orders to engines by result");
     metrics::describe_counter!(USAGE_REPORTS, "reports of the requests of teams by result");
     metrics::describe_counter!(CAPACITY_ORDERS, "orders of upstreams by result");
     metrics::describe_gauge!(PLATFORM, "calls of the platform by kind");
