--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -287,7 +287,8 @@
 /// Tells the former owner of a step that was taken over. One that lives and reaches neither the platform nor others would
 /// go on with it, also after its end, of which its new owner alone is told.
 async fn tell_former(app: Arc<App>, step: Arc<str>, former: Owner, rev: i64) {
-    if former.instance != app.me.instance && !peer::taken(&app, &former.instance, &step, rev).await
+    if former.instance != app.me.instance
+        && !peer::notify_taken_over(&app, &former.instance, &step, rev).await
     {
         log::info!(target: "control", id = &*step, instance = &*former.instance; "former owner not told");
     }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -172,7 +172,7 @@
 }
 
 /// Tells the former owner of a step that somebody else runs it; whether it has heard.
-pub async fn taken(app: &App, owner: &str, step: &Arc<str>, rev: i64) -> bool {
+pub async fn notify_taken_over(app: &App, owner: &str, step: &Arc<str>, rev: i64) -> bool {
     let step = step.clone();
     told(app, owner, &Ask::Taken { step, rev }).await
 }
