--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -191,7 +191,7 @@
 }
 
 /// Tells a keeper what this instance has counted; whether it has heard.
-pub async fn tally(app: &App, keeper: SocketAddr, tally: Snapshot) -> bool {
+pub async fn send_counts(app: &App, keeper: SocketAddr, tally: Snapshot) -> bool {
     let owner = app.me.clone();
     ask(app, keeper, &Ask::Tally { owner, tally }, LIMIT)
         .await
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -44,7 +44,7 @@
             meet(&app).await;
         }
         for keeper in keepers(&app) {
-            if peer::tally(&app, keeper.addr, tally.clone()).await {
+            if peer::send_counts(&app, keeper.addr, tally.clone()).await {
                 told = Some((keeper.owner, tally));
                 app.confirm_keeper();
                 break;
