--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -180,7 +180,7 @@
     async fn oldest(&self, one: &Member, windows: Range<u64>) -> Option<u64> {
         let me = (one.owner.instance.clone(), one.owner.start);
         for window in windows {
-            let shares = peer::shares(self.app, one.addr, window).await?;
+            let shares = peer::fetch_window_counts(self.app, one.addr, window).await?;
             let under_way = |share: &WindowCounts| share.source == me && !share.closed;
             if shares
                 .iter()
@@ -210,7 +210,7 @@
             .map(|one| (one.owner.instance.clone(), one.owner.start))
             .collect();
         let keepers = members.iter().filter(|one| !one.is_reader);
-        let asks = keepers.map(|one| peer::shares(self.app, one.addr, window));
+        let asks = keepers.map(|one| peer::fetch_window_counts(self.app, one.addr, window));
         let told = join_all(asks).await;
         let mut shares: Vec<WindowCounts> = told.into_iter().flatten().flatten().collect();
         shares.extend(crate::tally::shares(self.app, window));
@@ -222,7 +222,7 @@
             let silent = members
                 .iter()
                 .filter(|one| missing.iter().any(|(name, _)| *name == one.owner.instance));
-            let asks = silent.map(|one| peer::shares(self.app, one.addr, window));
+            let asks = silent.map(|one| peer::fetch_window_counts(self.app, one.addr, window));
             shares.extend(join_all(asks).await.into_iter().flatten().flatten());
         }
         let late = age as f64 >= self.to.late as f64 * PATIENCE;
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -199,7 +199,11 @@
 }
 
 /// Asks another instance what it knows of the requests of a window.
-pub async fn shares(app: &App, to: SocketAddr, window: u64) -> Option<Vec<WindowCounts>> {
+pub async fn fetch_window_counts(
+    app: &App,
+    to: SocketAddr,
+    window: u64,
+) -> Option<Vec<WindowCounts>> {
     match ask(app, to, &Ask::Shares(window), LIMIT).await? {
         Told::Shares(shares) => Some(shares),
         _ => None,
