--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -304,7 +304,7 @@
         let others = members
             .iter()
             .filter(|one| !one.is_reader && one.owner.instance != self.app.me.instance);
-        let asks = others.map(|one| peer::reaches(self.app, one.addr));
+        let asks = others.map(|one| peer::reaches_report_address(self.app, one.addr));
         join_all(asks).await.contains(&true)
     }
 }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -211,7 +211,7 @@
 }
 
 /// Asks another instance whether it reaches the address that takes reports.
-pub async fn reaches(app: &App, to: SocketAddr) -> bool {
+pub async fn reaches_report_address(app: &App, to: SocketAddr) -> bool {
     matches!(
         ask(app, to, &Ask::Reaches, LIMIT).await,
         Some(Told::Reaches(true))
