--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -28,7 +28,7 @@
 use crate::member;
 use crate::meter;
 use crate::peer;
-use crate::reach::Reach;
+use crate::reach::DependencyStatus;
 use crate::settings::Accounts;
 use spread::Member;
 
@@ -72,7 +72,7 @@
     taken: u64,
     /// Since when reports have failed.
     failing: Option<Millis>,
-    reach: Reach,
+    reach: DependencyStatus,
 }
 
 impl<'a> Reports<'a> {
@@ -87,7 +87,7 @@
             ledger: None,
             taken: 0,
             failing: None,
-            reach: Reach::new("address of reports"),
+            reach: DependencyStatus::new("address of reports"),
         })
     }
 
@@ -269,12 +269,12 @@
         let came = match &answer {
             Ok(answer) => {
                 self.failing = None;
-                self.reach.back();
+                self.reach.mark_restored();
                 Some(self.app.dialect.usage_report_outcome(answer.status()))
             }
             Err(_) => {
                 self.failing.get_or_insert(now);
-                self.reach.lost(&PlatError::Unreachable);
+                self.reach.mark_lost(&PlatError::Unreachable);
                 None
             }
         };
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 
 use crate::App;
-use crate::reach::Reach;
+use crate::reach::DependencyStatus;
 
 /// The key of the record.
 const KEY: &str = "snipeway/leader";
@@ -48,7 +48,7 @@
 
     /// Renews the record until it belongs to somebody else.
     pub async fn keep(&self, app: &App) {
-        let mut reach = Reach::new("leader's record");
+        let mut reach = DependencyStatus::new("leader's record");
         loop {
             sleep(TICK).await;
             let now = app.clock.now();
@@ -62,7 +62,7 @@
             match write(app, rev, &record).await {
                 Ok(TxnOutcome::At(rev)) => {
                     self.leader.lock().renewed(rev, now);
-                    reach.back();
+                    reach.mark_restored();
                 }
                 Ok(TxnOutcome::Conflict) => match read(app).await {
                     // A renewal whose answer was lost; when it took effect is not known.
@@ -70,9 +70,9 @@
                         self.leader.lock().renewed(rev, 0);
                     }
                     Ok(_) => return,
-                    Err(error) => reach.lost(&error),
+                    Err(error) => reach.mark_lost(&error),
                 },
-                Err(error) => reach.lost(&error),
+                Err(error) => reach.mark_lost(&error),
             }
         }
     }
@@ -97,7 +97,7 @@
         start: app.me.start,
     };
     let mut candidate = Candidate::new(me, app.settings.turn);
-    let mut reach = Reach::new("leader's record");
+    let mut reach = DependencyStatus::new("leader's record");
     loop {
         if let CandidateAction::Claim(rev, record) = look(app, &mut candidate).await {
             let sent = app.clock.now();
@@ -107,8 +107,8 @@
                     return Office { leader };
                 }
                 // Somebody else was first, or this write's answer was lost: the next read shows it.
-                Ok(TxnOutcome::Conflict) => reach.back(),
-                Err(error) => reach.lost(&error),
+                Ok(TxnOutcome::Conflict) => reach.mark_restored(),
+                Err(error) => reach.mark_lost(&error),
             }
         }
         sleep(LOOK).await;
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -16,7 +16,7 @@
 use weight::Version;
 
 use crate::App;
-use crate::reach::Reach;
+use crate::reach::DependencyStatus;
 
 /// Longest time that one watch waits, in milliseconds. A watch may hear nothing of a change, so
 /// the newest state is read after each that heard nothing.
@@ -87,7 +87,7 @@
 
 async fn listen(app: &App, targets: &Targets) {
     let prefix = app.dialect.store_keys().weights;
-    let mut reach = Reach::new("announced weights");
+    let mut reach = DependencyStatus::new("announced weights");
     let mut rev = None;
     loop {
         let next = match rev {
@@ -96,11 +96,11 @@
         };
         rev = match next {
             Ok(next) => {
-                reach.back();
+                reach.mark_restored();
                 next
             }
             Err(error) => {
-                reach.lost(&error);
+                reach.mark_lost(&error);
                 sleep(AGAIN).await;
                 None
             }
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 
 use crate::App;
-use crate::reach::Reach;
+use crate::reach::DependencyStatus;
 use crate::settings::Role;
 
 /// What the keys of instances begin with.
@@ -153,15 +153,15 @@
 
 /// Keeps the entry until the instance has left.
 pub async fn keep(app: Arc<App>) {
-    let mut reach = Reach::new("own entry");
+    let mut reach = DependencyStatus::new("own entry");
     loop {
         match enter(&app, wanted(&app)).await {
             Ok(()) => {
-                reach.back();
+                reach.mark_restored();
                 renew(&app, &mut reach).await;
             }
             Err(error) => {
-                reach.lost(&error);
+                reach.mark_lost(&error);
                 sleep(AGAIN).await;
             }
         }
@@ -225,7 +225,7 @@
 }
 
 /// Renews the entry until it has lapsed, or has to live for another time.
-async fn renew(app: &App, reach: &mut Reach) {
+async fn renew(app: &App, reach: &mut DependencyStatus) {
     let mut last = None;
     loop {
         sleep(LOOK).await;
@@ -245,7 +245,7 @@
         }
         match app.plat.renew(lease).await {
             Ok(true) => {
-                reach.back();
+                reach.mark_restored();
                 last = Some((lease, now));
             }
             Ok(false) if app.entered().is_some_and(|entered| entered.lease != lease) => (),
@@ -253,7 +253,7 @@
                 log::warn!(target: "member", lease; "own entry has lapsed");
                 return;
             }
-            Err(error) => reach.lost(&error),
+            Err(error) => reach.mark_lost(&error),
         }
     }
 }
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -21,7 +21,7 @@
 use crate::member;
 use crate::peer;
 use crate::peer::Heard;
-use crate::reach::Reach;
+use crate::reach::DependencyStatus;
 use intake::Intake;
 use reader::Reader;
 
@@ -48,22 +48,22 @@
 /// bound.
 pub async fn follow(app: Arc<App>) {
     let mut listener = Listener::new(&app);
-    let mut reach = Reach::new("configuration and upstreams");
+    let mut reach = DependencyStatus::new("configuration and upstreams");
     listener.begin().await;
     loop {
         let begun = app.clock.now();
         let pause = match listener.round().await {
             Done::Told => {
-                reach.back();
+                reach.mark_restored();
                 continue;
             }
             Done::Lacked => 0,
             Done::Read(Ok(())) => {
-                reach.back();
+                reach.mark_restored();
                 timing::MIN_READ_PAUSE
             }
             Done::Read(Err(error)) => {
-                reach.lost(&error);
+                reach.mark_lost(&error);
                 timing::MIN_READ_PAUSE
             }
         };
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/reach.rs
@@ -3,27 +3,30 @@
 use plat::PlatError;
 
 /// Tells once when a dependency is lost and once when it is back.
-pub(crate) struct Reach {
-    what: &'static str,
+pub(crate) struct DependencyStatus {
+    name: &'static str,
     lost: bool,
 }
 
-impl Reach {
+impl DependencyStatus {
     pub(crate) fn new(what: &'static str) -> Self {
-        Self { what, lost: false }
+        Self {
+            name: what,
+            lost: false,
+        }
     }
 
-    pub(crate) fn lost(&mut self, error: &PlatError) {
+    pub(crate) fn mark_lost(&mut self, error: &PlatError) {
         if !std::mem::replace(&mut self.lost, true) {
             let error = error.to_string();
-            log::warn!(target: "platform", dependency = self.what, error = error.as_str();
+            log::warn!(target: "platform", dependency = self.name, error = error.as_str();
                 "dependency lost");
         }
     }
 
-    pub(crate) fn back(&mut self) {
+    pub(crate) fn mark_restored(&mut self) {
         if std::mem::replace(&mut self.lost, false) {
-            log::info!(target: "platform", dependency = self.what; "dependency back");
+            log::info!(target: "platform", dependency = self.name; "dependency back");
         }
     }
 }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -34,7 +34,7 @@
 use crate::member;
 use crate::meter;
 use crate::news;
-use crate::reach::Reach;
+use crate::reach::DependencyStatus;
 use crate::refuse::Refusal;
 use crate::settings;
 use crate::settings::Role;
@@ -237,10 +237,10 @@
 /// Keeps what this instance has seen of crashes at the platform.
 async fn tell_crashes(app: Arc<App>) {
     let key = format!("{}{}/{}", news::CRASHES, app.me.instance, app.me.start);
-    let mut reach = Reach::new("record of crashes");
+    let mut reach = DependencyStatus::new("record of crashes");
     let heard = |done: Result<(), &PlatError>| match done {
-        Ok(()) => reach.back(),
-        Err(error) => reach.lost(error),
+        Ok(()) => reach.mark_restored(),
+        Err(error) => reach.mark_lost(error),
     };
     crash::report::publish(&app.crashes, &app.plat, &key, heard).await;
 }
