--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -29,7 +29,7 @@
 use crate::meter;
 use crate::peer;
 use crate::reach::DependencyStatus;
-use crate::settings::Accounts;
+use crate::settings::UsageReports;
 use spread::Member;
 
 /// The key of what was reported.
@@ -65,7 +65,7 @@
 pub(super) struct Reports<'a> {
     app: &'a Arc<App>,
     office: &'a Office,
-    to: Accounts,
+    to: UsageReports,
     windows: Windows,
     ledger: Option<Kept<Ledger>>,
     /// The last window that the platform has taken from this holder.
@@ -225,7 +225,7 @@
             let asks = silent.map(|one| peer::fetch_window_counts(self.app, one.addr, window));
             shares.extend(join_all(asks).await.into_iter().flatten().flatten());
         }
-        let late = age as f64 >= self.to.late as f64 * PATIENCE;
+        let late = age as f64 >= self.to.deadline as f64 * PATIENCE;
         ledger.aggregate(window, shares, &live, age, late)
     }
 
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -27,7 +27,7 @@
 use crate::dialect::CapacityOrder;
 use crate::dialect::CapacityOrderOutcome;
 use crate::meter;
-use crate::settings::Accounts;
+use crate::settings::UsageReports;
 
 /// The key of what was asked for.
 const KEY: &str = "snipeway/capacity";
@@ -49,7 +49,7 @@
 pub(super) struct Supplies<'a> {
     app: &'a Arc<App>,
     office: &'a Office,
-    to: Accounts,
+    to: UsageReports,
     held: Option<Kept<DesiredCapacity>>,
     tries: RetrySchedule,
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -37,13 +37,13 @@
 
 /// Where and how often the requests of teams are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Accounts {
+pub struct UsageReports {
     /// The address that takes the reports.
     pub address: SocketAddr,
     /// The length of a window, in milliseconds.
     pub window: Millis,
     /// Time after the end of a window by which its report has to be there, in milliseconds.
-    pub late: Millis,
+    pub deadline: Millis,
 }
 
 /// The settings of an instance.
@@ -80,7 +80,7 @@
     /// Age of the configuration from which it is too old then, in milliseconds.
     pub revoke: Millis,
     /// Where and how often the requests of teams are reported, if they are.
-    pub accounts: Option<Accounts>,
+    pub accounts: Option<UsageReports>,
     /// Shortest lease that the platform grants, in milliseconds.
     pub shortest: Millis,
     /// Time for which the results of a step can be read, counted from its opening.
@@ -183,10 +183,10 @@
         apply,
         closed,
         revoke,
-        accounts: account.map(|address| Accounts {
+        accounts: account.map(|address| UsageReports {
             address,
             window: millis(window),
-            late: millis(late),
+            deadline: millis(late),
         }),
         shortest,
         keep: millis(keep),
