--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -28,8 +28,8 @@
 fn bounds(app: &App) -> StalenessLimits {
     let settings = &app.settings;
     StalenessLimits {
-        reject_unknown: settings.apply / FRESH,
-        fail_closed: settings.closed.then_some(settings.revoke),
+        reject_unknown: settings.apply_limit / FRESH,
+        fail_closed: settings.fail_closed.then_some(settings.revoke_limit),
     }
 }
 
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -132,7 +132,7 @@
             start: clock.wall(),
         };
         let windows = settings
-            .accounts
+            .usage_reports
             .map(|accounts| Windows::new(accounts.window));
         let meter = windows.map(|windows| Mutex::new(Meter::new(windows, clock.steady())));
         Arc::new(Self {
--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -196,7 +196,7 @@
         deletes: Vec::new(),
     };
     let mut unclear = false;
-    while app.clock.wall() < head.opened + app.settings.keep {
+    while app.clock.wall() < head.opened + app.settings.result_retention {
         let asked = app.clock.now();
         match app.plat.txn(&txn).await {
             Ok(TxnOutcome::At(rev)) => return Ok(Taken::Open(Open { rev, asked })),
--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -78,7 +78,7 @@
 impl<'a> Reports<'a> {
     /// Makes a holder that has reported nothing yet; [`None`] where nothing is reported.
     pub(super) fn new(app: &'a Arc<App>, office: &'a Office) -> Option<Self> {
-        let to = app.settings.accounts?;
+        let to = app.settings.usage_reports?;
         Some(Self {
             app,
             office,
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -91,12 +91,12 @@
 
 /// Stands for leader until this instance is it.
 pub async fn stand(app: &App) -> Office {
-    let addr = SocketAddr::new(app.settings.address, app.settings.peer);
+    let addr = SocketAddr::new(app.settings.address, app.settings.peer_port);
     let me = ProcessId {
         machine: addr.to_string().into(),
         start: app.me.start,
     };
-    let mut candidate = Candidate::new(me, app.settings.turn);
+    let mut candidate = Candidate::new(me, app.settings.leader_gap);
     let mut reach = DependencyStatus::new("leader's record");
     loop {
         if let CandidateAction::Claim(rev, record) = look(app, &mut candidate).await {
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -99,7 +99,7 @@
 
     async fn serve(&mut self, service: &Arc<str>, aims: &Map<Arc<str>, Target>) {
         let engines = self.engines(service);
-        let part = self.app.settings.part * engines.len() as f64;
+        let part = self.app.settings.loading_share * engines.len() as f64;
         let width = (part.round() as usize).max(1);
         let room = width.saturating_sub(self.ordered.len());
         let mut swap = self.swaps.remove(service).unwrap_or_default();
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -150,7 +150,7 @@
     ) -> Result<(), PlatError> {
         let Found { step, head, item } = found;
         let age = app.clock.wall().saturating_sub(head.opened);
-        if age > app.settings.keep + SPARE {
+        if age > app.settings.result_retention + SPARE {
             return sweep(app, &step, item).await;
         }
         let now = app.clock.now();
@@ -234,7 +234,7 @@
             continue;
         }
         let age = app.clock.wall().saturating_sub(head.opened);
-        if head.ended.is_none() && age <= app.settings.keep {
+        if head.ended.is_none() && age <= app.settings.result_retention {
             member::shorten_ttl(app).await?;
             take_over(app, &step, &item, head).await?;
         }
@@ -317,7 +317,7 @@
 /// Goes on with a step that was taken over, once its records could be read.
 async fn go_on(taking: Taking, step: Arc<str>, head: Head, open: Open) {
     let app = taking.app.clone();
-    while app.clock.wall() < head.opened + app.settings.keep {
+    while app.clock.wall() < head.opened + app.settings.result_retention {
         match load(&app, &step, &head).await {
             Ok((spec, left)) => {
                 log::info!(target: "control", id = &*step, segments = left.segments.len(),
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -57,7 +57,7 @@
 impl<'a> Supplies<'a> {
     /// Makes a leader that has ordered nothing yet; [`None`] where nothing can be ordered.
     pub(super) fn new(app: &'a Arc<App>, office: &'a Office) -> Option<Self> {
-        let to = app.settings.accounts?;
+        let to = app.settings.usage_reports?;
         Some(Self {
             app,
             office,
@@ -117,7 +117,7 @@
             let wish = CapacityDemand {
                 requests: models.map(|aim| aim.concurrent_samples / STEPS).sum(),
                 slots: engine.slots,
-                fill: self.app.settings.fill,
+                fill: self.app.settings.capacity_fill,
             };
             let present = self.present(&service.name, bounds);
             orders.extend(plan_orders(
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -186,7 +186,7 @@
     Member {
         owner: app.me.clone(),
         domain: app.settings.domain.clone(),
-        addr: SocketAddr::new(app.settings.address, app.settings.peer),
+        addr: SocketAddr::new(app.settings.address, app.settings.peer_port),
         is_reader: app.settings.role == Role::Entry,
         centicores: (app.settings.cores * HUNDREDTHS) as u32,
     }
@@ -206,7 +206,7 @@
 }
 
 async fn enter(app: &App, ttl: Millis) -> Result<(), PlatError> {
-    let granted = ttl.max(app.settings.shortest);
+    let granted = ttl.max(app.settings.min_lease);
     let lease = app.plat.grant(granted).await?.id;
     let value = record::encode(&own(app)).map_err(|_| PlatError::Garbled)?;
     let put = Put {
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -74,7 +74,7 @@
     // One that was turned away a moment ago has the others ask at once.
     let patience = match app.plat.is_unserved() {
         true => 0,
-        false => app.settings.cancel / PATIENCE,
+        false => app.settings.end_limit / PATIENCE,
     };
     let head = match hear(app, work, patience).await {
         Came::Head(item) => claim::standing(asked, work.rev, item.as_ref()),
@@ -96,7 +96,7 @@
 /// Asks the platform, and others to ask it when it does not answer soon.
 async fn hear(app: &Arc<App>, work: &Work, patience: Millis) -> Came {
     let call = Call::Get(keys::head(&work.step));
-    let limit = Duration::from_millis(app.settings.cancel / LIMIT);
+    let limit = Duration::from_millis(app.settings.end_limit / LIMIT);
     let patience = Duration::from_millis(patience);
     let direct = pin!(in_time(limit, app.plat.call_direct(&call)));
     let others = pin!(async {
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -90,7 +90,7 @@
             opened,
             ledger: Mutex::new(ledger),
             listed: watch::Sender::new(0),
-            word: Mutex::new(Confirmation::new(app.settings.cancel, open.asked())),
+            word: Mutex::new(Confirmation::new(app.settings.end_limit, open.asked())),
             ended: AtomicBool::new(false),
             lost: AtomicBool::new(false),
             handed: AtomicBool::new(false),
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -60,35 +60,35 @@
     /// Where it serves callers.
     pub listen: Option<SocketAddr>,
     /// Where it says whether it is ready.
-    pub ready: Option<SocketAddr>,
+    pub readiness: Option<SocketAddr>,
     /// The port for other instances, the same on all of them.
-    pub peer: u16,
+    pub peer_port: u16,
     /// The part of a core that it has: steps are run where there is most.
     pub cores: f64,
     /// The platform's store.
     pub platform: SocketAddr,
     /// Time that a stop may take before the process is killed, in milliseconds.
-    pub grace: Millis,
+    pub stop_grace: Millis,
     /// Time within which two machines must not both give orders, in milliseconds.
-    pub turn: Millis,
+    pub leader_gap: Millis,
     /// Time within which the end of a step has to be in force, in milliseconds.
-    pub cancel: Millis,
+    pub end_limit: Millis,
     /// Time within which a configuration has to be in force everywhere, in milliseconds.
-    pub apply: Millis,
+    pub apply_limit: Millis,
     /// Whether requests that need a key are turned away while the configuration may be too old.
-    pub closed: bool,
+    pub fail_closed: bool,
     /// Age of the configuration from which it is too old then, in milliseconds.
-    pub revoke: Millis,
+    pub revoke_limit: Millis,
     /// Where and how often the requests of teams are reported, if they are.
-    pub accounts: Option<UsageReports>,
+    pub usage_reports: Option<UsageReports>,
     /// Shortest lease that the platform grants, in milliseconds.
-    pub shortest: Millis,
+    pub min_lease: Millis,
     /// Time for which the results of a step can be read, counted from its opening.
-    pub keep: Millis,
+    pub result_retention: Millis,
     /// Part of a service's engines that load at the same time.
-    pub part: f64,
+    pub loading_share: f64,
     /// Part of the samples that may have to run at the same time for which upstreams are ordered.
-    pub fill: f64,
+    pub capacity_fill: f64,
     /// What is logged.
     pub logs: logs::Settings,
 }
@@ -173,25 +173,25 @@
         role: role.unwrap_or(Role::Entry),
         address: address.unwrap_or(unset),
         listen,
-        ready,
-        peer: peer.unwrap_or_default(),
+        readiness: ready,
+        peer_port: peer.unwrap_or_default(),
         cores,
         platform: platform.unwrap_or((unset, 0).into()),
-        grace: millis(grace),
-        turn,
-        cancel,
-        apply,
-        closed,
-        revoke,
-        accounts: account.map(|address| UsageReports {
+        stop_grace: millis(grace),
+        leader_gap: turn,
+        end_limit: cancel,
+        apply_limit: apply,
+        fail_closed: closed,
+        revoke_limit: revoke,
+        usage_reports: account.map(|address| UsageReports {
             address,
             window: millis(window),
             deadline: millis(late),
         }),
-        shortest,
-        keep: millis(keep),
-        part: part.clamp(0.0, 1.0),
-        fill: fill.max(0.0),
+        min_lease: shortest,
+        result_retention: millis(keep),
+        loading_share: part.clamp(0.0, 1.0),
+        capacity_fill: fill.max(0.0),
         logs: logs::Settings {
             level,
             format: logs::Format::Json,
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -103,9 +103,9 @@
         dialect: Arc<dyn Dialect>,
         protocol: Arc<dyn Protocol>,
     ) -> eyre::Result<Self> {
-        let inner = bind(SocketAddr::new(settings.address, settings.peer)).await?;
-        settings.peer = inner.local_addr()?.port();
-        let gate = bind_some(&mut settings.ready).await?;
+        let inner = bind(SocketAddr::new(settings.address, settings.peer_port)).await?;
+        settings.peer_port = inner.local_addr()?.port();
+        let gate = bind_some(&mut settings.readiness).await?;
         let callers = bind_some(&mut settings.listen).await?;
         let plat = Client::with_protocol(vec![settings.platform], protocol);
         let app = App::new(settings, dialect, plat);
@@ -147,7 +147,7 @@
         let app = &self.app;
         log::info!(target: "start", steps = app.running_steps.len(); "leaving");
         app.leave();
-        let left = Duration::from_millis(app.settings.grace).mul_f64(PART);
+        let left = Duration::from_millis(app.settings.stop_grace).mul_f64(PART);
         let ended = timeout(left, async {
             if let Some(front) = self.front.take() {
                 sleep(LINGER).await;
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -104,7 +104,7 @@
 
 /// Tells whether the address that takes reports can be reached.
 pub(crate) async fn reaches(app: &App) -> bool {
-    match app.settings.accounts {
+    match app.settings.usage_reports {
         Some(accounts) => net::client::accepts(accounts.address, REACH).await,
         None => false,
     }
