--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -103,7 +103,7 @@
     /// The steps that this instance is taking over.
     pub takeovers: Mutex<Set<Arc<str>>>,
     /// What this instance has read of the results of other steps.
-    pub shelves: ShardedMap<Arc<str>, Arc<Shelf>>,
+    pub result_caches: ShardedMap<Arc<str>, Arc<Shelf>>,
     /// What steps that ended here have left over.
     pub leftovers: Mutex<Leftovers>,
     /// Who runs the steps that callers ask for here.
@@ -158,7 +158,7 @@
             news: watch::Sender::default(),
             running_steps: ShardedMap::new(),
             takeovers: Mutex::default(),
-            shelves: ShardedMap::new(),
+            result_caches: ShardedMap::new(),
             leftovers: Mutex::default(),
             hints: ShardedMap::new(),
             shunned: Mutex::default(),
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -147,7 +147,7 @@
     if !kept {
         return;
     }
-    app.shelves.remove(&work.step);
+    app.result_caches.remove(&work.step);
     hint::publish(app, &work.step);
     let app = app.clone();
     tokio::spawn(async move {
--- a/crates/node/src/shelf.rs
+++ b/crates/node/src/shelf.rs
@@ -36,7 +36,7 @@
 pub struct Shelf {
     step: Arc<str>,
     total: u32,
-    read: Mutex<Results>,
+    results: Mutex<Results>,
 }
 
 #[derive(Debug, Default)]
@@ -44,7 +44,7 @@
     window: Window,
     /// The platform's revision at the last read.
     rev: i64,
-    used: Millis,
+    last_used: Millis,
 }
 
 /// Results from a position on.
@@ -70,13 +70,13 @@
         Self {
             step,
             total: head.total,
-            read: Mutex::default(),
+            results: Mutex::default(),
         }
     }
 
     /// When it was last read from.
-    pub async fn used(&self) -> Millis {
-        self.read.lock().await.used
+    pub async fn last_used(&self) -> Millis {
+        self.results.lock().await.last_used
     }
 
     /// Reads results from a position on, and waits up to `wait` milliseconds for the first.
@@ -86,17 +86,17 @@
     /// Returns [`PlatError`] when there are none here and the platform does not tell.
     pub async fn page(&self, app: &App, from: usize, wait: Millis) -> Result<Page, PlatError> {
         let plat = &app.plat;
-        let mut read = self.read.lock().await;
-        read.used = app.clock.now();
+        let mut read = self.results.lock().await;
+        read.last_used = app.clock.now();
         if from < self.total as usize && read.window.entries_from(from).is_none_or(<[_]>::is_empty)
         {
             if !read.window.covers(from) {
                 self.seek(plat, &mut read, from).await?;
             } else if read.rev > 0 && wait > 0 {
-                self.wait(plat, &mut read, wait).await?;
+                self.wait_for_segment(plat, &mut read, wait).await?;
             }
             // A watch may hear nothing of a result that is there, and that others have read.
-            self.reach(plat, &mut read, from).await?;
+            self.read_until(plat, &mut read, from).await?;
         }
         read.window.trim(from);
         let entries = read.window.entries_from(from).unwrap_or_default().to_vec();
@@ -119,7 +119,7 @@
             let first = first.and_then(|item| keys::segment_start(&self.step, &item.key));
             if let Some(first) = first.filter(|first| *first as usize <= from) {
                 read.window = Window::starting_at(first as usize);
-                return self.take(read, &page);
+                return self.add_range(read, &page);
             }
         }
         read.window = Window::default();
@@ -128,13 +128,18 @@
 
     /// Reads page after page until there is a result for a position or none is left. The last answer is
     /// the newest state, so nothing means that there is nothing.
-    async fn reach(&self, plat: &Client, read: &mut Results, from: usize) -> Result<(), PlatError> {
+    async fn read_until(
+        &self,
+        plat: &Client,
+        read: &mut Results,
+        from: usize,
+    ) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
         while read.window.end() <= from {
             let last = read.window.newest_segment();
             let after = last.map(|last| keys::segment(&self.step, last as u32));
             let page = plat.page(&prefix, after).await?;
-            self.take(read, &page)?;
+            self.add_range(read, &page)?;
             read.window.trim(from);
             if !page.more {
                 break;
@@ -145,7 +150,12 @@
 
     /// Waits for the next segment, from the last known revision on: a segment that is there
     /// already ends the wait at once, so that one call does for both.
-    async fn wait(&self, plat: &Client, read: &mut Results, wait: Millis) -> Result<(), PlatError> {
+    async fn wait_for_segment(
+        &self,
+        plat: &Client,
+        read: &mut Results,
+        wait: Millis,
+    ) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
         let Ok((changes, rev)) = plat.poll(&prefix, read.rev, wait).await else {
             // What follows reads the newest state.
@@ -153,23 +163,23 @@
         };
         for change in &changes {
             if let Change::Put(item) = change {
-                self.add(read, item)?;
+                self.add_segment(read, item)?;
             }
         }
         read.rev = rev;
         Ok(())
     }
 
-    fn take(&self, read: &mut Results, page: &Range) -> Result<(), PlatError> {
+    fn add_range(&self, read: &mut Results, page: &Range) -> Result<(), PlatError> {
         read.rev = page.rev;
         for item in &page.items {
-            self.add(read, item)?;
+            self.add_segment(read, item)?;
         }
         Ok(())
     }
 
     /// Takes in a segment if it is the next one.
-    fn add(&self, read: &mut Results, item: &Item) -> Result<(), PlatError> {
+    fn add_segment(&self, read: &mut Results, item: &Item) -> Result<(), PlatError> {
         let first = keys::segment_start(&self.step, &item.key).map(|first| first as usize);
         let Some(first) = first.filter(|first| *first == read.window.end()) else {
             return Ok(());
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -220,15 +220,15 @@
         hint::tidy(&app);
         app.crashes.prune();
         let mut all = Vec::new();
-        app.shelves
+        app.result_caches
             .for_each_shard(|map| all.extend(map.values().cloned()));
         let mut old = Vec::new();
         for shelf in all {
-            if shelf.used().await + UNREAD < app.clock.now() {
+            if shelf.last_used().await + UNREAD < app.clock.now() {
                 old.push(shelf);
             }
         }
-        app.shelves.for_each_shard(|map| {
+        app.result_caches.for_each_shard(|map| {
             map.retain(|_, shelf| !old.iter().any(|one| Arc::ptr_eq(one, shelf)))
         });
     }
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -122,7 +122,7 @@
 }
 
 async fn find_shelf(app: &App, step: &Arc<str>) -> Result<Option<Arc<Shelf>>, PlatError> {
-    if let Some(shelf) = app.shelves.get(step) {
+    if let Some(shelf) = app.result_caches.get(step) {
         return Ok(Some(shelf));
     }
     let Some(item) = app.plat.get(&keys::head(step)).await? else {
@@ -130,7 +130,7 @@
     };
     let head = claim::read(&item)?;
     hint::note(app, step.clone(), head.owner.instance.clone());
-    let shelf = app.shelves.with_shard(step, |map| {
+    let shelf = app.result_caches.with_shard(step, |map| {
         let new = || Arc::new(Shelf::new(step.clone(), &head));
         map.entry(step.clone()).or_insert_with(new).clone()
     });
@@ -211,7 +211,7 @@
 }
 
 async fn end_kept(app: &Arc<App>, step: &Arc<str>) -> Reply {
-    let known = app.running_steps.get(step).is_some() || app.shelves.get(step).is_some();
+    let known = app.running_steps.get(step).is_some() || app.result_caches.get(step).is_some();
     if !known && hint::owner(app, step).await.is_none() {
         match app.plat.get(&keys::head(step)).await {
             Ok(Some(_)) => (),
