--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -33,7 +33,7 @@
 use crate::claim::Open;
 use crate::claim::Standing;
 use crate::print;
-use crate::shelf::Page;
+use crate::shelf::ResultPage;
 
 /// Time for which results are gathered into one write: a write is a call that the platform counts, and
 /// nobody waits for the first results of a step.
@@ -194,14 +194,14 @@
     }
 
     /// The results from a position on; [`None`] when this instance cannot be sure of them.
-    pub async fn page(&self, app: &App, from: usize, wait: Millis) -> Option<Page> {
+    pub async fn page(&self, app: &App, from: usize, wait: Millis) -> Option<ResultPage> {
         let mut listed = self.listed.subscribe();
         let more = listed.wait_for(|count| *count > from);
         // The wait ends without a result when the time is over, or the step has been dropped.
         let _ = timeout(Duration::from_millis(wait), more).await;
         let page = {
             let ledger = self.ledger.lock();
-            Page {
+            ResultPage {
                 total: self.head.total,
                 entries: ledger.listed().get(from..).unwrap_or_default().to_vec(),
             }
--- a/crates/node/src/shelf.rs
+++ b/crates/node/src/shelf.rs
@@ -49,14 +49,14 @@
 
 /// Results from a position on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Page {
+pub struct ResultPage {
     /// Samples of the step.
     pub total: u32,
     /// The results.
     pub entries: Vec<Entry>,
 }
 
-impl Page {
+impl ResultPage {
     /// The answer to a caller, who asked for results from a position on.
     pub(crate) fn reply(&self, app: &App, from: usize) -> Reply {
         let bytes = app.dialect.encode_page(self.total, from, &self.entries);
@@ -84,7 +84,12 @@
     /// # Errors
     ///
     /// Returns [`PlatError`] when there are none here and the platform does not tell.
-    pub async fn page(&self, app: &App, from: usize, wait: Millis) -> Result<Page, PlatError> {
+    pub async fn page(
+        &self,
+        app: &App,
+        from: usize,
+        wait: Millis,
+    ) -> Result<ResultPage, PlatError> {
         let plat = &app.plat;
         let mut read = self.results.lock().await;
         read.last_used = app.clock.now();
@@ -100,7 +105,7 @@
         }
         read.window.trim(from);
         let entries = read.window.entries_from(from).unwrap_or_default().to_vec();
-        Ok(Page {
+        Ok(ResultPage {
             total: self.total,
             entries,
         })
