--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -20,7 +20,7 @@
 use crate::App;
 use crate::claim;
 use crate::through;
-use crate::through::Others;
+use crate::through::RelayedRead;
 
 /// What the time in which an end has to be in force is divided by to give the time after which a question is asked through
 /// others as well.
@@ -101,10 +101,10 @@
     let direct = pin!(in_time(limit, app.plat.call_direct(&call)));
     let others = pin!(async {
         sleep(patience).await;
-        through::any(app, &call, limit - patience).await
+        through::relay_read(app, &call, limit - patience).await
     });
     let (error, said) = match select(direct, others).await {
-        Either::Left((Ok(answer), _)) | Either::Right((Others::Answer(answer), _)) => {
+        Either::Left((Ok(answer), _)) | Either::Right((RelayedRead::Answer(answer), _)) => {
             return head_of(answer);
         }
         Either::Left((Err(error), others)) => (error, others.await),
@@ -114,9 +114,9 @@
         },
     };
     match said {
-        Others::Answer(answer) => head_of(answer),
-        Others::Away if error.is_unavailable() => Came::Outage,
-        Others::Away | Others::Nobody => Came::Nothing(error),
+        RelayedRead::Answer(answer) => head_of(answer),
+        RelayedRead::Unavailable if error.is_unavailable() => Came::Outage,
+        RelayedRead::Unavailable | RelayedRead::NoReply => Came::Nothing(error),
     }
 }
 
--- a/crates/node/src/through.rs
+++ b/crates/node/src/through.rs
@@ -68,23 +68,23 @@
 }
 
 /// What others say of the platform.
-pub(crate) enum Others {
+pub(crate) enum RelayedRead {
     /// Its answer.
     Answer(Answer),
     /// It does not serve those that answered, or there are no others.
-    Away,
+    Unavailable,
     /// No other one answered: this instance may be cut off.
-    Nobody,
+    NoReply,
 }
 
 /// Makes a read through several others at once, for an answer that is needed within `limit`: one that is not served
 /// itself, or is silent, costs no time then. Each of them asks the platform, whatever it knows of it.
-pub(crate) async fn any(app: &Arc<App>, call: &Call, limit: Duration) -> Others {
+pub(crate) async fn relay_read(app: &Arc<App>, call: &Call, limit: Duration) -> RelayedRead {
     let end = Instant::now() + limit;
     let helpers = helpers(app);
     let mut said = match helpers.is_empty() {
-        true => Others::Away,
-        false => Others::Nobody,
+        true => RelayedRead::Unavailable,
+        false => RelayedRead::NoReply,
     };
     let mut asks = JoinSet::new();
     for addr in helpers {
@@ -93,8 +93,8 @@
     }
     while let Ok(Some(asked)) = timeout_at(end, asks.join_next()).await {
         match asked {
-            Ok(Some(Ok(answer))) => return Others::Answer(answer),
-            Ok(Some(Err(error))) if error.is_unavailable() => said = Others::Away,
+            Ok(Some(Ok(answer))) => return RelayedRead::Answer(answer),
+            Ok(Some(Err(error))) if error.is_unavailable() => said = RelayedRead::Unavailable,
             // It did not answer, or could not ask.
             Ok(_) | Err(_) => (),
         }
