--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -15,31 +15,33 @@
 
 use crate::App;
 use crate::hint;
-use crate::message::Ask;
-use crate::message::MOST;
-use crate::message::TRY;
-use crate::message::Told;
+use crate::message::MAX_MESSAGE_BYTES;
+use crate::message::PeerReply;
+use crate::message::PeerRequest;
+use crate::message::RELAYED_READ_TIMEOUT;
 use crate::steps;
 use crate::steps::accept;
 
 /// Answers a question.
-pub(crate) async fn answer(app: &Arc<App>, call: net::Call) -> Reply {
-    let body = match net::body::read(call.body, MOST).await {
+pub(crate) async fn handle(app: &Arc<App>, call: net::Call) -> Reply {
+    let body = match net::body::read(call.body, MAX_MESSAGE_BYTES).await {
         Ok(body) => body,
-        Err(error) => return improper(&error),
+        Err(error) => return reject(&error),
     };
     let told = match record::decode(&body) {
-        Ok(Ask::Page { step, from, wait }) => return tell_page(app, &step, from, wait).await,
-        Ok(ask) => tell(app, ask).await,
-        Err(error) => return improper(&error),
+        Ok(PeerRequest::Page { step, from, wait }) => {
+            return page_reply(app, &step, from, wait).await;
+        }
+        Ok(ask) => reply(app, ask).await,
+        Err(error) => return reject(&error),
     };
     match record::encode(&told) {
         Ok(bytes) => net::body::reply(StatusCode::OK, "application/msgpack", bytes),
-        Err(error) => improper(&error),
+        Err(error) => reject(&error),
     }
 }
 
-fn improper(error: &dyn std::fmt::Display) -> Reply {
+fn reject(error: &dyn std::fmt::Display) -> Reply {
     let error = error.to_string();
     log::warn!(target: "peer", error = error.as_str(); "improper question");
     net::body::reply(StatusCode::BAD_REQUEST, "text/plain", error)
@@ -47,7 +49,7 @@
 
 /// Answers with results as they go to the caller, or with nothing when this instance is not sure of
 /// them.
-async fn tell_page(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
+async fn page_reply(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
     let page = match app.running_steps.get(step) {
         Some(work) => work.page(app, from, wait).await,
         None => None,
@@ -58,69 +60,77 @@
     }
 }
 
-async fn tell(app: &Arc<App>, ask: Ask) -> Told {
+async fn reply(app: &Arc<App>, ask: PeerRequest) -> PeerReply {
     match ask {
         // Answered with the results themselves.
-        Ask::Page { .. } => Told::Noted,
-        Ask::Submit(submission) => Told::Submit(accept::handed(app, submission).await),
-        Ask::Body { step, sample } => {
+        PeerRequest::Page { .. } => PeerReply::Acknowledged,
+        PeerRequest::Submit(submission) => {
+            PeerReply::Submit(accept::accept_from_peer(app, submission).await)
+        }
+        PeerRequest::Body { step, sample } => {
             let work = app.running_steps.get(&step);
-            Told::Body(work.map(|work| work.body(&sample)))
+            PeerReply::Body(work.map(|work| work.body(&sample)))
         }
-        Ask::Owner(step) => Told::Owner(hint::known(app, &step)),
-        Ask::Own { step, owner } => {
-            hint::note(app, step, owner);
-            Told::Noted
+        PeerRequest::Owner(step) => PeerReply::Owner(hint::get(app, &step)),
+        PeerRequest::SetOwner { step, owner } => {
+            hint::record(app, step, owner);
+            PeerReply::Acknowledged
         }
-        Ask::News { have, wait } => match newer(app, have, wait).await {
-            None if app.is_blind() => Told::Blind,
-            news => Told::News(news),
+        PeerRequest::Poll { have, wait } => match wait_for_update(app, have, wait).await {
+            None if app.is_platform_unreachable() => PeerReply::PlatformUnreachable,
+            news => PeerReply::Update(news),
         },
-        Ask::Relay(_) if app.plat.is_unserved() => Told::Relay(Err(PlatError::Unreachable)),
-        Ask::Tally { owner, tally } => {
+        PeerRequest::Relay(_) if app.plat.is_unserved() => {
+            PeerReply::Relay(Err(PlatError::Unreachable))
+        }
+        PeerRequest::Counts { owner, tally } => {
             app.snapshots
                 .lock()
                 .update((owner.instance, owner.start), tally);
-            Told::Noted
+            PeerReply::Acknowledged
         }
-        Ask::Shares(window) => Told::Shares(crate::tally::shares(app, window)),
-        Ask::Ended { step, rev } => {
-            steps::note_end(app, &step, rev);
-            Told::Noted
+        PeerRequest::WindowCounts(window) => {
+            PeerReply::WindowCounts(crate::tally::shares(app, window))
         }
-        Ask::Taken { step, rev } => {
+        PeerRequest::Ended { step, rev } => {
+            steps::record_end(app, &step, rev);
+            PeerReply::Acknowledged
+        }
+        PeerRequest::TakenOver { step, rev } => {
             if let Some(work) = app.running_steps.get(&step) {
                 work.replaced(rev);
             }
-            Told::Noted
+            PeerReply::Acknowledged
+        }
+        PeerRequest::ReachesReportAddress => {
+            PeerReply::ReachesReportAddress(crate::tally::reaches(app).await)
         }
-        Ask::Reaches => Told::Reaches(crate::tally::reaches(app).await),
         // Never through a third one: two that are turned away would ask each other forever.
-        Ask::Relay(call) => Told::Relay(app.plat.call_for_peer(&call).await),
-        Ask::Try(call) => Told::Relay(attempted(app, &call).await),
+        PeerRequest::Relay(call) => PeerReply::Relay(app.plat.call_for_peer(&call).await),
+        PeerRequest::RelayDirect(call) => PeerReply::Relay(call_with_timeout(app, &call).await),
     }
 }
 
 /// Makes a call whose answer is needed soon; that there is none is one as well.
-async fn attempted(app: &App, call: &Call) -> Result<Answer, PlatError> {
-    let limit = Duration::from_millis(TRY);
+async fn call_with_timeout(app: &App, call: &Call) -> Result<Answer, PlatError> {
+    let limit = Duration::from_millis(RELAYED_READ_TIMEOUT);
     let tried = tokio::time::timeout(limit, app.plat.call_direct(call)).await;
     tried.unwrap_or(Err(PlatError::NoAnswer))
 }
 
 /// Waits for something that a follower does not have yet.
-async fn newer(app: &App, mut have: SyncState, wait: Millis) -> Option<Update> {
+async fn wait_for_update(app: &App, mut have: SyncState, wait: Millis) -> Option<Update> {
     let asked = app.clock.now();
-    let mut changes = app.news.subscribe();
+    let mut changes = app.replica_changed.subscribe();
     let age = have.age;
     let newer = changes.wait_for(|()| {
         let now = app.clock.now();
         // What the follower has grows older while it waits.
         have.age = age.map(|age| age + (now - asked));
-        app.board.lock().has_more(have, now)
+        app.replica.lock().has_more(have, now)
     });
     let found = tokio::time::timeout(Duration::from_millis(wait), newer).await;
     // Neither over time nor dropped.
     found.ok()?.ok()?;
-    Some(app.board.lock().update_since(have, app.clock.now()))
+    Some(app.replica.lock().update_since(have, app.clock.now()))
 }
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -40,21 +40,21 @@
 use crate::Settings;
 use crate::access;
 use crate::hint::Hint;
-use crate::member::Entered;
+use crate::member::OwnEntry;
 use crate::owner::Work;
-use crate::shelf::Shelf;
+use crate::shelf::ResultCache;
 
 /// Time for which an idle connection to an upstream is kept: a call on a kept connection saves the
 /// upstream the opening of a new one, which may hold a place there.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time after its start from which an instance is ready though no keeper has heard of it, in milliseconds: some
 /// tries.
-const KEEPER: Millis = 1_500;
+const KEEPER_WAIT: Millis = 1_500;
 
 /// Time for which an instance is remembered whose entry is gone, in milliseconds: longer than an outage in which
 /// entries lapse and the seconds until they are back.
-const FORMER: Millis = 60_000;
+const RECENT_MEMBER_TTL: Millis = 60_000;
 
 /// What all parts of an instance share.
 pub struct App {
@@ -89,37 +89,37 @@
     /// The instances that have entered, this one among them.
     pub members: Mutex<Arc<[Member]>>,
     /// Where this instance stands among them.
-    place: Mutex<TreePosition>,
+    tree_position: Mutex<TreePosition>,
     /// The instances that had entered some time ago, and when they were last seen.
     recent_members: Mutex<Map<Arc<str>, (Member, Millis)>>,
     /// Connections to other instances.
-    pub peers: net::Client,
+    pub peer_client: net::Client,
     /// What is known of the configuration and the list of upstreams, for others that follow.
-    pub board: Mutex<Replica>,
+    pub replica: Mutex<Replica>,
     /// Rings when the board has changed.
-    pub news: watch::Sender<()>,
+    pub replica_changed: watch::Sender<()>,
     /// The steps that this instance runs.
     pub running_steps: ShardedMap<Arc<str>, Arc<Work>>,
     /// The steps that this instance is taking over.
     pub takeovers: Mutex<Set<Arc<str>>>,
     /// What this instance has read of the results of other steps.
-    pub result_caches: ShardedMap<Arc<str>, Arc<Shelf>>,
+    pub result_caches: ShardedMap<Arc<str>, Arc<ResultCache>>,
     /// What steps that ended here have left over.
     pub leftovers: Mutex<Leftovers>,
     /// Who runs the steps that callers ask for here.
     pub hints: ShardedMap<Arc<str>, Hint>,
     /// Instances that get no steps from here until a time.
-    shunned: Mutex<Map<Arc<str>, Millis>>,
+    avoided: Mutex<Map<Arc<str>, Millis>>,
     /// The instance that last made a call of the platform for this one.
-    helper: Mutex<Option<SocketAddr>>,
+    relay_peer: Mutex<Option<SocketAddr>>,
     leaving: AtomicBool,
     /// Whether the platform did not answer the last read for others.
-    blind: AtomicBool,
+    platform_unreachable: AtomicBool,
     /// Whether a keeper has heard of what this instance counts.
     keeper_confirmed: AtomicBool,
     /// When the instances that have entered were last heard of.
     members_updated: AtomicU64,
-    entered: Mutex<Option<Entered>>,
+    own_entry: Mutex<Option<OwnEntry>>,
 }
 
 impl App {
@@ -142,7 +142,7 @@
             snapshots: Mutex::default(),
             dialect,
             plat,
-            http: net::Client::idle(IDLE),
+            http: net::Client::idle(IDLE_CONNECTION_TIMEOUT),
             me,
             config: ArcSwapOption::empty(),
             upstreams: Mutex::default(),
@@ -151,23 +151,23 @@
             crashes: Arc::default(),
             capacity_changed: Notify::new(),
             members: Mutex::new(Arc::new([])),
-            place: Mutex::default(),
+            tree_position: Mutex::default(),
             recent_members: Mutex::default(),
-            peers: net::Client::idle(IDLE),
-            board: Mutex::default(),
-            news: watch::Sender::default(),
+            peer_client: net::Client::idle(IDLE_CONNECTION_TIMEOUT),
+            replica: Mutex::default(),
+            replica_changed: watch::Sender::default(),
             running_steps: ShardedMap::new(),
             takeovers: Mutex::default(),
             result_caches: ShardedMap::new(),
             leftovers: Mutex::default(),
             hints: ShardedMap::new(),
-            shunned: Mutex::default(),
-            helper: Mutex::default(),
+            avoided: Mutex::default(),
+            relay_peer: Mutex::default(),
             leaving: AtomicBool::new(false),
-            blind: AtomicBool::new(false),
+            platform_unreachable: AtomicBool::new(false),
             keeper_confirmed: AtomicBool::new(false),
             members_updated: AtomicU64::new(0),
-            entered: Mutex::default(),
+            own_entry: Mutex::default(),
         })
     }
 
@@ -195,55 +195,55 @@
     }
 
     /// Notes that this instance's own entry was written.
-    pub fn enter(&self, entered: Entered) {
-        *self.entered.lock() = Some(entered);
+    pub fn set_own_entry(&self, entered: OwnEntry) {
+        *self.own_entry.lock() = Some(entered);
     }
 
     /// This instance's own entry, once it has entered.
-    pub fn entered(&self) -> Option<Entered> {
-        *self.entered.lock()
+    pub fn own_entry(&self) -> Option<OwnEntry> {
+        *self.own_entry.lock()
     }
 
     /// The time until which an instance gets no steps from here.
-    pub fn shunned(&self, instance: &str) -> Millis {
-        self.shunned.lock().get(instance).copied().unwrap_or(0)
+    pub fn avoided_until(&self, instance: &str) -> Millis {
+        self.avoided.lock().get(instance).copied().unwrap_or(0)
     }
 
     /// Gives an instance no steps from here until a time.
-    pub fn shun(&self, instance: &Arc<str>, until: Millis) {
-        self.shunned.lock().insert(instance.clone(), until);
+    pub fn avoid(&self, instance: &Arc<str>, until: Millis) {
+        self.avoided.lock().insert(instance.clone(), until);
     }
 
     /// The instance that last made a call of the platform for this one.
-    pub fn helper(&self) -> Option<SocketAddr> {
-        *self.helper.lock()
+    pub fn relay_peer(&self) -> Option<SocketAddr> {
+        *self.relay_peer.lock()
     }
 
     /// Notes the instance that made a call of the platform for this one, if there is one.
-    pub fn set_helper(&self, helper: Option<SocketAddr>) {
-        *self.helper.lock() = helper;
+    pub fn set_relay_peer(&self, helper: Option<SocketAddr>) {
+        *self.relay_peer.lock() = helper;
     }
 
     /// Notes whether the platform answers reads for others.
-    pub fn set_blind(&self, blind: bool) {
-        self.blind.store(blind, Ordering::Relaxed);
+    pub fn set_platform_unreachable(&self, blind: bool) {
+        self.platform_unreachable.store(blind, Ordering::Relaxed);
     }
 
     /// Tells whether the platform did not answer the last read for others.
-    pub fn is_blind(&self) -> bool {
-        self.blind.load(Ordering::Relaxed)
+    pub fn is_platform_unreachable(&self) -> bool {
+        self.platform_unreachable.load(Ordering::Relaxed)
     }
 
     /// Changes what is known for others, and wakes those who wait for it.
-    pub fn post<R>(&self, change: impl FnOnce(&mut Replica) -> R) -> R {
-        let done = change(&mut self.board.lock());
-        self.news.send_replace(());
+    pub fn update_replica<R>(&self, change: impl FnOnce(&mut Replica) -> R) -> R {
+        let done = change(&mut self.replica.lock());
+        self.replica_changed.send_replace(());
         done
     }
 
     /// What this instance has of what others tell.
-    pub fn have(&self) -> SyncState {
-        self.board.lock().sync_state(self.clock.now())
+    pub fn sync_state(&self) -> SyncState {
+        self.replica.lock().sync_state(self.clock.now())
     }
 
     /// Notes the instances that have entered.
@@ -251,12 +251,13 @@
         let members = members.into();
         let now = self.clock.now();
         let mut former = self.recent_members.lock();
-        former.retain(|_, (_, seen)| now < *seen + FORMER);
+        former.retain(|_, (_, seen)| now < *seen + RECENT_MEMBER_TTL);
         for one in &*members {
             former.insert(one.owner.instance.clone(), (one.clone(), now));
         }
         drop(former);
-        *self.place.lock() = tree::position(&members, &self.me.instance, &self.settings.domain);
+        *self.tree_position.lock() =
+            tree::position(&members, &self.me.instance, &self.settings.domain);
         let before = std::mem::replace(&mut *self.members.lock(), members.clone());
         let Turnover { came, gone } = Turnover::between(&before, &members);
         if came + gone > 0 {
@@ -267,20 +268,20 @@
 
     /// Notes some of the instances that have entered, as long as nobody has told of all.
     pub fn set_partial_members(&self, some: Vec<Member>, me: &Member) {
-        *self.place.lock() = tree::partial_position(&some, me);
+        *self.tree_position.lock() = tree::partial_position(&some, me);
         *self.members.lock() = some.into();
         self.members_updated
             .store(self.clock.now(), Ordering::Relaxed);
     }
 
     /// Where this instance stands among those that have entered.
-    pub fn place(&self) -> TreePosition {
-        self.place.lock().clone()
+    pub fn tree_position(&self) -> TreePosition {
+        self.tree_position.lock().clone()
     }
 
     /// Tells whether the entries of all were read at once, here or by whoever this instance follows.
     pub fn has_full_membership(&self) -> bool {
-        self.board.lock().membership().is_some()
+        self.replica.lock().membership().is_some()
     }
 
     /// The instances that have entered, and those whose entries are gone since a while. All entries lapse in a long
@@ -296,7 +297,7 @@
     }
 
     /// Begins to leave: nothing new is taken on.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
@@ -314,14 +315,14 @@
     /// missing in its window. Callers do not wait for long when no keeper can be reached.
     fn is_keeper_confirmed(&self) -> bool {
         let known = self.meter.is_none() || self.keeper_confirmed.load(Ordering::Relaxed);
-        known || self.clock.now() >= KEEPER
+        known || self.clock.now() >= KEEPER_WAIT
     }
 
     /// Tells whether callers should come here: an instance without configuration could only turn
     /// them away.
     pub fn is_ready(&self) -> bool {
         let known = self.upstreams.lock().age(self.clock.now()).is_some();
-        let able = known && self.config.load().is_some() && !access::is_closed(self);
+        let able = known && self.config.load().is_some() && !access::is_failing_closed(self);
         able && self.is_keeper_confirmed() && !self.is_leaving()
     }
 }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -27,19 +27,22 @@
 /// A message cannot be understood.
 #[derive(Clone, Debug)]
 #[derive(thiserror::Error)]
-#[error("{what} cannot be understood: {why}")]
+#[error("{message} cannot be understood: {reason}")]
 pub struct DialectError {
     /// The message.
-    pub what: &'static str,
+    pub message: &'static str,
     /// What is wrong with it.
-    pub why: Box<str>,
+    pub reason: Box<str>,
 }
 
 impl DialectError {
     /// Says what is wrong with a message.
     pub fn new(what: &'static str, why: impl std::fmt::Display) -> Self {
         let why = why.to_string().into();
-        Self { what, why }
+        Self {
+            message: what,
+            reason: why,
+        }
     }
 }
 
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 
 /// Most bytes of one event; more is not an event.
-const MOST: usize = 4 << 20;
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
 /// What comes next in a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,18 +27,18 @@
 /// # Examples
 ///
 /// ```
-/// let mut cutter = node::events::Cutter::default();
-/// cutter.push(b"id: 1\ndata: a\n\nid: 2\n");
-/// assert_eq!(cutter.pop().as_deref(), Some("id: 1\ndata: a"));
-/// assert_eq!(cutter.pop(), None);
-/// assert!(!cutter.is_clean());
+/// let mut splitter = node::events::EventSplitter::default();
+/// splitter.push(b"id: 1\ndata: a\n\nid: 2\n");
+/// assert_eq!(splitter.pop().as_deref(), Some("id: 1\ndata: a"));
+/// assert_eq!(splitter.pop(), None);
+/// assert!(!splitter.is_drained());
 /// ```
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct EventSplitter {
     bytes: Vec<u8>,
 }
 
-impl Cutter {
+impl EventSplitter {
     /// Takes in what has come.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
@@ -53,12 +53,12 @@
     }
 
     /// Tells whether no part of an event is left.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.bytes.iter().all(u8::is_ascii_whitespace)
     }
 
-    fn is_long(&self) -> bool {
-        self.bytes.len() > MOST
+    fn is_too_long(&self) -> bool {
+        self.bytes.len() > MAX_EVENT_BYTES
     }
 }
 
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub struct Events {
     body: Incoming,
-    cutter: Cutter,
+    splitter: EventSplitter,
 }
 
 impl Events {
@@ -74,26 +74,26 @@
     pub fn new(body: Incoming) -> Self {
         Self {
             body,
-            cutter: Cutter::default(),
+            splitter: EventSplitter::default(),
         }
     }
 
     /// Waits for what comes next. Dropping the wait loses nothing.
     pub async fn next(&mut self) -> NextEvent {
         loop {
-            if let Some(block) = self.cutter.pop() {
+            if let Some(block) = self.splitter.pop() {
                 return NextEvent::Block(block);
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     let data: Bytes = frame.into_data().unwrap_or_default();
-                    self.cutter.push(&data);
+                    self.splitter.push(&data);
                 }
                 Some(Err(_)) => return NextEvent::Broken,
-                None if self.cutter.is_clean() => return NextEvent::End,
+                None if self.splitter.is_drained() => return NextEvent::End,
                 None => return NextEvent::Broken,
             }
-            if self.cutter.is_long() {
+            if self.splitter.is_too_long() {
                 return NextEvent::Broken;
             }
         }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -33,23 +33,23 @@
 /// Time after which a call that may be repeated is sent to a second upstream as well: some times
 /// the usual work of a lookup, and early enough for the second to answer within the latency that
 /// callers aim at.
-const HEDGE: Duration = Duration::from_millis(110);
+const HEDGE_DELAY: Duration = Duration::from_millis(110);
 
 /// Part of the time left that one attempt may take before it counts as lost, for a call that may
 /// be repeated.
-const PART: u32 = 2;
+const ATTEMPT_TIME_DIVISOR: u32 = 2;
 
 /// Time for which an upstream that turned a call away gets none, in milliseconds.
-const FULL: Millis = 100;
+const BUSY_PAUSE: Millis = 100;
 
 /// Why a request is given up under which upstreams crash.
-const POISON: &str = "upstreams crash under it";
+const QUARANTINE_REASON: &str = "upstreams crash under it";
 
 /// Most bytes of an answer that is held until it is whole.
-const ANSWER: usize = 32 << 20;
+const MAX_ANSWER_BYTES: usize = 32 << 20;
 
 /// What came of one attempt.
-enum Came {
+enum AttemptOutcome {
     /// A whole answer of the upstream's application.
     Answer(Response<Bytes>, Arc<str>),
     /// The upstream has not run the call and never will.
@@ -59,7 +59,7 @@
 }
 
 /// Passes a call on and answers with what the upstream answered.
-pub async fn call(
+pub async fn forward_call(
     app: &Arc<App>,
     route: &Arc<Route>,
     head: &Parts,
@@ -70,13 +70,13 @@
     let sent = Sent::new(app, head, caller, body, route.timeout, principal);
     let sent = Arc::new(sent);
     let left = Duration::from_millis(sent.left());
-    let mut tries = Tries::new(sent, route, Manner::Caller);
+    let mut tries = Attempts::new(sent, route, Requester::Caller);
     let passed = match timeout(left, tries.answer()).await {
         Ok(passed) => passed,
         Err(_) => tries.time_out(),
     };
     match passed {
-        ForwardOutcome::Answer { answer, .. } => back(app, answer),
+        ForwardOutcome::Answer { answer, .. } => build_reply(app, answer),
         ForwardOutcome::Refused(refusal) => refusal.reply(),
     }
 }
@@ -89,14 +89,14 @@
     limit: Duration,
 ) -> ForwardOutcome {
     let left = Duration::from_millis(sent.left()).min(limit);
-    let mut tries = Tries::new(sent, route, Manner::Scorer);
+    let mut tries = Attempts::new(sent, route, Requester::Scorer);
     match timeout(left, tries.answer()).await {
         Ok(passed) => passed,
         Err(_) => tries.time_out(),
     }
 }
 
-fn back(app: &App, answer: Response<Bytes>) -> Reply {
+fn build_reply(app: &App, answer: Response<Bytes>) -> Reply {
     let (head, bytes) = answer.into_parts();
     let mut reply = Response::new(net::body::full(bytes));
     *reply.status_mut() = head.status;
@@ -119,7 +119,7 @@
 
 /// How a request is passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
+enum Requester {
     /// A caller waits for the answer: it may wait inside an upstream.
     Caller,
     /// A sample waits for its score: it takes free places alone. The samples of a step become whole by
@@ -128,19 +128,19 @@
 }
 
 /// The attempts of one call.
-struct Tries<'a> {
+struct Attempts<'a> {
     sent: Arc<Sent>,
     route: &'a Route,
     service: Option<Arc<str>>,
     tried: Vec<Arc<str>>,
-    running: JoinSet<Came>,
-    requester: Manner,
+    running: JoinSet<AttemptOutcome>,
+    requester: Requester,
     /// Whether it may have run somewhere.
     may_have_run: bool,
 }
 
-impl<'a> Tries<'a> {
-    fn new(sent: Arc<Sent>, route: &'a Route, manner: Manner) -> Self {
+impl<'a> Attempts<'a> {
+    fn new(sent: Arc<Sent>, route: &'a Route, manner: Requester) -> Self {
         Self {
             sent,
             route,
@@ -153,13 +153,13 @@
     }
 
     fn may_repeat(&self) -> bool {
-        self.requester == Manner::Scorer || self.route.kind == RouteKind::Idempotent
+        self.requester == Requester::Scorer || self.route.kind == RouteKind::Idempotent
     }
 
     async fn answer(&mut self) -> ForwardOutcome {
-        let queue = self.requester == Manner::Caller;
+        let queue = self.requester == Requester::Caller;
         if let Some(left) = self.sent.admit().await {
-            return self.refuse(Refusal::Quarantined(left), POISON);
+            return self.refuse(Refusal::Quarantined(left), QUARANTINE_REASON);
         }
         if !self.start_attempt(queue) {
             return self.give_up("no upstream has room");
@@ -167,24 +167,24 @@
         loop {
             let came = tokio::select! {
                 Some(came) = self.running.join_next() => came,
-                () = sleep(HEDGE), if self.may_hedge() => {
+                () = sleep(HEDGE_DELAY), if self.may_hedge() => {
                     self.start_attempt(false);
                     continue;
                 }
             };
             // A panicked attempt leaves open whether it was sent.
-            match came.unwrap_or(Came::Unknown) {
-                Came::Answer(answer, signature) => {
+            match came.unwrap_or(AttemptOutcome::Unknown) {
+                AttemptOutcome::Answer(answer, signature) => {
                     return ForwardOutcome::Answer { answer, signature };
                 }
-                Came::NotExecuted => (),
-                Came::Unknown => self.may_have_run = true,
+                AttemptOutcome::NotExecuted => (),
+                AttemptOutcome::Unknown => self.may_have_run = true,
             }
             if self.may_have_run && !self.may_repeat() {
                 return self.give_up("outcome unknown");
             }
             if self.sent.admit().await.is_some() {
-                return self.give_up(POISON);
+                return self.give_up(QUARANTINE_REASON);
             }
             if !self.start_attempt(queue) && self.running.is_empty() {
                 return self.give_up("no upstream left");
@@ -218,7 +218,7 @@
         self.tried.push(one.id.clone());
         let left = self.sent.left();
         let part = match self.may_repeat() && self.tried.len() < self.max_attempts() {
-            true => left / Millis::from(PART),
+            true => left / Millis::from(ATTEMPT_TIME_DIVISOR),
             false => left,
         };
         log::info!(target: "forward", id = &*self.sent.id, upstream = &*one.id,
@@ -232,16 +232,20 @@
     /// Answers when the time is over. A call that is still at an upstream may have run there.
     fn time_out(&self) -> ForwardOutcome {
         let sent = self.may_have_run || !self.running.is_empty();
-        let refusal = if sent { Refusal::Late } else { Refusal::Unrun };
+        let refusal = if sent {
+            Refusal::TimedOut
+        } else {
+            Refusal::NotExecuted
+        };
         self.refuse(refusal, "time is over")
     }
 
     fn give_up(&self, why: &str) -> ForwardOutcome {
         let sent = self.may_have_run || !self.running.is_empty();
         let refusal = if sent {
-            Refusal::Unknown
+            Refusal::OutcomeUnknown
         } else {
-            Refusal::Unrun
+            Refusal::NotExecuted
         };
         self.refuse(refusal, why)
     }
@@ -249,7 +253,7 @@
     fn refuse(&self, refusal: Refusal, why: &str) -> ForwardOutcome {
         // A sample that finds no free place looks again within moments, and writes a line when it has
         // its score or is given up.
-        if self.requester == Manner::Caller || !self.tried.is_empty() {
+        if self.requester == Requester::Caller || !self.tried.is_empty() {
             let age = self
                 .sent
                 .app
@@ -263,39 +267,39 @@
     }
 }
 
-async fn attempt(sent: &Sent, place: Place, part: Millis) -> Came {
+async fn attempt(sent: &Sent, place: Place, part: Millis) -> AttemptOutcome {
     let one = &place.one;
     let Some(request) = sent.request(one, None) else {
-        return Came::NotExecuted;
+        return AttemptOutcome::NotExecuted;
     };
     let begun = sent.app.clock.now();
     let number = sent.send();
     let limit = Duration::from_millis(part);
-    let answer = sent.app.http.fetch(request, limit, ANSWER).await;
+    let answer = sent.app.http.fetch(request, limit, MAX_ANSWER_BYTES).await;
     let took = sent.app.clock.now() - begun;
     let broke = matches!(answer, Err(SendError::Broken));
-    let came = judge(sent, one, answer, took);
+    let came = classify(sent, one, answer, took);
     if broke {
         sent.broke(one).await;
     }
-    if matches!(came, Came::NotExecuted) {
+    if matches!(came, AttemptOutcome::NotExecuted) {
         sent.unrun(number);
     }
     let outcome = match &came {
-        Came::Answer(..) => "answered",
-        Came::NotExecuted => "unrun",
-        Came::Unknown => "unknown",
+        AttemptOutcome::Answer(..) => "answered",
+        AttemptOutcome::NotExecuted => "unrun",
+        AttemptOutcome::Unknown => "unknown",
     };
     metrics::counter!(meter::ATTEMPTS, "outcome" => outcome).increment(1);
     came
 }
 
-fn judge(
+fn classify(
     sent: &Sent,
     one: &Arc<Upstream>,
     answer: Result<Response<Bytes>, SendError>,
     took: Millis,
-) -> Came {
+) -> AttemptOutcome {
     let now = sent.app.clock.now();
     let answer = match answer {
         Ok(answer) => answer,
@@ -305,8 +309,8 @@
             log::info!(target: "forward", id = &*sent.id, upstream = &*one.id,
                 took_ms = took, why = why.as_str(); "attempt failed");
             return match error.is_unsent() {
-                true => Came::NotExecuted,
-                false => Came::Unknown,
+                true => AttemptOutcome::NotExecuted,
+                false => AttemptOutcome::Unknown,
             };
         }
     };
@@ -319,8 +323,8 @@
         plain.load_reported(&one.id, load, now);
     }
     if said.not_executed || said.misdirected {
-        plain.engine_busy(&one.id, now + FULL);
-        return Came::NotExecuted;
+        plain.engine_busy(&one.id, now + BUSY_PAUSE);
+        return AttemptOutcome::NotExecuted;
     }
     if let (Some(id), Some(signature)) = (&said.attempt_id, said.signature)
         && **id == *sent.id
@@ -328,11 +332,11 @@
         plain.event_received(&one.id, took as f64);
         drop(plain);
         sent.answered(answer.status());
-        return Came::Answer(answer, signature);
+        return AttemptOutcome::Answer(answer, signature);
     }
     plain.engine_failed(&one.id, now);
     let status = answer.status().as_u16();
     log::warn!(target: "forward", id = &*sent.id, upstream = &*one.id, status,
         answers = said.attempt_id.as_deref().unwrap_or("nothing"); "answer of something else");
-    Came::Unknown
+    AttemptOutcome::Unknown
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -20,7 +20,7 @@
 use crate::stream;
 
 /// Answers a request.
-pub async fn answer(app: Arc<App>, call: Call) -> Reply {
+pub async fn handle(app: Arc<App>, call: Call) -> Reply {
     let from = app.clock.now();
     let (head, body) = split(call);
     let caller = app.dialect.decode_caller(&head);
@@ -33,13 +33,13 @@
     };
     let (route, mut reply) = dispatch(&app, head, caller, body).await;
     if app.is_leaving() {
-        refuse::close(&mut reply);
+        refuse::close_connection(&mut reply);
     }
     let took = app.clock.now() - from;
     let status = reply.status().as_u16();
     metrics::counter!(meter::REQUESTS, "route" => route, "status" => status.to_string())
         .increment(1);
-    metrics::histogram!(meter::SECONDS, "route" => route).record(took as f64 / 1_000.0);
+    metrics::histogram!(meter::REQUEST_SECONDS, "route" => route).record(took as f64 / 1_000.0);
     log::info!(target: "front", id = &*id, route, status, took_ms = took; "answered");
     reply
 }
@@ -59,20 +59,20 @@
     body: Body,
 ) -> (&'static str, Reply) {
     if caller.operation.concerns_step() {
-        return of_step(app, &caller).await;
+        return dispatch_step(app, &caller).await;
     }
     match &caller.operation {
         Operation::Invalid(why) => {
             log::info!(target: "front", id = &*caller.id, why; "improper request");
-            ("wrong", Refusal::Wrong.reply())
+            ("wrong", Refusal::Invalid.reply())
         }
-        _ => routed(app, head, caller, body).await,
+        _ => dispatch_route(app, head, caller, body).await,
     }
 }
 
 /// Answers what is asked of a step that was submitted before.
-async fn of_step(app: &Arc<App>, caller: &Caller) -> (&'static str, Reply) {
-    let principal = match access::of_step(app, caller) {
+async fn dispatch_step(app: &Arc<App>, caller: &Caller) -> (&'static str, Reply) {
+    let principal = match access::authorize_step(app, caller) {
         Ok(principal) => principal,
         Err(refusal) => return ("key", refusal.reply()),
     };
@@ -86,31 +86,36 @@
             ("body", reply)
         }
         Operation::EndStep { step } => ("end", steps::end(app, step, &principal).await),
-        Operation::Invalid(_) | Operation::Route => ("wrong", Refusal::Wrong.reply()),
+        Operation::Invalid(_) | Operation::Route => ("wrong", Refusal::Invalid.reply()),
     }
 }
 
-async fn routed(app: &Arc<App>, head: Parts, caller: Caller, body: Body) -> (&'static str, Reply) {
+async fn dispatch_route(
+    app: &Arc<App>,
+    head: Parts,
+    caller: Caller,
+    body: Body,
+) -> (&'static str, Reply) {
     let Some(plan) = app.config.load_full() else {
         // A restarted instance knows no route yet; a 404 now would be an older state.
         log::info!(target: "front", id = &*caller.id; "no configuration yet");
-        return ("none", Refusal::Unrun.reply());
+        return ("none", Refusal::NotExecuted.reply());
     };
     let Some(route) = plan.find_route(&caller.host, head.uri.path()).cloned() else {
-        let age = access::age(app);
-        let refusal = access::missing(app, age);
+        let age = access::config_age(app);
+        let refusal = access::missing_route(app, age);
         log::info!(target: "front", id = &*caller.id, version = plan.version, age_ms = age,
             outcome = refusal.name(); "no such route");
         return ("none", refusal.reply());
     };
-    let principal = match access::of_route(app, &plan, &route, &caller) {
+    let principal = match access::authorize_route(app, &plan, &route, &caller) {
         Ok(principal) => principal,
         Err(refusal) => return ("key", refusal.reply()),
     };
     let body = match net::body::read(body, plan.max_body).await {
         Ok(body) => body,
-        Err(net::body::ReadError::Long(_)) => return ("long", Refusal::Long.reply()),
-        Err(_) => return ("cut", Refusal::Wrong.reply()),
+        Err(net::body::ReadError::Long(_)) => return ("long", Refusal::BodyTooLarge.reply()),
+        Err(_) => return ("cut", Refusal::Invalid.reply()),
     };
     match route.kind {
         RouteKind::Rollout => (
@@ -119,11 +124,11 @@
         ),
         RouteKind::Idempotent => (
             "call",
-            forward::call(app, &route, &head, &caller, body, principal).await,
+            forward::forward_call(app, &route, &head, &caller, body, principal).await,
         ),
         RouteKind::Once => (
             "once",
-            forward::call(app, &route, &head, &caller, body, principal).await,
+            forward::forward_call(app, &route, &head, &caller, body, principal).await,
         ),
         RouteKind::Stream => (
             "stream",
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -16,27 +16,27 @@
 
 use crate::App;
 use crate::peer;
-use crate::peer::Handed;
-use crate::steps::accept::Accepted;
+use crate::peer::SubmitOutcome;
+use crate::steps::accept::AcceptOutcome;
 use crate::steps::accept::Submission;
 use spread::Member;
 
 /// Part of the most processor that an instance has to have to take steps of others.
-const STRONG: f64 = 0.9;
+const MIN_CORES_RATIO: f64 = 0.9;
 
 /// Time for which an instance that did not answer gets no steps from here, in milliseconds: until
 /// then its entry has lapsed, or it is back.
-const SHUN: Millis = 4_000;
+const AVOID_TIME: Millis = 4_000;
 
 /// Instances that are asked in turn: each is sent the whole step, and one that declines answers at once.
-const ASKED: usize = 3;
+const MAX_CANDIDATES: usize = 3;
 
 /// The instances that take the steps of a route, in a failure domain, the first one first.
 ///
 /// # Examples
 ///
 /// ```
-/// use node::hand::takers;
+/// use node::hand::preferred_owners;
 /// use spread::Member;
 ///
 /// let member = |name: &str, domain: &str, centicores| Member {
@@ -47,55 +47,55 @@
 ///     centicores,
 /// };
 /// let members = [member("a", "nord", 12), member("b", "nord", 50), member("c", "syd", 50)];
-/// let takers = takers(&members, "nord", "steps");
-/// assert_eq!(takers.len(), 1);
-/// assert_eq!(&*takers[0].owner.instance, "b");
-/// assert!(node::hand::takers(&members, "vest", "steps").is_empty());
+/// let owners = preferred_owners(&members, "nord", "steps");
+/// assert_eq!(owners.len(), 1);
+/// assert_eq!(&*owners[0].owner.instance, "b");
+/// assert!(node::hand::preferred_owners(&members, "vest", "steps").is_empty());
 /// ```
-pub fn takers<'a>(members: &'a [Member], domain: &str, route: &str) -> Vec<&'a Member> {
+pub fn preferred_owners<'a>(members: &'a [Member], domain: &str, route: &str) -> Vec<&'a Member> {
     let near = || {
         let all = members.iter();
         all.filter(|one| one.is_reader && *one.domain == *domain)
     };
     let most = near().map(|one| one.centicores).max().unwrap_or(0);
-    let strong = |one: &&Member| f64::from(one.centicores) >= f64::from(most) * STRONG;
+    let strong = |one: &&Member| f64::from(one.centicores) >= f64::from(most) * MIN_CORES_RATIO;
     let mut takers: Vec<_> = near().filter(strong).collect();
     takers.sort_by_key(|one| Reverse(rendezvous_rank(&one.owner.instance, route)));
     takers
 }
 
 /// What came of handing a step over.
-pub enum Over {
+pub enum HandoverOutcome {
     /// Another instance has answered for it.
-    Answered(Accepted),
+    Answered(AcceptOutcome),
     /// It is to be taken here.
-    Here,
+    Local,
     /// It is to be taken here, and another instance that was asked and did not answer may have taken it.
     Unclear,
 }
 
 /// Hands a step to an instance that takes its route's steps.
-pub async fn over(app: &Arc<App>, submission: &Submission) -> Over {
+pub async fn hand_over(app: &Arc<App>, submission: &Submission) -> HandoverOutcome {
     for member in candidates(app, submission) {
         let name = &member.owner.instance;
         if *name == app.me.instance {
-            return Over::Here;
+            return HandoverOutcome::Local;
         }
         let handed = peer::submit(app, member.addr, submission).await;
         let outcome = match handed {
-            Handed::Taken(accepted) => return Over::Answered(accepted),
-            Handed::Declined => "declined",
-            Handed::Silent => "silent",
+            SubmitOutcome::Answered(accepted) => return HandoverOutcome::Answered(accepted),
+            SubmitOutcome::Declined => "declined",
+            SubmitOutcome::NoReply => "silent",
         };
         log::info!(target: "steps", id = &*submission.id, instance = &**name, outcome;
             "step not handed over");
-        app.shun(name, app.clock.now() + SHUN);
-        if matches!(handed, Handed::Silent) {
+        app.avoid(name, app.clock.now() + AVOID_TIME);
+        if matches!(handed, SubmitOutcome::NoReply) {
             // The trainer has waited a second already.
-            return Over::Unclear;
+            return HandoverOutcome::Unclear;
         }
     }
-    Over::Here
+    HandoverOutcome::Local
 }
 
 /// The instances to ask, but for those that did not take a step a moment ago.
@@ -108,10 +108,10 @@
         return Vec::new();
     };
     let members = app.members.lock();
-    let takers = takers(&members, &app.settings.domain, &route.name);
+    let takers = preferred_owners(&members, &app.settings.domain, &route.name);
     let now = app.clock.now();
     let open = takers
         .into_iter()
-        .filter(|one| now >= app.shunned(&one.owner.instance));
-    open.take(ASKED).cloned().collect()
+        .filter(|one| now >= app.avoided_until(&one.owner.instance));
+    open.take(MAX_CANDIDATES).cloned().collect()
 }
--- a/crates/node/src/hint.rs
+++ b/crates/node/src/hint.rs
@@ -16,13 +16,13 @@
 
 /// Time for which a hint is kept, in milliseconds: a step is read for as long as it is open, and
 /// no trainer waits longer for one.
-const KEEP: Millis = 30_000;
+const HINT_TTL: Millis = 30_000;
 
 /// Who runs a step, as far as is known here.
 #[derive(Clone, Debug)]
 pub struct Hint {
     owner: Arc<str>,
-    at: Millis,
+    recorded_at: Millis,
 }
 
 /// The instance that keeps the hint of a step.
@@ -34,32 +34,38 @@
 }
 
 /// Notes who runs a step.
-pub fn note(app: &App, step: Arc<str>, owner: Arc<str>) {
+pub fn record(app: &App, step: Arc<str>, owner: Arc<str>) {
     let at = app.clock.now();
-    app.hints.insert(step, Hint { owner, at });
+    app.hints.insert(
+        step,
+        Hint {
+            owner,
+            recorded_at: at,
+        },
+    );
 }
 
 /// Who runs a step, if that is known here.
-pub fn known(app: &App, step: &Arc<str>) -> Option<Arc<str>> {
+pub fn get(app: &App, step: &Arc<str>) -> Option<Arc<str>> {
     app.hints.get(step).map(|hint| hint.owner)
 }
 
 /// Forgets who runs a step, since that one knows nothing of it.
-pub fn forget(app: &App, step: &Arc<str>) {
+pub fn remove(app: &App, step: &Arc<str>) {
     app.hints.remove(step);
 }
 
 /// Forgets hints that nobody needs any more.
-pub fn tidy(app: &App) {
+pub fn prune(app: &App) {
     let now = app.clock.now();
     app.hints
-        .for_each_shard(|map| map.retain(|_, hint| now < hint.at + KEEP));
+        .for_each_shard(|map| map.retain(|_, hint| now < hint.recorded_at + HINT_TTL));
 }
 
 /// Tells the keeper of a step's hint that this instance runs it.
 pub fn publish(app: &Arc<App>, step: &Arc<str>) {
     let owner = app.me.instance.clone();
-    note(app, step.clone(), owner.clone());
+    record(app, step.clone(), owner.clone());
     let Some(keeper) = keeper(app, step) else {
         return;
     };
@@ -68,19 +74,19 @@
     }
     let (app, step) = (app.clone(), step.clone());
     // Whether it arrives matters little: without it the platform is read.
-    tokio::spawn(async move { peer::own(&app, keeper.addr, step, owner).await });
+    tokio::spawn(async move { peer::publish_owner(&app, keeper.addr, step, owner).await });
 }
 
 /// Who runs a step, if that is known here or at the keeper of its hint.
-pub async fn owner(app: &App, step: &Arc<str>) -> Option<Arc<str>> {
-    if let Some(owner) = known(app, step) {
+pub async fn find_owner(app: &App, step: &Arc<str>) -> Option<Arc<str>> {
+    if let Some(owner) = get(app, step) {
         return Some(owner);
     }
     let keeper = keeper(app, step)?;
     if keeper.owner.instance == app.me.instance {
         return None;
     }
-    let owner = peer::owner(app, keeper.addr, step).await?;
-    note(app, step.clone(), owner.clone());
+    let owner = peer::fetch_owner(app, keeper.addr, step).await?;
+    record(app, step.clone(), owner.clone());
     Some(owner)
 }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -14,20 +14,20 @@
 use usage::Snapshot;
 use usage::WindowCounts;
 
-use crate::steps::accept::Accepted;
+use crate::steps::accept::AcceptOutcome;
 use crate::steps::accept::Submission;
 
 /// Most bytes of a question or an answer.
-pub(crate) const MOST: usize = 16 << 20;
+pub(crate) const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// Time that the platform has to answer a call that is made for another instance which has waited already: that it does
 /// not is to be heard there within a second of the question.
-pub(crate) const TRY: Millis = 450;
+pub(crate) const RELAYED_READ_TIMEOUT: Millis = 450;
 
 /// A question.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum Ask {
+pub(crate) enum PeerRequest {
     /// Results of a step that the other one runs.
     Page {
         step: Arc<str>,
@@ -41,39 +41,51 @@
     /// Who runs a step.
     Owner(Arc<str>),
     /// That an instance runs a step.
-    Own { step: Arc<str>, owner: Arc<str> },
+    #[serde(rename = "Own")]
+    SetOwner { step: Arc<str>, owner: Arc<str> },
     /// A read of the platform that is newer than what the follower has.
-    News { have: SyncState, wait: Millis },
+    #[serde(rename = "News")]
+    Poll { have: SyncState, wait: Millis },
     /// A call of the platform.
     Relay(Call),
     /// A call that is to be made though the platform did not serve the other one a moment ago.
-    Try(Call),
+    #[serde(rename = "Try")]
+    RelayDirect(Call),
     /// What an entry instance has counted, for its keeper.
-    Tally { owner: Owner, tally: Snapshot },
+    #[serde(rename = "Tally")]
+    Counts { owner: Owner, tally: Snapshot },
     /// What is known of the requests of a window.
-    Shares(u64),
+    #[serde(rename = "Shares")]
+    WindowCounts(u64),
     /// Whether the address that takes reports can be reached.
-    Reaches,
+    #[serde(rename = "Reaches")]
+    ReachesReportAddress,
     /// That a step has ended, whose head had this revision.
     Ended { step: Arc<str>, rev: i64 },
     /// That somebody else runs a step, whose head had this revision.
-    Taken { step: Arc<str>, rev: i64 },
+    #[serde(rename = "Taken")]
+    TakenOver { step: Arc<str>, rev: i64 },
 }
 
 /// An answer.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum Told {
+pub(crate) enum PeerReply {
     /// Nothing when the asking one had better take the step.
-    Submit(Option<Accepted>),
+    Submit(Option<AcceptOutcome>),
     /// Nothing when the step is not run here; inside, nothing when it has no such sample.
     Body(Option<Option<Vec<u8>>>),
     Owner(Option<Arc<str>>),
-    Noted,
-    News(Option<Update>),
+    #[serde(rename = "Noted")]
+    Acknowledged,
+    #[serde(rename = "News")]
+    Update(Option<Update>),
     /// There is no newer read, since the platform does not answer.
-    Blind,
+    #[serde(rename = "Blind")]
+    PlatformUnreachable,
     Relay(Result<Answer, PlatError>),
-    Shares(Vec<WindowCounts>),
-    Reaches(bool),
+    #[serde(rename = "Shares")]
+    WindowCounts(Vec<WindowCounts>),
+    #[serde(rename = "Reaches")]
+    ReachesReportAddress(bool),
 }
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -11,7 +11,7 @@
 pub const REQUESTS: &str = "snipeway_requests_total";
 
 /// Seconds until a caller had its answer, by route.
-pub const SECONDS: &str = "snipeway_request_seconds";
+pub const REQUEST_SECONDS: &str = "snipeway_request_seconds";
 
 /// Attempts at upstreams, by outcome.
 pub const ATTEMPTS: &str = "snipeway_upstream_attempts_total";
@@ -35,28 +35,30 @@
 pub const CAPACITY_ORDERS: &str = "snipeway_upstream_orders_total";
 
 /// Calls of the platform, by kind.
-pub const PLATFORM: &str = "snipeway_platform_calls_total";
+pub const PLATFORM_CALLS: &str = "snipeway_platform_calls_total";
 
 /// Log lines that were dropped because their reader was too slow.
-pub const DROPPED: &str = "snipeway_log_lines_dropped_total";
+pub const DROPPED_LOG_LINES: &str = "snipeway_log_lines_dropped_total";
 
 /// Age of the list of upstreams in milliseconds.
-pub const AGE: &str = "snipeway_upstreams_age_milliseconds";
+pub const UPSTREAMS_AGE: &str = "snipeway_upstreams_age_milliseconds";
 
 /// Version of the configuration in force.
-pub const VERSION: &str = "snipeway_configuration_version";
+pub const CONFIG_VERSION: &str = "snipeway_configuration_version";
 
 /// Buckets of [`SECONDS`].
-const BUCKETS: [f64; 11] = [0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
+const REQUEST_SECONDS_BUCKETS: [f64; 11] =
+    [0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
 /// Begins to count.
-pub fn begin() -> Option<PrometheusHandle> {
-    let matcher = Matcher::Full(SECONDS.to_owned());
-    let builder = PrometheusBuilder::new().set_buckets_for_metric(matcher, &BUCKETS);
+pub fn install() -> Option<PrometheusHandle> {
+    let matcher = Matcher::Full(REQUEST_SECONDS.to_owned());
+    let builder =
+        PrometheusBuilder::new().set_buckets_for_metric(matcher, &REQUEST_SECONDS_BUCKETS);
     let handle = builder.ok()?.install_recorder().ok()?;
     metrics::describe_counter!(REQUESTS, "requests of callers by route and outcome");
     metrics::describe_histogram!(
-        SECONDS,
+        REQUEST_SECONDS,
         Unit::Seconds,
         "time until callers had their answer"
     );
@@ -72,12 +74,16 @@
     metrics::describe_counter!(LOAD_ORDERS, "orders to engines by result");
     metrics::describe_counter!(USAGE_REPORTS, "reports of the requests of teams by result");
     metrics::describe_counter!(CAPACITY_ORDERS, "orders of upstreams by result");
-    metrics::describe_gauge!(PLATFORM, "calls of the platform by kind");
+    metrics::describe_gauge!(PLATFORM_CALLS, "calls of the platform by kind");
     metrics::describe_gauge!(
-        DROPPED,
+        DROPPED_LOG_LINES,
         "log lines dropped because their reader was too slow"
     );
-    metrics::describe_gauge!(AGE, Unit::Milliseconds, "age of the list of upstreams");
-    metrics::describe_gauge!(VERSION, "version of the configuration in force");
+    metrics::describe_gauge!(
+        UPSTREAMS_AGE,
+        Unit::Milliseconds,
+        "age of the list of upstreams"
+    );
+    metrics::describe_gauge!(CONFIG_VERSION, "version of the configuration in force");
     Some(handle)
 }
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -20,23 +20,23 @@
 use crate::App;
 use crate::member;
 use crate::peer;
-use crate::peer::Heard;
+use crate::peer::PollOutcome;
 use crate::reach::DependencyStatus;
-use intake::Intake;
-use reader::Reader;
+use intake::AppliedState;
+use reader::PlatformReader;
 
 /// Time for which an instance that has just started waits until it knows others, in milliseconds: it enters
 /// before it reads their entries, and callers wait for an instance that is not ready.
-const MEET: Millis = 600;
+const MEMBERS_TIMEOUT: Millis = 600;
 
 /// Time between two looks at whether others are known.
-const LOOK: Duration = Duration::from_millis(10);
+const MEMBERS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Instances that are asked for the list by one that has just started and would read it itself.
-const ASKED: usize = 3;
+const MAX_STARTUP_PEERS: usize = 3;
 
 /// What the keys of the records begin with in which instances say which requests crash upstreams.
-pub(crate) const CRASHES: &str = "snipeway/crash/";
+pub(crate) const CRASH_REPORTS_PREFIX: &str = "snipeway/crash/";
 
 /// Follows the configuration and the list of upstreams.
 ///
@@ -47,22 +47,22 @@
 /// has dropped its history, and a change of the configuration would come into force long after its
 /// bound.
 pub async fn follow(app: Arc<App>) {
-    let mut listener = Listener::new(&app);
+    let mut listener = Synchronizer::new(&app);
     let mut reach = DependencyStatus::new("configuration and upstreams");
-    listener.begin().await;
+    listener.bootstrap().await;
     loop {
         let begun = app.clock.now();
         let pause = match listener.round().await {
-            Done::Told => {
+            RoundOutcome::Updated => {
                 reach.mark_restored();
                 continue;
             }
-            Done::Lacked => 0,
-            Done::Read(Ok(())) => {
+            RoundOutcome::NotUpdated => 0,
+            RoundOutcome::Read(Ok(())) => {
                 reach.mark_restored();
                 timing::MIN_READ_PAUSE
             }
-            Done::Read(Err(error)) => {
+            RoundOutcome::Read(Err(error)) => {
                 reach.mark_lost(&error);
                 timing::MIN_READ_PAUSE
             }
@@ -74,30 +74,30 @@
 }
 
 /// What came of a round.
-enum Done {
+enum RoundOutcome {
     /// Another instance has told something.
-    Told,
+    Updated,
     /// Nobody has told anything, and it is not this instance's turn to read.
-    Lacked,
+    NotUpdated,
     /// It has read the platform, or tried to.
     Read(Result<(), PlatError>),
 }
 
 /// An instance that follows others, and reads when it has to.
-struct Listener<'a> {
+struct Synchronizer<'a> {
     app: &'a App,
     follower: Follower,
-    intake: Intake,
-    reader: Reader,
+    applied: AppliedState,
+    reader: PlatformReader,
 }
 
-impl<'a> Listener<'a> {
+impl<'a> Synchronizer<'a> {
     fn new(app: &'a App) -> Self {
         Self {
             app,
             follower: Follower::default(),
-            intake: Intake::default(),
-            reader: Reader::new(app),
+            applied: AppliedState::default(),
+            reader: PlatformReader::new(app),
         }
     }
 
@@ -106,9 +106,9 @@
         View {
             me: app.me.instance.clone(),
             domain: app.settings.domain.clone(),
-            position: app.place(),
+            position: app.tree_position(),
             members: app.members.lock().clone(),
-            entries: self.intake.len(),
+            entries: self.applied.len(),
             random: rand::random(),
         }
     }
@@ -116,28 +116,30 @@
     /// Waits until other instances are known, and asks some of them for the list if this one would read it
     /// for all. What they know was read by somebody who knows what has been removed since, so nobody who
     /// follows this one has to be told the whole list again.
-    async fn begin(&mut self) {
+    async fn bootstrap(&mut self) {
         let app = self.app;
         let begun = app.clock.now();
-        while app.members_updated_at() == 0 && app.clock.now() < begun + MEET {
-            sleep(LOOK).await;
+        while app.members_updated_at() == 0 && app.clock.now() < begun + MEMBERS_TIMEOUT {
+            sleep(MEMBERS_CHECK_INTERVAL).await;
         }
-        if !app.place().sources.is_empty() || self.ask_some().await {
+        if !app.tree_position().sources.is_empty() || self.poll_others().await {
             return;
         }
         sleep(Duration::from_millis(timing::STARTUP_SETTLE)).await;
-        member::meet(app).await;
+        member::read_members(app).await;
     }
 
     /// Asks some others for the list; tells whether one had it.
-    async fn ask_some(&mut self) -> bool {
-        for _ in 0..ASKED {
+    async fn poll_others(&mut self) -> bool {
+        for _ in 0..MAX_STARTUP_PEERS {
             let Some(other) = self.follower.pick_other(&self.view()) else {
                 return false;
             };
-            while let Heard::News(news) = peer::news(self.app, other, self.app.have(), 0).await {
-                self.hear(&news);
-                if self.app.board.lock().is_complete() {
+            while let PollOutcome::Update(news) =
+                peer::poll(self.app, other, self.app.sync_state(), 0).await
+            {
+                self.apply_update(&news);
+                if self.app.replica.lock().is_complete() {
                     return true;
                 }
             }
@@ -147,51 +149,51 @@
     }
 
     /// Asks the sources in turn, or reads.
-    async fn round(&mut self) -> Done {
+    async fn round(&mut self) -> RoundOutcome {
         let mut next = self
             .follower
             .begin_round(&self.view(), self.app.clock.now());
         loop {
             match next {
                 Action::Poll(addr, wait) => {
-                    match peer::news(self.app, addr, self.app.have(), wait).await {
-                        Heard::News(news) => {
-                            self.hear(&news);
+                    match peer::poll(self.app, addr, self.app.sync_state(), wait).await {
+                        PollOutcome::Update(news) => {
+                            self.apply_update(&news);
                             self.follower.update_received();
-                            self.app.set_blind(false);
-                            return Done::Told;
+                            self.app.set_platform_unreachable(false);
+                            return RoundOutcome::Updated;
                         }
-                        Heard::Lack(lack) => next = self.lacks(lack),
+                        PollOutcome::Failed(lack) => next = self.poll_failed(lack),
                     }
                 }
-                Action::Pause => return Done::Lacked,
-                Action::Read => return Done::Read(self.read().await),
+                Action::Pause => return RoundOutcome::NotUpdated,
+                Action::Read => return RoundOutcome::Read(self.read_platform().await),
             }
         }
     }
 
-    fn lacks(&mut self, lack: PollFailure) -> Action {
+    fn poll_failed(&mut self, lack: PollFailure) -> Action {
         let next = self
             .follower
             .poll_failed(&self.view(), lack, self.app.clock.now());
         if (next, lack) == (Action::Pause, PollFailure::PlatformUnreachable) {
-            self.app.set_blind(true);
+            self.app.set_platform_unreachable(true);
         }
         next
     }
 
     /// Takes in what a source tells.
-    fn hear(&mut self, news: &Update) {
+    fn apply_update(&mut self, news: &Update) {
         let now = self.app.clock.now();
-        let changes = self.app.post(|board| board.merge(news, now));
-        self.intake.take(self.app, changes);
+        let changes = self.app.update_replica(|board| board.merge(news, now));
+        self.applied.apply_changes(self.app, changes);
     }
 
-    async fn read(&mut self) -> Result<(), PlatError> {
+    async fn read_platform(&mut self) -> Result<(), PlatError> {
         let begun = self.app.clock.now();
-        let done = self.reader.read(self.app, &mut self.intake).await;
+        let done = self.reader.read(self.app, &mut self.applied).await;
         self.follower.read_took(self.app.clock.now() - begun);
-        self.app.set_blind(done.is_err());
+        self.app.set_platform_unreachable(done.is_err());
         done
     }
 }
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -10,7 +10,12 @@
 use crate::App;
 
 /// Takes in the list of upstreams as it was read at `at`, here or by whoever told it.
-pub(super) fn believe(app: &App, list: &BTreeMap<String, Arc<Upstream>>, rev: i64, at: Millis) {
+pub(super) fn apply_upstreams(
+    app: &App,
+    list: &BTreeMap<String, Arc<Upstream>>,
+    rev: i64,
+    at: Millis,
+) {
     let beliefs = {
         let mut roster = app.upstreams.lock();
         let beliefs = roster.update_shared(list.values().cloned(), at);
@@ -22,13 +27,13 @@
         beliefs
     };
     for belief in &beliefs {
-        tell(belief, rev);
+        log_change(belief, rev);
     }
-    metrics::gauge!(crate::meter::AGE).set(0.0);
+    metrics::gauge!(crate::meter::UPSTREAMS_AGE).set(0.0);
     app.capacity_changed.notify_waiters();
 }
 
-fn tell(belief: &UpstreamChange, rev: i64) {
+fn log_change(belief: &UpstreamChange, rev: i64) {
     let (one, what) = match belief {
         UpstreamChange::Added(one) => (one, "upstream in"),
         UpstreamChange::Leaving(one) => (one, "upstream leaving"),
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -95,15 +95,15 @@
 
 /// Part of a service's engines that load at the same time: a weight store is sized for about a fifth
 /// of the engines at full speed, and more at once would each take longer.
-const PART: f64 = 0.2;
+const DEFAULT_LOADING_SHARE: f64 = 0.2;
 
 /// Part of the samples that may have to run at the same time for which upstreams are ordered, where they may be.
 /// None unless an operator says so: each is paid for by the second, and steps end with their longest sample,
 /// which more upstreams make no shorter.
-const FILL: f64 = 0.0;
+const DEFAULT_CAPACITY_FILL: f64 = 0.0;
 
 /// Milliseconds in a second.
-const SECOND: f64 = 1_000.0;
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// Reads the settings of an instance.
 ///
@@ -148,11 +148,19 @@
     doc.finish_section(accounts);
 
     let mut capacity = doc.take_section("capacity");
-    let fill = capacity.get_or("fill", "a part of the samples, as 0.8", FILL);
+    let fill = capacity.get_or(
+        "fill",
+        "a part of the samples, as 0.8",
+        DEFAULT_CAPACITY_FILL,
+    );
     doc.finish_section(capacity);
 
     let mut weights = doc.take_section("weights");
-    let part = weights.get_or("part", "a part of the engines, as 0.2", PART);
+    let part = weights.get_or(
+        "part",
+        "a part of the engines, as 0.2",
+        DEFAULT_LOADING_SHARE,
+    );
     doc.finish_section(weights);
 
     let mut log = doc.take_section("log");
@@ -164,7 +172,7 @@
     doc.finish_section(log);
     doc.finish()?;
 
-    let millis = |seconds: f64| (seconds * SECOND) as Millis;
+    let millis = |seconds: f64| (seconds * MILLIS_PER_SECOND) as Millis;
     // `finish` has reported whatever is missing; the values below stand for nothing.
     let unset = IpAddr::from([0, 0, 0, 0]);
     Ok(Settings {
--- a/crates/node/src/shelf.rs
+++ b/crates/node/src/shelf.rs
@@ -29,18 +29,18 @@
 /// Positions before the one that is asked for at which reading begins, in turn, before it begins with the
 /// first result. A reader mostly asks for the position at which a segment begins; another one is within the
 /// segment of some dozen results that begins a little before it.
-const BACK: [usize; 2] = [0, 64];
+const SEEK_OFFSETS: [usize; 2] = [0, 64];
 
 /// What an instance has read of a step's results.
 #[derive(Debug)]
-pub struct Shelf {
+pub struct ResultCache {
     step: Arc<str>,
     total: u32,
-    results: Mutex<Results>,
+    results: Mutex<CachedResults>,
 }
 
 #[derive(Debug, Default)]
-struct Results {
+struct CachedResults {
     window: Window,
     /// The platform's revision at the last read.
     rev: i64,
@@ -64,7 +64,7 @@
     }
 }
 
-impl Shelf {
+impl ResultCache {
     /// Makes a shelf for a step whose head was read.
     pub fn new(step: Arc<str>, head: &Head) -> Self {
         Self {
@@ -112,9 +112,14 @@
     }
 
     /// Begins anew at a segment that does not begin behind a position, as near to it as it is found.
-    async fn seek(&self, plat: &Client, read: &mut Results, from: usize) -> Result<(), PlatError> {
+    async fn seek(
+        &self,
+        plat: &Client,
+        read: &mut CachedResults,
+        from: usize,
+    ) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
-        for back in BACK {
+        for back in SEEK_OFFSETS {
             let Some(before) = from.checked_sub(back + 1) else {
                 break;
             };
@@ -136,7 +141,7 @@
     async fn read_until(
         &self,
         plat: &Client,
-        read: &mut Results,
+        read: &mut CachedResults,
         from: usize,
     ) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
@@ -158,7 +163,7 @@
     async fn wait_for_segment(
         &self,
         plat: &Client,
-        read: &mut Results,
+        read: &mut CachedResults,
         wait: Millis,
     ) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
@@ -175,7 +180,7 @@
         Ok(())
     }
 
-    fn add_range(&self, read: &mut Results, page: &Range) -> Result<(), PlatError> {
+    fn add_range(&self, read: &mut CachedResults, page: &Range) -> Result<(), PlatError> {
         read.rev = page.rev;
         for item in &page.items {
             self.add_segment(read, item)?;
@@ -184,7 +189,7 @@
     }
 
     /// Takes in a segment if it is the next one.
-    fn add_segment(&self, read: &mut Results, item: &Item) -> Result<(), PlatError> {
+    fn add_segment(&self, read: &mut CachedResults, item: &Item) -> Result<(), PlatError> {
         let first = keys::segment_start(&self.step, &item.key).map(|first| first as usize);
         let Some(first) = first.filter(|first| *first == read.window.end()) else {
             return Ok(());
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -38,30 +38,30 @@
 use crate::refuse::Refusal;
 use crate::settings;
 use crate::settings::Role;
-use crate::through::Through;
+use crate::through::PeerRelay;
 
 /// Time for which a leaving instance goes on accepting: callers' balancers look once a second and
 /// send nothing more after two looks.
-const LINGER: Duration = Duration::from_millis(2_500);
+const LEAVING_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
 /// Part of the time for leaving after which whatever still runs is left to others.
-const PART: f64 = 0.75;
+const LEAVING_FRACTION: f64 = 0.75;
 
 /// Time between two looks at the settings file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time between two reports of the calls of the platform.
-const COUNT: Duration = Duration::from_secs(10);
+const CALL_REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Time between two looks for results in memory that nobody reads.
-const TIDY: Duration = Duration::from_secs(2);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time after which results that nobody has read are dropped from memory, in milliseconds.
-const UNREAD: u64 = 4_000;
+const UNREAD_RESULTS_TTL: u64 = 4_000;
 
 /// Time that a connection may be idle or take for its headers: callers keep idle ones for some
 /// ten seconds, and one that is closed by us at the moment of use costs them a try.
-const HEADERS: Duration = Duration::from_secs(20);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running instance.
 pub struct Running {
@@ -85,7 +85,10 @@
     logs::init(&settings.logs)?;
     let mut term = signal(SignalKind::terminate())?;
     let running = Running::start(settings, dialect, protocol).await?;
-    tokio::spawn(reload(file.to_owned(), running.app.settings.clone()));
+    tokio::spawn(follow_settings(
+        file.to_owned(),
+        running.app.settings.clone(),
+    ));
     term.recv().await;
     running.leave().await;
     logs::flush();
@@ -105,34 +108,39 @@
     ) -> eyre::Result<Self> {
         let inner = bind(SocketAddr::new(settings.address, settings.peer_port)).await?;
         settings.peer_port = inner.local_addr()?.port();
-        let gate = bind_some(&mut settings.readiness).await?;
-        let callers = bind_some(&mut settings.listen).await?;
+        let gate = bind_optional(&mut settings.readiness).await?;
+        let callers = bind_optional(&mut settings.listen).await?;
         let plat = Client::with_protocol(vec![settings.platform], protocol);
         let app = App::new(settings, dialect, plat);
-        let scrape = meter::begin();
+        let scrape = meter::install();
         let drain = Drain::default();
-        let shared = Arc::new(Inner {
+        let shared = Arc::new(InternalState {
             app: app.clone(),
             scrape,
         });
-        serve(inner, Glue::new(&shared, inside), &Drain::default());
+        serve(
+            inner,
+            Glue::new(&shared, handle_internal),
+            &Drain::default(),
+        );
         if let Some(gate) = gate {
             // Goes on while the instance leaves, to say that it is not ready.
-            serve(gate, Glue::new(&app, ready), &Drain::default());
+            serve(gate, Glue::new(&app, handle_readiness), &Drain::default());
         }
-        let front = Glue::new(&app, front::answer);
+        let front = Glue::new(&app, front::handle);
         let front = callers.map(|callers| serve(callers, front, &drain));
-        app.plat.set_relay(Arc::new(Through(Arc::downgrade(&app))));
-        tokio::spawn(member::keep(app.clone()));
-        tokio::spawn(member::follow(app.clone()));
+        app.plat
+            .set_relay(Arc::new(PeerRelay(Arc::downgrade(&app))));
+        tokio::spawn(member::maintain_entry(app.clone()));
+        tokio::spawn(member::refresh_members(app.clone()));
         match app.settings.role {
             Role::Entry => drop(tokio::spawn(news::follow(app.clone()))),
             Role::Control => drop(tokio::spawn(control::run(app.clone()))),
         }
         tokio::spawn(control::orphans::reclaim(app.clone()));
-        tokio::spawn(tidy(app.clone()));
-        tokio::spawn(tell_crashes(app.clone()));
-        tokio::spawn(count(app.clone()));
+        tokio::spawn(prune_caches(app.clone()));
+        tokio::spawn(publish_crashes(app.clone()));
+        tokio::spawn(report_calls(app.clone()));
         if app.settings.role == Role::Entry {
             tokio::spawn(crate::tally::tell(app.clone()));
         }
@@ -146,11 +154,11 @@
     pub async fn leave(mut self) {
         let app = &self.app;
         log::info!(target: "start", steps = app.running_steps.len(); "leaving");
-        app.leave();
-        let left = Duration::from_millis(app.settings.stop_grace).mul_f64(PART);
+        app.start_leaving();
+        let left = Duration::from_millis(app.settings.stop_grace).mul_f64(LEAVING_FRACTION);
         let ended = timeout(left, async {
             if let Some(front) = self.front.take() {
-                sleep(LINGER).await;
+                sleep(LEAVING_ACCEPT_TIME).await;
                 self.drain.begin();
                 // A front that has panicked has no requests left.
                 let _ = front.await;
@@ -160,7 +168,7 @@
             }
         });
         let whole = ended.await.is_ok();
-        member::leave(app).await;
+        member::remove_entry(app).await;
         log::info!(target: "start", whole, steps = app.running_steps.len(); "stopped");
     }
 }
@@ -171,7 +179,7 @@
 }
 
 /// Listens on an address if there is one, and notes the port that was taken.
-async fn bind_some(addr: &mut Option<SocketAddr>) -> eyre::Result<Option<TcpListener>> {
+async fn bind_optional(addr: &mut Option<SocketAddr>) -> eyre::Result<Option<TcpListener>> {
     let Some(addr) = addr else { return Ok(None) };
     let listener = bind(*addr).await?;
     *addr = listener.local_addr()?;
@@ -184,47 +192,47 @@
     drain: &Drain,
 ) -> JoinHandle<bool> {
     let limits = Limits {
-        headers: HEADERS,
+        headers: HEADER_TIMEOUT,
         ..Limits::default()
     };
     let drain = drain.clone();
     tokio::spawn(net::server::serve(listener, handler, limits, drain))
 }
 
-async fn ready(app: Arc<App>, _: Call) -> Reply {
+async fn handle_readiness(app: Arc<App>, _: Call) -> Reply {
     match app.is_ready() {
         true => net::body::reply(StatusCode::OK, "text/plain", "ready"),
-        false => Refusal::Unrun.reply(),
+        false => Refusal::NotExecuted.reply(),
     }
 }
 
 /// What is served to other instances and to operators.
-struct Inner {
+struct InternalState {
     app: Arc<App>,
     scrape: Option<PrometheusHandle>,
 }
 
-async fn inside(inner: Arc<Inner>, call: Call) -> Reply {
+async fn handle_internal(inner: Arc<InternalState>, call: Call) -> Reply {
     if call.method == Method::POST {
-        return answer::answer(&inner.app, call).await;
+        return answer::handle(&inner.app, call).await;
     }
-    metrics::gauge!(meter::DROPPED).set(logs::dropped_lines() as f64);
+    metrics::gauge!(meter::DROPPED_LOG_LINES).set(logs::dropped_lines() as f64);
     let text = inner.scrape.as_ref().map(PrometheusHandle::render);
     net::body::reply(StatusCode::OK, "text/plain", text.unwrap_or_default())
 }
 
 /// Drops results from memory that nobody reads; they can be read again from the platform.
-async fn tidy(app: Arc<App>) {
+async fn prune_caches(app: Arc<App>) {
     loop {
-        sleep(TIDY).await;
-        hint::tidy(&app);
+        sleep(PRUNE_INTERVAL).await;
+        hint::prune(&app);
         app.crashes.prune();
         let mut all = Vec::new();
         app.result_caches
             .for_each_shard(|map| all.extend(map.values().cloned()));
         let mut old = Vec::new();
         for shelf in all {
-            if shelf.last_used().await + UNREAD < app.clock.now() {
+            if shelf.last_used().await + UNREAD_RESULTS_TTL < app.clock.now() {
                 old.push(shelf);
             }
         }
@@ -235,8 +243,13 @@
 }
 
 /// Keeps what this instance has seen of crashes at the platform.
-async fn tell_crashes(app: Arc<App>) {
-    let key = format!("{}{}/{}", news::CRASHES, app.me.instance, app.me.start);
+async fn publish_crashes(app: Arc<App>) {
+    let key = format!(
+        "{}{}/{}",
+        news::CRASH_REPORTS_PREFIX,
+        app.me.instance,
+        app.me.start
+    );
     let mut reach = DependencyStatus::new("record of crashes");
     let heard = |done: Result<(), &PlatError>| match done {
         Ok(()) => reach.mark_restored(),
@@ -246,12 +259,12 @@
 }
 
 /// Reports the calls of the platform, which it counts and limits.
-async fn count(app: Arc<App>) {
+async fn report_calls(app: Arc<App>) {
     loop {
-        sleep(COUNT).await;
+        sleep(CALL_REPORT_INTERVAL).await;
         let used = |kind| app.plat.budget().used(kind);
         for kind in CallKind::ALL {
-            metrics::gauge!(meter::PLATFORM, "kind" => kind.name()).set(used(kind) as f64);
+            metrics::gauge!(meter::PLATFORM_CALLS, "kind" => kind.name()).set(used(kind) as f64);
         }
         log::info!(target: "platform", reads = used(CallKind::Read), stale = used(CallKind::Stale),
             writes = used(CallKind::Write), leases = used(CallKind::Lease),
@@ -261,7 +274,7 @@
 
 /// Follows the settings file: the level of the log changes at once, other changes are reported and
 /// hold from the next start on.
-async fn reload(file: String, mut held: Settings) {
+async fn follow_settings(file: String, mut held: Settings) {
     let Ok(mut hup) = signal(SignalKind::hangup()) else {
         log::error!(target: "start", "cannot follow the signal to reload");
         return;
@@ -269,7 +282,7 @@
     loop {
         tokio::select! {
             _ = hup.recv() => log::info!(target: "start", "told to reload"),
-            () = sleep(LOOK) => (),
+            () = sleep(SETTINGS_CHECK_INTERVAL) => (),
         }
         let text = match conf::load(&file) {
             Ok(text) => text,
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -22,30 +22,30 @@
 use crate::hint;
 use crate::peer;
 use crate::refuse::Refusal;
-use crate::shelf::Shelf;
+use crate::shelf::ResultCache;
 
 /// Longest time that a caller waits for a write, unless it says less.
-const ACCEPT: Duration = Duration::from_millis(4_000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// Pause between two tries of a write.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Time for which a write with an unclear outcome is repeated. A write may take effect seconds
 /// after it was sent, and a step that was accepted so has to be run.
-const SETTLE: Millis = 20_000;
+const SETTLE_TIMEOUT: Millis = 20_000;
 
 /// Times that an owner is told of the end of its step before it is left to its own question.
-const TOLD: usize = 6;
+const MAX_END_NOTICES: usize = 6;
 
 /// Pause between two of them: an instance whose entry has lapsed, or that is busy, is back within a second or two.
-const TOLD_PAUSE: Duration = Duration::from_millis(300);
+const END_NOTICE_PAUSE: Duration = Duration::from_millis(300);
 
 /// Longest time that a read waits for a result, in milliseconds.
-const LONGEST: Millis = 1_000;
+const MAX_READ_WAIT: Millis = 1_000;
 
 /// The names under which a step may be kept that somebody asks for, the likeliest first. One that was accepted
 /// for nobody in particular, or before there were teams, is anybody's.
-fn names(step: &Arc<str>, principal: &Principal) -> Vec<Arc<str>> {
+fn stored_names(step: &Arc<str>, principal: &Principal) -> Vec<Arc<str>> {
     if !keys::is_valid_name(step) {
         return Vec::new();
     }
@@ -63,57 +63,57 @@
     wait: Millis,
     principal: &Principal,
 ) -> Reply {
-    for name in names(step, principal) {
-        let reply = read_kept(app, &name, from, wait).await;
+    for name in stored_names(step, principal) {
+        let reply = read_stored(app, &name, from, wait).await;
         if reply.status() != StatusCode::NOT_FOUND {
             return reply;
         }
     }
-    Refusal::Missing.reply()
+    Refusal::NotFound.reply()
 }
 
-async fn read_kept(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
-    let wait = wait.min(LONGEST);
+async fn read_stored(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
+    let wait = wait.min(MAX_READ_WAIT);
     if let Some(work) = app.running_steps.get(step)
         && let Some(page) = work.page(app, from, wait).await
     {
         return page.reply(app, from);
     }
-    match read_elsewhere(app, step, from, wait).await {
+    match read_remote(app, step, from, wait).await {
         Ok(Some(reply)) => reply,
-        Ok(None) => Refusal::Missing.reply(),
-        Err(error) => unsure(step, &error),
+        Ok(None) => Refusal::NotFound.reply(),
+        Err(error) => refuse_unavailable(step, &error),
     }
 }
 
-fn unsure(step: &str, error: &PlatError) -> Reply {
+fn refuse_unavailable(step: &str, error: &PlatError) -> Reply {
     let why = error.to_string();
     log::info!(target: "steps", id = step, why = why.as_str(); "cannot tell of a step");
-    Refusal::Unrun.reply()
+    Refusal::NotExecuted.reply()
 }
 
 /// Reads results of a step that another instance runs: from that one, which costs the platform no
 /// call and gives the newest ones at once, or from the platform.
-async fn read_elsewhere(
+async fn read_remote(
     app: &Arc<App>,
     step: &Arc<str>,
     from: usize,
     wait: Millis,
 ) -> Result<Option<Reply>, PlatError> {
-    let hint = hint::owner(app, step).await;
+    let hint = hint::find_owner(app, step).await;
     if let Some(owner) = &hint {
-        if let Some(page) = peer::page(app, owner, step, from, wait).await {
+        if let Some(page) = peer::fetch_page(app, owner, step, from, wait).await {
             return Ok(Some(page));
         }
-        hint::forget(app, step);
+        hint::remove(app, step);
     }
-    let Some(shelf) = find_shelf(app, step).await? else {
+    let Some(shelf) = find_cache(app, step).await? else {
         return Ok(None);
     };
     // The platform knows an owner that nobody hinted at, or another one.
-    let owner = hint::known(app, step).filter(|owner| hint.as_ref() != Some(owner));
+    let owner = hint::get(app, step).filter(|owner| hint.as_ref() != Some(owner));
     if let Some(owner) = owner
-        && let Some(page) = peer::page(app, &owner, step, from, wait).await
+        && let Some(page) = peer::fetch_page(app, &owner, step, from, wait).await
     {
         return Ok(Some(page));
     }
@@ -121,7 +121,7 @@
     Ok(Some(page.reply(app, from)))
 }
 
-async fn find_shelf(app: &App, step: &Arc<str>) -> Result<Option<Arc<Shelf>>, PlatError> {
+async fn find_cache(app: &App, step: &Arc<str>) -> Result<Option<Arc<ResultCache>>, PlatError> {
     if let Some(shelf) = app.result_caches.get(step) {
         return Ok(Some(shelf));
     }
@@ -129,9 +129,9 @@
         return Ok(None);
     };
     let head = claim::read(&item)?;
-    hint::note(app, step.clone(), head.owner.instance.clone());
+    hint::record(app, step.clone(), head.owner.instance.clone());
     let shelf = app.result_caches.with_shard(step, |map| {
-        let new = || Arc::new(Shelf::new(step.clone(), &head));
+        let new = || Arc::new(ResultCache::new(step.clone(), &head));
         map.entry(step.clone()).or_insert_with(new).clone()
     });
     Ok(Some(shelf))
@@ -144,43 +144,47 @@
     sample: &Arc<str>,
     principal: &Principal,
 ) -> Reply {
-    for name in names(step, principal) {
-        let reply = body_kept(app, &name, sample).await;
+    for name in stored_names(step, principal) {
+        let reply = read_stored_body(app, &name, sample).await;
         if reply.status() != StatusCode::NOT_FOUND {
             return reply;
         }
     }
-    Refusal::Missing.reply()
+    Refusal::NotFound.reply()
 }
 
-async fn body_kept(app: &Arc<App>, step: &Arc<str>, sample: &Arc<str>) -> Reply {
+async fn read_stored_body(app: &Arc<App>, step: &Arc<str>, sample: &Arc<str>) -> Reply {
     let found = match app.running_steps.get(step) {
         Some(work) => Ok(work.body(sample)),
-        None => find_body(app, step, sample).await,
+        None => read_remote_body(app, step, sample).await,
     };
     match found {
         Ok(Some(bytes)) => net::body::reply(StatusCode::OK, "application/octet-stream", bytes),
-        Ok(None) => Refusal::Missing.reply(),
-        Err(error) => unsure(step, &error),
+        Ok(None) => Refusal::NotFound.reply(),
+        Err(error) => refuse_unavailable(step, &error),
     }
 }
 
 /// Finds the body of a sample of a step that another instance runs.
-async fn find_body(
+async fn read_remote_body(
     app: &App,
     step: &Arc<str>,
     sample: &Arc<str>,
 ) -> Result<Option<Vec<u8>>, PlatError> {
-    if let Some(owner) = hint::owner(app, step).await
-        && let Some(body) = peer::body(app, &owner, step, sample).await
+    if let Some(owner) = hint::find_owner(app, step).await
+        && let Some(body) = peer::fetch_body(app, &owner, step, sample).await
     {
         return Ok(body);
     }
-    read_body(app, step, sample).await
+    read_platform_body(app, step, sample).await
 }
 
 /// Reads a step's samples part by part until the one that is asked for.
-async fn read_body(app: &App, step: &str, sample: &str) -> Result<Option<Vec<u8>>, PlatError> {
+async fn read_platform_body(
+    app: &App,
+    step: &str,
+    sample: &str,
+) -> Result<Option<Vec<u8>>, PlatError> {
     let prefix = keys::spec_prefix(step);
     let mut parts = SpecDecoder::default();
     let mut after = None;
@@ -201,35 +205,35 @@
 
 /// Ends a step.
 pub async fn end(app: &Arc<App>, step: &Arc<str>, principal: &Principal) -> Reply {
-    for name in names(step, principal) {
-        let reply = end_kept(app, &name).await;
+    for name in stored_names(step, principal) {
+        let reply = end_stored(app, &name).await;
         if reply.status() != StatusCode::NOT_FOUND {
             return reply;
         }
     }
-    Refusal::Missing.reply()
+    Refusal::NotFound.reply()
 }
 
-async fn end_kept(app: &Arc<App>, step: &Arc<str>) -> Reply {
+async fn end_stored(app: &Arc<App>, step: &Arc<str>) -> Reply {
     let known = app.running_steps.get(step).is_some() || app.result_caches.get(step).is_some();
-    if !known && hint::owner(app, step).await.is_none() {
+    if !known && hint::find_owner(app, step).await.is_none() {
         match app.plat.get(&keys::head(step)).await {
             Ok(Some(_)) => (),
-            Ok(None) => return Refusal::Missing.reply(),
-            Err(error) => return unsure(step, &error),
+            Ok(None) => return Refusal::NotFound.reply(),
+            Err(error) => return refuse_unavailable(step, &error),
         }
     }
     // Goes on when the caller leaves: whoever has asked for the end wants nothing more of the step.
-    let ending = tokio::spawn(end_surely(app.clone(), step.clone()));
-    match timeout(ACCEPT, ending).await {
-        Ok(Ok(Ending::Ended)) => body::reply(StatusCode::OK, "application/json", "{}"),
-        Ok(Ok(Ending::Missing)) => Refusal::Missing.reply(),
-        Ok(Ok(Ending::Unclear) | Err(_)) | Err(_) => Refusal::Late.reply(),
+    let ending = tokio::spawn(end_until_settled(app.clone(), step.clone()));
+    match timeout(WRITE_TIMEOUT, ending).await {
+        Ok(Ok(EndOutcome::Ended)) => body::reply(StatusCode::OK, "application/json", "{}"),
+        Ok(Ok(EndOutcome::Missing)) => Refusal::NotFound.reply(),
+        Ok(Ok(EndOutcome::Unclear) | Err(_)) | Err(_) => Refusal::TimedOut.reply(),
     }
 }
 
 /// What came of ending a step.
-enum Ending {
+enum EndOutcome {
     /// It has ended.
     Ended,
     /// There is no such step.
@@ -239,46 +243,46 @@
 }
 
 /// Ends a step and tells its owner, which would hear of it with its next question else.
-async fn end_surely(app: Arc<App>, step: Arc<str>) -> Ending {
+async fn end_until_settled(app: Arc<App>, step: Arc<str>) -> EndOutcome {
     let begun = app.clock.now();
     loop {
         match claim::end(&app, &step).await {
             Ok(Some(ended)) => {
                 log::info!(target: "steps", id = &*step, instance = &*ended.owner.instance, revision = ended.rev,
                     took_ms = app.clock.now() - begun; "step ended");
-                tokio::spawn(tell_owner(app, step, ended));
-                return Ending::Ended;
+                tokio::spawn(notify_owner(app, step, ended));
+                return EndOutcome::Ended;
             }
-            Ok(None) => return Ending::Missing,
+            Ok(None) => return EndOutcome::Missing,
             Err(error) => {
                 let why = error.to_string();
                 log::info!(target: "steps", id = &*step, why = why.as_str(); "step not ended yet");
             }
         }
-        if app.clock.now() > begun + SETTLE {
+        if app.clock.now() > begun + SETTLE_TIMEOUT {
             log::warn!(target: "steps", id = &*step, took_ms = app.clock.now() - begun; "end given up");
-            return Ending::Unclear;
+            return EndOutcome::Unclear;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-async fn tell_owner(app: Arc<App>, step: Arc<str>, ended: Ended) {
+async fn notify_owner(app: Arc<App>, step: Arc<str>, ended: Ended) {
     if ended.owner == app.me {
-        note_end(&app, &step, ended.rev);
+        record_end(&app, &step, ended.rev);
         return;
     }
-    for _ in 0..TOLD {
-        if peer::ended(&app, &ended.owner.instance, &step, ended.rev).await {
+    for _ in 0..MAX_END_NOTICES {
+        if peer::notify_ended(&app, &ended.owner.instance, &step, ended.rev).await {
             return;
         }
-        sleep(TOLD_PAUSE).await;
+        sleep(END_NOTICE_PAUSE).await;
     }
     log::info!(target: "steps", id = &*step, instance = &*ended.owner.instance; "owner not told of the end");
 }
 
 /// Takes in that a step has ended while its head had a revision.
-pub(crate) fn note_end(app: &App, step: &Arc<str>, rev: i64) {
+pub(crate) fn record_end(app: &App, step: &Arc<str>, rev: i64) {
     if let Some(work) = app.running_steps.get(step) {
         work.end(app, rev, "told");
     }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -32,17 +32,17 @@
 use crate::sent::Sent;
 
 /// Silence within a stream after which its upstream is taken for lost.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const MAX_EVENT_GAP: Duration = Duration::from_millis(1_500);
 
 /// Most bytes of an answer that is no stream.
-const ANSWER: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// What came of one attempt.
-enum Came {
+enum AttemptOutcome {
     /// The head of a stream.
     Stream(Box<Response<Incoming>>, Place),
     /// The upstream has not run the request and never will.
-    Unrun,
+    NotExecuted,
     /// Nothing was sent: upstreams crash under the request, which may not run for so many milliseconds.
     Quarantined(Millis),
     /// Whether it ran is not known.
@@ -53,8 +53,8 @@
 struct Stream {
     sent: Sent,
     route: Arc<Route>,
-    last: Option<Arc<str>>,
-    used: Vec<Arc<str>>,
+    last_event: Option<Arc<str>>,
+    tried: Vec<Arc<str>>,
 }
 
 /// Passes a stream on.
@@ -69,18 +69,18 @@
     let mut stream = Stream {
         sent: Sent::new(app, head, caller, body, route.timeout, principal),
         route: route.clone(),
-        last: caller.last_event.clone(),
-        used: Vec::new(),
+        last_event: caller.last_event.clone(),
+        tried: Vec::new(),
     };
     match stream.open(None).await {
-        Came::Stream(answer, place) => {
+        AttemptOutcome::Stream(answer, place) => {
             // It has begun to run; how long it lasts does not matter for its team's report.
             stream.sent.settle();
             stream.answer(*answer, place).await
         }
-        Came::Unrun => Refusal::Unrun.reply(),
-        Came::Quarantined(left) => Refusal::Quarantined(left).reply(),
-        Came::Unknown => Refusal::Unknown.reply(),
+        AttemptOutcome::NotExecuted => Refusal::NotExecuted.reply(),
+        AttemptOutcome::Quarantined(left) => Refusal::Quarantined(left).reply(),
+        AttemptOutcome::Unknown => Refusal::OutcomeUnknown.reply(),
     }
 }
 
@@ -89,24 +89,24 @@
     /// it would get next to none beside calls that wait.
     fn choose(&self) -> Option<Place> {
         let service = Config::pick_service(&self.route, rand::random())?;
-        self.sent.choose(service, &self.used, true)
+        self.sent.choose(service, &self.tried, true)
     }
 
     /// Opens the stream behind an event at one upstream after the other.
-    async fn open(&mut self, last: Option<&str>) -> Came {
+    async fn open(&mut self, last: Option<&str>) -> AttemptOutcome {
         let resumable = self.route.resumable;
         let mut unclear = false;
         if let Some(left) = self.sent.admit().await {
             log::info!(target: "stream", id = &*self.sent.id, left_ms = left;
                 "upstreams crash under it");
-            return Came::Quarantined(left);
+            return AttemptOutcome::Quarantined(left);
         }
-        while self.used.len() < self.route.max_attempts.max(1) as usize {
+        while self.tried.len() < self.route.max_attempts.max(1) as usize {
             let Some(place) = self.choose() else { break };
-            self.used.push(place.one.id.clone());
+            self.tried.push(place.one.id.clone());
             match self.attempt(place, last).await {
-                Came::Unrun => (),
-                Came::Unknown if resumable => unclear = true,
+                AttemptOutcome::NotExecuted => (),
+                AttemptOutcome::Unknown if resumable => unclear = true,
                 came => return came,
             }
             if self.sent.admit().await.is_some() {
@@ -114,25 +114,25 @@
             }
         }
         match unclear {
-            true => Came::Unknown,
-            false => Came::Unrun,
+            true => AttemptOutcome::Unknown,
+            false => AttemptOutcome::NotExecuted,
         }
     }
 
-    async fn attempt(&self, place: Place, last: Option<&str>) -> Came {
+    async fn attempt(&self, place: Place, last: Option<&str>) -> AttemptOutcome {
         let one = &place.one;
         let Some(request) = self.sent.request(one, last) else {
-            return Came::Unrun;
+            return AttemptOutcome::NotExecuted;
         };
         let number = self.sent.send();
-        let came = self.tried(request, place).await;
-        if matches!(came, Came::Unrun) {
+        let came = self.send_attempt(request, place).await;
+        if matches!(came, AttemptOutcome::NotExecuted) {
             self.sent.unrun(number);
         }
         came
     }
 
-    async fn tried(&self, request: Request<Full<Bytes>>, place: Place) -> Came {
+    async fn send_attempt(&self, request: Request<Full<Bytes>>, place: Place) -> AttemptOutcome {
         let one = &place.one;
         let left = Duration::from_millis(self.sent.left());
         let answer = match self.sent.app.http.send(request, left).await {
@@ -150,8 +150,8 @@
                     self.sent.broke(one).await;
                 }
                 return match error.is_unsent() {
-                    true => Came::Unrun,
-                    false => Came::Unknown,
+                    true => AttemptOutcome::NotExecuted,
+                    false => AttemptOutcome::Unknown,
                 };
             }
         };
@@ -161,18 +161,18 @@
             .dialect
             .decode_answer_head(answer.status(), answer.headers());
         if said.not_executed || said.misdirected {
-            return Came::Unrun;
+            return AttemptOutcome::NotExecuted;
         }
         match said.attempt_id.as_deref() == Some(&*self.sent.id) && said.signature.is_some() {
-            true => Came::Stream(Box::new(answer), place),
-            false => Came::Unknown,
+            true => AttemptOutcome::Stream(Box::new(answer), place),
+            false => AttemptOutcome::Unknown,
         }
     }
 
     async fn answer(self, answer: Response<Incoming>, place: Place) -> Reply {
         let (head, body) = answer.into_parts();
         if head.status != StatusCode::OK {
-            return self.plain(head, body).await;
+            return self.reply_whole(head, body).await;
         }
         let (sender, out) = net::body::stream();
         let mut reply = Response::new(out);
@@ -192,9 +192,9 @@
     }
 
     /// Passes an answer on that is no stream, once it is whole.
-    async fn plain(self, head: http::response::Parts, body: Incoming) -> Reply {
-        let Ok(bytes) = net::body::read(body, ANSWER).await else {
-            return Refusal::Unknown.reply();
+    async fn reply_whole(self, head: http::response::Parts, body: Incoming) -> Reply {
+        let Ok(bytes) = net::body::read(body, MAX_ANSWER_BYTES).await else {
+            return Refusal::OutcomeUnknown.reply();
         };
         self.sent.answered(head.status);
         let mut reply = Response::new(net::body::full(bytes));
@@ -207,10 +207,10 @@
     async fn pump(mut self, body: Incoming, place: Place, sender: &Sender) -> bool {
         let mut events = Events::new(body);
         let mut place = Some(place);
-        let mut last = self.last.clone();
+        let mut last = self.last_event.clone();
         loop {
             let next = tokio::select! {
-                next = timeout(SILENCE, events.next()) => next.unwrap_or(NextEvent::Broken),
+                next = timeout(MAX_EVENT_GAP, events.next()) => next.unwrap_or(NextEvent::Broken),
                 () = sender.closed() => return true,
             };
             match next {
@@ -235,11 +235,13 @@
                         return false;
                     }
                     match self.open(last.as_deref()).await {
-                        Came::Stream(answer, next) => {
+                        AttemptOutcome::Stream(answer, next) => {
                             events = Events::new(answer.into_body());
                             place = Some(next);
                         }
-                        Came::Unrun | Came::Quarantined(_) | Came::Unknown => return false,
+                        AttemptOutcome::NotExecuted
+                        | AttemptOutcome::Quarantined(_)
+                        | AttemptOutcome::Unknown => return false,
                     }
                 }
             }
--- a/crates/node/src/through.rs
+++ b/crates/node/src/through.rs
@@ -20,20 +20,20 @@
 use crate::peer;
 
 /// Time that a relayed call may take beyond its own wait: the platform's time limit and ours.
-const RELAY: Millis = 1_300;
+const RELAY_TIMEOUT: Millis = 1_300;
 
 /// Others through which a call is tried: a third of all instances may be turned away at the same time.
-const HELPERS: usize = 3;
+const MAX_RELAYS: usize = 3;
 
 /// Makes calls of the platform through another instance.
-pub(crate) struct Through(pub(crate) Weak<App>);
+pub(crate) struct PeerRelay(pub(crate) Weak<App>);
 
-impl Relay for Through {
+impl Relay for PeerRelay {
     fn relay(&self, call: Call) -> RelayFuture {
         let app = self.0.clone();
         Box::pin(async move {
             let app = app.upgrade().ok_or(PlatError::Unreachable)?;
-            through(&app, call).await
+            relay_call(&app, call).await
         })
     }
 }
@@ -41,29 +41,29 @@
 /// Makes a call through the instance that helped last, or through others in turn. With a third of all
 /// instances turned away, one that asked a single other at random could write nothing for a second
 /// whenever it met one of them.
-async fn through(app: &App, call: Call) -> Result<Answer, PlatError> {
+async fn relay_call(app: &App, call: Call) -> Result<Answer, PlatError> {
     let wait = match &call {
         Call::Poll { wait, .. } => *wait,
         _ => 0,
     };
     let mut failed = PlatError::Unreachable;
-    for addr in helpers(app) {
-        match peer::relay(app, addr, call.clone(), wait + RELAY).await {
+    for addr in relay_candidates(app) {
+        match peer::relay(app, addr, call.clone(), wait + RELAY_TIMEOUT).await {
             Some(Err(error)) if error.is_unavailable() && !error.is_indeterminate() => {
                 failed = error
             }
             Some(answer) => {
-                app.set_helper(Some(addr));
+                app.set_relay_peer(Some(addr));
                 return answer;
             }
             // Nobody knows whether the other one has sent it.
             None => {
-                app.set_helper(None);
+                app.set_relay_peer(None);
                 return Err(PlatError::NoAnswer);
             }
         }
     }
-    app.set_helper(None);
+    app.set_relay_peer(None);
     Err(failed)
 }
 
@@ -81,7 +81,7 @@
 /// itself, or is silent, costs no time then. Each of them asks the platform, whatever it knows of it.
 pub(crate) async fn relay_read(app: &Arc<App>, call: &Call, limit: Duration) -> RelayedRead {
     let end = Instant::now() + limit;
-    let helpers = helpers(app);
+    let helpers = relay_candidates(app);
     let mut said = match helpers.is_empty() {
         true => RelayedRead::Unavailable,
         false => RelayedRead::NoReply,
@@ -89,7 +89,7 @@
     let mut asks = JoinSet::new();
     for addr in helpers {
         let (app, call) = (app.clone(), call.clone());
-        asks.spawn(async move { peer::attempt(&app, addr, call).await });
+        asks.spawn(async move { peer::relay_direct(&app, addr, call).await });
     }
     while let Ok(Some(asked)) = timeout_at(end, asks.join_next()).await {
         match asked {
@@ -103,17 +103,17 @@
 }
 
 /// The instances through which a call is tried, the one that helped last first.
-fn helpers(app: &App) -> Vec<SocketAddr> {
-    let mut others = others(app);
+fn relay_candidates(app: &App) -> Vec<SocketAddr> {
+    let mut others = other_addresses(app);
     others.shuffle(&mut rand::rng());
-    let last = app.helper();
+    let last = app.relay_peer();
     others.sort_by_key(|addr| Some(*addr) != last);
-    others.truncate(HELPERS);
+    others.truncate(MAX_RELAYS);
     others
 }
 
 /// The addresses of all other instances.
-fn others(app: &App) -> Vec<SocketAddr> {
+fn other_addresses(app: &App) -> Vec<SocketAddr> {
     let members = app.members.lock();
     let others = members
         .iter()
