--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -1,7 +1,6 @@
-//! What a protocol of callers, upstreams and records has to translate.
+//! Translation between the messages of callers, upstreams and the store and the types of this crate.
 //!
-//! A dialect keeps no state, makes no decision and repeats nothing: each function turns one
-//! message into another.
+//! An implementation keeps no state, decides nothing and repeats nothing: each function converts one message.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,45 +23,42 @@
 use team::Principal;
 use usage::Report;
 
-/// A message cannot be understood.
+/// A message could not be decoded or encoded.
 #[derive(Clone, Debug)]
 #[derive(thiserror::Error)]
 #[error("{message} cannot be understood: {reason}")]
 pub struct DialectError {
-    /// The message.
+    /// The kind of message.
     pub message: &'static str,
-    /// What is wrong with it.
+    /// The reason.
     pub reason: Box<str>,
 }
 
 impl DialectError {
-    /// Says what is wrong with a message.
-    pub fn new(what: &'static str, why: impl std::fmt::Display) -> Self {
-        let why = why.to_string().into();
-        Self {
-            message: what,
-            reason: why,
-        }
+    /// Creates an error for a kind of message.
+    pub fn new(message: &'static str, reason: impl std::fmt::Display) -> Self {
+        let reason = reason.to_string().into();
+        Self { message, reason }
     }
 }
 
-/// Where the platform's store keeps what others write.
+/// Keys of the store under which other programs write.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreKeys {
     /// The key of the configuration.
     pub configuration: &'static str,
-    /// What the keys of listed upstreams begin with.
+    /// Prefix of the keys of listed upstreams.
     pub upstreams: &'static str,
-    /// What the keys of announced weights begin with.
+    /// Prefix of the keys of announced weights.
     pub weights: &'static str,
-    /// What the keys of instances that are to be emptied begin with.
+    /// Prefix of the keys that name instances to be drained.
     pub drain_requests: &'static str,
 }
 
-/// What a request from outside asks for.
+/// The operation that a caller's request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// The results of a step from a position on.
+    /// Read the results of a step from a position on.
     ReadResults {
         /// The step.
         step: Arc<str>,
@@ -71,26 +67,26 @@
         /// Longest time to wait for a result, in milliseconds.
         wait: Millis,
     },
-    /// The body of a sample's request.
+    /// Read the body of a sample's request.
     ReadBody {
         /// The step.
         step: Arc<str>,
         /// The sample.
         sample: Arc<str>,
     },
-    /// The end of a step.
+    /// End a step.
     EndStep {
         /// The step.
         step: Arc<str>,
     },
-    /// Whatever the route says.
+    /// Determined by the route that matches.
     Route,
-    /// The request lacks something that it has to have.
+    /// The request is invalid, with the reason.
     Invalid(&'static str),
 }
 
 impl Operation {
-    /// Tells whether it concerns a step that was submitted before.
+    /// Returns whether the operation concerns a step submitted before.
     pub fn concerns_step(&self) -> bool {
         matches!(
             self,
@@ -99,31 +95,31 @@
     }
 }
 
-/// The parts of a caller's request that decisions need.
+/// The parts of a caller's request that decide how it is handled.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The caller's name for this attempt.
+    /// The identifier that the caller gave to this attempt.
     pub id: Arc<str>,
-    /// The host.
+    /// The host that was requested.
     pub host: Arc<str>,
-    /// Time that the caller will wait, in milliseconds, if it says so.
+    /// Time that the caller waits, in milliseconds, if the request states it.
     pub timeout: Option<Millis>,
-    /// The last event that it has of a stream that broke, if it says so.
+    /// The last event received of a stream that broke, if the request states it.
     pub last_event: Option<Arc<str>>,
-    /// What it asks for.
+    /// The requested operation.
     pub operation: Operation,
-    /// What it brings to say who sends it.
+    /// The credential of the sender.
     pub credential: Credential,
 }
 
-/// A step as it is submitted.
+/// The contents of a request that submits a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StepRequest {
     /// The model.
     pub model: Arc<str>,
-    /// The oldest version that may generate its tokens.
+    /// The oldest version of the weights that may generate tokens.
     pub min_version: u64,
-    /// Groups that the trainer waits for.
+    /// Number of groups that the trainer waits for.
     pub required_groups: u32,
     /// The samples.
     pub samples: Vec<Sample>,
@@ -132,188 +128,188 @@
 /// The head of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The attempt that it answers, if it says so.
+    /// The attempt that the answer belongs to, if stated.
     pub attempt_id: Option<Box<str>>,
-    /// Whether it has not run the request and never will.
+    /// Whether the upstream has not executed the request and never will.
     pub not_executed: bool,
-    /// Whether it is not the upstream that was meant, or not the version of weights.
+    /// Whether the request reached another upstream than addressed, or one with another version of the weights.
     pub misdirected: bool,
-    /// The signature of an upstream's application, if it bears one.
+    /// The signature of the upstream's application, if present.
     pub signature: Option<Arc<str>>,
-    /// Its load.
+    /// The load that the upstream reports.
     pub load: Option<Load>,
-    /// The version of the weights that generate the answer.
+    /// The version of the weights that generates the answer.
     pub version: Option<u64>,
 }
 
 /// One event of a stream of tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, counted from 1 without gaps.
+    /// The sequence number, starting at 1, without gaps.
     pub number: u64,
-    /// The version of the weights from this event on, when it changes here.
+    /// The version of the weights from this event on, if it changes here.
     pub version: Option<u64>,
-    /// Its data.
+    /// The data of the event.
     pub data: Box<str>,
 }
 
-/// What an engine states of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReportedState {
-    /// Its models with their versions.
+    /// The loaded models with their versions.
     pub models: Vec<(Arc<str>, u64)>,
-    /// Whether it is carrying out an order.
+    /// Whether the engine is executing an order.
     pub busy: bool,
-    /// Orders that it has accepted since it started.
+    /// Number of orders accepted since the engine started.
     pub accepted_orders: u64,
-    /// Requests that it works on.
+    /// Number of running requests.
     pub running: u32,
-    /// When it started, in milliseconds since 1970 on its own clock, if it says so.
+    /// Start time by the engine's own clock, in milliseconds since 1970, if stated.
     pub started_at: Option<Millis>,
 }
 
-/// How running requests pass a change of weights.
+/// How running requests are treated when weights are swapped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapMode {
-    /// They end before it.
+    /// Requests end before the swap.
     Drain,
-    /// They go on with the new weights.
+    /// Requests continue with the new weights.
     Keep,
 }
 
-/// An order to load a version.
+/// An order to an engine to load a version of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// The engine's name, so that another one at its address does not take the order.
+    /// The engine's name, so that another engine at the same address rejects the order.
     pub name: Arc<str>,
-    /// Its address.
+    /// The engine's address.
     pub addr: SocketAddr,
     /// The model.
     pub model: Arc<str>,
     /// The version.
     pub version: u64,
-    /// How running requests pass.
+    /// How running requests are treated.
     pub swap_mode: SwapMode,
-    /// Who orders.
+    /// The instance that sends the order.
     pub holder: Arc<str>,
-    /// The fencing number of whoever orders.
+    /// The sender's fencing token.
     pub fencing_token: i64,
-    /// Orders that the engine must have accepted before, so that an order that is carried out late
-    /// does nothing.
+    /// The number of orders that the engine must have accepted before, so that an order that arrives late has no
+    /// effect.
     pub prior_orders: u64,
 }
 
-/// What came of an order.
+/// The outcome of an order to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineOrderOutcome {
-    /// It is being carried out, or it held already.
+    /// The engine executes it, or had that version already.
     Accepted,
-    /// The engine is carrying out another one, or has accepted others meanwhile.
+    /// The engine executes another order, or has accepted others since.
     Conflict,
-    /// Somebody with a higher fencing number has ordered before.
+    /// A sender with a higher fencing token has ordered before.
     Fenced,
-    /// The engine refuses it.
+    /// The engine rejects it.
     Refused,
 }
 
-/// The report of the requests of one window.
+/// A report of the requests of one window, addressed to its receiver.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageReport<'a> {
-    /// The address that takes it.
+    /// The receiver's address.
     pub addr: SocketAddr,
-    /// The figures.
+    /// The contents of the report.
     pub report: &'a Report,
-    /// Who holds the duty.
+    /// The leader, which sends it.
     pub holder: &'a str,
-    /// The fencing number of whoever holds it.
+    /// The leader's fencing token.
     pub fencing_token: i64,
 }
 
-/// What came of a report.
+/// The outcome of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageReportOutcome {
-    /// It was taken, now or before.
+    /// It was accepted, now or earlier.
     Accepted,
-    /// Too many calls were made at once; it may be sent again.
+    /// The receiver is overloaded; the report may be sent again.
     Busy,
-    /// Somebody with a higher fencing number has reported before.
+    /// A sender with a higher fencing token has reported before.
     Fenced,
-    /// It is refused.
+    /// The receiver rejects it.
     Refused,
 }
 
 /// An order for a number of upstreams.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityOrder<'a> {
-    /// The address that takes it.
+    /// The receiver's address.
     pub addr: SocketAddr,
-    /// The order.
+    /// The contents of the order.
     pub order: &'a capacity::Order,
-    /// Who holds the duty.
+    /// The leader, which sends it.
     pub holder: &'a str,
-    /// The fencing number of whoever holds it.
+    /// The leader's fencing token.
     pub fencing_token: i64,
 }
 
-/// What came of an order for upstreams.
+/// The outcome of an order for upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityOrderOutcome {
-    /// It is being carried out.
+    /// The order is being executed.
     Accepted,
-    /// There are none to be had at the moment.
+    /// No capacity is available at the moment.
     Unavailable,
-    /// Too many calls were made at once; it may be given again.
+    /// The receiver is overloaded; the order may be sent again.
     Busy,
-    /// Somebody with a higher fencing number has ordered before.
+    /// A sender with a higher fencing token has ordered before.
     Fenced,
-    /// It is refused.
+    /// The receiver rejects it.
     Refused,
 }
 
-/// Translates between a platform's messages and the product's types.
+/// Converts between the platform's messages and the types of this crate.
 pub trait Dialect: Send + Sync + 'static {
-    /// Where the store keeps what others write.
+    /// Returns the keys under which other programs write to the store.
     fn store_keys(&self) -> StoreKeys;
 
-    /// Reads the configuration.
+    /// Decodes the configuration.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
     fn decode_config(&self, value: &[u8]) -> Result<Config, DialectError>;
 
-    /// Reads the entry of a listed upstream.
+    /// Decodes the entry of a listed upstream.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
     fn decode_upstream(&self, key: &str, value: &[u8]) -> Result<Upstream, DialectError>;
 
-    /// Reads an announced version: the model and the version.
+    /// Decodes an announced version: the model and the version.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
     fn decode_announcement(&self, value: &[u8]) -> Result<(Arc<str>, u64), DialectError>;
 
-    /// The record that says that an instance is empty: its key and its value.
+    /// Returns the key and the value of the record that marks an instance as drained.
     fn drained_record(&self, instance: &str) -> (String, Vec<u8>);
 
-    /// Reads the head of a caller's request.
+    /// Decodes the head of a caller's request.
     fn decode_caller(&self, head: &Parts) -> Caller;
 
-    /// Reads the body of a request that submits a step.
+    /// Decodes the body of a request that submits a step.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
     fn decode_step(&self, body: &[u8]) -> Result<StepRequest, DialectError>;
 
-    /// Writes results from a position on, as many as one answer may hold.
+    /// Encodes results from a position on, as many as one answer may hold.
     fn encode_page(&self, total: u32, from: usize, entries: &[Entry]) -> Vec<u8>;
 
-    /// The headers with which a caller's request goes on to an upstream on somebody's behalf; the upstream
-    /// may work on it for `left` milliseconds.
+    /// Returns the headers for forwarding a caller's request to an upstream on behalf of a principal; the upstream
+    /// may use `left` milliseconds.
     fn forward_headers(
         &self,
         head: &HeaderMap,
@@ -322,14 +318,15 @@
         principal: &Principal,
     ) -> HeaderMap;
 
-    /// The headers with which an upstream's answer goes back to the caller.
+    /// Returns the headers of the reply to the caller from those of the upstream's answer.
     fn reply_headers(&self, head: &HeaderMap) -> HeaderMap;
 
-    /// The request for a sample's tokens behind event `last`, which is 0 for the first, on somebody's behalf.
+    /// Builds the request for a sample's tokens after event `last`, which is 0 for the first, on behalf of a
+    /// principal.
     ///
     /// # Errors
     ///
-    /// Returns [`DialectError`] when the sample's own parts make no request.
+    /// Returns [`DialectError`] when the parts of the sample do not form a valid request.
     fn sample_request(
         &self,
         sample: &Sample,
@@ -339,30 +336,30 @@
         principal: &Principal,
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
-    /// The head of the request for a sample's score.
+    /// Builds the head of the request for a sample's score.
     ///
     /// # Errors
     ///
-    /// Returns [`DialectError`] when the sample's own parts make no request.
+    /// Returns [`DialectError`] when the parts of the sample do not form a valid request.
     fn scoring_request_head(&self, scoring: &Scoring) -> Result<Parts, DialectError>;
 
-    /// Reads the head of an upstream's answer.
+    /// Decodes the head of an upstream's answer.
     fn decode_answer_head(&self, status: StatusCode, head: &HeaderMap) -> AnswerHead;
 
-    /// Reads one event: the lines between two empty ones.
+    /// Decodes one event: the lines between two empty ones.
     fn decode_event(&self, block: &str) -> Option<Event>;
 
-    /// The request for what an engine states of itself.
+    /// Returns the method and the path of the request for an engine's state.
     fn state_request(&self) -> (Method, &'static str);
 
-    /// Reads what an engine states of itself.
+    /// Decodes the state that an engine reports.
     ///
     /// # Errors
     ///
     /// Returns [`DialectError`].
     fn decode_state(&self, body: &[u8]) -> Result<ReportedState, DialectError>;
 
-    /// The request that orders a load.
+    /// Builds the request that orders an engine to load a version.
     ///
     /// # Errors
     ///
@@ -372,10 +369,10 @@
         order: &EngineOrder,
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
-    /// Reads what came of an order.
+    /// Decodes the outcome of an order to an engine.
     fn engine_order_outcome(&self, status: StatusCode) -> EngineOrderOutcome;
 
-    /// The request that reports how many requests of each team began to run in a window.
+    /// Builds the request that reports how many requests of each team started in a window.
     ///
     /// # Errors
     ///
@@ -385,10 +382,10 @@
         account: &UsageReport<'_>,
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
-    /// Reads what came of a report.
+    /// Decodes the outcome of a report.
     fn usage_report_outcome(&self, status: StatusCode) -> UsageReportOutcome;
 
-    /// The request that orders a number of upstreams.
+    /// Builds the request that orders a number of upstreams.
     ///
     /// # Errors
     ///
@@ -398,6 +395,6 @@
         supply: &CapacityOrder<'_>,
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
-    /// Reads what came of an order for upstreams.
+    /// Decodes the outcome of an order for upstreams.
     fn capacity_order_outcome(&self, status: StatusCode) -> CapacityOrderOutcome;
 }
