--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -1,8 +1,8 @@
-//! Who may ask for what, by the configuration in force and its age.
+//! Authorization of requests against the configuration in force, limited by its age.
 //!
-//! What is decided is [`team::admit`]'s matter. The order of the checks: without any configuration a request
-//! is turned away unrun, then an unknown route is missing, then a key is looked at. Both of the latter are said
-//! only while the configuration is fresh.
+//! The decision itself is made by [`team::admit`]. Order of the checks: without a configuration a request is
+//! refused as not executed, then an unknown route is reported as not found, then the key is checked. The latter two
+//! refusals are given only while the configuration is fresh.
 
 use kernel::Millis;
 use table::Config;
@@ -16,11 +16,11 @@
 use crate::dialect::Caller;
 use crate::refuse::Refusal;
 
-/// Part of the time in which a configuration has to be in force for which news count as fresh: a newer one may have
-/// been acknowledged while they were read.
+/// Divisor of `apply_limit`; the quotient is the age up to which a configuration counts as fresh. A newer one may
+/// have been acknowledged while this one was being read.
 const FRESHNESS_DIVISOR: u64 = 2;
 
-/// Age of the configuration, in milliseconds since it was known to be the newest.
+/// Returns the age of the configuration: milliseconds since it was last known to be the newest.
 pub(crate) fn config_age(app: &App) -> Option<Millis> {
     app.upstreams.lock().age(app.clock.now())
 }
@@ -33,8 +33,8 @@
     }
 }
 
-/// What a caller is told whose route is not there: that it is missing, if a configuration that has it would be
-/// known here.
+/// Returns the refusal for an unknown route: not found if the configuration is fresh enough to contain every
+/// acknowledged route, else not executed.
 pub(crate) fn missing_route(app: &App, age: Option<Millis>) -> Refusal {
     match age {
         Some(age) if age <= staleness_limits(app).reject_unknown => Refusal::NotFound,
@@ -42,52 +42,58 @@
     }
 }
 
-/// On whose behalf a request of a route runs.
+/// Returns the principal on whose behalf a request for a route runs.
 pub(crate) fn authorize_route(
     app: &App,
-    plan: &Config,
+    config: &Config,
     route: &Route,
     caller: &Caller,
 ) -> Result<Principal, Refusal> {
-    authorize(app, plan, route.open, caller)
+    authorize(app, config, route.open, caller)
 }
 
-/// On whose behalf somebody asks for a step that was submitted before.
+/// Returns the principal of a request that concerns a step submitted before.
 pub(crate) fn authorize_step(app: &App, caller: &Caller) -> Result<Principal, Refusal> {
-    let Some(plan) = app.config.load_full() else {
-        // What was submitted without a key is found without one; with one nothing is known of its team.
+    let Some(config) = app.config.load_full() else {
+        // A step submitted without a key is found without one. The team of a key is not known yet.
         return match caller.credential {
             Credential::None => Ok(Principal::NoTeams),
             Credential::Malformed | Credential::Key(_) => Err(Refusal::NotExecuted),
         };
     };
-    authorize(app, &plan, plan.has_open_steps(&caller.host), caller)
+    authorize(app, &config, config.has_open_steps(&caller.host), caller)
 }
 
-fn authorize(app: &App, plan: &Config, open: bool, caller: &Caller) -> Result<Principal, Refusal> {
+fn authorize(
+    app: &App,
+    config: &Config,
+    open: bool,
+    caller: &Caller,
+) -> Result<Principal, Refusal> {
     let age = config_age(app);
-    let teams = plan.teams.as_ref();
+    let teams = config.teams.as_ref();
     let denial = match team::admit(teams, open, caller.credential, age, staleness_limits(app)) {
         Ok(principal) => return Ok(principal),
         Err(denial) => denial,
     };
     let (why, refusal) = match denial {
         Denial::Missing => ("no key", Refusal::Unauthorized),
-        Denial::Malformed => ("no proper key", Refusal::Unauthorized),
-        Denial::Unknown => ("nobody holds the key", Refusal::Unauthorized),
-        Denial::StaleConfig => ("the configuration may be too old", Refusal::NotExecuted),
+        Denial::Malformed => ("malformed key", Refusal::Unauthorized),
+        Denial::Unknown => ("unknown key", Refusal::Unauthorized),
+        Denial::StaleConfig => ("configuration may be stale", Refusal::NotExecuted),
     };
-    log::info!(target: "front", id = &*caller.id, why, version = plan.version, age_ms = age,
+    log::info!(target: "front", id = &*caller.id, why, version = config.version, age_ms = age,
         outcome = refusal.name(); "key refused");
     Err(refusal)
 }
 
-/// Tells whether the configuration is too old for requests that need a key, where operators want it so.
+/// Returns whether requests that need a key are refused because `fail_closed` is set and the configuration is too
+/// old.
 pub(crate) fn is_failing_closed(app: &App) -> bool {
-    let plan = app.config.load();
-    let keys = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
-    let Some(bound) = staleness_limits(app).fail_closed.filter(|_| keys) else {
+    let config = app.config.load();
+    let has_teams = config.as_ref().is_some_and(|config| config.teams.is_some());
+    let Some(max_age) = staleness_limits(app).fail_closed.filter(|_| has_teams) else {
         return false;
     };
-    config_age(app).is_none_or(|age| age > bound)
+    config_age(app).is_none_or(|age| age > max_age)
 }
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -1,28 +1,28 @@
-//! Events of a stream, block by block.
+//! Splits a stream of server-sent events into blocks.
 //!
-//! The libraries for server-sent events drop fields that the standard does not name, and the
-//! version of the weights comes as such a field; so the blocks are cut here and read by the
-//! [`Dialect`](crate::Dialect).
+//! The common libraries for server-sent events drop fields that the standard does not name, and the version of the
+//! weights arrives as such a field. So this module only splits the blocks, which the [`Dialect`](crate::Dialect)
+//! decodes.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Most bytes of one event; more is not an event.
+/// Largest event in bytes; a stream with a longer one counts as broken.
 const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// What comes next in a stream.
+/// The next item of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextEvent {
-    /// A whole event.
+    /// A complete event.
     Block(String),
-    /// The proper end of the stream.
+    /// The regular end of the stream.
     End,
-    /// The stream broke, ended inside an event, or is none.
+    /// The stream broke, ended inside an event, or holds an event that is too long.
     Broken,
 }
 
-/// Cuts a stream of bytes into events.
+/// Splits a stream of bytes into events.
 ///
 /// # Examples
 ///
@@ -39,20 +39,20 @@
 }
 
 impl EventSplitter {
-    /// Takes in what has come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Takes out the next whole event.
+    /// Removes and returns the next complete event.
     pub fn pop(&mut self) -> Option<String> {
-        let at = self.bytes.windows(2).position(|pair| pair == b"\n\n")?;
-        let block = String::from_utf8_lossy(&self.bytes[..at]).into_owned();
-        self.bytes.drain(..at + 2);
+        let end = self.bytes.windows(2).position(|pair| pair == b"\n\n")?;
+        let block = String::from_utf8_lossy(&self.bytes[..end]).into_owned();
+        self.bytes.drain(..end + 2);
         Some(block)
     }
 
-    /// Tells whether no part of an event is left.
+    /// Returns whether no part of an event is left.
     pub fn is_drained(&self) -> bool {
         self.bytes.iter().all(u8::is_ascii_whitespace)
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads the events of an answer.
+/// Reads the events of an answer's body.
 #[derive(Debug)]
 pub struct Events {
     body: Incoming,
@@ -70,7 +70,7 @@
 }
 
 impl Events {
-    /// Reads the events of a body.
+    /// Creates a reader of a body.
     pub fn new(body: Incoming) -> Self {
         Self {
             body,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Waits for what comes next. Dropping the wait loses nothing.
+    /// Waits for the next item. Cancel safe: dropping the future loses no data.
     pub async fn next(&mut self) -> NextEvent {
         loop {
             if let Some(block) = self.splitter.pop() {
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -1,8 +1,8 @@
-//! Passing a call on to a plain service.
+//! Forwards calls to plain services.
 //!
-//! Load pattern: few calls with a short time to answer, beside upstreams that crash, go silent or
-//! turn slow. A call that may run twice is sent to a second upstream as soon as it takes longer
-//! than nearly all do; one that may not is sent again only when it is certain not to have run.
+//! Load pattern: a low rate of calls with a short deadline, to upstreams that crash, stop responding or become
+//! slow. A call that may run twice is sent to a second upstream as soon as it takes longer than nearly all calls
+//! do; one that may not is sent again only when it is certain not to have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,35 +30,33 @@
 use crate::sent::Place;
 use crate::sent::Sent;
 
-/// Time after which a call that may be repeated is sent to a second upstream as well: some times
-/// the usual work of a lookup, and early enough for the second to answer within the latency that
-/// callers aim at.
+/// Delay after which a call that may be repeated is sent to a second upstream as well: several times the usual
+/// duration of a lookup, and early enough for the second answer to meet the latency that callers aim at.
 const HEDGE_DELAY: Duration = Duration::from_millis(110);
 
-/// Part of the time left that one attempt may take before it counts as lost, for a call that may
-/// be repeated.
+/// Divisor of the time left that gives the time limit of one attempt, for a call that may be repeated.
 const ATTEMPT_TIME_DIVISOR: u32 = 2;
 
-/// Time for which an upstream that turned a call away gets none, in milliseconds.
+/// Time for which an upstream that refused a call gets none, in milliseconds.
 const BUSY_PAUSE: Millis = 100;
 
-/// Why a request is given up under which upstreams crash.
-const QUARANTINE_REASON: &str = "upstreams crash under it";
+/// Reason in the log for requests that are quarantined or blocked because upstreams crash under them.
+const QUARANTINE_REASON: &str = "request crashes upstreams";
 
-/// Most bytes of an answer that is held until it is whole.
+/// Largest answer in bytes; answers are buffered completely.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// What came of one attempt.
+/// The outcome of one attempt.
 enum AttemptOutcome {
-    /// A whole answer of the upstream's application.
+    /// A complete answer of the upstream's application.
     Answer(Response<Bytes>, Arc<str>),
-    /// The upstream has not run the call and never will.
+    /// The upstream has not executed the call and never will.
     NotExecuted,
-    /// Whether it ran is not known.
+    /// Whether the call was executed is unknown.
     Unknown,
 }
 
-/// Passes a call on and answers with what the upstream answered.
+/// Forwards a call and replies with the upstream's answer.
 pub async fn forward_call(
     app: &Arc<App>,
     route: &Arc<Route>,
@@ -70,29 +68,28 @@
     let sent = Sent::new(app, head, caller, body, route.timeout, principal);
     let sent = Arc::new(sent);
     let left = Duration::from_millis(sent.left());
-    let mut tries = Attempts::new(sent, route, Requester::Caller);
-    let passed = match timeout(left, tries.answer()).await {
-        Ok(passed) => passed,
-        Err(_) => tries.time_out(),
+    let mut attempts = Attempts::new(sent, route, Requester::Caller);
+    let outcome = match timeout(left, attempts.answer()).await {
+        Ok(outcome) => outcome,
+        Err(_) => attempts.time_out(),
     };
-    match passed {
+    match outcome {
         ForwardOutcome::Answer { answer, .. } => build_reply(app, answer),
         ForwardOutcome::Refused(refusal) => refusal.reply(),
     }
 }
 
-/// Asks a scorer for the score of a sample, once: within `limit`, and no longer than the request
-/// has time.
+/// Requests the score of a sample once: within `limit`, and no longer than the request's deadline.
 pub(crate) async fn forward_score(
     sent: Arc<Sent>,
     route: &Route,
     limit: Duration,
 ) -> ForwardOutcome {
     let left = Duration::from_millis(sent.left()).min(limit);
-    let mut tries = Attempts::new(sent, route, Requester::Scorer);
-    match timeout(left, tries.answer()).await {
-        Ok(passed) => passed,
-        Err(_) => tries.time_out(),
+    let mut attempts = Attempts::new(sent, route, Requester::Scorer);
+    match timeout(left, attempts.answer()).await {
+        Ok(outcome) => outcome,
+        Err(_) => attempts.time_out(),
     }
 }
 
@@ -104,26 +101,26 @@
     reply
 }
 
-/// What came of passing a request on.
+/// The outcome of forwarding a request.
 pub(crate) enum ForwardOutcome {
-    /// A whole answer of the upstream's application, with its signature.
+    /// A complete answer of the upstream's application, with its signature.
     Answer {
         /// The answer.
         answer: Response<Bytes>,
         /// The signature.
         signature: Arc<str>,
     },
-    /// There is none.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// How a request is passed on.
+/// Who waits for the answer, which decides whether the request may queue inside an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Requester {
-    /// A caller waits for the answer: it may wait inside an upstream.
+    /// A caller, whose request may queue inside an upstream.
     Caller,
-    /// A sample waits for its score: it takes free places alone. The samples of a step become whole by
-    /// the dozen; if they queued inside upstreams, a caller's request would wait behind them.
+    /// A sample's score request, which takes free slots only. The samples of a step complete by the dozen; if their
+    /// requests queued inside upstreams, callers' requests would wait behind them.
     Scorer,
 }
 
@@ -135,19 +132,19 @@
     tried: Vec<Arc<str>>,
     running: JoinSet<AttemptOutcome>,
     requester: Requester,
-    /// Whether it may have run somewhere.
+    /// Whether an attempt may have been executed.
     may_have_run: bool,
 }
 
 impl<'a> Attempts<'a> {
-    fn new(sent: Arc<Sent>, route: &'a Route, manner: Requester) -> Self {
+    fn new(sent: Arc<Sent>, route: &'a Route, requester: Requester) -> Self {
         Self {
             sent,
             route,
             service: Config::pick_service(route, rand::random()).cloned(),
             tried: Vec::new(),
             running: JoinSet::new(),
-            requester: manner,
+            requester,
             may_have_run: false,
         }
     }
@@ -162,18 +159,18 @@
             return self.refuse(Refusal::Quarantined(left), QUARANTINE_REASON);
         }
         if !self.start_attempt(queue) {
-            return self.give_up("no upstream has room");
+            return self.give_up("no upstream has a free slot");
         }
         loop {
-            let came = tokio::select! {
-                Some(came) = self.running.join_next() => came,
+            let outcome = tokio::select! {
+                Some(outcome) = self.running.join_next() => outcome,
                 () = sleep(HEDGE_DELAY), if self.may_hedge() => {
                     self.start_attempt(false);
                     continue;
                 }
             };
-            // A panicked attempt leaves open whether it was sent.
-            match came.unwrap_or(AttemptOutcome::Unknown) {
+            // A panicked attempt may have sent the request.
+            match outcome.unwrap_or(AttemptOutcome::Unknown) {
                 AttemptOutcome::Answer(answer, signature) => {
                     return ForwardOutcome::Answer { answer, signature };
                 }
@@ -203,8 +200,8 @@
         self.route.max_attempts.max(1) as usize
     }
 
-    /// Begins an attempt if one is allowed and an upstream has room; `queue` tells whether it may
-    /// wait inside the upstream.
+    /// Starts an attempt if one is allowed and an upstream has room; `queue` permits queueing inside the upstream.
+    /// Returns whether one was started.
     fn start_attempt(&mut self, queue: bool) -> bool {
         if self.tried.len() >= self.max_attempts() {
             return false;
@@ -214,35 +211,35 @@
         let Some(place) = place else {
             return false;
         };
-        let one = &place.one;
-        self.tried.push(one.id.clone());
+        let upstream = &place.one;
+        self.tried.push(upstream.id.clone());
         let left = self.sent.left();
-        let part = match self.may_repeat() && self.tried.len() < self.max_attempts() {
+        let limit = match self.may_repeat() && self.tried.len() < self.max_attempts() {
             true => left / Millis::from(ATTEMPT_TIME_DIVISOR),
             false => left,
         };
-        log::info!(target: "forward", id = &*self.sent.id, upstream = &*one.id,
+        log::info!(target: "forward", id = &*self.sent.id, upstream = &*upstream.id,
             attempt = self.tried.len(), left_ms = left; "sent");
         let sent = self.sent.clone();
         self.running
-            .spawn(async move { attempt(&sent, place, part).await });
+            .spawn(async move { attempt(&sent, place, limit).await });
         true
     }
 
-    /// Answers when the time is over. A call that is still at an upstream may have run there.
+    /// Returns the refusal after the deadline. A call that is still at an upstream may have run there.
     fn time_out(&self) -> ForwardOutcome {
-        let sent = self.may_have_run || !self.running.is_empty();
-        let refusal = if sent {
+        let may_have_run = self.may_have_run || !self.running.is_empty();
+        let refusal = if may_have_run {
             Refusal::TimedOut
         } else {
             Refusal::NotExecuted
         };
-        self.refuse(refusal, "time is over")
+        self.refuse(refusal, "deadline exceeded")
     }
 
     fn give_up(&self, why: &str) -> ForwardOutcome {
-        let sent = self.may_have_run || !self.running.is_empty();
-        let refusal = if sent {
+        let may_have_run = self.may_have_run || !self.running.is_empty();
+        let refusal = if may_have_run {
             Refusal::OutcomeUnknown
         } else {
             Refusal::NotExecuted
@@ -251,8 +248,7 @@
     }
 
     fn refuse(&self, refusal: Refusal, why: &str) -> ForwardOutcome {
-        // A sample that finds no free place looks again within moments, and writes a line when it has
-        // its score or is given up.
+        // Score requests that find no free slot are tried again within moments, and logged when they end.
         if self.requester == Requester::Caller || !self.tried.is_empty() {
             let age = self
                 .sent
@@ -261,42 +257,42 @@
                 .lock()
                 .age(self.sent.app.clock.now());
             log::info!(target: "forward", id = &*self.sent.id, why, attempts = self.tried.len(),
-                outcome = refusal.name(), list_age_ms = age.unwrap_or(0); "given up");
+                outcome = refusal.name(), list_age_ms = age.unwrap_or(0); "call failed");
         }
         ForwardOutcome::Refused(refusal)
     }
 }
 
-async fn attempt(sent: &Sent, place: Place, part: Millis) -> AttemptOutcome {
-    let one = &place.one;
-    let Some(request) = sent.request(one, None) else {
+async fn attempt(sent: &Sent, place: Place, limit_ms: Millis) -> AttemptOutcome {
+    let upstream = &place.one;
+    let Some(request) = sent.request(upstream, None) else {
         return AttemptOutcome::NotExecuted;
     };
-    let begun = sent.app.clock.now();
+    let started = sent.app.clock.now();
     let number = sent.send();
-    let limit = Duration::from_millis(part);
+    let limit = Duration::from_millis(limit_ms);
     let answer = sent.app.http.fetch(request, limit, MAX_ANSWER_BYTES).await;
-    let took = sent.app.clock.now() - begun;
-    let broke = matches!(answer, Err(SendError::Broken));
-    let came = classify(sent, one, answer, took);
-    if broke {
-        sent.broke(one).await;
+    let took = sent.app.clock.now() - started;
+    let is_broken = matches!(answer, Err(SendError::Broken));
+    let result = classify(sent, upstream, answer, took);
+    if is_broken {
+        sent.broke(upstream).await;
     }
-    if matches!(came, AttemptOutcome::NotExecuted) {
+    if matches!(result, AttemptOutcome::NotExecuted) {
         sent.unrun(number);
     }
-    let outcome = match &came {
+    let outcome = match &result {
         AttemptOutcome::Answer(..) => "answered",
         AttemptOutcome::NotExecuted => "unrun",
         AttemptOutcome::Unknown => "unknown",
     };
     metrics::counter!(meter::ATTEMPTS, "outcome" => outcome).increment(1);
-    came
+    result
 }
 
 fn classify(
     sent: &Sent,
-    one: &Arc<Upstream>,
+    upstream: &Arc<Upstream>,
     answer: Result<Response<Bytes>, SendError>,
     took: Millis,
 ) -> AttemptOutcome {
@@ -304,9 +300,12 @@
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
-            sent.app.service_tracker.lock().engine_failed(&one.id, now);
+            sent.app
+                .service_tracker
+                .lock()
+                .engine_failed(&upstream.id, now);
             let why = error.to_string();
-            log::info!(target: "forward", id = &*sent.id, upstream = &*one.id,
+            log::info!(target: "forward", id = &*sent.id, upstream = &*upstream.id,
                 took_ms = took, why = why.as_str(); "attempt failed");
             return match error.is_unsent() {
                 true => AttemptOutcome::NotExecuted,
@@ -314,29 +313,29 @@
             };
         }
     };
-    let said = sent
+    let head = sent
         .app
         .dialect
         .decode_answer_head(answer.status(), answer.headers());
-    let mut plain = sent.app.service_tracker.lock();
-    if let Some(load) = said.load {
-        plain.load_reported(&one.id, load, now);
+    let mut tracker = sent.app.service_tracker.lock();
+    if let Some(load) = head.load {
+        tracker.load_reported(&upstream.id, load, now);
     }
-    if said.not_executed || said.misdirected {
-        plain.engine_busy(&one.id, now + BUSY_PAUSE);
+    if head.not_executed || head.misdirected {
+        tracker.engine_busy(&upstream.id, now + BUSY_PAUSE);
         return AttemptOutcome::NotExecuted;
     }
-    if let (Some(id), Some(signature)) = (&said.attempt_id, said.signature)
+    if let (Some(id), Some(signature)) = (&head.attempt_id, head.signature)
         && **id == *sent.id
     {
-        plain.event_received(&one.id, took as f64);
-        drop(plain);
+        tracker.event_received(&upstream.id, took as f64);
+        drop(tracker);
         sent.answered(answer.status());
         return AttemptOutcome::Answer(answer, signature);
     }
-    plain.engine_failed(&one.id, now);
+    tracker.engine_failed(&upstream.id, now);
     let status = answer.status().as_u16();
-    log::warn!(target: "forward", id = &*sent.id, upstream = &*one.id, status,
-        answers = said.attempt_id.as_deref().unwrap_or("nothing"); "answer of something else");
+    log::warn!(target: "forward", id = &*sent.id, upstream = &*upstream.id, status,
+        answers = head.attempt_id.as_deref().unwrap_or("nothing"); "answer does not match the request");
     AttemptOutcome::Unknown
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,4 +1,4 @@
-//! Requests from outside.
+//! Handles callers' requests.
 
 use std::sync::Arc;
 
@@ -19,12 +19,12 @@
 use crate::steps;
 use crate::stream;
 
-/// Answers a request.
+/// Handles a request and records its outcome.
 pub async fn handle(app: Arc<App>, call: Call) -> Reply {
-    let from = app.clock.now();
+    let started = app.clock.now();
     let (head, body) = split(call);
     let caller = app.dialect.decode_caller(&head);
-    // Reads of steps have no name of their own; their lines are found by the step's.
+    // Requests about a step carry no identifier of their own and are logged under the step's.
     let id = match &caller.operation {
         Operation::ReadResults { step, .. }
         | Operation::ReadBody { step, .. }
@@ -35,7 +35,7 @@
     if app.is_leaving() {
         refuse::close_connection(&mut reply);
     }
-    let took = app.clock.now() - from;
+    let took = app.clock.now() - started;
     let status = reply.status().as_u16();
     metrics::counter!(meter::REQUESTS, "route" => route, "status" => status.to_string())
         .increment(1);
@@ -63,14 +63,14 @@
     }
     match &caller.operation {
         Operation::Invalid(why) => {
-            log::info!(target: "front", id = &*caller.id, why; "improper request");
+            log::info!(target: "front", id = &*caller.id, why; "invalid request");
             ("wrong", Refusal::Invalid.reply())
         }
         _ => dispatch_route(app, head, caller, body).await,
     }
 }
 
-/// Answers what is asked of a step that was submitted before.
+/// Handles an operation on a step submitted before.
 async fn dispatch_step(app: &Arc<App>, caller: &Caller) -> (&'static str, Reply) {
     let principal = match access::authorize_step(app, caller) {
         Ok(principal) => principal,
@@ -78,14 +78,14 @@
     };
     match &caller.operation {
         Operation::ReadResults { step, from, wait } => {
-            let reply = steps::read(app, step, *from, *wait, &principal).await;
+            let reply = steps::read_results(app, step, *from, *wait, &principal).await;
             ("read", reply)
         }
         Operation::ReadBody { step, sample } => {
-            let reply = steps::body(app, step, sample, &principal).await;
+            let reply = steps::read_body(app, step, sample, &principal).await;
             ("body", reply)
         }
-        Operation::EndStep { step } => ("end", steps::end(app, step, &principal).await),
+        Operation::EndStep { step } => ("end", steps::end_step(app, step, &principal).await),
         Operation::Invalid(_) | Operation::Route => ("wrong", Refusal::Invalid.reply()),
     }
 }
@@ -96,23 +96,23 @@
     caller: Caller,
     body: Body,
 ) -> (&'static str, Reply) {
-    let Some(plan) = app.config.load_full() else {
-        // A restarted instance knows no route yet; a 404 now would be an older state.
+    let Some(config) = app.config.load_full() else {
+        // Without a configuration a 404 could contradict an acknowledged route.
         log::info!(target: "front", id = &*caller.id; "no configuration yet");
         return ("none", Refusal::NotExecuted.reply());
     };
-    let Some(route) = plan.find_route(&caller.host, head.uri.path()).cloned() else {
+    let Some(route) = config.find_route(&caller.host, head.uri.path()).cloned() else {
         let age = access::config_age(app);
         let refusal = access::missing_route(app, age);
-        log::info!(target: "front", id = &*caller.id, version = plan.version, age_ms = age,
+        log::info!(target: "front", id = &*caller.id, version = config.version, age_ms = age,
             outcome = refusal.name(); "no such route");
         return ("none", refusal.reply());
     };
-    let principal = match access::authorize_route(app, &plan, &route, &caller) {
+    let principal = match access::authorize_route(app, &config, &route, &caller) {
         Ok(principal) => principal,
         Err(refusal) => return ("key", refusal.reply()),
     };
-    let body = match net::body::read(body, plan.max_body).await {
+    let body = match net::body::read(body, config.max_body).await {
         Ok(body) => body,
         Err(net::body::ReadError::Long(_)) => return ("long", Refusal::BodyTooLarge.reply()),
         Err(_) => return ("cut", Refusal::Invalid.reply()),
@@ -132,7 +132,7 @@
         ),
         RouteKind::Stream => (
             "stream",
-            stream::pass(app, &route, &head, &caller, body, principal).await,
+            stream::forward_stream(app, &route, &head, &caller, body, principal).await,
         ),
     }
 }
--- a/crates/node/src/refuse.rs
+++ b/crates/node/src/refuse.rs
@@ -1,6 +1,6 @@
-//! Answers of our own to callers.
+//! Error replies of the instance itself.
 //!
-//! A status that promises that a request has not run is chosen only where nothing was sent.
+//! A status that promises that a request has not run is used only where nothing was sent.
 
 use http::HeaderValue;
 use http::StatusCode;
@@ -11,39 +11,39 @@
 use net::Reply;
 use net::body;
 
-/// Time after which a caller that was turned away had better come back, in seconds: long enough
-/// for a place to become free or a restarted instance to know its configuration.
+/// Delay after which a refused caller should retry, in seconds: long enough for a slot to become free or for a
+/// restarted instance to learn its configuration.
 const RETRY_AFTER_SECONDS: &str = "0.25";
 
-/// The scheme in which a caller brings its key.
+/// Authentication scheme for callers' keys.
 const AUTH_SCHEME: &str = "Token";
 
 /// Milliseconds in a second.
 const MILLIS_PER_SECOND: Millis = 1_000;
 
-/// Why a caller does not get what it asked for.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Nothing was run and nothing will be; it may come back.
+    /// The request has not been executed and never will be; the caller may retry.
     NotExecuted,
-    /// Upstreams crash under it: it was not run, and may come back after so many milliseconds.
+    /// Upstreams crash under the request: it was not executed, and may be retried after so many milliseconds.
     Quarantined(Millis),
-    /// Whether it ran is not known.
+    /// Whether the request was executed is unknown.
     OutcomeUnknown,
-    /// It was sent, and the time is over.
+    /// The request was sent, and its deadline has passed.
     TimedOut,
     /// There is no such route, step or sample.
     NotFound,
-    /// It brings no key that anybody holds.
+    /// The request has no valid key.
     Unauthorized,
-    /// The request is not proper.
+    /// The request is invalid.
     Invalid,
-    /// The body is too long.
+    /// The body is too large.
     BodyTooLarge,
 }
 
 impl Refusal {
-    /// The word in logs and metrics.
+    /// Returns the name used in logs, metrics and bodies.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotExecuted => "refused",
@@ -69,20 +69,20 @@
         }
     }
 
-    /// The answer.
+    /// Builds the reply.
     pub fn reply(self) -> Reply {
         let mut reply = body::reply(self.status(), "text/plain", self.name());
         if self == Self::Unauthorized {
             let scheme = HeaderValue::from_static(AUTH_SCHEME);
             reply.headers_mut().insert(WWW_AUTHENTICATE, scheme);
         }
-        if let Some(back) = self.retry_after() {
-            reply.headers_mut().insert(RETRY_AFTER, back);
+        if let Some(delay) = self.retry_after() {
+            reply.headers_mut().insert(RETRY_AFTER, delay);
         }
         reply
     }
 
-    /// When the caller had better come back.
+    /// Returns the value of the Retry-After header, if the caller should retry.
     fn retry_after(self) -> Option<HeaderValue> {
         match self {
             Self::NotExecuted => Some(HeaderValue::from_static(RETRY_AFTER_SECONDS)),
@@ -92,7 +92,7 @@
     }
 }
 
-/// Asks the caller to open its next connection elsewhere.
+/// Asks the caller to close the connection, so that it opens its next one elsewhere.
 pub fn close_connection(reply: &mut Reply) {
     let close = HeaderValue::from_static("close");
     reply.headers_mut().insert(CONNECTION, close);
--- a/crates/node/src/shelf.rs
+++ b/crates/node/src/shelf.rs
@@ -1,10 +1,10 @@
-//! What an instance has read of the results of a step that another one runs.
+//! Cache of the results of a step that another instance runs.
 //!
-//! Results at the platform never change, so whatever was read once is right for good. Only "there
-//! is no result yet" can be out of date, and is said after a look at the newest state alone.
+//! Results at the platform never change, so a cached result stays valid. Only the absence of a result can be out of
+//! date, and is reported only after a read of the newest state.
 //!
-//! Results are read page by page, and a reader is answered with the first page that has one for it. What
-//! was read stays when the reader leaves meanwhile, so that the next one goes on there.
+//! Results are read page by page, and a reader gets the first page that has a result for it. Pages stay cached when
+//! the reader disconnects meanwhile, so that the next one continues from there.
 
 use std::sync::Arc;
 
@@ -26,12 +26,12 @@
 
 use crate::App;
 
-/// Positions before the one that is asked for at which reading begins, in turn, before it begins with the
-/// first result. A reader mostly asks for the position at which a segment begins; another one is within the
-/// segment of some dozen results that begins a little before it.
+/// Distances before the requested position at which reading starts, tried in turn before it starts with the first
+/// result. A reader mostly requests the first position of a segment; any other position is in a segment of some
+/// dozen results that starts a little earlier.
 const SEEK_OFFSETS: [usize; 2] = [0, 64];
 
-/// What an instance has read of a step's results.
+/// Caches the results of one step.
 #[derive(Debug)]
 pub struct ResultCache {
     step: Arc<str>,
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 struct CachedResults {
     window: Window,
-    /// The platform's revision at the last read.
+    /// The revision of the platform at the last read.
     rev: i64,
     last_used: Millis,
 }
@@ -50,14 +50,14 @@
 /// Results from a position on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultPage {
-    /// Samples of the step.
+    /// Number of samples of the step.
     pub total: u32,
     /// The results.
     pub entries: Vec<Entry>,
 }
 
 impl ResultPage {
-    /// The answer to a caller, who asked for results from a position on.
+    /// Builds the reply to a caller that requested results from a position on.
     pub(crate) fn reply(&self, app: &App, from: usize) -> Reply {
         let bytes = app.dialect.encode_page(self.total, from, &self.entries);
         body::reply(StatusCode::OK, "application/json", bytes)
@@ -65,7 +65,7 @@
 }
 
 impl ResultCache {
-    /// Makes a shelf for a step whose head was read.
+    /// Creates an empty cache for a step from its head.
     pub fn new(step: Arc<str>, head: &Head) -> Self {
         Self {
             step,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// When it was last read from.
+    /// Returns when it was last used.
     pub async fn last_used(&self) -> Millis {
         self.results.lock().await.last_used
     }
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`] when there are none here and the platform does not tell.
+    /// Returns [`PlatError`] when none are cached and the platform does not answer.
     pub async fn page(
         &self,
         app: &App,
@@ -91,36 +91,44 @@
         wait: Millis,
     ) -> Result<ResultPage, PlatError> {
         let plat = &app.plat;
-        let mut read = self.results.lock().await;
-        read.last_used = app.clock.now();
-        if from < self.total as usize && read.window.entries_from(from).is_none_or(<[_]>::is_empty)
+        let mut results = self.results.lock().await;
+        results.last_used = app.clock.now();
+        if from < self.total as usize
+            && results
+                .window
+                .entries_from(from)
+                .is_none_or(<[_]>::is_empty)
         {
-            if !read.window.covers(from) {
-                self.seek(plat, &mut read, from).await?;
-            } else if read.rev > 0 && wait > 0 {
-                self.wait_for_segment(plat, &mut read, wait).await?;
+            if !results.window.covers(from) {
+                self.seek(plat, &mut results, from).await?;
+            } else if results.rev > 0 && wait > 0 {
+                self.wait_for_segment(plat, &mut results, wait).await?;
             }
-            // A watch may hear nothing of a result that is there, and that others have read.
-            self.read_until(plat, &mut read, from).await?;
+            // A watch may miss a result that exists and that other instances have read.
+            self.read_until(plat, &mut results, from).await?;
         }
-        read.window.trim(from);
-        let entries = read.window.entries_from(from).unwrap_or_default().to_vec();
+        results.window.trim(from);
+        let entries = results
+            .window
+            .entries_from(from)
+            .unwrap_or_default()
+            .to_vec();
         Ok(ResultPage {
             total: self.total,
             entries,
         })
     }
 
-    /// Begins anew at a segment that does not begin behind a position, as near to it as it is found.
+    /// Restarts the cache at a segment that starts at or before a position, as close to it as can be found.
     async fn seek(
         &self,
         plat: &Client,
-        read: &mut CachedResults,
+        results: &mut CachedResults,
         from: usize,
     ) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
-        for back in SEEK_OFFSETS {
-            let Some(before) = from.checked_sub(back + 1) else {
+        for distance in SEEK_OFFSETS {
+            let Some(before) = from.checked_sub(distance + 1) else {
                 break;
             };
             let after = keys::segment(&self.step, before as u32);
@@ -128,29 +136,29 @@
             let first = page.items.first();
             let first = first.and_then(|item| keys::segment_start(&self.step, &item.key));
             if let Some(first) = first.filter(|first| *first as usize <= from) {
-                read.window = Window::starting_at(first as usize);
-                return self.add_range(read, &page);
+                results.window = Window::starting_at(first as usize);
+                return self.add_range(results, &page);
             }
         }
-        read.window = Window::default();
+        results.window = Window::default();
         Ok(())
     }
 
-    /// Reads page after page until there is a result for a position or none is left. The last answer is
-    /// the newest state, so nothing means that there is nothing.
+    /// Reads page after page until there is a result for a position or no page is left. The last page is the newest
+    /// state, so an empty one shows that there is no result.
     async fn read_until(
         &self,
         plat: &Client,
-        read: &mut CachedResults,
+        results: &mut CachedResults,
         from: usize,
     ) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
-        while read.window.end() <= from {
-            let last = read.window.newest_segment();
+        while results.window.end() <= from {
+            let last = results.window.newest_segment();
             let after = last.map(|last| keys::segment(&self.step, last as u32));
             let page = plat.page(&prefix, after).await?;
-            self.add_range(read, &page)?;
-            read.window.trim(from);
+            self.add_range(results, &page)?;
+            results.window.trim(from);
             if !page.more {
                 break;
             }
@@ -158,44 +166,44 @@
         Ok(())
     }
 
-    /// Waits for the next segment, from the last known revision on: a segment that is there
-    /// already ends the wait at once, so that one call does for both.
+    /// Waits for the next segment after the last known revision. A segment that exists already ends the wait at
+    /// once, so that one call both reads and waits.
     async fn wait_for_segment(
         &self,
         plat: &Client,
-        read: &mut CachedResults,
+        results: &mut CachedResults,
         wait: Millis,
     ) -> Result<(), PlatError> {
         let prefix = keys::segments_prefix(&self.step);
-        let Ok((changes, rev)) = plat.poll(&prefix, read.rev, wait).await else {
-            // What follows reads the newest state.
+        let Ok((changes, rev)) = plat.poll(&prefix, results.rev, wait).await else {
+            // The caller reads the newest state next.
             return Ok(());
         };
         for change in &changes {
             if let Change::Put(item) = change {
-                self.add_segment(read, item)?;
+                self.add_segment(results, item)?;
             }
         }
-        read.rev = rev;
+        results.rev = rev;
         Ok(())
     }
 
-    fn add_range(&self, read: &mut CachedResults, page: &Range) -> Result<(), PlatError> {
-        read.rev = page.rev;
+    fn add_range(&self, results: &mut CachedResults, page: &Range) -> Result<(), PlatError> {
+        results.rev = page.rev;
         for item in &page.items {
-            self.add_segment(read, item)?;
+            self.add_segment(results, item)?;
         }
         Ok(())
     }
 
-    /// Takes in a segment if it is the next one.
-    fn add_segment(&self, read: &mut CachedResults, item: &Item) -> Result<(), PlatError> {
+    /// Adds a segment if it is the next one.
+    fn add_segment(&self, results: &mut CachedResults, item: &Item) -> Result<(), PlatError> {
         let first = keys::segment_start(&self.step, &item.key).map(|first| first as usize);
-        let Some(first) = first.filter(|first| *first == read.window.end()) else {
+        let Some(first) = first.filter(|first| *first == results.window.end()) else {
             return Ok(());
         };
         let entries: Vec<Entry> = record::decode(&item.value).map_err(|_| PlatError::Garbled)?;
-        read.window.add(first, entries);
+        results.window.add(first, entries);
         Ok(())
     }
 }
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -1,4 +1,4 @@
-//! What callers ask of steps: submit one, read its results and bodies, end it.
+//! Operations of callers on steps: submit one, read its results and bodies, end it.
 
 pub mod accept;
 
@@ -24,27 +24,29 @@
 use crate::refuse::Refusal;
 use crate::shelf::ResultCache;
 
-/// Longest time that a caller waits for a write, unless it says less.
+/// Longest time that a caller waits for a write, unless its own time limit is shorter.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Pause between two tries of a write.
+/// Pause between attempts of a write.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Time for which a write with an unclear outcome is repeated. A write may take effect seconds
-/// after it was sent, and a step that was accepted so has to be run.
+/// Time for which a write with an unknown outcome is repeated, in milliseconds. A write may take effect seconds
+/// after it was sent, and a step that was accepted that way has to be run.
 const SETTLE_TIMEOUT: Millis = 20_000;
 
-/// Times that an owner is told of the end of its step before it is left to its own question.
+/// Number of times that an owner is notified of the end of its step; after that it finds out with its own next
+/// check.
 const MAX_END_NOTICES: usize = 6;
 
-/// Pause between two of them: an instance whose entry has lapsed, or that is busy, is back within a second or two.
+/// Pause between those notices: an instance whose entry has lapsed or that is busy is reachable again within a
+/// second or two.
 const END_NOTICE_PAUSE: Duration = Duration::from_millis(300);
 
 /// Longest time that a read waits for a result, in milliseconds.
 const MAX_READ_WAIT: Millis = 1_000;
 
-/// The names under which a step may be kept that somebody asks for, the likeliest first. One that was accepted
-/// for nobody in particular, or before there were teams, is anybody's.
+/// Returns the names under which a requested step may be stored, the most likely first. A step accepted without a
+/// team, or before there were teams, is accessible to every principal.
 fn stored_names(step: &Arc<str>, principal: &Principal) -> Vec<Arc<str>> {
     if !keys::is_valid_name(step) {
         return Vec::new();
@@ -55,8 +57,8 @@
     }
 }
 
-/// Answers with the results of a step from a position on.
-pub async fn read(
+/// Replies with the results of a step from a position on.
+pub async fn read_results(
     app: &Arc<App>,
     step: &Arc<str>,
     from: usize,
@@ -88,12 +90,12 @@
 
 fn refuse_unavailable(step: &str, error: &PlatError) -> Reply {
     let why = error.to_string();
-    log::info!(target: "steps", id = step, why = why.as_str(); "cannot tell of a step");
+    log::info!(target: "steps", id = step, why = why.as_str(); "state of the step unknown");
     Refusal::NotExecuted.reply()
 }
 
-/// Reads results of a step that another instance runs: from that one, which costs the platform no
-/// call and gives the newest ones at once, or from the platform.
+/// Reads the results of a step that another instance runs: from that instance, which costs no platform call and has
+/// the newest results, or from the platform.
 async fn read_remote(
     app: &Arc<App>,
     step: &Arc<str>,
@@ -107,38 +109,38 @@
         }
         hint::remove(app, step);
     }
-    let Some(shelf) = find_cache(app, step).await? else {
+    let Some(cache) = find_cache(app, step).await? else {
         return Ok(None);
     };
-    // The platform knows an owner that nobody hinted at, or another one.
+    // The head at the platform may name an owner that no hint named.
     let owner = hint::get(app, step).filter(|owner| hint.as_ref() != Some(owner));
     if let Some(owner) = owner
         && let Some(page) = peer::fetch_page(app, &owner, step, from, wait).await
     {
         return Ok(Some(page));
     }
-    let page = shelf.page(app, from, wait).await?;
+    let page = cache.page(app, from, wait).await?;
     Ok(Some(page.reply(app, from)))
 }
 
 async fn find_cache(app: &App, step: &Arc<str>) -> Result<Option<Arc<ResultCache>>, PlatError> {
-    if let Some(shelf) = app.result_caches.get(step) {
-        return Ok(Some(shelf));
+    if let Some(cache) = app.result_caches.get(step) {
+        return Ok(Some(cache));
     }
     let Some(item) = app.plat.get(&keys::head(step)).await? else {
         return Ok(None);
     };
     let head = claim::read(&item)?;
     hint::record(app, step.clone(), head.owner.instance.clone());
-    let shelf = app.result_caches.with_shard(step, |map| {
+    let cache = app.result_caches.with_shard(step, |map| {
         let new = || Arc::new(ResultCache::new(step.clone(), &head));
         map.entry(step.clone()).or_insert_with(new).clone()
     });
-    Ok(Some(shelf))
+    Ok(Some(cache))
 }
 
-/// Answers with the body of a sample's request.
-pub async fn body(
+/// Replies with the body of a sample's request.
+pub async fn read_body(
     app: &Arc<App>,
     step: &Arc<str>,
     sample: &Arc<str>,
@@ -154,18 +156,18 @@
 }
 
 async fn read_stored_body(app: &Arc<App>, step: &Arc<str>, sample: &Arc<str>) -> Reply {
-    let found = match app.running_steps.get(step) {
+    let result = match app.running_steps.get(step) {
         Some(work) => Ok(work.body(sample)),
         None => read_remote_body(app, step, sample).await,
     };
-    match found {
+    match result {
         Ok(Some(bytes)) => net::body::reply(StatusCode::OK, "application/octet-stream", bytes),
         Ok(None) => Refusal::NotFound.reply(),
         Err(error) => refuse_unavailable(step, &error),
     }
 }
 
-/// Finds the body of a sample of a step that another instance runs.
+/// Reads the body of a sample of a step that another instance runs.
 async fn read_remote_body(
     app: &App,
     step: &Arc<str>,
@@ -179,7 +181,7 @@
     read_platform_body(app, step, sample).await
 }
 
-/// Reads a step's samples part by part until the one that is asked for.
+/// Reads a step's samples part by part until the requested one is found.
 async fn read_platform_body(
     app: &App,
     step: &str,
@@ -192,7 +194,10 @@
         let page = app.plat.page(&prefix, after).await?;
         for item in &page.items {
             let samples = parts.add(&item.value).map_err(|_| PlatError::Garbled)?;
-            if let Some(found) = samples.into_iter().find(|one| &*one.id == sample) {
+            if let Some(found) = samples
+                .into_iter()
+                .find(|candidate| &*candidate.id == sample)
+            {
                 return Ok(Some(found.body));
             }
         }
@@ -204,7 +209,7 @@
 }
 
 /// Ends a step.
-pub async fn end(app: &Arc<App>, step: &Arc<str>, principal: &Principal) -> Reply {
+pub async fn end_step(app: &Arc<App>, step: &Arc<str>, principal: &Principal) -> Reply {
     for name in stored_names(step, principal) {
         let reply = end_stored(app, &name).await;
         if reply.status() != StatusCode::NOT_FOUND {
@@ -223,7 +228,7 @@
             Err(error) => return refuse_unavailable(step, &error),
         }
     }
-    // Goes on when the caller leaves: whoever has asked for the end wants nothing more of the step.
+    // Continues when the caller disconnects: it has asked for the end, so it needs nothing more of the step.
     let ending = tokio::spawn(end_until_settled(app.clone(), step.clone()));
     match timeout(WRITE_TIMEOUT, ending).await {
         Ok(Ok(EndOutcome::Ended)) => body::reply(StatusCode::OK, "application/json", "{}"),
@@ -232,35 +237,36 @@
     }
 }
 
-/// What came of ending a step.
+/// The outcome of ending a step.
 enum EndOutcome {
     /// It has ended.
     Ended,
     /// There is no such step.
     Missing,
-    /// The platform did not tell.
+    /// The platform did not confirm it in time.
     Unclear,
 }
 
-/// Ends a step and tells its owner, which would hear of it with its next question else.
+/// Ends a step, retrying until the outcome is known or time runs out, and notifies its owner, which would otherwise
+/// find out with its next check.
 async fn end_until_settled(app: Arc<App>, step: Arc<str>) -> EndOutcome {
-    let begun = app.clock.now();
+    let started = app.clock.now();
     loop {
         match claim::end(&app, &step).await {
             Ok(Some(ended)) => {
                 log::info!(target: "steps", id = &*step, instance = &*ended.owner.instance, revision = ended.rev,
-                    took_ms = app.clock.now() - begun; "step ended");
+                    took_ms = app.clock.now() - started; "step ended");
                 tokio::spawn(notify_owner(app, step, ended));
                 return EndOutcome::Ended;
             }
             Ok(None) => return EndOutcome::Missing,
             Err(error) => {
                 let why = error.to_string();
-                log::info!(target: "steps", id = &*step, why = why.as_str(); "step not ended yet");
+                log::info!(target: "steps", id = &*step, why = why.as_str(); "step not ended yet, retrying");
             }
         }
-        if app.clock.now() > begun + SETTLE_TIMEOUT {
-            log::warn!(target: "steps", id = &*step, took_ms = app.clock.now() - begun; "end given up");
+        if app.clock.now() > started + SETTLE_TIMEOUT {
+            log::warn!(target: "steps", id = &*step, took_ms = app.clock.now() - started; "ending the step failed");
             return EndOutcome::Unclear;
         }
         sleep(RETRY_PAUSE).await;
@@ -278,10 +284,10 @@
         }
         sleep(END_NOTICE_PAUSE).await;
     }
-    log::info!(target: "steps", id = &*step, instance = &*ended.owner.instance; "owner not told of the end");
+    log::info!(target: "steps", id = &*step, instance = &*ended.owner.instance; "owner not notified of the end");
 }
 
-/// Takes in that a step has ended while its head had a revision.
+/// Records that a step has ended whose head had this revision.
 pub(crate) fn record_end(app: &App, step: &Arc<str>, rev: i64) {
     if let Some(work) = app.running_steps.get(step) {
         work.end(app, rev, "told");
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting a step, once.
+//! Accepts submitted steps, each exactly once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,34 +36,34 @@
 use crate::owner;
 use crate::refuse::Refusal;
 
-/// Time for which a step that the platform turns away is tried again before the caller is turned
-/// away too: a busy platform takes calls again within moments.
+/// Time for which the acceptance of a step from a caller is retried after refusals by the platform, in
+/// milliseconds: a busy platform accepts calls again within moments.
 const CALLER_RETRY_TIME: Millis = 1_000;
 
-/// The same for a step that another instance has handed over, which waits for a second and cannot tell after it whether the
-/// step is accepted, in milliseconds.
+/// The same for a step that another instance has handed over, in milliseconds. That instance waits a second for the
+/// reply and cannot know after it whether the step is accepted.
 const PEER_RETRY_TIME: Millis = 500;
 
-/// Time kept back for the way of the answer to the caller, in milliseconds.
+/// Time reserved for sending the answer to the caller, in milliseconds.
 const REPLY_MARGIN: Millis = 20;
 
-/// Steps beyond which an instance takes none from others: each holds its samples in memory, and
-/// each running sample takes processor.
+/// Number of running steps from which an instance accepts none from others: each holds its samples in memory, and
+/// each running sample takes CPU.
 const MAX_STEPS_FOR_PEERS: usize = 12;
 
-/// What came of submitting a step.
+/// The outcome of submitting a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum AcceptOutcome {
-    /// It is kept.
+    /// The step is stored.
     #[serde(rename = "Kept")]
     Stored,
-    /// Nothing was written and nothing will be.
+    /// Nothing was written, and nothing will be.
     Refused,
-    /// It is no proper step.
+    /// The step is invalid.
     #[serde(rename = "Wrong")]
     Invalid,
-    /// Whether it is kept was not known in time.
+    /// Whether the step is stored was not known in time.
     Unclear,
 }
 
@@ -78,22 +78,22 @@
     }
 }
 
-/// A step as a caller submits it, not yet looked into.
+/// A submitted step whose body is not decoded yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Submission {
-    /// The name under which it is kept.
+    /// The name under which the step is stored.
     pub id: Arc<str>,
-    /// The name that a team's step has if it was accepted before there were teams.
+    /// The name under which a team's step is stored if it was accepted before there were teams.
     #[serde(default, rename = "former")]
     pub legacy_id: Option<Arc<str>>,
-    /// The team that it belongs to.
+    /// The team that the step belongs to.
     pub team: Option<Arc<str>>,
-    /// The host under which it was submitted.
+    /// The host that was requested.
     pub host: Arc<str>,
-    /// The path under which it was submitted.
+    /// The path that was requested.
     pub path: Arc<str>,
-    /// Time that the caller waits for the answer, in milliseconds, if it says so.
+    /// Time that the caller waits for the answer, in milliseconds, if the request states it.
     #[serde(rename = "left")]
     pub timeout: Option<Millis>,
     /// The body of the request.
@@ -101,7 +101,7 @@
     pub body: Vec<u8>,
 }
 
-/// Accepts a step, here or at the instance that takes the steps of its route.
+/// Accepts a step, here or at the instance that runs the steps of its route.
 pub async fn submit(
     app: &Arc<App>,
     head: &Parts,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Accepts a step that another instance hands over; [`None`] when that one had better take it.
+/// Accepts a step that another instance hands over; [`None`] when this instance declines it.
 pub async fn accept_from_peer(app: &Arc<App>, submission: Submission) -> Option<AcceptOutcome> {
     if app.is_leaving()
         || app.running_steps.len() >= MAX_STEPS_FOR_PEERS
@@ -149,10 +149,10 @@
     Some(accept_locally(app, submission, Origin::Peer).await)
 }
 
-/// How a step came to the instance that is to accept it.
+/// How a step reached the instance that is to accept it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
-    /// From its caller.
+    /// Directly from its caller.
     Caller,
     /// From its caller, and another instance that did not answer may have accepted it.
     Unclear,
@@ -160,116 +160,119 @@
     Peer,
 }
 
-/// Accepts a step here.
+/// Accepts a step at this instance.
 ///
-/// The step is at the platform before the caller hears that it is accepted. A refusal that
-/// promises that nothing runs is given only while no write was sent that may yet take effect.
+/// The step is at the platform before the caller is told that it is accepted. A refusal that promises that nothing
+/// runs is given only while no write was sent that may still take effect.
 async fn accept_locally(app: &Arc<App>, submission: Submission, origin: Origin) -> AcceptOutcome {
     let id = submission.id.clone();
-    let submitted = match app.dialect.decode_step(&submission.body) {
-        Ok(submitted) => submitted,
+    let request = match app.dialect.decode_step(&submission.body) {
+        Ok(request) => request,
         Err(error) => {
             let why = error.to_string();
-            log::info!(target: "steps", id = &*id, why = why.as_str(); "improper step");
+            log::info!(target: "steps", id = &*id, why = why.as_str(); "invalid step");
             return AcceptOutcome::Invalid;
         }
     };
     if app.running_steps.get(&id).is_some() {
         return AcceptOutcome::Stored;
     }
-    if !serves_model(app, &submission, &submitted.model) {
-        // Not for good: the configuration here may be a second behind one that has the model.
-        log::info!(target: "steps", id = &*id, model = &*submitted.model; "unknown model");
+    if !serves_model(app, &submission, &request.model) {
+        // Temporary: the configuration here may be a second behind that of an instance that has the model.
+        log::info!(target: "steps", id = &*id, model = &*request.model; "unknown model");
         return match origin {
             Origin::Unclear => AcceptOutcome::Unclear,
             Origin::Caller | Origin::Peer => AcceptOutcome::Refused,
         };
     }
     let (sender, receiver) = oneshot::channel();
-    let record = make_head(app, &submission, &submitted);
+    let record = make_head(app, &submission, &request);
     let spec = Spec {
-        samples: submitted.samples,
+        samples: request.samples,
     };
-    // Goes on when the caller leaves: whether the step was kept must become known.
+    // Continues when the caller disconnects: whether the step is stored must be settled.
     let task = write_step(app.clone(), id, submission.legacy_id, record, spec, origin);
     tokio::spawn(async move {
         let _ = sender.send(task.await);
     });
-    let wait = submission
+    let timeout_after = submission
         .timeout
         .map(|left| left.saturating_sub(REPLY_MARGIN));
-    let wait = wait
+    let timeout_after = timeout_after
         .map_or(WRITE_TIMEOUT, Duration::from_millis)
         .min(WRITE_TIMEOUT);
-    match timeout(wait, receiver).await {
+    match timeout(timeout_after, receiver).await {
         Ok(Ok(accepted)) => accepted,
         Ok(Err(_)) | Err(_) => AcceptOutcome::Unclear,
     }
 }
 
-/// Tells whether an engine of the step's route may have the model.
+/// Returns whether an engine of the step's route may have the model.
 fn serves_model(app: &App, submission: &Submission, model: &str) -> bool {
-    let plan = app.config.load();
-    let Some(plan) = plan.as_ref() else {
+    let config = app.config.load();
+    let Some(config) = config.as_ref() else {
         return false;
     };
-    let Some(route) = plan.find_route(&submission.host, &submission.path) else {
+    let Some(route) = config.find_route(&submission.host, &submission.path) else {
         return false;
     };
     route.services.iter().any(|share| {
-        let service = plan.service(&share.service);
+        let service = config.service(&share.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         engine.is_none_or(|engine| engine.models.iter().any(|name| &**name == model))
     })
 }
 
-fn make_head(app: &App, submission: &Submission, submitted: &StepRequest) -> Head {
-    let samples = submitted.samples.iter();
+fn make_head(app: &App, submission: &Submission, request: &StepRequest) -> Head {
+    let samples = request.samples.iter();
     Head {
         owner: app.me.clone(),
         opened: app.clock.wall(),
         host: submission.host.clone(),
         path: submission.path.clone(),
-        model: submitted.model.clone(),
-        min_version: submitted.min_version,
-        required_groups: submitted.required_groups,
-        total: submitted.samples.len() as u32,
-        work: samples.map(|one| u64::from(one.expected.max(1))).sum(),
+        model: request.model.clone(),
+        min_version: request.min_version,
+        required_groups: request.required_groups,
+        total: request.samples.len() as u32,
+        work: samples
+            .map(|sample| u64::from(sample.expected.max(1)))
+            .sum(),
         team: submission.team.clone(),
         ended: None,
     }
 }
 
-/// Writes the step until it is known whether it is kept.
+/// Writes the step until it is known whether it is stored.
 async fn write_step(
     app: Arc<App>,
     id: Arc<str>,
-    former: Option<Arc<str>>,
+    legacy_id: Option<Arc<str>>,
     head: Head,
     spec: Spec,
     origin: Origin,
 ) -> AcceptOutcome {
-    let since = app.clock.now();
+    let started = app.clock.now();
     let mut unclear = origin == Origin::Unclear;
-    let patience = match origin {
+    let retry_time = match origin {
         Origin::Peer => PEER_RETRY_TIME,
         Origin::Caller | Origin::Unclear => CALLER_RETRY_TIME,
     };
     if let Err(error) = member::shorten_ttl(&app).await {
-        // It is tried again with the next look at the entry.
+        // The next check of the entry tries it again.
         let why = error.to_string();
-        log::warn!(target: "steps", id = &*id, why = why.as_str(); "missed late if killed now");
+        log::warn!(target: "steps", id = &*id, why = why.as_str(); "own entry not shortened, a crash now would be noticed late");
     }
     loop {
-        let age = app.clock.now() - since;
-        // Looked at before each try: after a long pause of the process the step may have been run, ended and removed.
+        let age = app.clock.now() - started;
+        // Checked before each attempt: after a long pause of the process the step may have been run, ended and
+        // removed.
         if age > SETTLE_TIMEOUT {
-            log::warn!(target: "steps", id = &*id, took_ms = age; "step unclear");
+            log::warn!(target: "steps", id = &*id, took_ms = age; "outcome of the write unknown");
             return AcceptOutcome::Unclear;
         }
-        let tried = claim::accept(&app, &id, former.as_deref(), &head, &spec).await;
-        let age = app.clock.now() - since;
-        match tried {
+        let result = claim::accept(&app, &id, legacy_id.as_deref(), &head, &spec).await;
+        let age = app.clock.now() - started;
+        match result {
             Ok(Tried::Open(open)) => {
                 log::info!(target: "steps", id = &*id, samples = head.total, work = head.work, least = head.min_version,
                     model = &*head.model, revision = open.rev(), took_ms = age; "step accepted");
@@ -284,21 +287,23 @@
                     log_retry(&id, &error);
                 }
             },
-            // Removed between the two calls: nothing of it can run.
+            // Removed between the two calls: no part of it can run.
             Ok(Tried::Gone) if !unclear => return AcceptOutcome::Refused,
             Ok(Tried::Gone) => (),
             Err(error) if error.is_indeterminate() => {
                 unclear = true;
                 log_retry(&id, &error);
             }
-            // It may have been accepted when it came before: the platform may show that, and take no writes.
+            // An earlier submission may have been accepted: the platform may serve reads but no writes.
             Err(_)
-                if !unclear && age > patience && is_stored(&app, &id, former.as_deref()).await =>
+                if !unclear
+                    && age > retry_time
+                    && is_stored(&app, &id, legacy_id.as_deref()).await =>
             {
                 log::info!(target: "steps", id = &*id, took_ms = age; "step known already");
                 return AcceptOutcome::Stored;
             }
-            Err(error) if !unclear && age > patience => {
+            Err(error) if !unclear && age > retry_time => {
                 let why = error.to_string();
                 log::warn!(target: "steps", id = &*id, why = why.as_str(), took_ms = age;
                     "step refused");
@@ -311,9 +316,9 @@
     }
 }
 
-/// Tells whether the platform shows a step, under its name or a former one.
-async fn is_stored(app: &App, id: &str, former: Option<&str>) -> bool {
-    for name in [id].into_iter().chain(former) {
+/// Returns whether the platform has a step, under its name or its legacy one.
+async fn is_stored(app: &App, id: &str, legacy_id: Option<&str>) -> bool {
+    for name in [id].into_iter().chain(legacy_id) {
         match app.plat.get(&keys::head(name)).await {
             Ok(Some(_)) => return true,
             Ok(None) => (),
@@ -325,28 +330,28 @@
 
 fn log_retry(id: &str, error: &PlatError) {
     let why = error.to_string();
-    log::info!(target: "steps", id, why = why.as_str(); "step not settled yet");
+    log::info!(target: "steps", id, why = why.as_str(); "outcome of the write not known yet");
 }
 
-/// A head is there already: the step was submitted before, or an earlier try of this one took effect. What is this
-/// instance's and is not run here is taken up like a step whose owner is gone: its results may be
-/// listed, and it may have ended since.
+/// Handles a head that exists already: the step was submitted before, or an earlier attempt of this write took
+/// effect. A step that this instance owns and does not run is taken over like one whose owner is gone: its results
+/// may be listed, and it may have ended since.
 async fn handle_known(app: &Arc<App>, id: &Arc<str>, item: &plat::Item) -> Result<(), PlatError> {
-    // It may have been accepted under its former name.
+    // It may have been accepted under its legacy name.
     let id = &keys::step_of_head(&item.key).map_or_else(|| id.clone(), Arc::from);
     let head = match claim::read(item) {
         Ok(head) => head,
         Err(error) => {
             let why = error.to_string();
-            log::error!(target: "steps", id = &**id, why = why.as_str(); "head not understood");
+            log::error!(target: "steps", id = &**id, why = why.as_str(); "step head is invalid");
             return Ok(());
         }
     };
     let ended = head.ended.is_some();
-    let left = head.owner == app.me && app.running_steps.get(id).is_none();
+    let is_orphaned = head.owner == app.me && app.running_steps.get(id).is_none();
     log::info!(target: "steps", id = &**id, revision = item.rev, instance = &*head.owner.instance, ended;
         "step known already");
-    if ended || !left {
+    if ended || !is_orphaned {
         return Ok(());
     }
     orphans::take_over(app, id, item, head).await
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -1,7 +1,7 @@
-//! Passing a stream of events on to a caller.
+//! Forwards a stream of events to a caller.
 //!
-//! Events go on as they come. A stream that breaks is taken up behind its last event at another
-//! upstream where the route allows it; else the answer is cut off, so that it does not look whole.
+//! Events are forwarded as they arrive. A stream that breaks is resumed after its last event at another upstream
+//! where the route allows it; otherwise the answer is aborted, so that the caller does not take it for complete.
 
 use std::io;
 use std::sync::Arc;
@@ -31,25 +31,25 @@
 use crate::sent::Place;
 use crate::sent::Sent;
 
-/// Silence within a stream after which its upstream is taken for lost.
+/// Time without an event after which the upstream of a stream counts as lost.
 const MAX_EVENT_GAP: Duration = Duration::from_millis(1_500);
 
-/// Most bytes of an answer that is no stream.
+/// Largest answer in bytes that is not a stream; it is buffered.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// What came of one attempt.
+/// The outcome of one attempt.
 enum AttemptOutcome {
-    /// The head of a stream.
+    /// The head of the answer.
     Stream(Box<Response<Incoming>>, Place),
-    /// The upstream has not run the request and never will.
+    /// The upstream has not executed the request and never will.
     NotExecuted,
-    /// Nothing was sent: upstreams crash under the request, which may not run for so many milliseconds.
+    /// Nothing was sent: upstreams crash under the request, which is blocked for so many milliseconds.
     Quarantined(Millis),
-    /// Whether it ran is not known.
+    /// Whether the request was executed is unknown.
     Unknown,
 }
 
-/// One caller's stream.
+/// The state of one caller's stream.
 struct Stream {
     sent: Sent,
     route: Arc<Route>,
@@ -57,8 +57,8 @@
     tried: Vec<Arc<str>>,
 }
 
-/// Passes a stream on.
-pub async fn pass(
+/// Forwards a stream to a caller.
+pub async fn forward_stream(
     app: &Arc<App>,
     route: &Arc<Route>,
     head: &Parts,
@@ -74,7 +74,7 @@
     };
     match stream.open(None).await {
         AttemptOutcome::Stream(answer, place) => {
-            // It has begun to run; how long it lasts does not matter for its team's report.
+            // The request counts for its team's report once it has started, however long it runs.
             stream.sent.settle();
             stream.answer(*answer, place).await
         }
@@ -85,20 +85,20 @@
 }
 
 impl Stream {
-    /// Takes a place, where the stream may wait inside the upstream as calls do: if it took free places alone,
-    /// it would get next to none beside calls that wait.
+    /// Reserves a slot, where the stream may queue inside the upstream as calls do: if it used free slots only, it
+    /// would rarely get one beside calls that queue.
     fn choose(&self) -> Option<Place> {
         let service = Config::pick_service(&self.route, rand::random())?;
         self.sent.choose(service, &self.tried, true)
     }
 
-    /// Opens the stream behind an event at one upstream after the other.
+    /// Opens the stream after an event, trying one upstream after the other.
     async fn open(&mut self, last: Option<&str>) -> AttemptOutcome {
         let resumable = self.route.resumable;
-        let mut unclear = false;
+        let mut may_have_run = false;
         if let Some(left) = self.sent.admit().await {
             log::info!(target: "stream", id = &*self.sent.id, left_ms = left;
-                "upstreams crash under it");
+                "request crashes upstreams");
             return AttemptOutcome::Quarantined(left);
         }
         while self.tried.len() < self.route.max_attempts.max(1) as usize {
@@ -106,34 +106,34 @@
             self.tried.push(place.one.id.clone());
             match self.attempt(place, last).await {
                 AttemptOutcome::NotExecuted => (),
-                AttemptOutcome::Unknown if resumable => unclear = true,
-                came => return came,
+                AttemptOutcome::Unknown if resumable => may_have_run = true,
+                outcome => return outcome,
             }
             if self.sent.admit().await.is_some() {
                 break;
             }
         }
-        match unclear {
+        match may_have_run {
             true => AttemptOutcome::Unknown,
             false => AttemptOutcome::NotExecuted,
         }
     }
 
     async fn attempt(&self, place: Place, last: Option<&str>) -> AttemptOutcome {
-        let one = &place.one;
-        let Some(request) = self.sent.request(one, last) else {
+        let upstream = &place.one;
+        let Some(request) = self.sent.request(upstream, last) else {
             return AttemptOutcome::NotExecuted;
         };
         let number = self.sent.send();
-        let came = self.send_attempt(request, place).await;
-        if matches!(came, AttemptOutcome::NotExecuted) {
+        let outcome = self.send_attempt(request, place).await;
+        if matches!(outcome, AttemptOutcome::NotExecuted) {
             self.sent.unrun(number);
         }
-        came
+        outcome
     }
 
     async fn send_attempt(&self, request: Request<Full<Bytes>>, place: Place) -> AttemptOutcome {
-        let one = &place.one;
+        let upstream = &place.one;
         let left = Duration::from_millis(self.sent.left());
         let answer = match self.sent.app.http.send(request, left).await {
             Ok(answer) => answer,
@@ -142,12 +142,12 @@
                     .app
                     .service_tracker
                     .lock()
-                    .engine_failed(&one.id, self.sent.app.clock.now());
+                    .engine_failed(&upstream.id, self.sent.app.clock.now());
                 let why = error.to_string();
-                log::info!(target: "stream", id = &*self.sent.id, upstream = &*one.id,
+                log::info!(target: "stream", id = &*self.sent.id, upstream = &*upstream.id,
                     why = why.as_str(); "attempt failed");
                 if matches!(error, SendError::Broken) {
-                    self.sent.broke(one).await;
+                    self.sent.broke(upstream).await;
                 }
                 return match error.is_unsent() {
                     true => AttemptOutcome::NotExecuted,
@@ -155,15 +155,15 @@
                 };
             }
         };
-        let said = self
+        let head = self
             .sent
             .app
             .dialect
             .decode_answer_head(answer.status(), answer.headers());
-        if said.not_executed || said.misdirected {
+        if head.not_executed || head.misdirected {
             return AttemptOutcome::NotExecuted;
         }
-        match said.attempt_id.as_deref() == Some(&*self.sent.id) && said.signature.is_some() {
+        match head.attempt_id.as_deref() == Some(&*self.sent.id) && head.signature.is_some() {
             true => AttemptOutcome::Stream(Box::new(answer), place),
             false => AttemptOutcome::Unknown,
         }
@@ -180,18 +180,18 @@
         *reply.headers_mut() = self.sent.app.dialect.reply_headers(&head.headers);
         tokio::spawn(async move {
             let id = self.sent.id.clone();
-            let whole = self.pump(body, place, &sender).await;
-            if !whole {
-                log::info!(target: "stream", id = &*id; "cut off");
-                // The caller must not take what it has for the whole answer.
-                let cut = io::Error::from(io::ErrorKind::ConnectionReset);
-                let _ = sender.send(Err(cut)).await;
+            let is_complete = self.pump(body, place, &sender).await;
+            if !is_complete {
+                log::info!(target: "stream", id = &*id; "stream aborted");
+                // The caller must not take a partial answer for a complete one.
+                let reset = io::Error::from(io::ErrorKind::ConnectionReset);
+                let _ = sender.send(Err(reset)).await;
             }
         });
         reply
     }
 
-    /// Passes an answer on that is no stream, once it is whole.
+    /// Forwards an answer that is not a stream, once it is complete.
     async fn reply_whole(self, head: http::response::Parts, body: Incoming) -> Reply {
         let Ok(bytes) = net::body::read(body, MAX_ANSWER_BYTES).await else {
             return Refusal::OutcomeUnknown.reply();
@@ -203,7 +203,7 @@
         reply
     }
 
-    /// Passes events on until the end; tells whether it was reached.
+    /// Forwards events until the end; returns whether it was reached.
     async fn pump(mut self, body: Incoming, place: Place, sender: &Sender) -> bool {
         let mut events = Events::new(body);
         let mut place = Some(place);
