--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,4 +1,4 @@
-//! What an instance answers to the questions of others.
+//! Handles the requests of other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,20 +22,20 @@
 use crate::steps;
 use crate::steps::accept;
 
-/// Answers a question.
+/// Handles a request of another instance.
 pub(crate) async fn handle(app: &Arc<App>, call: net::Call) -> Reply {
     let body = match net::body::read(call.body, MAX_MESSAGE_BYTES).await {
         Ok(body) => body,
         Err(error) => return reject(&error),
     };
-    let told = match record::decode(&body) {
+    let response = match record::decode(&body) {
         Ok(PeerRequest::Page { step, from, wait }) => {
             return page_reply(app, &step, from, wait).await;
         }
-        Ok(ask) => reply(app, ask).await,
+        Ok(request) => reply(app, request).await,
         Err(error) => return reject(&error),
     };
-    match record::encode(&told) {
+    match record::encode(&response) {
         Ok(bytes) => net::body::reply(StatusCode::OK, "application/msgpack", bytes),
         Err(error) => reject(&error),
     }
@@ -43,12 +43,12 @@
 
 fn reject(error: &dyn std::fmt::Display) -> Reply {
     let error = error.to_string();
-    log::warn!(target: "peer", error = error.as_str(); "improper question");
+    log::warn!(target: "peer", error = error.as_str(); "invalid peer request");
     net::body::reply(StatusCode::BAD_REQUEST, "text/plain", error)
 }
 
-/// Answers with results as they go to the caller, or with nothing when this instance is not sure of
-/// them.
+/// Replies with results in the form that callers get, or with no content when this instance cannot confirm that it
+/// still runs the step.
 async fn page_reply(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
     let page = match app.running_steps.get(step) {
         Some(work) => work.page(app, from, wait).await,
@@ -60,9 +60,9 @@
     }
 }
 
-async fn reply(app: &Arc<App>, ask: PeerRequest) -> PeerReply {
-    match ask {
-        // Answered with the results themselves.
+async fn reply(app: &Arc<App>, request: PeerRequest) -> PeerReply {
+    match request {
+        // Handled by `page_reply`.
         PeerRequest::Page { .. } => PeerReply::Acknowledged,
         PeerRequest::Submit(submission) => {
             PeerReply::Submit(accept::accept_from_peer(app, submission).await)
@@ -76,17 +76,17 @@
             hint::record(app, step, owner);
             PeerReply::Acknowledged
         }
-        PeerRequest::Poll { have, wait } => match wait_for_update(app, have, wait).await {
+        PeerRequest::Poll { state, wait } => match wait_for_update(app, state, wait).await {
             None if app.is_platform_unreachable() => PeerReply::PlatformUnreachable,
-            news => PeerReply::Update(news),
+            update => PeerReply::Update(update),
         },
         PeerRequest::Relay(_) if app.plat.is_unserved() => {
             PeerReply::Relay(Err(PlatError::Unreachable))
         }
-        PeerRequest::Counts { owner, tally } => {
+        PeerRequest::Counts { owner, snapshot } => {
             app.snapshots
                 .lock()
-                .update((owner.instance, owner.start), tally);
+                .update((owner.instance, owner.start), snapshot);
             PeerReply::Acknowledged
         }
         PeerRequest::WindowCounts(window) => {
@@ -105,32 +105,33 @@
         PeerRequest::ReachesReportAddress => {
             PeerReply::ReachesReportAddress(crate::tally::reaches(app).await)
         }
-        // Never through a third one: two that are turned away would ask each other forever.
+        // Not relayed any further: two instances that the platform turns away would relay to each other forever.
         PeerRequest::Relay(call) => PeerReply::Relay(app.plat.call_for_peer(&call).await),
         PeerRequest::RelayDirect(call) => PeerReply::Relay(call_with_timeout(app, &call).await),
     }
 }
 
-/// Makes a call whose answer is needed soon; that there is none is one as well.
+/// Calls the platform with a short time limit, since the requester has waited already and needs to know soon, also
+/// that there is no answer.
 async fn call_with_timeout(app: &App, call: &Call) -> Result<Answer, PlatError> {
     let limit = Duration::from_millis(RELAYED_READ_TIMEOUT);
-    let tried = tokio::time::timeout(limit, app.plat.call_direct(call)).await;
-    tried.unwrap_or(Err(PlatError::NoAnswer))
+    let answer = tokio::time::timeout(limit, app.plat.call_direct(call)).await;
+    answer.unwrap_or(Err(PlatError::NoAnswer))
 }
 
-/// Waits for something that a follower does not have yet.
-async fn wait_for_update(app: &App, mut have: SyncState, wait: Millis) -> Option<Update> {
-    let asked = app.clock.now();
+/// Waits up to `wait` milliseconds for an update that a follower in the given state lacks.
+async fn wait_for_update(app: &App, mut state: SyncState, wait: Millis) -> Option<Update> {
+    let started = app.clock.now();
     let mut changes = app.replica_changed.subscribe();
-    let age = have.age;
-    let newer = changes.wait_for(|()| {
+    let age = state.age;
+    let has_update = changes.wait_for(|()| {
         let now = app.clock.now();
-        // What the follower has grows older while it waits.
-        have.age = age.map(|age| age + (now - asked));
-        app.replica.lock().has_more(have, now)
+        // The follower's state ages while it waits.
+        state.age = age.map(|age| age + (now - started));
+        app.replica.lock().has_more(state, now)
     });
-    let found = tokio::time::timeout(Duration::from_millis(wait), newer).await;
-    // Neither over time nor dropped.
-    found.ok()?.ok()?;
-    Some(app.replica.lock().update_since(have, app.clock.now()))
+    let result = tokio::time::timeout(Duration::from_millis(wait), has_update).await;
+    // Neither timed out nor closed.
+    result.ok()?.ok()?;
+    Some(app.replica.lock().update_since(state, app.clock.now()))
 }
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/hand.rs
@@ -1,12 +1,11 @@
-//! Which instance takes a step that was submitted here.
+//! Selects the instance that runs a step submitted here.
 //!
-//! Load pattern: a trainer's steps come every few seconds and overlap, each at another instance. An
-//! owner that runs one step alone knows neither which slots the others of its model take nor how fast
-//! the engines are, and opens new connections to all of them. So the steps of one route go to one
-//! instance of the failure domain, the same in the eyes of all: one of those with the most processor.
-//! When it runs as many steps as it can, the next one of them is asked, in an order that is the same in the
-//! eyes of all; when one does not answer, or all decline, whoever was asked takes the step itself, however
-//! little processor it has. The write that accepts a step succeeds once, whoever makes it.
+//! Load pattern: a trainer's steps arrive every few seconds and overlap, each at another instance. An owner that
+//! runs a single step knows neither which slots the other steps of its model take nor how fast the engines are, and
+//! opens new connections to all of them. So the steps of one route go to one instance of the failure domain, one of
+//! those with the most CPU, ranked alike by all instances. When that one runs as many steps as it can, the next one
+//! in rank is asked. When one does not reply, or all decline, the instance that received the step runs it, however
+//! little CPU it has. The write that accepts a step succeeds once, whichever instance makes it.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -21,17 +20,17 @@
 use crate::steps::accept::Submission;
 use spread::Member;
 
-/// Part of the most processor that an instance has to have to take steps of others.
+/// Fraction of the largest CPU share in the domain that an instance needs to run steps of others.
 const MIN_CORES_RATIO: f64 = 0.9;
 
-/// Time for which an instance that did not answer gets no steps from here, in milliseconds: until
-/// then its entry has lapsed, or it is back.
+/// Time for which no steps are handed over to an instance that declined or did not reply, in milliseconds: long
+/// enough for its entry to lapse or for the instance to recover.
 const AVOID_TIME: Millis = 4_000;
 
-/// Instances that are asked in turn: each is sent the whole step, and one that declines answers at once.
+/// Instances that are asked in turn: each is sent the complete step, and one that declines replies at once.
 const MAX_CANDIDATES: usize = 3;
 
-/// The instances that take the steps of a route, in a failure domain, the first one first.
+/// Returns the instances of a failure domain that run the steps of a route, in order of preference.
 ///
 /// # Examples
 ///
@@ -53,36 +52,41 @@
 /// assert!(node::hand::preferred_owners(&members, "vest", "steps").is_empty());
 /// ```
 pub fn preferred_owners<'a>(members: &'a [Member], domain: &str, route: &str) -> Vec<&'a Member> {
-    let near = || {
+    let in_domain = || {
         let all = members.iter();
-        all.filter(|one| one.is_reader && *one.domain == *domain)
+        all.filter(|member| member.is_reader && *member.domain == *domain)
     };
-    let most = near().map(|one| one.centicores).max().unwrap_or(0);
-    let strong = |one: &&Member| f64::from(one.centicores) >= f64::from(most) * MIN_CORES_RATIO;
-    let mut takers: Vec<_> = near().filter(strong).collect();
-    takers.sort_by_key(|one| Reverse(rendezvous_rank(&one.owner.instance, route)));
-    takers
+    let max_centicores = in_domain()
+        .map(|member| member.centicores)
+        .max()
+        .unwrap_or(0);
+    let has_cpu = |member: &&Member| {
+        f64::from(member.centicores) >= f64::from(max_centicores) * MIN_CORES_RATIO
+    };
+    let mut owners: Vec<_> = in_domain().filter(has_cpu).collect();
+    owners.sort_by_key(|member| Reverse(rendezvous_rank(&member.owner.instance, route)));
+    owners
 }
 
-/// What came of handing a step over.
+/// The outcome of handing a step over.
 pub enum HandoverOutcome {
-    /// Another instance has answered for it.
+    /// Another instance has replied whether the step is accepted.
     Answered(AcceptOutcome),
-    /// It is to be taken here.
+    /// The step is to be accepted here.
     Local,
-    /// It is to be taken here, and another instance that was asked and did not answer may have taken it.
+    /// The step is to be accepted here, but another instance that did not reply may have accepted it.
     Unclear,
 }
 
-/// Hands a step to an instance that takes its route's steps.
+/// Hands a step over to the instance preferred for its route.
 pub async fn hand_over(app: &Arc<App>, submission: &Submission) -> HandoverOutcome {
     for member in candidates(app, submission) {
         let name = &member.owner.instance;
         if *name == app.me.instance {
             return HandoverOutcome::Local;
         }
-        let handed = peer::submit(app, member.addr, submission).await;
-        let outcome = match handed {
+        let result = peer::submit(app, member.addr, submission).await;
+        let outcome = match result {
             SubmitOutcome::Answered(accepted) => return HandoverOutcome::Answered(accepted),
             SubmitOutcome::Declined => "declined",
             SubmitOutcome::NoReply => "silent",
@@ -90,28 +94,28 @@
         log::info!(target: "steps", id = &*submission.id, instance = &**name, outcome;
             "step not handed over");
         app.avoid(name, app.clock.now() + AVOID_TIME);
-        if matches!(handed, SubmitOutcome::NoReply) {
-            // The trainer has waited a second already.
+        if matches!(result, SubmitOutcome::NoReply) {
+            // The trainer has waited for a second already.
             return HandoverOutcome::Unclear;
         }
     }
     HandoverOutcome::Local
 }
 
-/// The instances to ask, but for those that did not take a step a moment ago.
+/// Returns the instances to ask, without those that recently did not take a step.
 fn candidates(app: &App, submission: &Submission) -> Vec<Member> {
-    let plan = app.config.load();
-    let route = plan
+    let config = app.config.load();
+    let route = config
         .as_ref()
-        .and_then(|plan| plan.find_route(&submission.host, &submission.path));
+        .and_then(|config| config.find_route(&submission.host, &submission.path));
     let Some(route) = route else {
         return Vec::new();
     };
     let members = app.members.lock();
-    let takers = preferred_owners(&members, &app.settings.domain, &route.name);
+    let owners = preferred_owners(&members, &app.settings.domain, &route.name);
     let now = app.clock.now();
-    let open = takers
+    let available = owners
         .into_iter()
-        .filter(|one| now >= app.avoided_until(&one.owner.instance));
-    open.take(MAX_CANDIDATES).cloned().collect()
+        .filter(|member| now >= app.avoided_until(&member.owner.instance));
+    available.take(MAX_CANDIDATES).cloned().collect()
 }
--- a/crates/node/src/hint.rs
+++ b/crates/node/src/hint.rs
@@ -1,9 +1,9 @@
-//! Which instance runs a step, without a call of the platform.
+//! Hints at which instance runs a step, to save calls of the platform.
 //!
-//! Callers read a step's results at any instance, twice a second, and each instance would have to
-//! read the step's head at the platform first. So the owner of a step tells one instance, which all
-//! find by rank, and whoever is asked for the step asks that one. A hint may be missing or wrong
-//! without harm: what it leads to says itself whether it is sure, and the platform is read else.
+//! Callers read a step's results at any instance, twice a second, and each instance would first have to read the
+//! step's head at the platform. Instead, the owner publishes itself to one keeper, which all instances find by
+//! rank, and the instances that callers ask look it up there. A missing or wrong hint does no harm: the instance
+//! that it names confirms that it runs the step, and otherwise the platform is read.
 
 use std::sync::Arc;
 
@@ -14,55 +14,49 @@
 use crate::peer;
 use spread::Member;
 
-/// Time for which a hint is kept, in milliseconds: a step is read for as long as it is open, and
-/// no trainer waits longer for one.
+/// Time for which a hint is kept, in milliseconds: callers read a step only while it is open, and no trainer waits
+/// longer for one.
 const HINT_TTL: Millis = 30_000;
 
-/// Who runs a step, as far as is known here.
+/// The instance that was last known to run a step.
 #[derive(Clone, Debug)]
 pub struct Hint {
     owner: Arc<str>,
     recorded_at: Millis,
 }
 
-/// The instance that keeps the hint of a step.
+/// Returns the instance that keeps the hint of a step.
 fn keeper(app: &App, step: &str) -> Option<Member> {
     let members = app.members.lock();
-    let entries = members.iter().filter(|one| one.is_reader);
-    let best = entries.max_by_key(|one| rendezvous_rank(&one.owner.instance, step));
-    best.cloned()
+    let entries = members.iter().filter(|member| member.is_reader);
+    let highest = entries.max_by_key(|member| rendezvous_rank(&member.owner.instance, step));
+    highest.cloned()
 }
 
-/// Notes who runs a step.
+/// Records which instance runs a step.
 pub fn record(app: &App, step: Arc<str>, owner: Arc<str>) {
-    let at = app.clock.now();
-    app.hints.insert(
-        step,
-        Hint {
-            owner,
-            recorded_at: at,
-        },
-    );
+    let recorded_at = app.clock.now();
+    app.hints.insert(step, Hint { owner, recorded_at });
 }
 
-/// Who runs a step, if that is known here.
+/// Returns the owner of a step from the hints kept here.
 pub fn get(app: &App, step: &Arc<str>) -> Option<Arc<str>> {
     app.hints.get(step).map(|hint| hint.owner)
 }
 
-/// Forgets who runs a step, since that one knows nothing of it.
+/// Removes the hint of a step whose named owner does not run it.
 pub fn remove(app: &App, step: &Arc<str>) {
     app.hints.remove(step);
 }
 
-/// Forgets hints that nobody needs any more.
+/// Removes expired hints.
 pub fn prune(app: &App) {
     let now = app.clock.now();
     app.hints
         .for_each_shard(|map| map.retain(|_, hint| now < hint.recorded_at + HINT_TTL));
 }
 
-/// Tells the keeper of a step's hint that this instance runs it.
+/// Publishes this instance as the owner of a step to the keeper of its hint.
 pub fn publish(app: &Arc<App>, step: &Arc<str>) {
     let owner = app.me.instance.clone();
     record(app, step.clone(), owner.clone());
@@ -73,11 +67,11 @@
         return;
     }
     let (app, step) = (app.clone(), step.clone());
-    // Whether it arrives matters little: without it the platform is read.
+    // A lost hint does no harm: the platform is read instead.
     tokio::spawn(async move { peer::publish_owner(&app, keeper.addr, step, owner).await });
 }
 
-/// Who runs a step, if that is known here or at the keeper of its hint.
+/// Returns the owner of a step from the hints kept here or at the keeper.
 pub async fn find_owner(app: &App, step: &Arc<str>) -> Option<Arc<str>> {
     if let Some(owner) = get(app, step) {
         return Some(owner);
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -1,4 +1,5 @@
-//! An instance's own entry at the platform: others see from it that this start lives.
+//! This instance's entry at the platform, which shows other instances that this process is alive, and the list of
+//! all entries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,62 +21,63 @@
 use crate::reach::DependencyStatus;
 use crate::settings::Role;
 
-/// What the keys of instances begin with.
+/// Prefix of the keys of instances.
 pub const KEY_PREFIX: &str = "snipeway/instance/";
 
-/// Time between two looks at whether an entry is to be renewed, or has to live for another time.
+/// Interval between checks whether the entry has to be renewed or needs another TTL.
 const ENTRY_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time between two looks at whether all entries are to be read; an instance that is asked in vain
-/// costs one time limit. The first looks after a start are closer together.
+/// Longest interval between checks whether the list of members has to be read; each check may cost one time limit
+/// when a source does not reply. The first checks after a start are closer together.
 const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Longest time for which others are not read while this instance has not entered, in milliseconds.
+/// Longest time that the first read of other entries waits for this instance's own, in milliseconds.
 const ENTER_TIMEOUT: Millis = 400;
 
-/// Time between two looks at whether it has.
+/// Interval between checks whether the own entry has been written.
 const ENTER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Age of what is known of other instances from which it is read, in milliseconds: whoever reads the
-/// configuration for others passes it on more often.
+/// Age of the list of members from which this instance reads it itself, in milliseconds. The instances that read
+/// the configuration for others pass the list on more often than that.
 const MAX_MEMBERSHIP_AGE: Millis = 4_500;
 
-/// Pause after a failed call.
+/// Pause after a failed write of the entry.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Hundredths in a core.
+/// Centicores per core.
 const CENTICORES_PER_CORE: f64 = 100.0;
 
-/// The key of an instance.
+/// Returns the key of an instance.
 pub fn key(instance: &str) -> String {
     format!("{KEY_PREFIX}{instance}")
 }
 
-/// Reads an entry.
+/// Decodes an entry; [`None`] if it is invalid.
 pub fn decode(value: &[u8]) -> Option<Member> {
     record::decode(value).ok()
 }
 
-/// Follows the entries of all instances where nobody else tells of them.
+/// Keeps the list of members current where no other instance passes it on.
 pub async fn refresh_members(app: Arc<App>) {
-    let begun = app.clock.now();
-    // Those who start together see one another only then.
-    while app.own_entry().is_none() && app.clock.now() < begun + ENTER_TIMEOUT {
+    let started = app.clock.now();
+    // Instances that start together see one another's entries only after that.
+    while app.own_entry().is_none() && app.clock.now() < started + ENTER_TIMEOUT {
         sleep(ENTER_POLL_INTERVAL).await;
     }
     read_members(&app).await;
-    // All instances may have started in the same moment, and whoever knows no other one reads everything for itself.
+    // All instances may have started at the same moment, and one that knows no other reads the configuration and
+    // the lists itself.
     let mut pause = Duration::from_millis(timing::FIRST_MEMBER_POLL);
     let mut round = 0;
     loop {
         sleep(pause).await;
-        let (now, met) = (app.clock.now(), app.members_updated_at());
-        let is_young = pause < MAX_REFRESH_INTERVAL && !app.has_full_membership();
-        // Control instances have nobody to tell them unless they lead.
-        let waits = app.settings.role == Role::Entry && app.tree_position().is_partial;
-        if is_young || waits {
+        let (now, updated) = (app.clock.now(), app.members_updated_at());
+        let is_starting = pause < MAX_REFRESH_INTERVAL && !app.has_full_membership();
+        // Control instances have no source to follow unless they lead.
+        let lacks_source = app.settings.role == Role::Entry && app.tree_position().is_partial;
+        if is_starting || lacks_source {
             read_members(&app).await;
-        } else if now >= met + MAX_MEMBERSHIP_AGE && is_turn(&app, round) {
+        } else if now >= updated + MAX_MEMBERSHIP_AGE && is_turn(&app, round) {
             refresh_all(&app).await;
         }
         round += 1;
@@ -83,11 +85,11 @@
     }
 }
 
-/// Tells whether this instance may read all entries in this round. Those that give orders are few.
+/// Returns whether this instance may read all entries in this round. Control instances are few and always may.
 fn is_turn(app: &App, round: u32) -> bool {
     let members = app.members.lock().len();
-    let every = read_budget::rounds_per_read(members, members);
-    app.settings.role == Role::Control || read_budget::is_turn(&app.me.instance, round, every)
+    let rounds = read_budget::rounds_per_read(members, members);
+    app.settings.role == Role::Control || read_budget::is_turn(&app.me.instance, round, rounds)
 }
 
 async fn refresh_all(app: &App) {
@@ -97,29 +99,30 @@
     }
 }
 
-/// Reads who has entered, or the entries of some if there are many: enough to hear of the rest from one of them.
-/// When a thousand start together and each reads all entries, that alone takes the platform's link for a second.
+/// Reads all entries, or a part if there are many: enough to get the rest from one of those instances. If a
+/// thousand instances that start together read all entries, that alone would saturate the platform's link for a
+/// second.
 pub async fn read_members(app: &App) {
-    let mut some = match app.plat.page_stale(KEY_PREFIX, None).await {
-        Ok(some) => some,
+    let mut page = match app.plat.page_stale(KEY_PREFIX, None).await {
+        Ok(page) => page,
         Err(error) => return log_read_failure(&error),
     };
-    if some.more {
-        // The first ones are the same for all, and those behind its own key are others for each.
+    if page.more {
+        // The first page is the same for all instances; the page after its own key differs for each.
         match app
             .plat
             .page_stale(KEY_PREFIX, Some(key(&app.me.instance)))
             .await
         {
-            Ok(more) => some.items.extend(more.items),
+            Ok(more) => page.items.extend(more.items),
             Err(error) => log_read_failure(&error),
         }
     }
-    let members = some.items.iter().filter_map(|item| decode(&item.value));
+    let members = page.items.iter().filter_map(|item| decode(&item.value));
     let mut members: Vec<Member> = members.collect();
     members.sort_by(|a, b| a.owner.instance.cmp(&b.owner.instance));
     members.dedup_by(|a, b| a.owner.instance == b.owner.instance);
-    match some.more {
+    match page.more {
         _ if app.has_full_membership() => (),
         true => app.set_partial_members(members, &own_record(app)),
         false => app.set_members(members),
@@ -128,7 +131,7 @@
 
 fn log_read_failure(error: &PlatError) {
     let error = error.to_string();
-    log::debug!(target: "member", error = error.as_str(); "instances not read");
+    log::debug!(target: "member", error = error.as_str(); "list of members not read");
 }
 
 /// Reads the entries of all instances.
@@ -142,48 +145,47 @@
     Ok(members.collect())
 }
 
-/// This instance's entry as it was last written.
+/// This instance's entry as last written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnEntry {
-    /// The lease that it has.
+    /// The lease that it is bound to.
     pub lease: i64,
-    /// How long it lives, in milliseconds.
+    /// The TTL in milliseconds.
     pub ttl: Millis,
 }
 
-/// Keeps the entry until the instance has left.
+/// Writes and renews the entry until the instance has left.
 pub async fn maintain_entry(app: Arc<App>) {
-    let mut reach = DependencyStatus::new("own entry");
+    let mut status = DependencyStatus::new("own entry");
     loop {
         match write_entry(&app, target_ttl(&app)).await {
             Ok(()) => {
-                reach.mark_restored();
-                renew_entry(&app, &mut reach).await;
+                status.mark_restored();
+                renew_entry(&app, &mut status).await;
             }
             Err(error) => {
-                reach.mark_lost(&error);
+                status.mark_lost(&error);
                 sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Makes the entry live short if it does not, before this instance takes on what others would have to take
-/// up. One that was killed right after it had accepted a step would be missed 9 s later otherwise.
+/// Rewrites the entry with a short TTL if it has a longer one, before this instance takes on work that others would
+/// have to take over. If it were killed right after it had accepted a step, that would otherwise be noticed 9 s
+/// later.
 ///
 /// # Errors
 ///
 /// Returns [`PlatError`].
 pub async fn shorten_ttl(app: &App) -> Result<(), PlatError> {
     match app.own_entry() {
-        Some(entered) if entered.ttl > lease::ACTIVE_TTL => {
-            write_entry(app, lease::ACTIVE_TTL).await
-        }
+        Some(entry) if entry.ttl > lease::ACTIVE_TTL => write_entry(app, lease::ACTIVE_TTL).await,
         _ => Ok(()),
     }
 }
 
-/// What this instance writes of itself.
+/// Returns the contents of this instance's entry.
 fn own_record(app: &App) -> Member {
     Member {
         owner: app.me.clone(),
@@ -194,22 +196,22 @@
     }
 }
 
-/// How long an entry would live that is written now: short for an instance that runs steps, gives orders or may have to,
-/// or is among those that the others of its failure domain follow.
+/// Returns the TTL that a new entry would get: short for control instances, for instances that run steps, and for
+/// those that the others of their failure domain follow.
 fn target_ttl(app: &App) -> Millis {
-    let place = app.tree_position();
-    if app.settings.role == Role::Control || !app.running_steps.is_empty() || place.is_head {
+    let position = app.tree_position();
+    if app.settings.role == Role::Control || !app.running_steps.is_empty() || position.is_head {
         return lease::ACTIVE_TTL;
     }
-    match place.is_leaf {
+    match position.is_leaf {
         true => lease::leaf_ttl(app.members.lock().len()),
         false => lease::IDLE_TTL,
     }
 }
 
 async fn write_entry(app: &App, ttl: Millis) -> Result<(), PlatError> {
-    let granted = ttl.max(app.settings.min_lease);
-    let lease = app.plat.grant(granted).await?.id;
+    let lease_ttl = ttl.max(app.settings.min_lease);
+    let lease = app.plat.grant(lease_ttl).await?.id;
     let value = record::encode(&own_record(app)).map_err(|_| PlatError::Garbled)?;
     let put = Put {
         key: key(&app.me.instance),
@@ -222,24 +224,24 @@
     };
     app.plat.txn(&txn).await?;
     app.set_own_entry(OwnEntry { lease, ttl });
-    log::info!(target: "member", lease, ttl_ms = granted; "entered");
+    log::info!(target: "member", lease, ttl_ms = lease_ttl; "entered");
     Ok(())
 }
 
-/// Renews the entry until it has lapsed, or has to live for another time.
-async fn renew_entry(app: &App, reach: &mut DependencyStatus) {
-    let mut last = None;
+/// Renews the entry until it has lapsed or needs another TTL.
+async fn renew_entry(app: &App, status: &mut DependencyStatus) {
+    let mut renewed_lease = None;
     loop {
         sleep(ENTRY_CHECK_INTERVAL).await;
         let Some(OwnEntry { lease, ttl }) = app.own_entry() else {
             return;
         };
         let now = app.clock.now();
-        // Another entry was written meanwhile.
-        if last.is_none_or(|(known, _)| known != lease) {
-            last = Some((lease, now));
+        // The entry was rewritten in the meantime.
+        if renewed_lease.is_none_or(|(renewed_id, _)| renewed_id != lease) {
+            renewed_lease = Some((lease, now));
         }
-        let renewed = last.map_or(now, |(_, at)| at);
+        let renewed = renewed_lease.map_or(now, |(_, since)| since);
         match lease::next_action(ttl, target_ttl(app), now - renewed) {
             LeaseAction::Keep => continue,
             LeaseAction::Rewrite => return,
@@ -247,36 +249,30 @@
         }
         match app.plat.renew(lease).await {
             Ok(true) => {
-                reach.mark_restored();
-                last = Some((lease, now));
-            }
-            Ok(false)
-                if app
-                    .own_entry()
-                    .is_some_and(|entered| entered.lease != lease) =>
-            {
-                ()
+                status.mark_restored();
+                renewed_lease = Some((lease, now));
             }
+            Ok(false) if app.own_entry().is_some_and(|entry| entry.lease != lease) => (),
             Ok(false) => {
-                log::warn!(target: "member", lease; "own entry has lapsed");
+                log::warn!(target: "member", lease; "own entry lapsed");
                 return;
             }
-            Err(error) => reach.mark_lost(&error),
+            Err(error) => status.mark_lost(&error),
         }
     }
 }
 
-/// Takes the entry away, so that others take up at once what this instance leaves behind.
+/// Removes the entry, so that others take over at once what this instance leaves behind.
 ///
-/// An instance that is told to leave before it could enter has no lease, and must end none: number 0
-/// stands for what has no lease, and a store that takes it at its word loses every step.
+/// An instance that is told to leave before its entry was written has no lease and must not revoke one: 0 stands
+/// for records without a lease, and a store that revoked lease 0 literally would delete every step.
 pub async fn remove_entry(app: &App) {
     let Some(OwnEntry { lease, .. }) = app.own_entry() else {
-        log::info!(target: "member", "leaves without having entered");
+        log::info!(target: "member", "leaving before the own entry was written");
         return;
     };
     if let Err(error) = app.plat.revoke(lease).await {
         let error = error.to_string();
-        log::warn!(target: "member", error = error.as_str(); "own entry left to lapse");
+        log::warn!(target: "member", error = error.as_str(); "own entry not removed, it will lapse");
     }
 }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! The questions of instances to one another, and the answers.
+//! Requests between instances and their replies.
 
 use std::sync::Arc;
 
@@ -17,18 +17,18 @@
 use crate::steps::accept::AcceptOutcome;
 use crate::steps::accept::Submission;
 
-/// Most bytes of a question or an answer.
+/// Largest request or reply in bytes.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// Time that the platform has to answer a call that is made for another instance which has waited already: that it does
-/// not is to be heard there within a second of the question.
+/// Time limit of a platform call made for another instance that has waited already, in milliseconds. That instance
+/// has to learn within a second of its request that the platform does not answer.
 pub(crate) const RELAYED_READ_TIMEOUT: Millis = 450;
 
-/// A question.
+/// A request to another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum PeerRequest {
-    /// Results of a step that the other one runs.
+    /// The results of a step that the receiver runs, from a position on.
     Page {
         step: Arc<str>,
         from: usize,
@@ -36,51 +36,59 @@
     },
     /// A step to accept.
     Submit(Submission),
-    /// The body of a sample of a step that the other one runs.
+    /// The body of a sample of a step that the receiver runs.
     Body { step: Arc<str>, sample: Arc<str> },
-    /// Who runs a step.
+    /// Which instance runs a step.
     Owner(Arc<str>),
-    /// That an instance runs a step.
+    /// Records the owner of a step at the keeper of its hint.
     #[serde(rename = "Own")]
     SetOwner { step: Arc<str>, owner: Arc<str> },
-    /// A read of the platform that is newer than what the follower has.
+    /// Waits for a read of the platform that is newer than the sender's replica.
     #[serde(rename = "News")]
-    Poll { have: SyncState, wait: Millis },
-    /// A call of the platform.
+    Poll {
+        #[serde(rename = "have")]
+        state: SyncState,
+        wait: Millis,
+    },
+    /// A platform call to make for the sender.
     Relay(Call),
-    /// A call that is to be made though the platform did not serve the other one a moment ago.
+    /// A platform call to make even if the receiver's own calls were refused a moment ago.
     #[serde(rename = "Try")]
     RelayDirect(Call),
-    /// What an entry instance has counted, for its keeper.
+    /// The request counts of an entry instance, for its keeper.
     #[serde(rename = "Tally")]
-    Counts { owner: Owner, tally: Snapshot },
-    /// What is known of the requests of a window.
+    Counts {
+        owner: Owner,
+        #[serde(rename = "tally")]
+        snapshot: Snapshot,
+    },
+    /// The known request counts of a window.
     #[serde(rename = "Shares")]
     WindowCounts(u64),
-    /// Whether the address that takes reports can be reached.
+    /// Whether the receiver can connect to the address that takes usage reports.
     #[serde(rename = "Reaches")]
     ReachesReportAddress,
-    /// That a step has ended, whose head had this revision.
+    /// Reports that a step whose head had this revision has ended.
     Ended { step: Arc<str>, rev: i64 },
-    /// That somebody else runs a step, whose head had this revision.
+    /// Reports that another instance has taken over a step whose head had this revision.
     #[serde(rename = "Taken")]
     TakenOver { step: Arc<str>, rev: i64 },
 }
 
-/// An answer.
+/// A reply.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum PeerReply {
-    /// Nothing when the asking one had better take the step.
+    /// [`None`] when the receiver declines the step.
     Submit(Option<AcceptOutcome>),
-    /// Nothing when the step is not run here; inside, nothing when it has no such sample.
+    /// [`None`] when the receiver does not run the step; [`None`] inside when the step has no such sample.
     Body(Option<Option<Vec<u8>>>),
     Owner(Option<Arc<str>>),
     #[serde(rename = "Noted")]
     Acknowledged,
     #[serde(rename = "News")]
     Update(Option<Update>),
-    /// There is no newer read, since the platform does not answer.
+    /// There is no newer read because the platform does not answer.
     #[serde(rename = "Blind")]
     PlatformUnreachable,
     Relay(Result<Answer, PlatError>),
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -1,4 +1,4 @@
-//! Following the configuration and the list of upstreams.
+//! Replication of the configuration, the list of upstreams and the list of members.
 
 mod belief;
 mod intake;
@@ -25,65 +25,64 @@
 use intake::AppliedState;
 use reader::PlatformReader;
 
-/// Time for which an instance that has just started waits until it knows others, in milliseconds: it enters
-/// before it reads their entries, and callers wait for an instance that is not ready.
+/// Longest time that a starting instance waits for the list of members, in milliseconds: it writes its own entry
+/// before it reads the others, and callers wait while it is not ready.
 const MEMBERS_TIMEOUT: Millis = 600;
 
-/// Time between two looks at whether others are known.
+/// Interval between checks whether members are known.
 const MEMBERS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Instances that are asked for the list by one that has just started and would read it itself.
+/// Number of other instances that a starting instance polls if it would otherwise read the platform.
 const MAX_STARTUP_PEERS: usize = 3;
 
-/// What the keys of the records begin with in which instances say which requests crash upstreams.
+/// Prefix of the records in which instances publish which requests crash upstreams.
 pub(crate) const CRASH_REPORTS_PREFIX: &str = "snipeway/crash/";
 
-/// Follows the configuration and the list of upstreams.
+/// Keeps the configuration and the list of upstreams current.
 ///
-/// One instance reads the platform, and the others hear from it along a tree. Whoever hears nothing in time from
-/// the one that it follows asks a second one and then any other; the first ones of each failure domain read for
-/// themselves instead, so a reader that is gone or turned away costs a moment. Each read gives
-/// the whole state. A watch would cost less, but may be silent for many seconds after the platform
-/// has dropped its history, and a change of the configuration would come into force long after its
-/// bound.
+/// One instance reads the platform, and the others get updates from it along a tree. An instance that gets no
+/// update in time from its source polls a second one and then any other; the first ones of each failure domain read
+/// the platform instead, so the loss of a reader costs only moments. Each read returns the whole state. A watch
+/// would cost less, but it may stay silent for many seconds after the platform has compacted its history, and a
+/// change of the configuration would then take effect long after its limit.
 pub async fn follow(app: Arc<App>) {
-    let mut listener = Synchronizer::new(&app);
-    let mut reach = DependencyStatus::new("configuration and upstreams");
-    listener.bootstrap().await;
+    let mut synchronizer = Synchronizer::new(&app);
+    let mut status = DependencyStatus::new("configuration and upstreams");
+    synchronizer.bootstrap().await;
     loop {
-        let begun = app.clock.now();
-        let pause = match listener.round().await {
+        let started = app.clock.now();
+        let pause = match synchronizer.round().await {
             RoundOutcome::Updated => {
-                reach.mark_restored();
+                status.mark_restored();
                 continue;
             }
             RoundOutcome::NotUpdated => 0,
             RoundOutcome::Read(Ok(())) => {
-                reach.mark_restored();
+                status.mark_restored();
                 timing::MIN_READ_PAUSE
             }
             RoundOutcome::Read(Err(error)) => {
-                reach.mark_lost(&error);
+                status.mark_lost(&error);
                 timing::MIN_READ_PAUSE
             }
         };
-        let used = app.clock.now() - begun;
-        let rest = timing::READ_INTERVAL.saturating_sub(used).max(pause);
-        sleep(Duration::from_millis(rest)).await;
+        let elapsed = app.clock.now() - started;
+        let wait = timing::READ_INTERVAL.saturating_sub(elapsed).max(pause);
+        sleep(Duration::from_millis(wait)).await;
     }
 }
 
-/// What came of a round.
+/// The outcome of a round.
 enum RoundOutcome {
-    /// Another instance has told something.
+    /// Another instance has sent an update.
     Updated,
-    /// Nobody has told anything, and it is not this instance's turn to read.
+    /// No source has sent an update, and it is not this instance's turn to read.
     NotUpdated,
-    /// It has read the platform, or tried to.
+    /// The platform was read, or a read has failed.
     Read(Result<(), PlatError>),
 }
 
-/// An instance that follows others, and reads when it has to.
+/// Polls other instances, and reads the platform when it has to.
 struct Synchronizer<'a> {
     app: &'a App,
     follower: Follower,
@@ -113,13 +112,13 @@
         }
     }
 
-    /// Waits until other instances are known, and asks some of them for the list if this one would read it
-    /// for all. What they know was read by somebody who knows what has been removed since, so nobody who
-    /// follows this one has to be told the whole list again.
+    /// Waits until members are known, and polls some of them if this instance would otherwise read the platform.
+    /// Their state was read by an instance that knows which entries were removed since, so that instances which
+    /// poll this one need not get the complete list again.
     async fn bootstrap(&mut self) {
         let app = self.app;
-        let begun = app.clock.now();
-        while app.members_updated_at() == 0 && app.clock.now() < begun + MEMBERS_TIMEOUT {
+        let started = app.clock.now();
+        while app.members_updated_at() == 0 && app.clock.now() < started + MEMBERS_TIMEOUT {
             sleep(MEMBERS_CHECK_INTERVAL).await;
         }
         if !app.tree_position().sources.is_empty() || self.poll_others().await {
@@ -129,41 +128,41 @@
         member::read_members(app).await;
     }
 
-    /// Asks some others for the list; tells whether one had it.
+    /// Polls some other instances; returns whether one had the complete list.
     async fn poll_others(&mut self) -> bool {
         for _ in 0..MAX_STARTUP_PEERS {
-            let Some(other) = self.follower.pick_other(&self.view()) else {
+            let Some(addr) = self.follower.pick_other(&self.view()) else {
                 return false;
             };
-            while let PollOutcome::Update(news) =
-                peer::poll(self.app, other, self.app.sync_state(), 0).await
+            while let PollOutcome::Update(update) =
+                peer::poll(self.app, addr, self.app.sync_state(), 0).await
             {
-                self.apply_update(&news);
+                self.apply_update(&update);
                 if self.app.replica.lock().is_complete() {
                     return true;
                 }
             }
-            self.follower.avoid(other, self.app.clock.now());
+            self.follower.avoid(addr, self.app.clock.now());
         }
         false
     }
 
-    /// Asks the sources in turn, or reads.
+    /// Polls the sources in turn, or reads the platform.
     async fn round(&mut self) -> RoundOutcome {
-        let mut next = self
+        let mut action = self
             .follower
             .begin_round(&self.view(), self.app.clock.now());
         loop {
-            match next {
+            match action {
                 Action::Poll(addr, wait) => {
                     match peer::poll(self.app, addr, self.app.sync_state(), wait).await {
-                        PollOutcome::Update(news) => {
-                            self.apply_update(&news);
+                        PollOutcome::Update(update) => {
+                            self.apply_update(&update);
                             self.follower.update_received();
                             self.app.set_platform_unreachable(false);
                             return RoundOutcome::Updated;
                         }
-                        PollOutcome::Failed(lack) => next = self.poll_failed(lack),
+                        PollOutcome::Failed(failure) => action = self.poll_failed(failure),
                     }
                 }
                 Action::Pause => return RoundOutcome::NotUpdated,
@@ -172,28 +171,30 @@
         }
     }
 
-    fn poll_failed(&mut self, lack: PollFailure) -> Action {
-        let next = self
+    fn poll_failed(&mut self, failure: PollFailure) -> Action {
+        let action = self
             .follower
-            .poll_failed(&self.view(), lack, self.app.clock.now());
-        if (next, lack) == (Action::Pause, PollFailure::PlatformUnreachable) {
+            .poll_failed(&self.view(), failure, self.app.clock.now());
+        if (action, failure) == (Action::Pause, PollFailure::PlatformUnreachable) {
             self.app.set_platform_unreachable(true);
         }
-        next
+        action
     }
 
-    /// Takes in what a source tells.
-    fn apply_update(&mut self, news: &Update) {
+    /// Merges an update into the replica and applies the changes.
+    fn apply_update(&mut self, update: &Update) {
         let now = self.app.clock.now();
-        let changes = self.app.update_replica(|board| board.merge(news, now));
+        let changes = self
+            .app
+            .update_replica(|replica| replica.merge(update, now));
         self.applied.apply_changes(self.app, changes);
     }
 
     async fn read_platform(&mut self) -> Result<(), PlatError> {
-        let begun = self.app.clock.now();
-        let done = self.reader.read(self.app, &mut self.applied).await;
-        self.follower.read_took(self.app.clock.now() - begun);
-        self.app.set_platform_unreachable(done.is_err());
-        done
+        let started = self.app.clock.now();
+        let result = self.reader.read(self.app, &mut self.applied).await;
+        self.follower.read_took(self.app.clock.now() - started);
+        self.app.set_platform_unreachable(result.is_err());
+        result
     }
 }
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/news/belief.rs
@@ -1,4 +1,4 @@
-//! What is believed of listed upstreams.
+//! Applies changes of the list of upstreams.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,37 +9,37 @@
 
 use crate::App;
 
-/// Takes in the list of upstreams as it was read at `at`, here or by whoever told it.
+/// Applies the list of upstreams that was read at `read_at`, here or by the source of an update.
 pub(super) fn apply_upstreams(
     app: &App,
-    list: &BTreeMap<String, Arc<Upstream>>,
+    listed: &BTreeMap<String, Arc<Upstream>>,
     rev: i64,
-    at: Millis,
+    read_at: Millis,
 ) {
-    let beliefs = {
-        let mut roster = app.upstreams.lock();
-        let beliefs = roster.update_shared(list.values().cloned(), at);
-        // Nothing is to be forgotten of upstreams while none comes or goes.
-        if !beliefs.is_empty() {
-            app.service_tracker.lock().prune(&roster);
-            app.engine_tracker.lock().prune(&roster);
+    let changes = {
+        let mut upstreams = app.upstreams.lock();
+        let changes = upstreams.update_shared(listed.values().cloned(), read_at);
+        // Trackers need pruning only if upstreams were added or removed.
+        if !changes.is_empty() {
+            app.service_tracker.lock().prune(&upstreams);
+            app.engine_tracker.lock().prune(&upstreams);
         }
-        beliefs
+        changes
     };
-    for belief in &beliefs {
-        log_change(belief, rev);
+    for change in &changes {
+        log_change(change, rev);
     }
     metrics::gauge!(crate::meter::UPSTREAMS_AGE).set(0.0);
     app.capacity_changed.notify_waiters();
 }
 
-fn log_change(belief: &UpstreamChange, rev: i64) {
-    let (one, what) = match belief {
-        UpstreamChange::Added(one) => (one, "upstream in"),
-        UpstreamChange::Leaving(one) => (one, "upstream leaving"),
-        UpstreamChange::Removed(one) => (one, "upstream out"),
+fn log_change(change: &UpstreamChange, rev: i64) {
+    let (upstream, message) = match change {
+        UpstreamChange::Added(upstream) => (upstream, "upstream added"),
+        UpstreamChange::Leaving(upstream) => (upstream, "upstream leaving"),
+        UpstreamChange::Removed(upstream) => (upstream, "upstream removed"),
     };
-    let addr = one.addr.to_string();
-    log::info!(target: "news", upstream = &*one.id, service = &*one.service,
-        address = addr.as_str(), revision = rev; "{what}");
+    let addr = upstream.addr.to_string();
+    log::info!(target: "news", upstream = &*upstream.id, service = &*upstream.service,
+        address = addr.as_str(), revision = rev; "{message}");
 }
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/news/intake.rs
@@ -1,4 +1,5 @@
-//! Taking in the configuration, the list of upstreams and who has entered.
+//! Applies changes of the replica to this instance: the configuration, the list of upstreams, crash reports and the
+//! list of members.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,19 +16,19 @@
 use super::belief;
 use crate::App;
 
-/// Puts a configuration in force unless a newer one is.
+/// Puts a configuration in force unless that one or a newer one already is.
 fn activate_config(app: &App, item: &Item) {
-    let plan = match app.dialect.decode_config(&item.value) {
-        Ok(plan) => plan,
+    let config = match app.dialect.decode_config(&item.value) {
+        Ok(config) => config,
         Err(error) => {
             let error = error.to_string();
             log::error!(target: "news", revision = item.rev, error = error.as_str();
-                "configuration not understood");
+                "configuration is invalid");
             return;
         }
     };
-    let version = plan.version;
-    if !replace_config(app, plan) {
+    let version = config.version;
+    if !replace_config(app, config) {
         return;
     }
     metrics::gauge!(crate::meter::CONFIG_VERSION).set(version as f64);
@@ -35,41 +36,41 @@
     app.capacity_changed.notify_waiters();
 }
 
-/// Replaces the configuration by a newer one; a late answer with an older one changes nothing.
-fn replace_config(app: &App, plan: Config) -> bool {
-    let held = app.config.load();
-    if held
+/// Replaces the configuration by a newer one; an older one that arrives late is ignored.
+fn replace_config(app: &App, config: Config) -> bool {
+    let current = app.config.load();
+    if current
         .as_ref()
-        .is_some_and(|held| held.version >= plan.version)
+        .is_some_and(|current| current.version >= config.version)
     {
         return false;
     }
-    app.config.store(Some(Arc::new(plan)));
+    app.config.store(Some(Arc::new(config)));
     true
 }
 
-/// What has been taken in.
+/// The part of the replica that has been applied.
 #[derive(Default)]
 pub(super) struct AppliedState {
-    /// The upstreams by their keys.
+    /// The upstreams by their keys in the store.
     upstreams: BTreeMap<String, Arc<Upstream>>,
-    /// The keys of entries that name no upstream.
+    /// The keys of entries that cannot be decoded.
     invalid_keys: Set<String>,
-    /// Which start of each upstream is the newest.
+    /// The newest incarnation of each upstream.
     incarnations: Incarnations,
     /// The revision of the configuration.
     config_rev: i64,
-    /// When the entries of instances were read that it has.
+    /// When the list of members that was last applied had been read.
     members_read_at: Option<Millis>,
 }
 
 impl AppliedState {
-    /// Upstreams that are known.
+    /// Returns the number of known upstreams.
     pub(super) fn len(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// Takes in what has changed on the board.
+    /// Applies the changes of the replica.
     pub(super) fn apply_changes(&mut self, app: &App, changes: Changes) {
         self.apply_members(app);
         self.apply_config(app);
@@ -83,67 +84,69 @@
         for key in &changes.removed {
             self.upstreams.remove(key);
             if self.invalid_keys.remove(key) {
-                log::info!(target: "news", key = key.as_str(); "strange entry gone");
+                log::info!(target: "news", key = key.as_str(); "invalid upstream entry resolved");
             }
         }
-        // The names of all are worked out only where one may have gone.
+        // Computing all names is needed only where one may have disappeared.
         if !changes.removed.is_empty() {
             let names = self
                 .upstreams
                 .values()
-                .map(|one| one.incarnation.name.clone());
+                .map(|upstream| upstream.incarnation.name.clone());
             let names: Set<_> = names.collect();
             self.incarnations.prune(|name| names.contains(name));
         }
-        let (whole, rev, at) = {
-            let board = app.replica.lock();
-            (board.is_complete(), board.rev(), board.read_at())
+        let (is_complete, rev, read_at) = {
+            let replica = app.replica.lock();
+            (replica.is_complete(), replica.rev(), replica.read_at())
         };
-        // Of what is known in part, what is missing is not gone.
-        if let Some(at) = at.filter(|_| whole) {
-            belief::apply_upstreams(app, &self.upstreams, rev, at);
+        // An upstream missing from an incomplete list may still exist.
+        if let Some(read_at) = read_at.filter(|_| is_complete) {
+            belief::apply_upstreams(app, &self.upstreams, rev, read_at);
         }
     }
 
-    /// Takes in who has entered if that is news.
+    /// Applies the list of members if it is newer.
     fn apply_members(&mut self, app: &App) {
         let members = {
-            let board = app.replica.lock();
-            let new = board
+            let replica = app.replica.lock();
+            let newer = replica
                 .membership()
-                .filter(|roll| Some(roll.read_at) != self.members_read_at);
-            self.members_read_at = board.membership().map(|roll| roll.read_at);
-            new.map(|roll| roll.members.clone())
+                .filter(|membership| Some(membership.read_at) != self.members_read_at);
+            self.members_read_at = replica.membership().map(|membership| membership.read_at);
+            newer.map(|membership| membership.members.clone())
         };
         if let Some(members) = members {
             app.set_members(members);
         }
     }
 
-    /// Takes in the configuration if that is news.
+    /// Applies the configuration if it is newer.
     pub(super) fn apply_config(&mut self, app: &App) {
-        let plan = {
-            let board = app.replica.lock();
-            let plan = board.configuration();
-            plan.filter(|plan| plan.rev > self.config_rev).cloned()
+        let config = {
+            let replica = app.replica.lock();
+            let config = replica.configuration();
+            config
+                .filter(|config| config.rev > self.config_rev)
+                .cloned()
         };
-        if let Some(plan) = plan {
-            self.config_rev = plan.rev;
-            activate_config(app, &plan);
+        if let Some(config) = config {
+            self.config_rev = config.rev;
+            activate_config(app, &config);
         }
     }
 
-    /// Takes in an entry. One that was written by something else names no upstream, and the others hold.
+    /// Applies an entry. An invalid one is skipped and does not affect the others.
     fn apply_entry(&mut self, app: &App, item: &Item) {
         match app.dialect.decode_upstream(&item.key, &item.value) {
-            Ok(one) => {
+            Ok(upstream) => {
                 if self.invalid_keys.remove(&item.key) {
-                    log::info!(target: "news", key = item.key.as_str(); "strange entry gone");
+                    log::info!(target: "news", key = item.key.as_str(); "invalid upstream entry resolved");
                 }
-                // A late entry of a former start changes nothing.
-                if let Some(id) = self.incarnations.identify(&one.incarnation, item.rev) {
-                    let one = Arc::new(Upstream { id, ..one });
-                    self.upstreams.insert(item.key.clone(), one);
+                // An entry of an earlier incarnation that arrives late is ignored.
+                if let Some(id) = self.incarnations.identify(&upstream.incarnation, item.rev) {
+                    let upstream = Arc::new(Upstream { id, ..upstream });
+                    self.upstreams.insert(item.key.clone(), upstream);
                 }
             }
             Err(error) => {
@@ -151,7 +154,7 @@
                 if self.invalid_keys.insert(item.key.clone()) {
                     let error = error.to_string();
                     log::warn!(target: "news", key = item.key.as_str(), revision = item.rev,
-                        error = error.as_str(); "strange entry");
+                        error = error.as_str(); "invalid upstream entry");
                 }
             }
         }
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/news/reader.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration and the lists from the platform.
+//! Reads the configuration and the lists from the platform.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use crate::App;
 use crate::member;
 
-/// Whoever reads the platform.
+/// Reads the platform's state, page by page where lists are long.
 pub(super) struct PlatformReader {
-    /// Reads so far.
+    /// Number of reads so far.
     reads: u64,
     /// The list of upstreams.
     upstreams: PagedList,
-    /// What instances have seen of requests that crash upstreams.
+    /// The reports of requests that crash upstreams.
     crashes: PagedList,
 }
 
@@ -32,60 +32,62 @@
         }
     }
 
-    /// Reads the configuration first: it must not wait for a long list.
+    /// Reads everything, the configuration first: it must not wait for a long list.
     pub(super) async fn read(
         &mut self,
         app: &App,
-        intake: &mut AppliedState,
+        applied: &mut AppliedState,
     ) -> Result<(), PlatError> {
-        read_config(app, intake).await?;
-        let (seen, mut list) = self.read_lists(app, intake).await?;
-        crash::report::delete_expired(&app.plat, &seen.items, app.clock.wall()).await;
-        list.join(seen);
+        read_config(app, applied).await?;
+        let (reports, mut list) = self.read_lists(app, applied).await?;
+        crash::report::delete_expired(&app.plat, &reports.items, app.clock.wall()).await;
+        list.join(reports);
         self.reads += 1;
-        // Without them this read is as good.
+        // The read is useful without the list of members too.
         let members = match self.reads % timing::READS_PER_MEMBER_READ == 1 {
             true => member::list_members(app).await.ok(),
             false => None,
         };
-        // Counted from the end of the read: one that takes longer than news may be old would never be passed on, and
-        // everybody would read.
+        // The age counts from the end of the read. If it counted from the start, a read that takes longer than the
+        // largest age of an update would never be passed on, and every instance would read the platform.
         let now = app.clock.now();
-        let changes = app.update_replica(|board| {
+        let changes = app.update_replica(|replica| {
             if let Some(members) = members {
-                board.set_members(members, now);
+                replica.set_members(members, now);
             }
-            board.apply_read(list, rand::random(), now)
+            replica.apply_read(list, rand::random(), now)
         });
-        intake.apply_changes(app, changes);
+        applied.apply_changes(app, changes);
         Ok(())
     }
 
-    /// Reads what instances have seen of requests that crash upstreams, and the list of upstreams.
+    /// Reads the reports of requests that crash upstreams, and the list of upstreams.
     async fn read_lists(
         &mut self,
         app: &App,
-        intake: &mut AppliedState,
+        applied: &mut AppliedState,
     ) -> Result<(Listing, Listing), PlatError> {
-        // Whoever is ready must know which requests crash upstreams, also after a start. Read one after the
-        // other they would make each round longer by a call, which takes a third of a second at a busy store.
+        // A ready instance must know which requests crash upstreams, also right after its start. Reading the two
+        // lists one after the other would lengthen each round by a call, which takes a third of a second at a busy
+        // store.
         let lists =
             async { tokio::join!(self.crashes.read(&app.plat), self.upstreams.read(&app.plat)) };
         tokio::pin!(lists);
         loop {
             tokio::select! {
-                (seen, list) = &mut lists => return Ok((seen?, list?)),
-                // A list of thousands takes seconds at a busy platform, and a configuration must be in force by then.
-                () = sleep(Duration::from_millis(timing::READ_INTERVAL)) => read_config(app, intake).await?,
+                (reports, list) = &mut lists => return Ok((reports?, list?)),
+                // A list of thousands takes seconds at a busy platform, and the configuration must be in force by
+                // then.
+                () = sleep(Duration::from_millis(timing::READ_INTERVAL)) => read_config(app, applied).await?,
             }
         }
     }
 }
 
-async fn read_config(app: &App, intake: &mut AppliedState) -> Result<(), PlatError> {
-    let plan = app.plat.get(app.dialect.store_keys().configuration).await?;
-    if app.update_replica(|board| board.set_configuration(plan)) {
-        intake.apply_config(app);
+async fn read_config(app: &App, applied: &mut AppliedState) -> Result<(), PlatError> {
+    let config = app.plat.get(app.dialect.store_keys().configuration).await?;
+    if app.update_replica(|board| board.set_configuration(config)) {
+        applied.apply_config(app);
     }
     Ok(())
 }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,7 +1,7 @@
-//! What instances ask one another, as HTTP with MessagePack bodies.
+//! Requests to other instances, as HTTP with MessagePack bodies.
 //!
-//! Everything here spares the platform calls or gets round an outage that concerns one instance;
-//! nothing depends on an answer. Others are known from their entries at the platform.
+//! Everything here saves platform calls or works around an outage that affects one instance; nothing depends on a
+//! reply. Other instances are known from their entries at the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,19 +34,19 @@
 use crate::steps::accept::AcceptOutcome;
 use crate::steps::accept::Submission;
 
-/// Time that an answer may take beyond what it may wait for: milliseconds within a region, and a
-/// busy instance has a part of one core.
+/// Time limit of a reply beyond the wait that the request allows, in milliseconds: the network takes milliseconds
+/// within a region, and a busy instance has a fraction of one core.
 const REPLY_TIMEOUT: Millis = 350;
 
-/// Time that an instance has to accept a step that is handed to it: the store may take half a second
-/// on a slow day, and the trainer waits.
+/// Time limit for accepting a step that is handed over, in milliseconds: the store may take half a second when it
+/// is slow, and the trainer waits.
 const HANDOVER_TIMEOUT: Millis = 1_000;
 
-/// Time that the keeper of a step's hint has to answer; the platform answers within milliseconds too.
+/// Time limit for the keeper of a step's hint, in milliseconds; reading the platform takes milliseconds too.
 const HINT_TIMEOUT: Millis = 120;
 
-fn build_request(addr: SocketAddr, ask: &PeerRequest) -> Option<Request<Full<Bytes>>> {
-    let body = record::encode(ask).ok()?;
+fn build_request(addr: SocketAddr, message: &PeerRequest) -> Option<Request<Full<Bytes>>> {
+    let body = record::encode(message).ok()?;
     Request::post(net::client::uri(addr, "/peer"))
         .body(Full::new(Bytes::from(body)))
         .ok()
@@ -55,16 +55,16 @@
 fn log_no_reply(addr: SocketAddr, error: &SendError) {
     let (error, addr) = (error.to_string(), addr.to_string());
     log::debug!(target: "peer", address = addr.as_str(), error = error.as_str();
-        "no answer from a peer");
+        "no reply from peer");
 }
 
 async fn send_request(
     app: &App,
     addr: SocketAddr,
-    ask: &PeerRequest,
+    message: &PeerRequest,
     limit: Millis,
 ) -> Option<PeerReply> {
-    let request = build_request(addr, ask)?;
+    let request = build_request(addr, message)?;
     let limit = Duration::from_millis(limit);
     match app
         .peer_client
@@ -79,10 +79,11 @@
     }
 }
 
-/// Asks the owner of a step for results; [`None`] when it does not answer or is not sure.
+/// Fetches results from the owner of a step; [`None`] when it does not reply or cannot confirm that it still runs
+/// the step.
 ///
-/// They are passed on as they come. Read whole, decoded and written anew they took some times the
-/// megabyte that an answer may have, at each of dozens of instances that callers read at.
+/// The body is streamed through. Buffering, decoding and encoding it again would take several times the megabyte
+/// that an answer may have, at each of the dozens of instances at which callers read.
 pub async fn fetch_page(
     app: &App,
     owner: &str,
@@ -91,20 +92,20 @@
     wait: Millis,
 ) -> Option<Reply> {
     let addr = member_address(app, owner)?;
-    let ask = PeerRequest::Page {
+    let message = PeerRequest::Page {
         step: step.clone(),
         from,
         wait,
     };
-    let request = build_request(addr, &ask)?;
+    let request = build_request(addr, &message)?;
     let limit = Duration::from_millis(wait + REPLY_TIMEOUT);
     match app.peer_client.send(request, limit).await {
         Ok(answer) if answer.status() == StatusCode::OK => {
-            let kind = answer.headers().get(CONTENT_TYPE).cloned();
+            let content_type = answer.headers().get(CONTENT_TYPE).cloned();
             let mut reply = Reply::new(net::body::pass(answer.into_body()));
             reply
                 .headers_mut()
-                .extend(kind.map(|kind| (CONTENT_TYPE, kind)));
+                .extend(content_type.map(|content_type| (CONTENT_TYPE, content_type)));
             Some(reply)
         }
         Ok(_) => None,
@@ -115,14 +116,17 @@
     }
 }
 
-/// The address of an instance that has entered.
+/// Returns the address of a member.
 fn member_address(app: &App, instance: &str) -> Option<SocketAddr> {
     let members = app.members.lock();
-    let found = members.iter().find(|one| &*one.owner.instance == instance);
-    found.map(|one| one.addr)
+    let found = members
+        .iter()
+        .find(|member| &*member.owner.instance == instance);
+    found.map(|member| member.addr)
 }
 
-/// Asks the owner of a step for the body of a sample; [`None`] when it does not run the step.
+/// Fetches the body of a sample from the owner of a step; [`None`] when that one does not run the step or does not
+/// reply.
 pub async fn fetch_body(
     app: &App,
     owner: &str,
@@ -130,39 +134,39 @@
     sample: &Arc<str>,
 ) -> Option<Option<Vec<u8>>> {
     let addr = member_address(app, owner)?;
-    let question = PeerRequest::Body {
+    let request = PeerRequest::Body {
         step: step.clone(),
         sample: sample.clone(),
     };
-    match send_request(app, addr, &question, REPLY_TIMEOUT).await? {
+    match send_request(app, addr, &request, REPLY_TIMEOUT).await? {
         PeerReply::Body(body) => body,
         _ => None,
     }
 }
 
-/// What came of handing a step over.
+/// The outcome of handing a step over.
 pub enum SubmitOutcome {
-    /// The other one has answered for it.
+    /// The other instance has replied whether the step is accepted.
     Answered(AcceptOutcome),
-    /// It does not take the step.
+    /// The other instance does not take the step.
     Declined,
-    /// Nothing was heard of it; it may have accepted the step all the same.
+    /// There was no reply; the other instance may have accepted the step all the same.
     NoReply,
 }
 
-/// Hands a step over.
+/// Hands a step over to another instance.
 pub async fn submit(app: &App, to: SocketAddr, submission: &Submission) -> SubmitOutcome {
-    let question = PeerRequest::Submit(submission.clone());
-    match send_request(app, to, &question, HANDOVER_TIMEOUT).await {
+    let request = PeerRequest::Submit(submission.clone());
+    match send_request(app, to, &request, HANDOVER_TIMEOUT).await {
         Some(PeerReply::Submit(Some(accepted))) => SubmitOutcome::Answered(accepted),
         Some(PeerReply::Submit(None)) => SubmitOutcome::Declined,
         _ => SubmitOutcome::NoReply,
     }
 }
 
-/// Tells the keeper of a step's hint who runs it.
+/// Publishes the owner of a step to the keeper of its hint.
 pub async fn publish_owner(app: &App, keeper: SocketAddr, step: Arc<str>, owner: Arc<str>) {
-    // It need not arrive.
+    // A lost message does no harm.
     let _ = send_request(
         app,
         keeper,
@@ -172,7 +176,7 @@
     .await;
 }
 
-/// Asks the keeper of a step's hint who runs it.
+/// Fetches the owner of a step from the keeper of its hint.
 pub async fn fetch_owner(app: &App, keeper: SocketAddr, step: &Arc<str>) -> Option<Arc<str>> {
     match send_request(app, keeper, &PeerRequest::Owner(step.clone()), HINT_TIMEOUT).await? {
         PeerReply::Owner(owner) => owner,
@@ -180,45 +184,50 @@
     }
 }
 
-/// Tells the owner of a step that it has ended; whether it has heard.
+/// Notifies the owner of a step that it has ended; returns whether it has replied.
 pub async fn notify_ended(app: &App, owner: &str, step: &Arc<str>, rev: i64) -> bool {
     let step = step.clone();
     notify(app, owner, &PeerRequest::Ended { step, rev }).await
 }
 
-/// Tells the former owner of a step that somebody else runs it; whether it has heard.
+/// Notifies the former owner of a step that another instance runs it; returns whether it has replied.
 pub async fn notify_taken_over(app: &App, owner: &str, step: &Arc<str>, rev: i64) -> bool {
     let step = step.clone();
     notify(app, owner, &PeerRequest::TakenOver { step, rev }).await
 }
 
-/// Tells an instance something, also one whose entry has lapsed though it lives.
-async fn notify(app: &App, instance: &str, word: &PeerRequest) -> bool {
-    let former = || {
-        let former = app.recent_members();
-        let found = former.iter().find(|one| *one.owner.instance == *instance);
-        found.map(|one| one.addr)
+/// Sends a notice to an instance, also to one that is alive though its entry has lapsed. Returns whether it has
+/// replied.
+async fn notify(app: &App, instance: &str, notice: &PeerRequest) -> bool {
+    let recent = || {
+        let recent = app.recent_members();
+        let found = recent
+            .iter()
+            .find(|member| *member.owner.instance == *instance);
+        found.map(|member| member.addr)
     };
-    let Some(addr) = member_address(app, instance).or_else(former) else {
+    let Some(addr) = member_address(app, instance).or_else(recent) else {
         return false;
     };
-    send_request(app, addr, word, REPLY_TIMEOUT).await.is_some()
+    send_request(app, addr, notice, REPLY_TIMEOUT)
+        .await
+        .is_some()
 }
 
-/// Tells a keeper what this instance has counted; whether it has heard.
-pub async fn send_counts(app: &App, keeper: SocketAddr, tally: Snapshot) -> bool {
+/// Sends this instance's request counts to a keeper; returns whether it has replied.
+pub async fn send_counts(app: &App, keeper: SocketAddr, snapshot: Snapshot) -> bool {
     let owner = app.me.clone();
     send_request(
         app,
         keeper,
-        &PeerRequest::Counts { owner, tally },
+        &PeerRequest::Counts { owner, snapshot },
         REPLY_TIMEOUT,
     )
     .await
     .is_some()
 }
 
-/// Asks another instance what it knows of the requests of a window.
+/// Fetches the request counts of a window that another instance knows.
 pub async fn fetch_window_counts(
     app: &App,
     to: SocketAddr,
@@ -230,7 +239,7 @@
     }
 }
 
-/// Asks another instance whether it reaches the address that takes reports.
+/// Returns whether another instance can connect to the address that takes usage reports.
 pub async fn reaches_report_address(app: &App, to: SocketAddr) -> bool {
     matches!(
         send_request(app, to, &PeerRequest::ReachesReportAddress, REPLY_TIMEOUT).await,
@@ -238,19 +247,19 @@
     )
 }
 
-/// What was heard of the configuration and the list of upstreams.
+/// The outcome of polling another instance.
 pub enum PollOutcome {
-    /// Something that this instance does not have.
+    /// State that this instance did not have.
     Update(Update),
-    /// Nothing.
+    /// There was no update.
     Failed(PollFailure),
 }
 
-/// Asks another instance for what this one does not have, or for a newer read.
-pub async fn poll(app: &App, addr: SocketAddr, have: SyncState, wait: Millis) -> PollOutcome {
+/// Polls another instance for state that this one does not have, waiting for a newer read.
+pub async fn poll(app: &App, addr: SocketAddr, state: SyncState, wait: Millis) -> PollOutcome {
     let slack = timing::reply_slack(&app.replica.lock());
-    match send_request(app, addr, &PeerRequest::Poll { have, wait }, wait + slack).await {
-        Some(PeerReply::Update(Some(news))) => PollOutcome::Update(news),
+    match send_request(app, addr, &PeerRequest::Poll { state, wait }, wait + slack).await {
+        Some(PeerReply::Update(Some(update))) => PollOutcome::Update(update),
         Some(PeerReply::PlatformUnreachable) => {
             PollOutcome::Failed(PollFailure::PlatformUnreachable)
         }
@@ -259,7 +268,7 @@
     }
 }
 
-/// Has another instance make a call of the platform; [`None`] when nobody knows whether it has.
+/// Relays a platform call through another instance; [`None`] when it is unknown whether that one has made the call.
 pub async fn relay(
     app: &App,
     to: SocketAddr,
@@ -269,7 +278,8 @@
     relay_answer(send_request(app, to, &PeerRequest::Relay(call), limit).await?)
 }
 
-/// The same, also when the platform did not serve the other one a moment ago: whether it does now is what is asked.
+/// Relays a platform call like [`relay`], even if the other instance's own calls were refused a moment ago: the
+/// point is whether the platform answers it now.
 pub async fn relay_direct(
     app: &App,
     to: SocketAddr,
@@ -286,8 +296,8 @@
     )
 }
 
-fn relay_answer(told: PeerReply) -> Option<Result<Answer, PlatError>> {
-    match told {
+fn relay_answer(reply: PeerReply) -> Option<Result<Answer, PlatError>> {
+    match reply {
         PeerReply::Relay(answer) => Some(answer),
         _ => None,
     }
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/reach.rs
@@ -1,19 +1,16 @@
-//! Dependencies that are lost and come back.
+//! Availability of dependencies, logged once per change.
 
 use plat::PlatError;
 
-/// Tells once when a dependency is lost and once when it is back.
+/// Logs once when a dependency is lost and once when it is available again.
 pub(crate) struct DependencyStatus {
     name: &'static str,
     lost: bool,
 }
 
 impl DependencyStatus {
-    pub(crate) fn new(what: &'static str) -> Self {
-        Self {
-            name: what,
-            lost: false,
-        }
+    pub(crate) fn new(name: &'static str) -> Self {
+        Self { name, lost: false }
     }
 
     pub(crate) fn mark_lost(&mut self, error: &PlatError) {
@@ -26,7 +23,7 @@
 
     pub(crate) fn mark_restored(&mut self) {
         if std::mem::replace(&mut self.lost, false) {
-            log::info!(target: "platform", dependency = self.name; "dependency back");
+            log::info!(target: "platform", dependency = self.name; "dependency available again");
         }
     }
 }
--- a/crates/node/src/through.rs
+++ b/crates/node/src/through.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform that other instances make for one that it turns away.
+//! Relays platform calls through other instances when the platform turns this one away.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,13 +19,14 @@
 use crate::App;
 use crate::peer;
 
-/// Time that a relayed call may take beyond its own wait: the platform's time limit and ours.
+/// Time limit of a relayed call beyond its own wait, in milliseconds: the platform's time limit plus that of
+/// requests between instances.
 const RELAY_TIMEOUT: Millis = 1_300;
 
-/// Others through which a call is tried: a third of all instances may be turned away at the same time.
+/// Number of instances through which a call is tried: a third of all instances may be turned away at the same time.
 const MAX_RELAYS: usize = 3;
 
-/// Makes calls of the platform through another instance.
+/// Relays platform calls through another instance.
 pub(crate) struct PeerRelay(pub(crate) Weak<App>);
 
 impl Relay for PeerRelay {
@@ -38,9 +39,9 @@
     }
 }
 
-/// Makes a call through the instance that helped last, or through others in turn. With a third of all
-/// instances turned away, one that asked a single other at random could write nothing for a second
-/// whenever it met one of them.
+/// Makes a call through the instance that relayed last, or through others in turn. With a third of all instances
+/// turned away, an instance that asked a single random other could write nothing for a second whenever that one was
+/// turned away too.
 async fn relay_call(app: &App, call: Call) -> Result<Answer, PlatError> {
     let wait = match &call {
         Call::Poll { wait, .. } => *wait,
@@ -56,7 +57,7 @@
                 app.set_relay_peer(Some(addr));
                 return answer;
             }
-            // Nobody knows whether the other one has sent it.
+            // It is unknown whether the other instance has sent the call.
             None => {
                 app.set_relay_peer(None);
                 return Err(PlatError::NoAnswer);
@@ -67,56 +68,57 @@
     Err(failed)
 }
 
-/// What others say of the platform.
+/// The outcome of a read relayed through other instances.
 pub(crate) enum RelayedRead {
-    /// Its answer.
+    /// The platform's answer.
     Answer(Answer),
-    /// It does not serve those that answered, or there are no others.
+    /// The platform does not serve those that replied, or there are no other instances.
     Unavailable,
-    /// No other one answered: this instance may be cut off.
+    /// No other instance replied: this one may be disconnected from the network.
     NoReply,
 }
 
-/// Makes a read through several others at once, for an answer that is needed within `limit`: one that is not served
-/// itself, or is silent, costs no time then. Each of them asks the platform, whatever it knows of it.
+/// Makes a read through several other instances at once, for an answer that is needed within `limit`: an instance
+/// that is turned away itself or does not reply costs no time then. Each of them calls the platform even if its own
+/// last calls were refused.
 pub(crate) async fn relay_read(app: &Arc<App>, call: &Call, limit: Duration) -> RelayedRead {
     let end = Instant::now() + limit;
-    let helpers = relay_candidates(app);
-    let mut said = match helpers.is_empty() {
+    let relays = relay_candidates(app);
+    let mut outcome = match relays.is_empty() {
         true => RelayedRead::Unavailable,
         false => RelayedRead::NoReply,
     };
-    let mut asks = JoinSet::new();
-    for addr in helpers {
+    let mut calls = JoinSet::new();
+    for addr in relays {
         let (app, call) = (app.clone(), call.clone());
-        asks.spawn(async move { peer::relay_direct(&app, addr, call).await });
+        calls.spawn(async move { peer::relay_direct(&app, addr, call).await });
     }
-    while let Ok(Some(asked)) = timeout_at(end, asks.join_next()).await {
-        match asked {
+    while let Ok(Some(result)) = timeout_at(end, calls.join_next()).await {
+        match result {
             Ok(Some(Ok(answer))) => return RelayedRead::Answer(answer),
-            Ok(Some(Err(error))) if error.is_unavailable() => said = RelayedRead::Unavailable,
-            // It did not answer, or could not ask.
+            Ok(Some(Err(error))) if error.is_unavailable() => outcome = RelayedRead::Unavailable,
+            // The instance did not reply, or its call has failed in another way.
             Ok(_) | Err(_) => (),
         }
     }
-    said
+    outcome
 }
 
-/// The instances through which a call is tried, the one that helped last first.
+/// Returns the instances through which a call is tried, the one that relayed last first.
 fn relay_candidates(app: &App) -> Vec<SocketAddr> {
-    let mut others = other_addresses(app);
-    others.shuffle(&mut rand::rng());
+    let mut candidates = other_addresses(app);
+    candidates.shuffle(&mut rand::rng());
     let last = app.relay_peer();
-    others.sort_by_key(|addr| Some(*addr) != last);
-    others.truncate(MAX_RELAYS);
-    others
+    candidates.sort_by_key(|addr| Some(*addr) != last);
+    candidates.truncate(MAX_RELAYS);
+    candidates
 }
 
-/// The addresses of all other instances.
+/// Returns the addresses of all other instances.
 fn other_addresses(app: &App) -> Vec<SocketAddr> {
     let members = app.members.lock();
     let others = members
         .iter()
-        .filter(|one| one.owner.instance != app.me.instance);
-    others.map(|one| one.addr).collect()
+        .filter(|member| member.owner.instance != app.me.instance);
+    others.map(|member| member.addr).collect()
 }
