--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -1,6 +1,6 @@
 //! Authorization of requests against the configuration in force, limited by its age.
 //!
-//! The decision itself is made by [`team::admit`]. Order of the checks: without a configuration a request is
+//! The decision itself is made by [`team::admit()`]. Order of the checks: without a configuration a request is
 //! refused as not executed, then an unknown route is reported as not found, then the key is checked. The latter two
 //! refusals are given only while the configuration is fresh.
 
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -1,4 +1,4 @@
-//! What all parts of an instance share.
+//! State shared by all parts of an instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -44,96 +44,96 @@
 use crate::owner::Work;
 use crate::shelf::ResultCache;
 
-/// Time for which an idle connection to an upstream is kept: a call on a kept connection saves the
-/// upstream the opening of a new one, which may hold a place there.
+/// Time for which an idle connection to an upstream is kept open. Reusing it saves the upstream from opening a new
+/// connection, which may occupy a slot there.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time after its start from which an instance is ready though no keeper has heard of it, in milliseconds: some
-/// tries.
+/// Time after the start from which an instance is ready even if no keeper has received its request counts, in
+/// milliseconds: long enough for several attempts.
 const KEEPER_WAIT: Millis = 1_500;
 
-/// Time for which an instance is remembered whose entry is gone, in milliseconds: longer than an outage in which
-/// entries lapse and the seconds until they are back.
+/// Time for which an instance is kept in [`App::recent_members`] after its entry is gone, in milliseconds: longer
+/// than an outage in which entries lapse plus the seconds until they are back.
 const RECENT_MEMBER_TTL: Millis = 60_000;
 
-/// What all parts of an instance share.
+/// State shared by all parts of an instance.
 pub struct App {
-    /// The settings.
+    /// The settings of this instance.
     pub settings: Settings,
-    /// The clocks.
+    /// Monotonic and wall clocks.
     pub clock: Clock,
-    /// The protocol.
+    /// The translation between the platform's messages and the types of this crate.
     pub dialect: Arc<dyn Dialect>,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub plat: Client,
-    /// Connections to upstreams.
+    /// HTTP client for upstreams.
     pub http: net::Client,
-    /// This start of this instance.
+    /// Name and start time of this process.
     pub me: Owner,
-    /// The configuration, once it is known.
+    /// The configuration in force, once one is known.
     pub config: ArcSwapOption<Config>,
-    /// The upstreams that are listed.
+    /// The listed upstreams.
     pub upstreams: Mutex<UpstreamList>,
-    /// The upstreams of plain services as this instance sees them.
+    /// Load and failures of the upstreams of plain services, as observed by this instance.
     pub service_tracker: Mutex<EngineTracker>,
-    /// The engines as this instance sees them.
+    /// Load, versions and failures of the engines, as observed by this instance.
     pub engine_tracker: Mutex<EngineTracker>,
-    /// Which requests crash upstreams.
+    /// Tracks which requests crash upstreams.
     pub crashes: Arc<CrashTracker>,
-    /// What this instance has counted of the requests of teams, if they are reported.
+    /// Request counts of teams at this instance, if they are reported.
     pub meter: Option<Mutex<Meter>>,
-    /// What entry instances have told this one of what they counted.
+    /// Request counts received from entry instances.
     pub snapshots: Mutex<SnapshotStore>,
-    /// Rings when a place may have become free or an upstream has changed.
+    /// Notified when a slot may have become free or an upstream has changed.
     pub capacity_changed: Notify,
-    /// The instances that have entered, this one among them.
+    /// The instances that have an entry at the platform, including this one.
     pub members: Mutex<Arc<[Member]>>,
-    /// Where this instance stands among them.
+    /// Position of this instance in the distribution tree.
     tree_position: Mutex<TreePosition>,
-    /// The instances that had entered some time ago, and when they were last seen.
+    /// Instances that had an entry recently, with the time at which each was last listed.
     recent_members: Mutex<Map<Arc<str>, (Member, Millis)>>,
-    /// Connections to other instances.
+    /// HTTP client for other instances.
     pub peer_client: net::Client,
-    /// What is known of the configuration and the list of upstreams, for others that follow.
+    /// Replica of the configuration and the list of upstreams, which other instances poll.
     pub replica: Mutex<Replica>,
-    /// Rings when the board has changed.
+    /// Notified when the replica has changed.
     pub replica_changed: watch::Sender<()>,
-    /// The steps that this instance runs.
+    /// The steps that this instance runs, by name.
     pub running_steps: ShardedMap<Arc<str>, Arc<Work>>,
     /// The steps that this instance is taking over.
     pub takeovers: Mutex<Set<Arc<str>>>,
-    /// What this instance has read of the results of other steps.
+    /// Cached results of steps that other instances run.
     pub result_caches: ShardedMap<Arc<str>, Arc<ResultCache>>,
-    /// What steps that ended here have left over.
+    /// Partial samples left over by steps that ended at this instance.
     pub leftovers: Mutex<Leftovers>,
-    /// Who runs the steps that callers ask for here.
+    /// Which instances run the steps that callers ask for here.
     pub hints: ShardedMap<Arc<str>, Hint>,
-    /// Instances that get no steps from here until a time.
+    /// Instances to which no steps are handed over, each with the time until which that holds.
     avoided: Mutex<Map<Arc<str>, Millis>>,
-    /// The instance that last made a call of the platform for this one.
+    /// The instance that last relayed a platform call for this one.
     relay_peer: Mutex<Option<SocketAddr>>,
     leaving: AtomicBool,
-    /// Whether the platform did not answer the last read for others.
+    /// Whether the platform did not answer the last read of configuration and upstreams.
     platform_unreachable: AtomicBool,
-    /// Whether a keeper has heard of what this instance counts.
+    /// Whether a keeper has received this instance's request counts.
     keeper_confirmed: AtomicBool,
-    /// When the instances that have entered were last heard of.
+    /// When the list of members was last updated.
     members_updated: AtomicU64,
     own_entry: Mutex<Option<OwnEntry>>,
 }
 
 impl App {
-    /// Makes the state of an instance that has just started and knows nothing.
+    /// Creates the state of an instance that has just started and has read nothing yet.
     pub fn new(settings: Settings, dialect: Arc<dyn Dialect>, plat: Client) -> Arc<Self> {
         let clock = Clock::default();
         let me = Owner {
             instance: settings.name.clone(),
-            // Two starts of one instance are never within the same millisecond.
+            // Two starts of one instance never fall into the same millisecond.
             start: clock.wall(),
         };
         let windows = settings
             .usage_reports
-            .map(|accounts| Windows::new(accounts.window));
+            .map(|reports| Windows::new(reports.window));
         let meter = windows.map(|windows| Mutex::new(Meter::new(windows, clock.steady())));
         Arc::new(Self {
             settings,
@@ -171,10 +171,10 @@
         })
     }
 
-    /// What the memory of a service's engines holds.
+    /// Returns the memory parameters of a service's engines.
     pub fn engine_memory(&self, service: &str) -> EngineMemory {
-        let plan = self.config.load();
-        let service = plan.as_ref().and_then(|plan| plan.service(service));
+        let config = self.config.load();
+        let service = config.as_ref().and_then(|config| config.service(service));
         let engine = service.and_then(|service| service.engine.as_ref());
         engine.map_or_else(EngineMemory::default, |engine| EngineMemory {
             capacity_tokens: engine.memory_tokens,
@@ -182,147 +182,157 @@
         })
     }
 
-    /// Looks whether an upstream has crashed after the connection of a request broke there.
-    pub(crate) async fn check_crash(self: &Arc<Self>, id: &str, mark: Identity, one: &Upstream) {
-        let (app, start) = (self.clone(), one.id.clone());
-        let left = move || {
-            let roster = app.upstreams.lock();
-            roster.get(&start).is_none_or(|one| one.leaving)
+    /// Checks whether an upstream has crashed, after the connection of a request to it broke.
+    pub(crate) async fn check_crash(
+        self: &Arc<Self>,
+        id: &str,
+        identity: Identity,
+        upstream: &Upstream,
+    ) {
+        let (app, incarnation) = (self.clone(), upstream.id.clone());
+        let has_left = move || {
+            let upstreams = app.upstreams.lock();
+            upstreams
+                .get(&incarnation)
+                .is_none_or(|upstream| upstream.leaving)
         };
         self.crashes
-            .check_upstream(id, mark, &one.id, one.addr, left)
+            .check_upstream(id, identity, &upstream.id, upstream.addr, has_left)
             .await;
     }
 
-    /// Notes that this instance's own entry was written.
-    pub fn set_own_entry(&self, entered: OwnEntry) {
-        *self.own_entry.lock() = Some(entered);
+    /// Records this instance's entry after it was written.
+    pub fn set_own_entry(&self, entry: OwnEntry) {
+        *self.own_entry.lock() = Some(entry);
     }
 
-    /// This instance's own entry, once it has entered.
+    /// Returns this instance's entry, once it has been written.
     pub fn own_entry(&self) -> Option<OwnEntry> {
         *self.own_entry.lock()
     }
 
-    /// The time until which an instance gets no steps from here.
+    /// Returns the time until which no steps are handed over to an instance; 0 if there is none.
     pub fn avoided_until(&self, instance: &str) -> Millis {
         self.avoided.lock().get(instance).copied().unwrap_or(0)
     }
 
-    /// Gives an instance no steps from here until a time.
+    /// Hands no steps over to an instance until the given time.
     pub fn avoid(&self, instance: &Arc<str>, until: Millis) {
         self.avoided.lock().insert(instance.clone(), until);
     }
 
-    /// The instance that last made a call of the platform for this one.
+    /// Returns the instance that last relayed a platform call for this one.
     pub fn relay_peer(&self) -> Option<SocketAddr> {
         *self.relay_peer.lock()
     }
 
-    /// Notes the instance that made a call of the platform for this one, if there is one.
+    /// Sets or clears the instance that last relayed a platform call for this one.
     pub fn set_relay_peer(&self, helper: Option<SocketAddr>) {
         *self.relay_peer.lock() = helper;
     }
 
-    /// Notes whether the platform answers reads for others.
-    pub fn set_platform_unreachable(&self, blind: bool) {
-        self.platform_unreachable.store(blind, Ordering::Relaxed);
+    /// Records whether the platform answered the last read of configuration and upstreams.
+    pub fn set_platform_unreachable(&self, unreachable: bool) {
+        self.platform_unreachable
+            .store(unreachable, Ordering::Relaxed);
     }
 
-    /// Tells whether the platform did not answer the last read for others.
+    /// Returns whether the platform did not answer the last read of configuration and upstreams.
     pub fn is_platform_unreachable(&self) -> bool {
         self.platform_unreachable.load(Ordering::Relaxed)
     }
 
-    /// Changes what is known for others, and wakes those who wait for it.
+    /// Changes the replica and notifies the requests that wait for an update.
     pub fn update_replica<R>(&self, change: impl FnOnce(&mut Replica) -> R) -> R {
-        let done = change(&mut self.replica.lock());
+        let result = change(&mut self.replica.lock());
         self.replica_changed.send_replace(());
-        done
+        result
     }
 
-    /// What this instance has of what others tell.
+    /// Returns the state of the replica, which a poll sends to a source.
     pub fn sync_state(&self) -> SyncState {
         self.replica.lock().sync_state(self.clock.now())
     }
 
-    /// Notes the instances that have entered.
+    /// Replaces the complete list of members.
     pub fn set_members(&self, members: impl Into<Arc<[Member]>>) {
         let members = members.into();
         let now = self.clock.now();
-        let mut former = self.recent_members.lock();
-        former.retain(|_, (_, seen)| now < *seen + RECENT_MEMBER_TTL);
-        for one in &*members {
-            former.insert(one.owner.instance.clone(), (one.clone(), now));
+        let mut recent = self.recent_members.lock();
+        recent.retain(|_, (_, seen)| now < *seen + RECENT_MEMBER_TTL);
+        for member in &*members {
+            recent.insert(member.owner.instance.clone(), (member.clone(), now));
         }
-        drop(former);
+        drop(recent);
         *self.tree_position.lock() =
             tree::position(&members, &self.me.instance, &self.settings.domain);
-        let before = std::mem::replace(&mut *self.members.lock(), members.clone());
-        let Turnover { came, gone } = Turnover::between(&before, &members);
+        let previous = std::mem::replace(&mut *self.members.lock(), members.clone());
+        let Turnover { came, gone } = Turnover::between(&previous, &members);
         if came + gone > 0 {
-            log::info!(target: "member", instances = members.len(), came, gone; "instances known");
+            log::info!(target: "member", instances = members.len(), came, gone; "membership changed");
         }
         self.members_updated.store(now, Ordering::Relaxed);
     }
 
-    /// Notes some of the instances that have entered, as long as nobody has told of all.
-    pub fn set_partial_members(&self, some: Vec<Member>, me: &Member) {
-        *self.tree_position.lock() = tree::partial_position(&some, me);
-        *self.members.lock() = some.into();
+    /// Replaces the list of members by a partial one, read while no complete list is known.
+    pub fn set_partial_members(&self, members: Vec<Member>, me: &Member) {
+        *self.tree_position.lock() = tree::partial_position(&members, me);
+        *self.members.lock() = members.into();
         self.members_updated
             .store(self.clock.now(), Ordering::Relaxed);
     }
 
-    /// Where this instance stands among those that have entered.
+    /// Returns this instance's position in the distribution tree.
     pub fn tree_position(&self) -> TreePosition {
         self.tree_position.lock().clone()
     }
 
-    /// Tells whether the entries of all were read at once, here or by whoever this instance follows.
+    /// Returns whether the replica holds the complete list of members, read here or by a source.
     pub fn has_full_membership(&self) -> bool {
         self.replica.lock().membership().is_some()
     }
 
-    /// The instances that have entered, and those whose entries are gone since a while. All entries lapse in a long
-    /// outage of the platform, though those who wrote them live.
+    /// Returns the current members and those whose entries disappeared recently. All entries lapse in a long outage
+    /// of the platform, though the instances that wrote them are alive.
     pub fn recent_members(&self) -> Vec<Member> {
-        let former = self.recent_members.lock();
-        former.values().map(|(one, _)| one.clone()).collect()
+        let recent = self.recent_members.lock();
+        recent.values().map(|(member, _)| member.clone()).collect()
     }
 
-    /// When the instances that have entered were last heard of.
+    /// Returns when the list of members was last updated.
     pub fn members_updated_at(&self) -> Millis {
         self.members_updated.load(Ordering::Relaxed)
     }
 
-    /// Begins to leave: nothing new is taken on.
+    /// Starts to leave: no new work is accepted from here on.
     pub fn start_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether the instance is leaving.
+    /// Returns whether the instance is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Notes that a keeper has heard of what this instance counts.
+    /// Records that a keeper has received this instance's request counts.
     pub fn confirm_keeper(&self) {
         self.keeper_confirmed.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether a keeper knows of this instance, if one has to: what an instance counts that nobody knows is
-    /// missing in its window. Callers do not wait for long when no keeper can be reached.
+    /// Returns whether a keeper knows of this instance, if one has to: the counts of an instance that no keeper
+    /// knows are missing from the report of their window. Readiness waits for this only a short time when no keeper
+    /// can be reached.
     fn is_keeper_confirmed(&self) -> bool {
-        let known = self.meter.is_none() || self.keeper_confirmed.load(Ordering::Relaxed);
-        known || self.clock.now() >= KEEPER_WAIT
+        let is_known = self.meter.is_none() || self.keeper_confirmed.load(Ordering::Relaxed);
+        is_known || self.clock.now() >= KEEPER_WAIT
     }
 
-    /// Tells whether callers should come here: an instance without configuration could only turn
-    /// them away.
+    /// Returns whether callers should send requests here. An instance without a configuration could only refuse
+    /// them.
     pub fn is_ready(&self) -> bool {
-        let known = self.upstreams.lock().age(self.clock.now()).is_some();
-        let able = known && self.config.load().is_some() && !access::is_failing_closed(self);
-        able && self.is_keeper_confirmed() && !self.is_leaving()
+        let has_upstreams = self.upstreams.lock().age(self.clock.now()).is_some();
+        let can_serve =
+            has_upstreams && self.config.load().is_some() && !access::is_failing_closed(self);
+        can_serve && self.is_keeper_confirmed() && !self.is_leaving()
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,14 +1,14 @@
-//! An instance on a platform whose store keeps all that lasts.
+//! An instance of the service. Its durable state is in the platform's store.
 //!
-//! The instance passes calls on to the upstreams that the platform lists, accepts the steps of
-//! trainers, runs their samples and lists the results. What a protocol looks like on the wire is a
-//! [`Dialect`]'s matter; what is decided, kept and repeated is decided here.
+//! The instance forwards calls to the upstreams that the platform lists, accepts steps (batches of samples) of
+//! trainers, runs their samples on engines and serves the results. A [`Dialect`] translates the messages on the
+//! wire; this crate makes all decisions, stores all state and does all retries.
 //!
-//! - [`front`] takes requests in: [`forward`] passes calls on, [`steps`] answers for steps.
-//! - [`owner`] runs the samples of a step that this instance owns, one by one in [`mod@run`].
-//! - [`claim`] decides whether a step may begin or go on, by its head at the platform.
-//! - [`news`] follows the configuration and the list of upstreams.
-//! - [`control`] is the leader that orders loads and takes up steps whose owner is gone.
+//! - [`front`] handles callers' requests: [`forward`] forwards calls, [`steps`] handles operations on steps.
+//! - [`owner`] runs the samples of the steps that this instance owns, each in [`mod@run`].
+//! - [`claim`] decides by a step's head at the platform whether the step may start or continue.
+//! - [`news`] keeps the configuration and the list of upstreams current.
+//! - [`control`] is the leader, which orders loads and takes over steps whose owner is gone.
 
 mod access;
 mod answer;
--- a/crates/node/src/meter.rs
+++ b/crates/node/src/meter.rs
@@ -1,6 +1,6 @@
-//! Metrics: names, descriptions, and the text that is scraped.
+//! Names, descriptions and text output of the metrics.
 //!
-//! Labels stay bounded: routes, outcomes and kinds of calls, never requests, steps or paths.
+//! Labels have bounded values: routes, outcomes and kinds of calls, never requests, steps or paths.
 
 use metrics::Unit;
 use metrics_exporter_prometheus::Matcher;
@@ -10,7 +10,7 @@
 /// Requests of callers, by route and outcome.
 pub const REQUESTS: &str = "snipeway_requests_total";
 
-/// Seconds until a caller had its answer, by route.
+/// Time until a caller had its answer, in seconds, by route.
 pub const REQUEST_SECONDS: &str = "snipeway_request_seconds";
 
 /// Attempts at upstreams, by outcome.
@@ -22,7 +22,7 @@
 /// Requests for the score of a sample, by outcome.
 pub const SCORES: &str = "snipeway_scores_total";
 
-/// Steps, by what became of them here.
+/// Steps, by outcome at this instance.
 pub const STEPS: &str = "snipeway_steps_total";
 
 /// Orders to engines, by result.
@@ -34,10 +34,10 @@
 /// Orders of upstreams, by result.
 pub const CAPACITY_ORDERS: &str = "snipeway_upstream_orders_total";
 
-/// Calls of the platform, by kind.
+/// Platform calls, by kind.
 pub const PLATFORM_CALLS: &str = "snipeway_platform_calls_total";
 
-/// Log lines that were dropped because their reader was too slow.
+/// Log lines that were dropped because the log reader was too slow.
 pub const DROPPED_LOG_LINES: &str = "snipeway_log_lines_dropped_total";
 
 /// Age of the list of upstreams in milliseconds.
@@ -46,11 +46,11 @@
 /// Version of the configuration in force.
 pub const CONFIG_VERSION: &str = "snipeway_configuration_version";
 
-/// Buckets of [`SECONDS`].
+/// Buckets of [`REQUEST_SECONDS`].
 const REQUEST_SECONDS_BUCKETS: [f64; 11] =
     [0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// Begins to count.
+/// Installs the recorder and registers descriptions; [`None`] when it cannot be installed.
 pub fn install() -> Option<PrometheusHandle> {
     let matcher = Matcher::Full(REQUEST_SECONDS.to_owned());
     let builder =
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting an instance, and leaving gracefully.
+//! Starts an instance and stops it gracefully.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,42 +40,42 @@
 use crate::settings::Role;
 use crate::through::PeerRelay;
 
-/// Time for which a leaving instance goes on accepting: callers' balancers look once a second and
-/// send nothing more after two looks.
+/// Time for which a leaving instance still accepts requests: callers' load balancers probe once a second and stop
+/// sending after two failed probes.
 const LEAVING_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
-/// Part of the time for leaving after which whatever still runs is left to others.
+/// Fraction of the stop grace after which the remaining work is left to other instances.
 const LEAVING_FRACTION: f64 = 0.75;
 
-/// Time between two looks at the settings file, which may change without a signal.
+/// Interval between reads of the settings file, which may change without a signal.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between two reports of the calls of the platform.
+/// Interval between log lines about platform calls.
 const CALL_REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time between two looks for results in memory that nobody reads.
+/// Interval between removals of unused results from memory.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after which results that nobody has read are dropped from memory, in milliseconds.
+/// Time after which unused results are removed from memory, in milliseconds.
 const UNREAD_RESULTS_TTL: u64 = 4_000;
 
-/// Time that a connection may be idle or take for its headers: callers keep idle ones for some
-/// ten seconds, and one that is closed by us at the moment of use costs them a try.
+/// Time for which a connection may be idle or take for its headers: callers keep idle ones for about ten seconds,
+/// and a connection closed by this side just when a caller uses it costs that caller an attempt.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running instance.
 pub struct Running {
-    /// What its parts share; the settings name the ports that it listens on.
+    /// The shared state; its settings hold the ports that the instance listens on.
     pub app: Arc<App>,
     drain: Drain,
     front: Option<JoinHandle<bool>>,
 }
 
-/// Runs an instance until it is told to leave.
+/// Runs an instance until it receives a termination signal.
 ///
 /// # Errors
 ///
-/// Returns an error when the settings are wrong or an address cannot be listened on.
+/// Returns an error when the settings are invalid or an address cannot be listened on.
 pub async fn run(
     file: &str,
     dialect: Arc<dyn Dialect>,
@@ -106,9 +106,9 @@
         dialect: Arc<dyn Dialect>,
         protocol: Arc<dyn Protocol>,
     ) -> eyre::Result<Self> {
-        let inner = bind(SocketAddr::new(settings.address, settings.peer_port)).await?;
-        settings.peer_port = inner.local_addr()?.port();
-        let gate = bind_optional(&mut settings.readiness).await?;
+        let internal = bind(SocketAddr::new(settings.address, settings.peer_port)).await?;
+        settings.peer_port = internal.local_addr()?.port();
+        let readiness = bind_optional(&mut settings.readiness).await?;
         let callers = bind_optional(&mut settings.listen).await?;
         let plat = Client::with_protocol(vec![settings.platform], protocol);
         let app = App::new(settings, dialect, plat);
@@ -119,13 +119,17 @@
             scrape,
         });
         serve(
-            inner,
+            internal,
             Glue::new(&shared, handle_internal),
             &Drain::default(),
         );
-        if let Some(gate) = gate {
-            // Goes on while the instance leaves, to say that it is not ready.
-            serve(gate, Glue::new(&app, handle_readiness), &Drain::default());
+        if let Some(readiness) = readiness {
+            // Keeps running while the instance leaves, to report that it is not ready.
+            serve(
+                readiness,
+                Glue::new(&app, handle_readiness),
+                &Drain::default(),
+            );
         }
         let front = Glue::new(&app, front::handle);
         let front = callers.map(|callers| serve(callers, front, &drain));
@@ -149,18 +153,18 @@
         Ok(Self { app, drain, front })
     }
 
-    /// Leaves: readiness falls, then nothing more is accepted, then running requests end. What is
-    /// left of steps is taken up by others.
+    /// Stops gracefully: readiness ends, then no request is accepted, then running requests end. Other instances
+    /// take over unfinished steps.
     pub async fn leave(mut self) {
         let app = &self.app;
         log::info!(target: "start", steps = app.running_steps.len(); "leaving");
         app.start_leaving();
-        let left = Duration::from_millis(app.settings.stop_grace).mul_f64(LEAVING_FRACTION);
-        let ended = timeout(left, async {
+        let time_left = Duration::from_millis(app.settings.stop_grace).mul_f64(LEAVING_FRACTION);
+        let ended = timeout(time_left, async {
             if let Some(front) = self.front.take() {
                 sleep(LEAVING_ACCEPT_TIME).await;
                 self.drain.begin();
-                // A front that has panicked has no requests left.
+                // A listener that has panicked has no requests left.
                 let _ = front.await;
             }
             while !app.running_steps.is_empty() {
@@ -178,7 +182,7 @@
     listener.wrap_err_with(|| format!("could not listen on {addr}"))
 }
 
-/// Listens on an address if there is one, and notes the port that was taken.
+/// Listens on an address if there is one, and stores the port that was assigned.
 async fn bind_optional(addr: &mut Option<SocketAddr>) -> eyre::Result<Option<TcpListener>> {
     let Some(addr) = addr else { return Ok(None) };
     let listener = bind(*addr).await?;
@@ -206,43 +210,43 @@
     }
 }
 
-/// What is served to other instances and to operators.
+/// State of the server for other instances and operators.
 struct InternalState {
     app: Arc<App>,
     scrape: Option<PrometheusHandle>,
 }
 
-async fn handle_internal(inner: Arc<InternalState>, call: Call) -> Reply {
+async fn handle_internal(state: Arc<InternalState>, call: Call) -> Reply {
     if call.method == Method::POST {
-        return answer::handle(&inner.app, call).await;
+        return answer::handle(&state.app, call).await;
     }
     metrics::gauge!(meter::DROPPED_LOG_LINES).set(logs::dropped_lines() as f64);
-    let text = inner.scrape.as_ref().map(PrometheusHandle::render);
+    let text = state.scrape.as_ref().map(PrometheusHandle::render);
     net::body::reply(StatusCode::OK, "text/plain", text.unwrap_or_default())
 }
 
-/// Drops results from memory that nobody reads; they can be read again from the platform.
+/// Removes cached results that callers no longer read; they can be read again from the platform.
 async fn prune_caches(app: Arc<App>) {
     loop {
         sleep(PRUNE_INTERVAL).await;
         hint::prune(&app);
         app.crashes.prune();
-        let mut all = Vec::new();
+        let mut caches = Vec::new();
         app.result_caches
-            .for_each_shard(|map| all.extend(map.values().cloned()));
-        let mut old = Vec::new();
-        for shelf in all {
-            if shelf.last_used().await + UNREAD_RESULTS_TTL < app.clock.now() {
-                old.push(shelf);
+            .for_each_shard(|map| caches.extend(map.values().cloned()));
+        let mut unused = Vec::new();
+        for cache in caches {
+            if cache.last_used().await + UNREAD_RESULTS_TTL < app.clock.now() {
+                unused.push(cache);
             }
         }
         app.result_caches.for_each_shard(|map| {
-            map.retain(|_, shelf| !old.iter().any(|one| Arc::ptr_eq(one, shelf)))
+            map.retain(|_, cache| !unused.iter().any(|other| Arc::ptr_eq(other, cache)))
         });
     }
 }
 
-/// Keeps what this instance has seen of crashes at the platform.
+/// Publishes this instance's crash reports to the platform.
 async fn publish_crashes(app: Arc<App>) {
     let key = format!(
         "{}{}/{}",
@@ -250,15 +254,15 @@
         app.me.instance,
         app.me.start
     );
-    let mut reach = DependencyStatus::new("record of crashes");
-    let heard = |done: Result<(), &PlatError>| match done {
-        Ok(()) => reach.mark_restored(),
-        Err(error) => reach.mark_lost(error),
+    let mut status = DependencyStatus::new("record of crashes");
+    let on_result = |result: Result<(), &PlatError>| match result {
+        Ok(()) => status.mark_restored(),
+        Err(error) => status.mark_lost(error),
     };
-    crash::report::publish(&app.crashes, &app.plat, &key, heard).await;
+    crash::report::publish(&app.crashes, &app.plat, &key, on_result).await;
 }
 
-/// Reports the calls of the platform, which it counts and limits.
+/// Reports the number of platform calls, which the client counts and limits.
 async fn report_calls(app: Arc<App>) {
     loop {
         sleep(CALL_REPORT_INTERVAL).await;
@@ -268,20 +272,20 @@
         }
         log::info!(target: "platform", reads = used(CallKind::Read), stale = used(CallKind::Stale),
             writes = used(CallKind::Write), leases = used(CallKind::Lease),
-            watches = used(CallKind::Watch); "calls so far");
+            watches = used(CallKind::Watch); "platform calls so far");
     }
 }
 
-/// Follows the settings file: the level of the log changes at once, other changes are reported and
-/// hold from the next start on.
-async fn follow_settings(file: String, mut held: Settings) {
+/// Reloads the settings file: the log level changes at once, other changes are logged and take effect at the next
+/// start.
+async fn follow_settings(file: String, mut current: Settings) {
     let Ok(mut hup) = signal(SignalKind::hangup()) else {
-        log::error!(target: "start", "cannot follow the signal to reload");
+        log::error!(target: "start", "cannot listen for the reload signal");
         return;
     };
     loop {
         tokio::select! {
-            _ = hup.recv() => log::info!(target: "start", "told to reload"),
+            _ = hup.recv() => log::info!(target: "start", "reload signal received"),
             () = sleep(SETTINGS_CHECK_INTERVAL) => (),
         }
         let text = match conf::load(&file) {
@@ -293,15 +297,15 @@
             }
         };
         match settings::read(&file, &text) {
-            Ok(settings) if settings == held => (),
+            Ok(settings) if settings == current => (),
             Ok(settings) => {
                 log::set_max_level(settings.logs.level);
-                log::info!(target: "start", "settings have changed");
-                held = settings;
+                log::info!(target: "start", "settings changed");
+                current = settings;
             }
             Err(mistakes) => {
                 let mistakes = mistakes.to_string();
-                log::error!(target: "start", mistakes = mistakes.as_str(); "settings are wrong");
+                log::error!(target: "start", mistakes = mistakes.as_str(); "settings are invalid");
             }
         }
     }
--- a/crates/node/tests/fields.rs
+++ b/crates/node/tests/fields.rs
@@ -1,20 +1,20 @@
-//! The table of log fields in docs/OPERATIONS.md names every field that the code writes.
+//! Checks that the table of log fields in docs/OPERATIONS.md names every field that the code writes.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 use std::path::PathBuf;
 
-fn files(folder: &Path) -> Vec<PathBuf> {
+fn source_files(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap().path());
     let (folders, files): (Vec<_>, Vec<_>) = entries.partition(|path| path.is_dir());
-    let inner = folders.iter().flat_map(|folder| self::files(folder));
+    let inner = folders.iter().flat_map(|folder| self::source_files(folder));
     files.into_iter().chain(inner).collect()
 }
 
-/// The names of the fields of a log macro's arguments, which stand before the message.
+/// Returns the names of the fields in a log macro's arguments, which precede the message.
 fn fields(call: &str) -> Vec<String> {
     let Some((head, _)) = call.split_once(';') else {
         return Vec::new();
@@ -22,20 +22,23 @@
     let parts = head.split([',', '\n']).map(str::trim);
     let parts = parts.filter(|part| !part.starts_with("target"));
     let names = parts.map(|part| part.split([' ', '=']).next().unwrap_or_default());
-    let word = |name: &&str| {
-        let plain = name.bytes().all(|b| b.is_ascii_lowercase() || b == b'_');
-        plain && !name.is_empty()
+    let is_field_name = |name: &&str| {
+        let has_valid_bytes = name.bytes().all(|b| b.is_ascii_lowercase() || b == b'_');
+        has_valid_bytes && !name.is_empty()
     };
-    names.filter(word).map(str::to_owned).collect()
+    names.filter(is_field_name).map(str::to_owned).collect()
 }
 
 #[test]
-fn every_field_is_in_the_table() {
+fn every_log_field_is_documented() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = fs::read_to_string(root.join("../../docs/OPERATIONS.md")).unwrap();
     let mut written = BTreeSet::new();
-    let written_by = [root.join("src"), root.join("../crash/src")];
-    for file in written_by.iter().flat_map(|folder| files(folder)) {
+    let source_folders = [root.join("src"), root.join("../crash/src")];
+    for file in source_folders
+        .iter()
+        .flat_map(|folder| source_files(folder))
+    {
         let text = fs::read_to_string(&file).unwrap();
         for call in text.split("log::").skip(1) {
             let level = call.split('!').next().unwrap_or_default();
@@ -52,7 +55,7 @@
         .filter(|name| !page.contains(&format!("`{name}`")))
         .collect();
 
-    // Such a field hid which part of the program wrote 2,652 lines of a day.
+    // A field with the name of a common one hid which part of the program had written 2,652 lines in a day.
     for common in logs::COMMON_FIELDS {
         assert!(
             !written.contains(common),
