--- a/crates/node/src/access.rs
+++ b/crates/node/src/access.rs
@@ -14,7 +14,7 @@
 
 use crate::App;
 use crate::dialect::Caller;
-use crate::refuse::Refusal;
+use crate::refusal::Refusal;
 
 /// Divisor of `apply_limit`; the quotient is the age up to which a configuration counts as fresh. A newer one may
 /// have been acknowledged while this one was being read.
--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -42,7 +42,7 @@
 use crate::hint::Hint;
 use crate::member::OwnEntry;
 use crate::owner::Work;
-use crate::shelf::ResultCache;
+use crate::result_cache::ResultCache;
 
 /// Time for which an idle connection to an upstream is kept open. Reusing it saves the upstream from opening a new
 /// connection, which may occupy a slot there.
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -19,7 +19,7 @@
 use crate::App;
 use crate::dialect::DialectError;
 use crate::dialect::ReportedState;
-use crate::news;
+use crate::replication;
 use office::Office;
 
 /// Time between two looks of the leader at what is due.
@@ -68,7 +68,7 @@
     let fence = office.fence();
     log::info!(target: "control", fence; "became leader");
     let mut tasks = JoinSet::new();
-    tasks.spawn(news::follow(app.clone()));
+    tasks.spawn(replication::follow(app.clone()));
     let targets = targets::Targets::default();
     tasks.spawn(targets::follow(app.clone(), targets.clone()));
     tasks.spawn(orphans::run(app.clone(), targets.clone()));
--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -23,13 +23,13 @@
 use super::kept::Kept;
 use super::office::Office;
 use crate::App;
+use crate::dependency::DependencyStatus;
 use crate::dialect::UsageReport;
 use crate::dialect::UsageReportOutcome;
 use crate::member;
-use crate::meter;
 use crate::peer;
-use crate::reach::DependencyStatus;
 use crate::settings::UsageReports;
+use crate::telemetry;
 use spread::Member;
 
 /// The key of what was reported.
@@ -285,7 +285,7 @@
             Some(UsageReportOutcome::Refused) => "refused",
             None => "unanswered",
         };
-        metrics::counter!(meter::USAGE_REPORTS, "result" => outcome).increment(1);
+        metrics::counter!(telemetry::USAGE_REPORTS, "result" => outcome).increment(1);
         let end = self.windows.end(report.window);
         log::info!(target: "accounts", window = report.window, fence = account.fencing_token, outcome,
             age_ms = self.app.clock.steady().saturating_sub(end); "window reported");
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 
 use crate::App;
-use crate::reach::DependencyStatus;
+use crate::dependency::DependencyStatus;
 
 /// The key of the record.
 const KEY: &str = "snipeway/leader";
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -22,7 +22,7 @@
 use crate::dialect::EngineOrderOutcome;
 use crate::dialect::ReportedState;
 use crate::dialect::SwapMode;
-use crate::meter;
+use crate::telemetry;
 
 /// Time that an engine has to answer an order.
 const LIMIT: Duration = Duration::from_millis(500);
@@ -214,7 +214,7 @@
             version: load.version,
             until: self.app.clock.now() + pause,
         };
-        metrics::counter!(meter::LOAD_ORDERS, "result" => word).increment(1);
+        metrics::counter!(telemetry::LOAD_ORDERS, "result" => word).increment(1);
         log::info!(target: "control", upstream = &*engine.id, model = &*load.model,
             version = load.version, fence = self.office.fence(), orders = state.accepted_orders,
             running = state.running, result = word; "ordered");
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -273,7 +273,7 @@
         }
     };
     log::info!(target: "control", id = &**step, owner = &*from.instance, revision = open.rev(); "step taken over");
-    metrics::counter!(crate::meter::STEPS, "outcome" => "taken over").increment(1);
+    metrics::counter!(crate::telemetry::STEPS, "outcome" => "taken over").increment(1);
     let head = Head {
         owner: app.me.clone(),
         ..head
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -26,8 +26,8 @@
 use crate::App;
 use crate::dialect::CapacityOrder;
 use crate::dialect::CapacityOrderOutcome;
-use crate::meter;
 use crate::settings::UsageReports;
+use crate::telemetry;
 
 /// The key of what was asked for.
 const KEY: &str = "snipeway/capacity";
@@ -191,7 +191,7 @@
                 self.tries.unanswered(subject, now)
             }
         }
-        metrics::counter!(meter::CAPACITY_ORDERS, "result" => outcome).increment(1);
+        metrics::counter!(telemetry::CAPACITY_ORDERS, "result" => outcome).increment(1);
         log::info!(target: "capacity", service = &*subject.service, domain = &*subject.domain,
             wanted = order.count, present = count, fence = self.office.fence(), outcome;
             "upstreams ordered");
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -16,7 +16,7 @@
 use weight::Version;
 
 use crate::App;
-use crate::reach::DependencyStatus;
+use crate::dependency::DependencyStatus;
 
 /// Longest time that one watch waits, in milliseconds. A watch may hear nothing of a change, so
 /// the newest state is read after each that heard nothing.
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -25,10 +25,10 @@
 
 use crate::App;
 use crate::dialect::Caller;
-use crate::meter;
-use crate::refuse::Refusal;
+use crate::refusal::Refusal;
 use crate::sent::Place;
 use crate::sent::Sent;
+use crate::telemetry;
 
 /// Delay after which a call that may be repeated is sent to a second upstream as well: several times the usual
 /// duration of a lookup, and early enough for the second answer to meet the latency that callers aim at.
@@ -286,7 +286,7 @@
         AttemptOutcome::NotExecuted => "unrun",
         AttemptOutcome::Unknown => "unknown",
     };
-    metrics::counter!(meter::ATTEMPTS, "outcome" => outcome).increment(1);
+    metrics::counter!(telemetry::ATTEMPTS, "outcome" => outcome).increment(1);
     result
 }
 
--- a/crates/node/src/front.rs
+++ b/crates/node/src/frontend.rs
@@ -13,11 +13,11 @@
 use crate::dialect::Caller;
 use crate::dialect::Operation;
 use crate::forward;
-use crate::meter;
-use crate::refuse;
-use crate::refuse::Refusal;
+use crate::refusal;
+use crate::refusal::Refusal;
 use crate::steps;
 use crate::stream;
+use crate::telemetry;
 
 /// Handles a request and records its outcome.
 pub async fn handle(app: Arc<App>, call: Call) -> Reply {
@@ -33,13 +33,13 @@
     };
     let (route, mut reply) = dispatch(&app, head, caller, body).await;
     if app.is_leaving() {
-        refuse::close_connection(&mut reply);
+        refusal::close_connection(&mut reply);
     }
     let took = app.clock.now() - started;
     let status = reply.status().as_u16();
-    metrics::counter!(meter::REQUESTS, "route" => route, "status" => status.to_string())
+    metrics::counter!(telemetry::REQUESTS, "route" => route, "status" => status.to_string())
         .increment(1);
-    metrics::histogram!(meter::REQUEST_SECONDS, "route" => route).record(took as f64 / 1_000.0);
+    metrics::histogram!(telemetry::REQUEST_SECONDS, "route" => route).record(took as f64 / 1_000.0);
     log::info!(target: "front", id = &*id, route, status, took_ms = took; "answered");
     reply
 }
--- a/crates/node/src/hand.rs
+++ b/crates/node/src/handover.rs
@@ -35,7 +35,7 @@
 /// # Examples
 ///
 /// ```
-/// use node::hand::preferred_owners;
+/// use node::handover::preferred_owners;
 /// use spread::Member;
 ///
 /// let member = |name: &str, domain: &str, centicores| Member {
@@ -49,7 +49,7 @@
 /// let owners = preferred_owners(&members, "nord", "steps");
 /// assert_eq!(owners.len(), 1);
 /// assert_eq!(&*owners[0].owner.instance, "b");
-/// assert!(node::hand::preferred_owners(&members, "vest", "steps").is_empty());
+/// assert!(node::handover::preferred_owners(&members, "vest", "steps").is_empty());
 /// ```
 pub fn preferred_owners<'a>(members: &'a [Member], domain: &str, route: &str) -> Vec<&'a Member> {
     let in_domain = || {
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use crate::App;
-use crate::reach::DependencyStatus;
+use crate::dependency::DependencyStatus;
 use crate::settings::Role;
 
 /// Prefix of the keys of instances.
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -19,8 +19,8 @@
 use super::Work;
 use crate::App;
 use crate::claim;
-use crate::through;
-use crate::through::RelayedRead;
+use crate::peer_relay;
+use crate::peer_relay::RelayedRead;
 
 /// What the time in which an end has to be in force is divided by to give the time after which a question is asked through
 /// others as well.
@@ -101,7 +101,7 @@
     let direct = pin!(in_time(limit, app.plat.call_direct(&call)));
     let others = pin!(async {
         sleep(patience).await;
-        through::relay_read(app, &call, limit - patience).await
+        peer_relay::relay_read(app, &call, limit - patience).await
     });
     let (error, said) = match select(direct, others).await {
         Either::Left((Ok(answer), _)) | Either::Right((RelayedRead::Answer(answer), _)) => {
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -26,9 +26,9 @@
 use super::write::Written;
 use super::write::write_segment;
 use crate::App;
-use crate::meter;
 use crate::run::Ended;
 use crate::score;
+use crate::telemetry;
 
 /// Longest pause between two looks at what can be done.
 const TICK: Duration = Duration::from_millis(50);
@@ -244,7 +244,7 @@
             Outcome::Completed => "whole",
             Outcome::Failed => "failed",
         };
-        metrics::counter!(meter::SAMPLES, "outcome" => word).increment(1);
+        metrics::counter!(telemetry::SAMPLES, "outcome" => word).increment(1);
         let entry = self.work.entry(index, outcome, draft, score);
         self.work.ledger.lock().finish(entry, self.app.clock.now());
     }
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -33,7 +33,7 @@
 use crate::claim::Open;
 use crate::claim::Standing;
 use crate::print;
-use crate::shelf::ResultPage;
+use crate::result_cache::ResultPage;
 
 /// Time for which results are gathered into one write: a write is a call that the platform counts, and
 /// nobody waits for the first results of a step.
--- a/crates/node/src/news.rs
+++ b/crates/node/src/replication.rs
@@ -1,8 +1,8 @@
 //! Replication of the configuration, the list of upstreams and the list of members.
 
-mod belief;
-mod intake;
+mod applied_state;
 mod reader;
+mod upstream_list;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 use tokio::time::sleep;
 
 use crate::App;
+use crate::dependency::DependencyStatus;
 use crate::member;
 use crate::peer;
 use crate::peer::PollOutcome;
-use crate::reach::DependencyStatus;
-use intake::AppliedState;
+use applied_state::AppliedState;
 use reader::PlatformReader;
 
 /// Longest time that a starting instance waits for the list of members, in milliseconds: it writes its own entry
--- a/crates/node/src/news/intake.rs
+++ b/crates/node/src/replication/applied_state.rs
@@ -13,7 +13,7 @@
 use table::Upstream;
 
 use super::CRASH_REPORTS_PREFIX;
-use super::belief;
+use super::upstream_list;
 use crate::App;
 
 /// Puts a configuration in force unless that one or a newer one already is.
@@ -31,7 +31,7 @@
     if !replace_config(app, config) {
         return;
     }
-    metrics::gauge!(crate::meter::CONFIG_VERSION).set(version as f64);
+    metrics::gauge!(crate::telemetry::CONFIG_VERSION).set(version as f64);
     log::info!(target: "news", version, revision = item.rev; "configuration in force");
     app.capacity_changed.notify_waiters();
 }
@@ -102,7 +102,7 @@
         };
         // An upstream missing from an incomplete list may still exist.
         if let Some(read_at) = read_at.filter(|_| is_complete) {
-            belief::apply_upstreams(app, &self.upstreams, rev, read_at);
+            upstream_list::apply_upstreams(app, &self.upstreams, rev, read_at);
         }
     }
 
--- a/crates/node/src/news/reader.rs
+++ b/crates/node/src/replication/reader.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::CRASH_REPORTS_PREFIX;
-use super::intake::AppliedState;
+use super::applied_state::AppliedState;
 use crate::App;
 use crate::member;
 
--- a/crates/node/src/news/belief.rs
+++ b/crates/node/src/replication/upstream_list.rs
@@ -29,7 +29,7 @@
     for change in &changes {
         log_change(change, rev);
     }
-    metrics::gauge!(crate::meter::UPSTREAMS_AGE).set(0.0);
+    metrics::gauge!(crate::telemetry::UPSTREAMS_AGE).set(0.0);
     app.capacity_changed.notify_waiters();
 }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -168,7 +168,7 @@
         log::info!(target: "run", id = &*sample.id, step = &**self.work.name(),
             upstream = &*self.engine.id, first, to = draft.lock().last_event, took_ms = took,
             outcome; "run ended");
-        metrics::counter!(crate::meter::ATTEMPTS, "outcome" => outcome).increment(1);
+        metrics::counter!(crate::telemetry::ATTEMPTS, "outcome" => outcome).increment(1);
         ended
     }
 
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -19,9 +19,9 @@
 use crate::App;
 use crate::forward;
 use crate::forward::ForwardOutcome;
-use crate::meter;
 use crate::owner::Work;
 use crate::sent::Sent;
+use crate::telemetry;
 
 /// Time after which one try, with its second upstream, is given up: ten times the latency that callers
 /// of plain services aim at. Upstreams that have gone silent would else hold a sample for as long as
@@ -85,7 +85,7 @@
         }
     };
     let outcome = if score.is_some() { "scored" } else { "failed" };
-    metrics::counter!(meter::SCORES, "outcome" => outcome).increment(1);
+    metrics::counter!(telemetry::SCORES, "outcome" => outcome).increment(1);
     log::info!(target: "score", id = &*scoring.id, tries = asked, outcome,
         took_ms = app.clock.now() - begun; "score ended");
     score
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -27,18 +27,18 @@
 use crate::App;
 use crate::Dialect;
 use crate::Settings;
-use crate::answer;
 use crate::control;
-use crate::front;
+use crate::dependency::DependencyStatus;
+use crate::frontend;
 use crate::hint;
 use crate::member;
-use crate::meter;
-use crate::news;
-use crate::reach::DependencyStatus;
-use crate::refuse::Refusal;
+use crate::peer_relay::PeerRelay;
+use crate::peer_server;
+use crate::refusal::Refusal;
+use crate::replication;
 use crate::settings;
 use crate::settings::Role;
-use crate::through::PeerRelay;
+use crate::telemetry;
 
 /// Time for which a leaving instance still accepts requests: callers' load balancers probe once a second and stop
 /// sending after two failed probes.
@@ -112,7 +112,7 @@
         let callers = bind_optional(&mut settings.listen).await?;
         let plat = Client::with_protocol(vec![settings.platform], protocol);
         let app = App::new(settings, dialect, plat);
-        let scrape = meter::install();
+        let scrape = telemetry::install();
         let drain = Drain::default();
         let shared = Arc::new(InternalState {
             app: app.clone(),
@@ -131,14 +131,14 @@
                 &Drain::default(),
             );
         }
-        let front = Glue::new(&app, front::handle);
+        let front = Glue::new(&app, frontend::handle);
         let front = callers.map(|callers| serve(callers, front, &drain));
         app.plat
             .set_relay(Arc::new(PeerRelay(Arc::downgrade(&app))));
         tokio::spawn(member::maintain_entry(app.clone()));
         tokio::spawn(member::refresh_members(app.clone()));
         match app.settings.role {
-            Role::Entry => drop(tokio::spawn(news::follow(app.clone()))),
+            Role::Entry => drop(tokio::spawn(replication::follow(app.clone()))),
             Role::Control => drop(tokio::spawn(control::run(app.clone()))),
         }
         tokio::spawn(control::orphans::reclaim(app.clone()));
@@ -218,9 +218,9 @@
 
 async fn handle_internal(state: Arc<InternalState>, call: Call) -> Reply {
     if call.method == Method::POST {
-        return answer::handle(&state.app, call).await;
+        return peer_server::handle(&state.app, call).await;
     }
-    metrics::gauge!(meter::DROPPED_LOG_LINES).set(logs::dropped_lines() as f64);
+    metrics::gauge!(telemetry::DROPPED_LOG_LINES).set(logs::dropped_lines() as f64);
     let text = state.scrape.as_ref().map(PrometheusHandle::render);
     net::body::reply(StatusCode::OK, "text/plain", text.unwrap_or_default())
 }
@@ -250,7 +250,7 @@
 async fn publish_crashes(app: Arc<App>) {
     let key = format!(
         "{}{}/{}",
-        news::CRASH_REPORTS_PREFIX,
+        replication::CRASH_REPORTS_PREFIX,
         app.me.instance,
         app.me.start
     );
@@ -268,7 +268,8 @@
         sleep(CALL_REPORT_INTERVAL).await;
         let used = |kind| app.plat.budget().used(kind);
         for kind in CallKind::ALL {
-            metrics::gauge!(meter::PLATFORM_CALLS, "kind" => kind.name()).set(used(kind) as f64);
+            metrics::gauge!(telemetry::PLATFORM_CALLS, "kind" => kind.name())
+                .set(used(kind) as f64);
         }
         log::info!(target: "platform", reads = used(CallKind::Read), stale = used(CallKind::Stale),
             writes = used(CallKind::Write), leases = used(CallKind::Lease),
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -21,8 +21,8 @@
 use crate::claim::Ended;
 use crate::hint;
 use crate::peer;
-use crate::refuse::Refusal;
-use crate::shelf::ResultCache;
+use crate::refusal::Refusal;
+use crate::result_cache::ResultCache;
 
 /// Longest time that a caller waits for a write, unless its own time limit is shorter.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(4_000);
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -29,12 +29,12 @@
 use crate::control::orphans;
 use crate::dialect::Caller;
 use crate::dialect::StepRequest;
-use crate::hand;
-use crate::hand::HandoverOutcome;
+use crate::handover;
+use crate::handover::HandoverOutcome;
 use crate::member;
-use crate::meter;
 use crate::owner;
-use crate::refuse::Refusal;
+use crate::refusal::Refusal;
+use crate::telemetry;
 
 /// Time for which the acceptance of a step from a caller is retried after refusals by the platform, in
 /// milliseconds: a busy platform accepts calls again within moments.
@@ -127,7 +127,7 @@
     if app.running_steps.get(&submission.id).is_some() {
         return AcceptOutcome::Stored.reply();
     }
-    match hand::hand_over(app, &submission).await {
+    match handover::hand_over(app, &submission).await {
         HandoverOutcome::Answered(accepted) => accepted.reply(),
         HandoverOutcome::Local => accept_locally(app, submission, Origin::Caller)
             .await
@@ -276,7 +276,7 @@
             Ok(Tried::Open(open)) => {
                 log::info!(target: "steps", id = &*id, samples = head.total, work = head.work, least = head.min_version,
                     model = &*head.model, revision = open.rev(), took_ms = age; "step accepted");
-                metrics::counter!(meter::STEPS, "outcome" => "accepted").increment(1);
+                metrics::counter!(telemetry::STEPS, "outcome" => "accepted").increment(1);
                 owner::begin(&app, &id, head, spec, open);
                 return AcceptOutcome::Stored;
             }
@@ -307,7 +307,7 @@
                 let why = error.to_string();
                 log::warn!(target: "steps", id = &*id, why = why.as_str(), took_ms = age;
                     "step refused");
-                metrics::counter!(meter::STEPS, "outcome" => "refused").increment(1);
+                metrics::counter!(telemetry::STEPS, "outcome" => "refused").increment(1);
                 return AcceptOutcome::Refused;
             }
             Err(error) => log_retry(&id, &error),
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -27,7 +27,7 @@
 use crate::dialect::Caller;
 use crate::events::Events;
 use crate::events::NextEvent;
-use crate::refuse::Refusal;
+use crate::refusal::Refusal;
 use crate::sent::Place;
 use crate::sent::Sent;
 
