--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -18,8 +18,8 @@
 
 use crate::App;
 use crate::dialect::DialectError;
-use crate::dialect::Stated;
-use crate::news;
+use crate::dialect::ReportedState;
+use crate::replication;
 use office::Office;
 
 /// Time between two looks of the leader at what is due.
@@ -68,7 +68,7 @@
     let fence = office.fence();
     log::info!(target: "control", fence; "became leader");
     let mut tasks = JoinSet::new();
-    tasks.spawn(news::follow(app.clone()));
+    tasks.spawn(replication::follow(app.clone()));
     let targets = targets::Targets::default();
     tasks.spawn(targets::follow(app.clone(), targets.clone()));
     tasks.spawn(orphans::run(app.clone(), targets.clone()));
@@ -131,21 +131,21 @@
 /// # Errors
 ///
 /// Returns [`StateError`].
-pub async fn state(app: &App, one: &Arc<Upstream>) -> Result<Stated, StateError> {
-    let (method, path) = app.dialect.ask_state();
+pub async fn state(app: &App, one: &Arc<Upstream>) -> Result<ReportedState, StateError> {
+    let (method, path) = app.dialect.state_request();
     let request = http::Request::builder()
         .method(method)
         .uri(net::client::uri(one.addr, path))
         .body(http_body_util::Full::default())?;
     let answer = app.http.fetch(request, STATE, MOST).await?;
-    let stated = app.dialect.stated(answer.body())?;
+    let stated = app.dialect.decode_state(answer.body())?;
     // What it has counts for that start, which the list will name within a second or two.
-    if let (Some(born), Some(listed)) = (stated.born, one.incarnation.started_at)
+    if let (Some(born), Some(listed)) = (stated.started_at, one.incarnation.started_at)
         && born != listed
     {
         return Err(StateError::Start);
     }
-    let mut fleet = app.fleet.lock();
+    let mut fleet = app.engine_tracker.lock();
     for (model, version) in &stated.models {
         fleet.version_seen(&one.id, model, *version);
     }
--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -23,13 +23,13 @@
 use super::kept::Kept;
 use super::office::Office;
 use crate::App;
-use crate::dialect::Account;
-use crate::dialect::Accounted;
+use crate::dependency::DependencyStatus;
+use crate::dialect::UsageReport;
+use crate::dialect::UsageReportOutcome;
 use crate::member;
-use crate::meter;
 use crate::peer;
-use crate::reach::Reach;
-use crate::settings::Accounts;
+use crate::settings::UsageReports;
+use crate::telemetry;
 use spread::Member;
 
 /// The key of what was reported.
@@ -65,20 +65,20 @@
 pub(super) struct Reports<'a> {
     app: &'a Arc<App>,
     office: &'a Office,
-    to: Accounts,
+    to: UsageReports,
     windows: Windows,
     ledger: Option<Kept<Ledger>>,
     /// The last window that the platform has taken from this holder.
     taken: u64,
     /// Since when reports have failed.
     failing: Option<Millis>,
-    reach: Reach,
+    reach: DependencyStatus,
 }
 
 impl<'a> Reports<'a> {
     /// Makes a holder that has reported nothing yet; [`None`] where nothing is reported.
     pub(super) fn new(app: &'a Arc<App>, office: &'a Office) -> Option<Self> {
-        let to = app.settings.accounts?;
+        let to = app.settings.usage_reports?;
         Some(Self {
             app,
             office,
@@ -87,7 +87,7 @@
             ledger: None,
             taken: 0,
             failing: None,
-            reach: Reach::new("address of reports"),
+            reach: DependencyStatus::new("address of reports"),
         })
     }
 
@@ -157,7 +157,7 @@
     }
 
     fn has_teams(&self) -> bool {
-        let plan = self.app.plan.load();
+        let plan = self.app.config.load();
         plan.as_ref().is_some_and(|plan| plan.teams.is_some())
     }
 
@@ -180,7 +180,7 @@
     async fn oldest(&self, one: &Member, windows: Range<u64>) -> Option<u64> {
         let me = (one.owner.instance.clone(), one.owner.start);
         for window in windows {
-            let shares = peer::shares(self.app, one.addr, window).await?;
+            let shares = peer::fetch_window_counts(self.app, one.addr, window).await?;
             let under_way = |share: &WindowCounts| share.source == me && !share.closed;
             if shares
                 .iter()
@@ -195,10 +195,10 @@
     /// Reads who has entered: what is known may be seconds old, and an entry that has just started may have told a
     /// control instance that has just started as well. Gives those who were there a while ago, too.
     async fn meet(&self) -> Vec<Member> {
-        if let Ok(members) = member::list(self.app).await {
-            self.app.met(members);
+        if let Ok(members) = member::list_members(self.app).await {
+            self.app.set_members(members);
         }
-        self.app.acquainted()
+        self.app.recent_members()
     }
 
     /// Collects the figures of a window from all who may have some.
@@ -210,7 +210,7 @@
             .map(|one| (one.owner.instance.clone(), one.owner.start))
             .collect();
         let keepers = members.iter().filter(|one| !one.is_reader);
-        let asks = keepers.map(|one| peer::shares(self.app, one.addr, window));
+        let asks = keepers.map(|one| peer::fetch_window_counts(self.app, one.addr, window));
         let told = join_all(asks).await;
         let mut shares: Vec<WindowCounts> = told.into_iter().flatten().flatten().collect();
         shares.extend(crate::tally::shares(self.app, window));
@@ -222,10 +222,10 @@
             let silent = members
                 .iter()
                 .filter(|one| missing.iter().any(|(name, _)| *name == one.owner.instance));
-            let asks = silent.map(|one| peer::shares(self.app, one.addr, window));
+            let asks = silent.map(|one| peer::fetch_window_counts(self.app, one.addr, window));
             shares.extend(join_all(asks).await.into_iter().flatten().flatten());
         }
-        let late = age as f64 >= self.to.late as f64 * PATIENCE;
+        let late = age as f64 >= self.to.deadline as f64 * PATIENCE;
         ledger.aggregate(window, shares, &live, age, late)
     }
 
@@ -236,56 +236,58 @@
                 continue;
             }
             match self.report(report).await {
-                Some(Accounted::Taken | Accounted::Refused) => self.taken = report.window,
-                Some(Accounted::Busy | Accounted::Fenced) | None => return false,
+                Some(UsageReportOutcome::Accepted | UsageReportOutcome::Refused) => {
+                    self.taken = report.window
+                }
+                Some(UsageReportOutcome::Busy | UsageReportOutcome::Fenced) | None => return false,
             }
         }
         true
     }
 
-    async fn report(&mut self, report: &Report) -> Option<Accounted> {
+    async fn report(&mut self, report: &Report) -> Option<UsageReportOutcome> {
         let now = self.app.clock.now();
         // Asked right before each report: the process may have been paused since the last renewal.
         if !self.office.may_order(now) {
             return None;
         }
-        let account = Account {
+        let account = UsageReport {
             addr: self.to.address,
             report,
             holder: &self.app.me.instance,
-            fence: self.office.fence(),
+            fencing_token: self.office.fence(),
         };
-        let request = match self.app.dialect.account(&account) {
+        let request = match self.app.dialect.usage_report_request(&account) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
                 log::error!(target: "accounts", window = report.window, error = error.as_str(); "no report");
-                return Some(Accounted::Refused);
+                return Some(UsageReportOutcome::Refused);
             }
         };
         let answer = self.app.http.fetch(request, LIMIT, MOST).await;
         let came = match &answer {
             Ok(answer) => {
                 self.failing = None;
-                self.reach.back();
-                Some(self.app.dialect.accounted(answer.status()))
+                self.reach.mark_restored();
+                Some(self.app.dialect.usage_report_outcome(answer.status()))
             }
             Err(_) => {
                 self.failing.get_or_insert(now);
-                self.reach.lost(&PlatError::Unreachable);
+                self.reach.mark_lost(&PlatError::Unreachable);
                 None
             }
         };
         let outcome = match came {
-            Some(Accounted::Taken) => "taken",
-            Some(Accounted::Busy) => "busy",
-            Some(Accounted::Fenced) => "fenced",
-            Some(Accounted::Refused) => "refused",
+            Some(UsageReportOutcome::Accepted) => "taken",
+            Some(UsageReportOutcome::Busy) => "busy",
+            Some(UsageReportOutcome::Fenced) => "fenced",
+            Some(UsageReportOutcome::Refused) => "refused",
             None => "unanswered",
         };
-        metrics::counter!(meter::ACCOUNTS, "result" => outcome).increment(1);
+        metrics::counter!(telemetry::USAGE_REPORTS, "result" => outcome).increment(1);
         let end = self.windows.end(report.window);
-        log::info!(target: "accounts", window = report.window, fence = account.fence, outcome,
+        log::info!(target: "accounts", window = report.window, fence = account.fencing_token, outcome,
             age_ms = self.app.clock.steady().saturating_sub(end); "window reported");
         came
     }
@@ -302,7 +304,7 @@
         let others = members
             .iter()
             .filter(|one| !one.is_reader && one.owner.instance != self.app.me.instance);
-        let asks = others.map(|one| peer::reaches(self.app, one.addr));
+        let asks = others.map(|one| peer::reaches_report_address(self.app, one.addr));
         join_all(asks).await.contains(&true)
     }
 }
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -18,11 +18,11 @@
 use super::office::Office;
 use super::targets::Targets;
 use crate::App;
-use crate::dialect::Order;
-use crate::dialect::Ordered;
-use crate::dialect::Passing;
-use crate::dialect::Stated;
-use crate::meter;
+use crate::dialect::EngineOrder;
+use crate::dialect::EngineOrderOutcome;
+use crate::dialect::ReportedState;
+use crate::dialect::SwapMode;
+use crate::telemetry;
 
 /// Time that an engine has to answer an order.
 const LIMIT: Duration = Duration::from_millis(500);
@@ -82,7 +82,7 @@
         }
         self.ordered.retain(|_, ordered| now < ordered.until);
         self.silent.retain(|_, until| now < *until);
-        let plan = self.app.plan.load_full();
+        let plan = self.app.config.load_full();
         let Some(plan) = plan else { return };
         for service in plan.services() {
             if service.engine.is_some() {
@@ -92,14 +92,14 @@
     }
 
     fn engines(&self, service: &str) -> Vec<Arc<Upstream>> {
-        let roster = self.app.roster.lock();
+        let roster = self.app.upstreams.lock();
         let engines = roster.of_service(service).filter(|one| !one.leaving);
         engines.cloned().collect()
     }
 
     async fn serve(&mut self, service: &Arc<str>, aims: &Map<Arc<str>, Target>) {
         let engines = self.engines(service);
-        let part = self.app.settings.part * engines.len() as f64;
+        let part = self.app.settings.loading_share * engines.len() as f64;
         let width = (part.round() as usize).max(1);
         let room = width.saturating_sub(self.ordered.len());
         let mut swap = self.swaps.remove(service).unwrap_or_default();
@@ -130,7 +130,11 @@
     }
 
     /// Asks engines that may have to load for their state.
-    async fn ask(&self, engines: &[Arc<Upstream>], due: &[LoadOrder]) -> Map<Arc<str>, Stated> {
+    async fn ask(
+        &self,
+        engines: &[Arc<Upstream>],
+        due: &[LoadOrder],
+    ) -> Map<Arc<str>, ReportedState> {
         let mut asks = JoinSet::new();
         let due: Set<_> = due.iter().map(|load| &load.id).collect();
         for one in engines {
@@ -147,8 +151,12 @@
         answers.into_iter().flatten().collect()
     }
 
-    fn seen(&self, engines: &[Arc<Upstream>], states: &Map<Arc<str>, Stated>) -> Vec<EngineState> {
-        let fleet = self.app.fleet.lock();
+    fn seen(
+        &self,
+        engines: &[Arc<Upstream>],
+        states: &Map<Arc<str>, ReportedState>,
+    ) -> Vec<EngineState> {
+        let fleet = self.app.engine_tracker.lock();
         let one = |one: &Arc<Upstream>| {
             let ordered = self.ordered.get(&one.id);
             let state = states.get(&one.id);
@@ -176,29 +184,29 @@
         &self,
         engine: &Arc<Upstream>,
         load: &LoadOrder,
-        state: &Stated,
+        state: &ReportedState,
     ) -> Option<(Arc<str>, Loading)> {
         let now = self.app.clock.now();
         // Asked right before each order: the process may have been paused since the last renewal.
         if !self.office.may_order(now) {
             return None;
         }
-        let order = Order {
+        let order = EngineOrder {
             name: engine.incarnation.name.clone(),
             addr: engine.addr,
             model: load.model.clone(),
             version: load.version,
-            passing: self.passing(&engine.service),
+            swap_mode: self.passing(&engine.service),
             holder: self.app.me.instance.clone(),
-            fence: self.office.fence(),
-            orders: state.orders,
+            fencing_token: self.office.fence(),
+            prior_orders: state.accepted_orders,
         };
         let result = self.send(&order).await;
         let (word, pause) = match result {
-            Some(Ordered::Taken) => ("taken", LOADING),
-            Some(Ordered::Conflict) => ("conflict", LATE),
-            Some(Ordered::Fenced) => ("fenced", LATE),
-            Some(Ordered::Refused) => ("refused", LATE),
+            Some(EngineOrderOutcome::Accepted) => ("taken", LOADING),
+            Some(EngineOrderOutcome::Conflict) => ("conflict", LATE),
+            Some(EngineOrderOutcome::Fenced) => ("fenced", LATE),
+            Some(EngineOrderOutcome::Refused) => ("refused", LATE),
             None => ("unanswered", LATE),
         };
         let loading = Loading {
@@ -206,27 +214,27 @@
             version: load.version,
             until: self.app.clock.now() + pause,
         };
-        metrics::counter!(meter::ORDERS, "result" => word).increment(1);
+        metrics::counter!(telemetry::LOAD_ORDERS, "result" => word).increment(1);
         log::info!(target: "control", upstream = &*engine.id, model = &*load.model,
-            version = load.version, fence = self.office.fence(), orders = state.orders,
+            version = load.version, fence = self.office.fence(), orders = state.accepted_orders,
             running = state.running, result = word; "ordered");
         Some((engine.id.clone(), loading))
     }
 
     /// A sample that has to come from one version must not live through a change of weights.
-    fn passing(&self, service: &str) -> Passing {
-        let plan = self.app.plan.load();
+    fn passing(&self, service: &str) -> SwapMode {
+        let plan = self.app.config.load();
         let single = plan
             .as_ref()
             .is_some_and(|plan| plan.routes_to(service).any(|route| route.single_version));
         match single {
-            true => Passing::Drain,
-            false => Passing::Keep,
+            true => SwapMode::Drain,
+            false => SwapMode::Keep,
         }
     }
 
-    async fn send(&self, order: &Order) -> Option<Ordered> {
-        let request = match self.app.dialect.order(order) {
+    async fn send(&self, order: &EngineOrder) -> Option<EngineOrderOutcome> {
+        let request = match self.app.dialect.engine_order_request(order) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
@@ -235,6 +243,6 @@
             }
         };
         let answer = self.app.http.fetch(request, LIMIT, MOST).await.ok()?;
-        Some(self.app.dialect.ordered(answer.status()))
+        Some(self.app.dialect.engine_order_outcome(answer.status()))
     }
 }
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -90,11 +90,11 @@
     async fn turn(&mut self, app: &Arc<App>, targets: &Targets) -> Result<(), PlatError> {
         let heads = app.plat.list_stale(keys::HEADS_PREFIX).await?;
         if !heads.items.is_empty() {
-            let entries = app.plat.list_stale(member::INSTANCES).await?;
+            let entries = app.plat.list_stale(member::KEY_PREFIX).await?;
             let live: Set<_> = entries
                 .items
                 .iter()
-                .filter_map(|item| member::read(&item.value))
+                .filter_map(|item| member::decode(&item.value))
                 .map(|member| (member.owner.instance, member.owner.start))
                 .collect();
             let heads = self.decode(&heads.items);
@@ -150,12 +150,12 @@
     ) -> Result<(), PlatError> {
         let Found { step, head, item } = found;
         let age = app.clock.wall().saturating_sub(head.opened);
-        if age > app.settings.keep + SPARE {
+        if age > app.settings.result_retention + SPARE {
             return sweep(app, &step, item).await;
         }
         let now = app.clock.now();
         let owner = (head.owner.instance.clone(), head.owner.start);
-        let mine = head.owner == app.me && app.works.get(&step).is_some();
+        let mine = head.owner == app.me && app.running_steps.get(&step).is_some();
         if self.settled.contains(&step) || live.contains(&owner) || mine {
             self.missing.remove(&step);
             return Ok(());
@@ -183,7 +183,7 @@
     /// Says of each instance that is to be emptied that it is: nothing that lasts is kept outside
     /// the platform's store.
     async fn empty(&mut self, app: &App) -> Result<(), PlatError> {
-        let prefix = app.dialect.places().empty;
+        let prefix = app.dialect.store_keys().drain_requests;
         for item in app.plat.list_stale(prefix).await?.items {
             let Some(name) = item.key.strip_prefix(prefix) else {
                 continue;
@@ -191,7 +191,7 @@
             if self.emptied.contains(name) {
                 continue;
             }
-            let (key, value) = app.dialect.emptied(name);
+            let (key, value) = app.dialect.drained_record(name);
             let txn = Txn {
                 puts: vec![Put::new(key, value)],
                 ..Txn::default()
@@ -234,8 +234,8 @@
             continue;
         }
         let age = app.clock.wall().saturating_sub(head.opened);
-        if head.ended.is_none() && age <= app.settings.keep {
-            member::shorten(app).await?;
+        if head.ended.is_none() && age <= app.settings.result_retention {
+            member::shorten_ttl(app).await?;
             take_over(app, &step, &item, head).await?;
         }
         settled.insert(step);
@@ -273,7 +273,7 @@
         }
     };
     log::info!(target: "control", id = &**step, owner = &*from.instance, revision = open.rev(); "step taken over");
-    metrics::counter!(crate::meter::STEPS, "outcome" => "taken over").increment(1);
+    metrics::counter!(crate::telemetry::STEPS, "outcome" => "taken over").increment(1);
     let head = Head {
         owner: app.me.clone(),
         ..head
@@ -287,7 +287,8 @@
 /// Tells the former owner of a step that was taken over. One that lives and reaches neither the platform nor others would
 /// go on with it, also after its end, of which its new owner alone is told.
 async fn tell_former(app: Arc<App>, step: Arc<str>, former: Owner, rev: i64) {
-    if former.instance != app.me.instance && !peer::taken(&app, &former.instance, &step, rev).await
+    if former.instance != app.me.instance
+        && !peer::notify_taken_over(&app, &former.instance, &step, rev).await
     {
         log::info!(target: "control", id = &*step, instance = &*former.instance; "former owner not told");
     }
@@ -302,21 +303,21 @@
 impl Taking {
     fn begin(app: &Arc<App>, step: &Arc<str>) -> Option<Self> {
         let (app, step) = (app.clone(), step.clone());
-        app.taking.lock().insert(step.clone()).then_some(())?;
+        app.takeovers.lock().insert(step.clone()).then_some(())?;
         Some(Self { app, step })
     }
 }
 
 impl Drop for Taking {
     fn drop(&mut self) {
-        self.app.taking.lock().remove(&self.step);
+        self.app.takeovers.lock().remove(&self.step);
     }
 }
 
 /// Goes on with a step that was taken over, once its records could be read.
 async fn go_on(taking: Taking, step: Arc<str>, head: Head, open: Open) {
     let app = taking.app.clone();
-    while app.clock.wall() < head.opened + app.settings.keep {
+    while app.clock.wall() < head.opened + app.settings.result_retention {
         match load(&app, &step, &head).await {
             Ok((spec, left)) => {
                 log::info!(target: "control", id = &*step, segments = left.segments.len(),
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -24,10 +24,10 @@
 use super::office::Office;
 use super::targets::Targets;
 use crate::App;
-use crate::dialect::Granted;
-use crate::dialect::Supply;
-use crate::meter;
-use crate::settings::Accounts;
+use crate::dialect::CapacityOrder;
+use crate::dialect::CapacityOrderOutcome;
+use crate::settings::UsageReports;
+use crate::telemetry;
 
 /// The key of what was asked for.
 const KEY: &str = "snipeway/capacity";
@@ -49,7 +49,7 @@
 pub(super) struct Supplies<'a> {
     app: &'a Arc<App>,
     office: &'a Office,
-    to: Accounts,
+    to: UsageReports,
     held: Option<Kept<DesiredCapacity>>,
     tries: RetrySchedule,
 }
@@ -57,7 +57,7 @@
 impl<'a> Supplies<'a> {
     /// Makes a leader that has ordered nothing yet; [`None`] where nothing can be ordered.
     pub(super) fn new(app: &'a Arc<App>, office: &'a Office) -> Option<Self> {
-        let to = app.settings.accounts?;
+        let to = app.settings.usage_reports?;
         Some(Self {
             app,
             office,
@@ -80,7 +80,7 @@
     }
 
     async fn turn(&mut self, targets: &Targets) -> Result<(), PlatError> {
-        let Some(plan) = self.app.plan.load_full() else {
+        let Some(plan) = self.app.config.load_full() else {
             return Ok(());
         };
         let scaled = plan.services().any(|service| service.scaling.is_some());
@@ -117,7 +117,7 @@
             let wish = CapacityDemand {
                 requests: models.map(|aim| aim.concurrent_samples / STEPS).sum(),
                 slots: engine.slots,
-                fill: self.app.settings.fill,
+                fill: self.app.settings.capacity_fill,
             };
             let present = self.present(&service.name, bounds);
             orders.extend(plan_orders(
@@ -133,7 +133,7 @@
 
     /// The upstreams of a service in each failure domain in which there may be some.
     fn present(&self, service: &str, bounds: &ScalingBounds) -> Vec<DomainUpstreams> {
-        let roster = self.app.roster.lock();
+        let roster = self.app.upstreams.lock();
         let mut all: Vec<_> = bounds
             .prices
             .iter()
@@ -173,40 +173,46 @@
         let granted = self.send(order).await;
         let now: Millis = self.app.clock.now();
         let outcome = match granted {
-            Some(Granted::Taken) => "taken",
-            Some(Granted::Scarce) => "none to be had",
-            Some(Granted::Busy) => "busy",
-            Some(Granted::Fenced) => "fenced",
-            Some(Granted::Refused) => "refused",
+            Some(CapacityOrderOutcome::Accepted) => "taken",
+            Some(CapacityOrderOutcome::Unavailable) => "none to be had",
+            Some(CapacityOrderOutcome::Busy) => "busy",
+            Some(CapacityOrderOutcome::Fenced) => "fenced",
+            Some(CapacityOrderOutcome::Refused) => "refused",
             None => "unanswered",
         };
         match granted {
-            Some(Granted::Taken) => self.tries.accepted(subject, bounds.startup_ms, now),
-            Some(Granted::Scarce | Granted::Refused) => self.tries.unavailable(subject, now),
-            Some(Granted::Busy | Granted::Fenced) | None => self.tries.unanswered(subject, now),
+            Some(CapacityOrderOutcome::Accepted) => {
+                self.tries.accepted(subject, bounds.startup_ms, now)
+            }
+            Some(CapacityOrderOutcome::Unavailable | CapacityOrderOutcome::Refused) => {
+                self.tries.unavailable(subject, now)
+            }
+            Some(CapacityOrderOutcome::Busy | CapacityOrderOutcome::Fenced) | None => {
+                self.tries.unanswered(subject, now)
+            }
         }
-        metrics::counter!(meter::SUPPLIES, "result" => outcome).increment(1);
+        metrics::counter!(telemetry::CAPACITY_ORDERS, "result" => outcome).increment(1);
         log::info!(target: "capacity", service = &*subject.service, domain = &*subject.domain,
             wanted = order.count, present = count, fence = self.office.fence(), outcome;
             "upstreams ordered");
     }
 
-    async fn send(&self, order: &Order) -> Option<Granted> {
-        let supply = Supply {
+    async fn send(&self, order: &Order) -> Option<CapacityOrderOutcome> {
+        let supply = CapacityOrder {
             addr: self.to.address,
             order,
             holder: &self.app.me.instance,
-            fence: self.office.fence(),
+            fencing_token: self.office.fence(),
         };
-        let request = match self.app.dialect.supply(&supply) {
+        let request = match self.app.dialect.capacity_order_request(&supply) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
                 log::error!(target: "capacity", error = error.as_str(); "no order");
-                return Some(Granted::Refused);
+                return Some(CapacityOrderOutcome::Refused);
             }
         };
         let answer = self.app.http.fetch(request, LIMIT, MOST).await.ok()?;
-        Some(self.app.dialect.granted(answer.status()))
+        Some(self.app.dialect.capacity_order_outcome(answer.status()))
     }
 }
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -16,7 +16,7 @@
 use weight::Version;
 
 use crate::App;
-use crate::reach::Reach;
+use crate::dependency::DependencyStatus;
 
 /// Longest time that one watch waits, in milliseconds. A watch may hear nothing of a change, so
 /// the newest state is read after each that heard nothing.
@@ -72,7 +72,7 @@
 
 /// Reads now and then what may be some time old, which is cheap.
 async fn glance(app: &App, targets: &Targets) {
-    let prefix = app.dialect.places().weights;
+    let prefix = app.dialect.store_keys().weights;
     loop {
         sleep(GLANCE).await;
         match app.plat.list_stale(prefix).await {
@@ -86,8 +86,8 @@
 }
 
 async fn listen(app: &App, targets: &Targets) {
-    let prefix = app.dialect.places().weights;
-    let mut reach = Reach::new("announced weights");
+    let prefix = app.dialect.store_keys().weights;
+    let mut reach = DependencyStatus::new("announced weights");
     let mut rev = None;
     loop {
         let next = match rev {
@@ -96,11 +96,11 @@
         };
         rev = match next {
             Ok(next) => {
-                reach.back();
+                reach.mark_restored();
                 next
             }
             Err(error) => {
-                reach.lost(&error);
+                reach.mark_lost(&error);
                 sleep(AGAIN).await;
                 None
             }
@@ -133,7 +133,7 @@
 }
 
 fn note(app: &App, targets: &Targets, item: &Item) {
-    match app.dialect.announced(&item.value) {
+    match app.dialect.decode_announcement(&item.value) {
         Ok((model, version)) => {
             if targets.announce(model.clone(), version, app.clock.now()) {
                 log::info!(target: "control", model = &*model, version, revision = item.rev;
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -1,100 +1,100 @@
-//! Events of a stream, block by block.
+//! Splits a stream of server-sent events into blocks.
 //!
-//! The libraries for server-sent events drop fields that the standard does not name, and the
-//! version of the weights comes as such a field; so the blocks are cut here and read by the
-//! [`Dialect`](crate::Dialect).
+//! The common libraries for server-sent events drop fields that the standard does not name, and the version of the
+//! weights arrives as such a field. So this module only splits the blocks, which the [`Dialect`](crate::Dialect)
+//! decodes.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Most bytes of one event; more is not an event.
-const MOST: usize = 4 << 20;
+/// Largest event in bytes; a stream with a longer one counts as broken.
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// What comes next in a stream.
+/// The next item of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// A whole event.
+pub enum NextEvent {
+    /// A complete event.
     Block(String),
-    /// The proper end of the stream.
+    /// The regular end of the stream.
     End,
-    /// The stream broke, ended inside an event, or is none.
+    /// The stream broke, ended inside an event, or holds an event that is too long.
     Broken,
 }
 
-/// Cuts a stream of bytes into events.
+/// Splits a stream of bytes into events.
 ///
 /// # Examples
 ///
 /// ```
-/// let mut cutter = node::events::Cutter::default();
-/// cutter.push(b"id: 1\ndata: a\n\nid: 2\n");
-/// assert_eq!(cutter.pop().as_deref(), Some("id: 1\ndata: a"));
-/// assert_eq!(cutter.pop(), None);
-/// assert!(!cutter.is_clean());
+/// let mut splitter = node::events::EventSplitter::default();
+/// splitter.push(b"id: 1\ndata: a\n\nid: 2\n");
+/// assert_eq!(splitter.pop().as_deref(), Some("id: 1\ndata: a"));
+/// assert_eq!(splitter.pop(), None);
+/// assert!(!splitter.is_drained());
 /// ```
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct EventSplitter {
     bytes: Vec<u8>,
 }
 
-impl Cutter {
-    /// Takes in what has come.
+impl EventSplitter {
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Takes out the next whole event.
+    /// Removes and returns the next complete event.
     pub fn pop(&mut self) -> Option<String> {
-        let at = self.bytes.windows(2).position(|pair| pair == b"\n\n")?;
-        let block = String::from_utf8_lossy(&self.bytes[..at]).into_owned();
-        self.bytes.drain(..at + 2);
+        let end = self.bytes.windows(2).position(|pair| pair == b"\n\n")?;
+        let block = String::from_utf8_lossy(&self.bytes[..end]).into_owned();
+        self.bytes.drain(..end + 2);
         Some(block)
     }
 
-    /// Tells whether no part of an event is left.
-    pub fn is_clean(&self) -> bool {
+    /// Returns whether no part of an event is left.
+    pub fn is_drained(&self) -> bool {
         self.bytes.iter().all(u8::is_ascii_whitespace)
     }
 
-    fn is_long(&self) -> bool {
-        self.bytes.len() > MOST
+    fn is_too_long(&self) -> bool {
+        self.bytes.len() > MAX_EVENT_BYTES
     }
 }
 
-/// Reads the events of an answer.
+/// Reads the events of an answer's body.
 #[derive(Debug)]
 pub struct Events {
     body: Incoming,
-    cutter: Cutter,
+    splitter: EventSplitter,
 }
 
 impl Events {
-    /// Reads the events of a body.
+    /// Creates a reader of a body.
     pub fn new(body: Incoming) -> Self {
         Self {
             body,
-            cutter: Cutter::default(),
+            splitter: EventSplitter::default(),
         }
     }
 
-    /// Waits for what comes next. Dropping the wait loses nothing.
-    pub async fn next(&mut self) -> Next {
+    /// Waits for the next item. Cancel safe: dropping the future loses no data.
+    pub async fn next(&mut self) -> NextEvent {
         loop {
-            if let Some(block) = self.cutter.pop() {
-                return Next::Block(block);
+            if let Some(block) = self.splitter.pop() {
+                return NextEvent::Block(block);
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     let data: Bytes = frame.into_data().unwrap_or_default();
-                    self.cutter.push(&data);
+                    self.splitter.push(&data);
                 }
-                Some(Err(_)) => return Next::Broken,
-                None if self.cutter.is_clean() => return Next::End,
-                None => return Next::Broken,
+                Some(Err(_)) => return NextEvent::Broken,
+                None if self.splitter.is_drained() => return NextEvent::End,
+                None => return NextEvent::Broken,
             }
-            if self.cutter.is_long() {
-                return Next::Broken;
+            if self.splitter.is_too_long() {
+                return NextEvent::Broken;
             }
         }
     }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -1,8 +1,8 @@
-//! Passing a call on to a plain service.
+//! Forwards calls to plain services.
 //!
-//! Load pattern: few calls with a short time to answer, beside upstreams that crash, go silent or
-//! turn slow. A call that may run twice is sent to a second upstream as soon as it takes longer
-//! than nearly all do; one that may not is sent again only when it is certain not to have run.
+//! Load pattern: a low rate of calls with a short deadline, to upstreams that crash, stop responding or become
+//! slow. A call that may run twice is sent to a second upstream as soon as it takes longer than nearly all calls
+//! do; one that may not is sent again only when it is certain not to have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,41 +25,39 @@
 
 use crate::App;
 use crate::dialect::Caller;
-use crate::meter;
-use crate::refuse::Refusal;
+use crate::refusal::Refusal;
 use crate::sent::Place;
 use crate::sent::Sent;
+use crate::telemetry;
 
-/// Time after which a call that may be repeated is sent to a second upstream as well: some times
-/// the usual work of a lookup, and early enough for the second to answer within the latency that
-/// callers aim at.
-const HEDGE: Duration = Duration::from_millis(110);
+/// Delay after which a call that may be repeated is sent to a second upstream as well: several times the usual
+/// duration of a lookup, and early enough for the second answer to meet the latency that callers aim at.
+const HEDGE_DELAY: Duration = Duration::from_millis(110);
 
-/// Part of the time left that one attempt may take before it counts as lost, for a call that may
-/// be repeated.
-const PART: u32 = 2;
+/// Divisor of the time left that gives the time limit of one attempt, for a call that may be repeated.
+const ATTEMPT_TIME_DIVISOR: u32 = 2;
 
-/// Time for which an upstream that turned a call away gets none, in milliseconds.
-const FULL: Millis = 100;
+/// Time for which an upstream that refused a call gets none, in milliseconds.
+const BUSY_PAUSE: Millis = 100;
 
-/// Why a request is given up under which upstreams crash.
-const POISON: &str = "upstreams crash under it";
+/// Reason in the log for requests that are quarantined or blocked because upstreams crash under them.
+const QUARANTINE_REASON: &str = "request crashes upstreams";
 
-/// Most bytes of an answer that is held until it is whole.
-const ANSWER: usize = 32 << 20;
+/// Largest answer in bytes; answers are buffered completely.
+const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// What came of one attempt.
-enum Came {
-    /// A whole answer of the upstream's application.
+/// The outcome of one attempt.
+enum AttemptOutcome {
+    /// A complete answer of the upstream's application.
     Answer(Response<Bytes>, Arc<str>),
-    /// The upstream has not run the call and never will.
-    Unrun,
-    /// Whether it ran is not known.
+    /// The upstream has not executed the call and never will.
+    NotExecuted,
+    /// Whether the call was executed is unknown.
     Unknown,
 }
 
-/// Passes a call on and answers with what the upstream answered.
-pub async fn call(
+/// Forwards a call and replies with the upstream's answer.
+pub async fn forward_call(
     app: &Arc<App>,
     route: &Arc<Route>,
     head: &Parts,
@@ -70,117 +68,122 @@
     let sent = Sent::new(app, head, caller, body, route.timeout, principal);
     let sent = Arc::new(sent);
     let left = Duration::from_millis(sent.left());
-    let mut tries = Tries::new(sent, route, Manner::Caller);
-    let passed = match timeout(left, tries.answer()).await {
-        Ok(passed) => passed,
-        Err(_) => tries.late(),
+    let mut attempts = Attempts::new(sent, route, Requester::Caller);
+    let outcome = match timeout(left, attempts.answer()).await {
+        Ok(outcome) => outcome,
+        Err(_) => attempts.time_out(),
     };
-    match passed {
-        Passed::Answer { answer, .. } => back(app, answer),
-        Passed::Refused(refusal) => refusal.reply(),
+    match outcome {
+        ForwardOutcome::Answer { answer, .. } => build_reply(app, answer),
+        ForwardOutcome::Refused(refusal) => refusal.reply(),
     }
 }
 
-/// Asks a scorer for the score of a sample, once: within `limit`, and no longer than the request
-/// has time.
-pub(crate) async fn score(sent: Arc<Sent>, route: &Route, limit: Duration) -> Passed {
+/// Requests the score of a sample once: within `limit`, and no longer than the request's deadline.
+pub(crate) async fn forward_score(
+    sent: Arc<Sent>,
+    route: &Route,
+    limit: Duration,
+) -> ForwardOutcome {
     let left = Duration::from_millis(sent.left()).min(limit);
-    let mut tries = Tries::new(sent, route, Manner::Scorer);
-    match timeout(left, tries.answer()).await {
-        Ok(passed) => passed,
-        Err(_) => tries.late(),
+    let mut attempts = Attempts::new(sent, route, Requester::Scorer);
+    match timeout(left, attempts.answer()).await {
+        Ok(outcome) => outcome,
+        Err(_) => attempts.time_out(),
     }
 }
 
-fn back(app: &App, answer: Response<Bytes>) -> Reply {
+fn build_reply(app: &App, answer: Response<Bytes>) -> Reply {
     let (head, bytes) = answer.into_parts();
     let mut reply = Response::new(net::body::full(bytes));
     *reply.status_mut() = head.status;
-    *reply.headers_mut() = app.dialect.back(&head.headers);
+    *reply.headers_mut() = app.dialect.reply_headers(&head.headers);
     reply
 }
 
-/// What came of passing a request on.
-pub(crate) enum Passed {
-    /// A whole answer of the upstream's application, with its signature.
+/// The outcome of forwarding a request.
+pub(crate) enum ForwardOutcome {
+    /// A complete answer of the upstream's application, with its signature.
     Answer {
         /// The answer.
         answer: Response<Bytes>,
         /// The signature.
         signature: Arc<str>,
     },
-    /// There is none.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// How a request is passed on.
+/// Who waits for the answer, which decides whether the request may queue inside an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
-    /// A caller waits for the answer: it may wait inside an upstream.
+enum Requester {
+    /// A caller, whose request may queue inside an upstream.
     Caller,
-    /// A sample waits for its score: it takes free places alone. The samples of a step become whole by
-    /// the dozen; if they queued inside upstreams, a caller's request would wait behind them.
+    /// A sample's score request, which takes free slots only. The samples of a step complete by the dozen; if their
+    /// requests queued inside upstreams, callers' requests would wait behind them.
     Scorer,
 }
 
 /// The attempts of one call.
-struct Tries<'a> {
+struct Attempts<'a> {
     sent: Arc<Sent>,
     route: &'a Route,
     service: Option<Arc<str>>,
-    used: Vec<Arc<str>>,
-    running: JoinSet<Came>,
-    manner: Manner,
-    /// Whether it may have run somewhere.
-    unclear: bool,
+    tried: Vec<Arc<str>>,
+    running: JoinSet<AttemptOutcome>,
+    requester: Requester,
+    /// Whether an attempt may have been executed.
+    may_have_run: bool,
 }
 
-impl<'a> Tries<'a> {
-    fn new(sent: Arc<Sent>, route: &'a Route, manner: Manner) -> Self {
+impl<'a> Attempts<'a> {
+    fn new(sent: Arc<Sent>, route: &'a Route, requester: Requester) -> Self {
         Self {
             sent,
             route,
             service: Config::pick_service(route, rand::random()).cloned(),
-            used: Vec::new(),
+            tried: Vec::new(),
             running: JoinSet::new(),
-            manner,
-            unclear: false,
+            requester,
+            may_have_run: false,
         }
     }
 
     fn may_repeat(&self) -> bool {
-        self.manner == Manner::Scorer || self.route.kind == RouteKind::Idempotent
+        self.requester == Requester::Scorer || self.route.kind == RouteKind::Idempotent
     }
 
-    async fn answer(&mut self) -> Passed {
-        let queue = self.manner == Manner::Caller;
+    async fn answer(&mut self) -> ForwardOutcome {
+        let queue = self.requester == Requester::Caller;
         if let Some(left) = self.sent.admit().await {
-            return self.refuse(Refusal::Quarantined(left), POISON);
+            return self.refuse(Refusal::Quarantined(left), QUARANTINE_REASON);
         }
-        if !self.begin(queue) {
-            return self.give_up("no upstream has room");
+        if !self.start_attempt(queue) {
+            return self.give_up("no upstream has a free slot");
         }
         loop {
-            let came = tokio::select! {
-                Some(came) = self.running.join_next() => came,
-                () = sleep(HEDGE), if self.may_hedge() => {
-                    self.begin(false);
+            let outcome = tokio::select! {
+                Some(outcome) = self.running.join_next() => outcome,
+                () = sleep(HEDGE_DELAY), if self.may_hedge() => {
+                    self.start_attempt(false);
                     continue;
                 }
             };
-            // A panicked attempt leaves open whether it was sent.
-            match came.unwrap_or(Came::Unknown) {
-                Came::Answer(answer, signature) => return Passed::Answer { answer, signature },
-                Came::Unrun => (),
-                Came::Unknown => self.unclear = true,
+            // A panicked attempt may have sent the request.
+            match outcome.unwrap_or(AttemptOutcome::Unknown) {
+                AttemptOutcome::Answer(answer, signature) => {
+                    return ForwardOutcome::Answer { answer, signature };
+                }
+                AttemptOutcome::NotExecuted => (),
+                AttemptOutcome::Unknown => self.may_have_run = true,
             }
-            if self.unclear && !self.may_repeat() {
+            if self.may_have_run && !self.may_repeat() {
                 return self.give_up("outcome unknown");
             }
             if self.sent.admit().await.is_some() {
-                return self.give_up(POISON);
+                return self.give_up(QUARANTINE_REASON);
             }
-            if !self.begin(queue) && self.running.is_empty() {
+            if !self.start_attempt(queue) && self.running.is_empty() {
                 return self.give_up("no upstream left");
             }
         }
@@ -189,136 +192,150 @@
     fn may_hedge(&self) -> bool {
         self.may_repeat()
             && self.running.len() == 1
-            && self.used.len() < self.attempts()
+            && self.tried.len() < self.max_attempts()
             && self.sent.verdict() == Verdict::Unrestricted
     }
 
-    fn attempts(&self) -> usize {
+    fn max_attempts(&self) -> usize {
         self.route.max_attempts.max(1) as usize
     }
 
-    /// Begins an attempt if one is allowed and an upstream has room; `queue` tells whether it may
-    /// wait inside the upstream.
-    fn begin(&mut self, queue: bool) -> bool {
-        if self.used.len() >= self.attempts() {
+    /// Starts an attempt if one is allowed and an upstream has room; `queue` permits queueing inside the upstream.
+    /// Returns whether one was started.
+    fn start_attempt(&mut self, queue: bool) -> bool {
+        if self.tried.len() >= self.max_attempts() {
             return false;
         }
         let service = self.service.as_deref();
-        let place = service.and_then(|name| self.sent.choose(name, &self.used, queue));
+        let place = service.and_then(|name| self.sent.choose(name, &self.tried, queue));
         let Some(place) = place else {
             return false;
         };
-        let one = &place.one;
-        self.used.push(one.id.clone());
+        let upstream = &place.one;
+        self.tried.push(upstream.id.clone());
         let left = self.sent.left();
-        let part = match self.may_repeat() && self.used.len() < self.attempts() {
-            true => left / Millis::from(PART),
+        let limit = match self.may_repeat() && self.tried.len() < self.max_attempts() {
+            true => left / Millis::from(ATTEMPT_TIME_DIVISOR),
             false => left,
         };
-        log::info!(target: "forward", id = &*self.sent.id, upstream = &*one.id,
-            attempt = self.used.len(), left_ms = left; "sent");
+        log::info!(target: "forward", id = &*self.sent.id, upstream = &*upstream.id,
+            attempt = self.tried.len(), left_ms = left; "sent");
         let sent = self.sent.clone();
         self.running
-            .spawn(async move { attempt(&sent, place, part).await });
+            .spawn(async move { attempt(&sent, place, limit).await });
         true
     }
 
-    /// Answers when the time is over. A call that is still at an upstream may have run there.
-    fn late(&self) -> Passed {
-        let sent = self.unclear || !self.running.is_empty();
-        let refusal = if sent { Refusal::Late } else { Refusal::Unrun };
-        self.refuse(refusal, "time is over")
+    /// Returns the refusal after the deadline. A call that is still at an upstream may have run there.
+    fn time_out(&self) -> ForwardOutcome {
+        let may_have_run = self.may_have_run || !self.running.is_empty();
+        let refusal = if may_have_run {
+            Refusal::TimedOut
+        } else {
+            Refusal::NotExecuted
+        };
+        self.refuse(refusal, "deadline exceeded")
     }
 
-    fn give_up(&self, why: &str) -> Passed {
-        let sent = self.unclear || !self.running.is_empty();
-        let refusal = if sent {
-            Refusal::Unknown
+    fn give_up(&self, why: &str) -> ForwardOutcome {
+        let may_have_run = self.may_have_run || !self.running.is_empty();
+        let refusal = if may_have_run {
+            Refusal::OutcomeUnknown
         } else {
-            Refusal::Unrun
+            Refusal::NotExecuted
         };
         self.refuse(refusal, why)
     }
 
-    fn refuse(&self, refusal: Refusal, why: &str) -> Passed {
-        // A sample that finds no free place looks again within moments, and writes a line when it has
-        // its score or is given up.
-        if self.manner == Manner::Caller || !self.used.is_empty() {
-            let age = self.sent.app.roster.lock().age(self.sent.app.clock.now());
-            log::info!(target: "forward", id = &*self.sent.id, why, attempts = self.used.len(),
-                outcome = refusal.name(), list_age_ms = age.unwrap_or(0); "given up");
+    fn refuse(&self, refusal: Refusal, why: &str) -> ForwardOutcome {
+        // Score requests that find no free slot are tried again within moments, and logged when they end.
+        if self.requester == Requester::Caller || !self.tried.is_empty() {
+            let age = self
+                .sent
+                .app
+                .upstreams
+                .lock()
+                .age(self.sent.app.clock.now());
+            log::info!(target: "forward", id = &*self.sent.id, why, attempts = self.tried.len(),
+                outcome = refusal.name(), list_age_ms = age.unwrap_or(0); "call failed");
         }
-        Passed::Refused(refusal)
+        ForwardOutcome::Refused(refusal)
     }
 }
 
-async fn attempt(sent: &Sent, place: Place, part: Millis) -> Came {
-    let one = &place.one;
-    let Some(request) = sent.request(one, None) else {
-        return Came::Unrun;
+async fn attempt(sent: &Sent, place: Place, limit_ms: Millis) -> AttemptOutcome {
+    let upstream = &place.one;
+    let Some(request) = sent.request(upstream, None) else {
+        return AttemptOutcome::NotExecuted;
     };
-    let begun = sent.app.clock.now();
+    let started = sent.app.clock.now();
     let number = sent.send();
-    let limit = Duration::from_millis(part);
-    let answer = sent.app.http.fetch(request, limit, ANSWER).await;
-    let took = sent.app.clock.now() - begun;
-    let broke = matches!(answer, Err(SendError::Broken));
-    let came = judge(sent, one, answer, took);
-    if broke {
-        sent.broke(one).await;
+    let limit = Duration::from_millis(limit_ms);
+    let answer = sent.app.http.fetch(request, limit, MAX_ANSWER_BYTES).await;
+    let took = sent.app.clock.now() - started;
+    let is_broken = matches!(answer, Err(SendError::Broken));
+    let result = classify(sent, upstream, answer, took);
+    if is_broken {
+        sent.broke(upstream).await;
     }
-    if matches!(came, Came::Unrun) {
+    if matches!(result, AttemptOutcome::NotExecuted) {
         sent.unrun(number);
     }
-    let outcome = match &came {
-        Came::Answer(..) => "answered",
-        Came::Unrun => "unrun",
-        Came::Unknown => "unknown",
+    let outcome = match &result {
+        AttemptOutcome::Answer(..) => "answered",
+        AttemptOutcome::NotExecuted => "unrun",
+        AttemptOutcome::Unknown => "unknown",
     };
-    metrics::counter!(meter::ATTEMPTS, "outcome" => outcome).increment(1);
-    came
+    metrics::counter!(telemetry::ATTEMPTS, "outcome" => outcome).increment(1);
+    result
 }
 
-fn judge(
+fn classify(
     sent: &Sent,
-    one: &Arc<Upstream>,
+    upstream: &Arc<Upstream>,
     answer: Result<Response<Bytes>, SendError>,
     took: Millis,
-) -> Came {
+) -> AttemptOutcome {
     let now = sent.app.clock.now();
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
-            sent.app.plain.lock().engine_failed(&one.id, now);
+            sent.app
+                .service_tracker
+                .lock()
+                .engine_failed(&upstream.id, now);
             let why = error.to_string();
-            log::info!(target: "forward", id = &*sent.id, upstream = &*one.id,
+            log::info!(target: "forward", id = &*sent.id, upstream = &*upstream.id,
                 took_ms = took, why = why.as_str(); "attempt failed");
             return match error.is_unsent() {
-                true => Came::Unrun,
-                false => Came::Unknown,
+                true => AttemptOutcome::NotExecuted,
+                false => AttemptOutcome::Unknown,
             };
         }
     };
-    let said = sent.app.dialect.said(answer.status(), answer.headers());
-    let mut plain = sent.app.plain.lock();
-    if let Some(load) = said.load {
-        plain.load_reported(&one.id, load, now);
+    let head = sent
+        .app
+        .dialect
+        .decode_answer_head(answer.status(), answer.headers());
+    let mut tracker = sent.app.service_tracker.lock();
+    if let Some(load) = head.load {
+        tracker.load_reported(&upstream.id, load, now);
     }
-    if said.unrun || said.other {
-        plain.engine_busy(&one.id, now + FULL);
-        return Came::Unrun;
+    if head.not_executed || head.misdirected {
+        tracker.engine_busy(&upstream.id, now + BUSY_PAUSE);
+        return AttemptOutcome::NotExecuted;
     }
-    if let (Some(id), Some(signature)) = (&said.id, said.signature)
+    if let (Some(id), Some(signature)) = (&head.attempt_id, head.signature)
         && **id == *sent.id
     {
-        plain.event_received(&one.id, took as f64);
-        drop(plain);
+        tracker.event_received(&upstream.id, took as f64);
+        drop(tracker);
         sent.answered(answer.status());
-        return Came::Answer(answer, signature);
+        return AttemptOutcome::Answer(answer, signature);
     }
-    plain.engine_failed(&one.id, now);
+    tracker.engine_failed(&upstream.id, now);
     let status = answer.status().as_u16();
-    log::warn!(target: "forward", id = &*sent.id, upstream = &*one.id, status,
-        answers = said.id.as_deref().unwrap_or("nothing"); "answer of something else");
-    Came::Unknown
+    log::warn!(target: "forward", id = &*sent.id, upstream = &*upstream.id, status,
+        answers = head.attempt_id.as_deref().unwrap_or("nothing"); "answer does not match the request");
+    AttemptOutcome::Unknown
 }
--- /dev/null
+++ b/crates/node/src/frontend.rs
@@ -0,0 +1,138 @@
+//! Handles callers' requests.
+
+use std::sync::Arc;
+
+use gotham::helpers::http::Body;
+use http::request::Parts;
+use net::Call;
+use net::Reply;
+use table::RouteKind;
+
+use crate::App;
+use crate::access;
+use crate::dialect::Caller;
+use crate::dialect::Operation;
+use crate::forward;
+use crate::refusal;
+use crate::refusal::Refusal;
+use crate::steps;
+use crate::stream;
+use crate::telemetry;
+
+/// Handles a request and records its outcome.
+pub async fn handle(app: Arc<App>, call: Call) -> Reply {
+    let started = app.clock.now();
+    let (head, body) = split(call);
+    let caller = app.dialect.decode_caller(&head);
+    // Requests about a step carry no identifier of their own and are logged under the step's.
+    let id = match &caller.operation {
+        Operation::ReadResults { step, .. }
+        | Operation::ReadBody { step, .. }
+        | Operation::EndStep { step } => step.clone(),
+        Operation::Invalid(_) | Operation::Route => caller.id.clone(),
+    };
+    let (route, mut reply) = dispatch(&app, head, caller, body).await;
+    if app.is_leaving() {
+        refusal::close_connection(&mut reply);
+    }
+    let took = app.clock.now() - started;
+    let status = reply.status().as_u16();
+    metrics::counter!(telemetry::REQUESTS, "route" => route, "status" => status.to_string())
+        .increment(1);
+    metrics::histogram!(telemetry::REQUEST_SECONDS, "route" => route).record(took as f64 / 1_000.0);
+    log::info!(target: "front", id = &*id, route, status, took_ms = took; "answered");
+    reply
+}
+
+fn split(call: Call) -> (Parts, Body) {
+    let mut request = http::Request::new(call.body);
+    *request.method_mut() = call.method;
+    *request.uri_mut() = call.uri;
+    *request.headers_mut() = call.headers;
+    request.into_parts()
+}
+
+async fn dispatch(
+    app: &Arc<App>,
+    head: Parts,
+    caller: Caller,
+    body: Body,
+) -> (&'static str, Reply) {
+    if caller.operation.concerns_step() {
+        return dispatch_step(app, &caller).await;
+    }
+    match &caller.operation {
+        Operation::Invalid(why) => {
+            log::info!(target: "front", id = &*caller.id, why; "invalid request");
+            ("wrong", Refusal::Invalid.reply())
+        }
+        _ => dispatch_route(app, head, caller, body).await,
+    }
+}
+
+/// Handles an operation on a step submitted before.
+async fn dispatch_step(app: &Arc<App>, caller: &Caller) -> (&'static str, Reply) {
+    let principal = match access::authorize_step(app, caller) {
+        Ok(principal) => principal,
+        Err(refusal) => return ("key", refusal.reply()),
+    };
+    match &caller.operation {
+        Operation::ReadResults { step, from, wait } => {
+            let reply = steps::read_results(app, step, *from, *wait, &principal).await;
+            ("read", reply)
+        }
+        Operation::ReadBody { step, sample } => {
+            let reply = steps::read_body(app, step, sample, &principal).await;
+            ("body", reply)
+        }
+        Operation::EndStep { step } => ("end", steps::end_step(app, step, &principal).await),
+        Operation::Invalid(_) | Operation::Route => ("wrong", Refusal::Invalid.reply()),
+    }
+}
+
+async fn dispatch_route(
+    app: &Arc<App>,
+    head: Parts,
+    caller: Caller,
+    body: Body,
+) -> (&'static str, Reply) {
+    let Some(config) = app.config.load_full() else {
+        // Without a configuration a 404 could contradict an acknowledged route.
+        log::info!(target: "front", id = &*caller.id; "no configuration yet");
+        return ("none", Refusal::NotExecuted.reply());
+    };
+    let Some(route) = config.find_route(&caller.host, head.uri.path()).cloned() else {
+        let age = access::config_age(app);
+        let refusal = access::missing_route(app, age);
+        log::info!(target: "front", id = &*caller.id, version = config.version, age_ms = age,
+            outcome = refusal.name(); "no such route");
+        return ("none", refusal.reply());
+    };
+    let principal = match access::authorize_route(app, &config, &route, &caller) {
+        Ok(principal) => principal,
+        Err(refusal) => return ("key", refusal.reply()),
+    };
+    let body = match net::body::read(body, config.max_body).await {
+        Ok(body) => body,
+        Err(net::body::ReadError::TooLong(_)) => return ("long", Refusal::BodyTooLarge.reply()),
+        Err(_) => return ("cut", Refusal::Invalid.reply()),
+    };
+    match route.kind {
+        RouteKind::Rollout => (
+            "submit",
+            steps::accept::submit(app, &head, &caller, &body, &principal).await,
+        ),
+        RouteKind::Idempotent => (
+            "call",
+            forward::forward_call(app, &route, &head, &caller, body, principal).await,
+        ),
+        RouteKind::Once => (
+            "once",
+            forward::forward_call(app, &route, &head, &caller, body, principal).await,
+        ),
+        RouteKind::Stream => (
+            "stream",
+            stream::forward_stream(app, &route, &head, &caller, body, principal).await,
+        ),
+    }
+}
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,45 +1,45 @@
-//! An instance on a platform whose store keeps all that lasts.
+//! An instance of the service. Its durable state is in the platform's store.
 //!
-//! The instance passes calls on to the upstreams that the platform lists, accepts the steps of
-//! trainers, runs their samples and lists the results. What a protocol looks like on the wire is a
-//! [`Dialect`]'s matter; what is decided, kept and repeated is decided here.
+//! The instance forwards calls to the upstreams that the platform lists, accepts steps (batches of samples) of
+//! trainers, runs their samples on engines and serves the results. A [`Dialect`] translates the messages on the
+//! wire; this crate makes all decisions, stores all state and does all retries.
 //!
-//! - [`front`] takes requests in: [`forward`] passes calls on, [`steps`] answers for steps.
-//! - [`owner`] runs the samples of a step that this instance owns, one by one in [`mod@run`].
-//! - [`claim`] decides whether a step may begin or go on, by its head at the platform.
-//! - [`news`] follows the configuration and the list of upstreams.
-//! - [`control`] is the leader that orders loads and takes up steps whose owner is gone.
+//! - [`frontend`] handles callers' requests: [`forward`] forwards calls, [`steps`] handles operations on steps.
+//! - [`owner`] runs the samples of the steps that this instance owns, each in [`mod@run`].
+//! - [`claim`] decides by a step's head at the platform whether the step may start or continue.
+//! - [`replication`] keeps the configuration and the list of upstreams current.
+//! - [`control`] is the leader, which orders loads and takes over steps whose owner is gone.
 
 mod access;
-mod answer;
 pub mod app;
 pub mod claim;
 pub mod control;
+mod dependency;
 pub mod dialect;
 pub mod events;
 pub mod forward;
-pub mod front;
-pub mod hand;
+pub mod frontend;
+pub mod handover;
 pub mod hint;
 pub mod member;
 mod message;
-pub mod meter;
-pub mod news;
 pub mod owner;
 pub mod peer;
+mod peer_relay;
+mod peer_server;
 mod print;
-mod reach;
-pub mod refuse;
+pub mod refusal;
+pub mod replication;
+pub mod result_cache;
 pub mod run;
 mod score;
 mod sent;
 pub mod settings;
-pub mod shelf;
 pub mod start;
 pub mod steps;
 pub mod stream;
 mod tally;
-mod through;
+pub mod telemetry;
 
 pub use app::App;
 pub use dialect::Dialect;
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! The questions of instances to one another, and the answers.
+//! Requests between instances and their replies.
 
 use std::sync::Arc;
 
@@ -14,21 +14,21 @@
 use usage::Snapshot;
 use usage::WindowCounts;
 
-use crate::steps::accept::Accepted;
+use crate::steps::accept::AcceptOutcome;
 use crate::steps::accept::Submission;
 
-/// Most bytes of a question or an answer.
-pub(crate) const MOST: usize = 16 << 20;
+/// Largest request or reply in bytes.
+pub(crate) const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// Time that the platform has to answer a call that is made for another instance which has waited already: that it does
-/// not is to be heard there within a second of the question.
-pub(crate) const TRY: Millis = 450;
+/// Time limit of a platform call made for another instance that has waited already, in milliseconds. That instance
+/// has to learn within a second of its request that the platform does not answer.
+pub(crate) const RELAYED_READ_TIMEOUT: Millis = 450;
 
-/// A question.
+/// A request to another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum Ask {
-    /// Results of a step that the other one runs.
+pub(crate) enum PeerRequest {
+    /// The results of a step that the receiver runs, from a position on.
     Page {
         step: Arc<str>,
         from: usize,
@@ -36,44 +36,64 @@
     },
     /// A step to accept.
     Submit(Submission),
-    /// The body of a sample of a step that the other one runs.
+    /// The body of a sample of a step that the receiver runs.
     Body { step: Arc<str>, sample: Arc<str> },
-    /// Who runs a step.
+    /// Which instance runs a step.
     Owner(Arc<str>),
-    /// That an instance runs a step.
-    Own { step: Arc<str>, owner: Arc<str> },
-    /// A read of the platform that is newer than what the follower has.
-    News { have: SyncState, wait: Millis },
-    /// A call of the platform.
+    /// Records the owner of a step at the keeper of its hint.
+    #[serde(rename = "Own")]
+    SetOwner { step: Arc<str>, owner: Arc<str> },
+    /// Waits for a read of the platform that is newer than the sender's replica.
+    #[serde(rename = "News")]
+    Poll {
+        #[serde(rename = "have")]
+        state: SyncState,
+        wait: Millis,
+    },
+    /// A platform call to make for the sender.
     Relay(Call),
-    /// A call that is to be made though the platform did not serve the other one a moment ago.
-    Try(Call),
-    /// What an entry instance has counted, for its keeper.
-    Tally { owner: Owner, tally: Snapshot },
-    /// What is known of the requests of a window.
-    Shares(u64),
-    /// Whether the address that takes reports can be reached.
-    Reaches,
-    /// That a step has ended, whose head had this revision.
+    /// A platform call to make even if the receiver's own calls were refused a moment ago.
+    #[serde(rename = "Try")]
+    RelayDirect(Call),
+    /// The request counts of an entry instance, for its keeper.
+    #[serde(rename = "Tally")]
+    Counts {
+        owner: Owner,
+        #[serde(rename = "tally")]
+        snapshot: Snapshot,
+    },
+    /// The known request counts of a window.
+    #[serde(rename = "Shares")]
+    WindowCounts(u64),
+    /// Whether the receiver can connect to the address that takes usage reports.
+    #[serde(rename = "Reaches")]
+    ReachesReportAddress,
+    /// Reports that a step whose head had this revision has ended.
     Ended { step: Arc<str>, rev: i64 },
-    /// That somebody else runs a step, whose head had this revision.
-    Taken { step: Arc<str>, rev: i64 },
+    /// Reports that another instance has taken over a step whose head had this revision.
+    #[serde(rename = "Taken")]
+    TakenOver { step: Arc<str>, rev: i64 },
 }
 
-/// An answer.
+/// A reply.
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum Told {
-    /// Nothing when the asking one had better take the step.
-    Submit(Option<Accepted>),
-    /// Nothing when the step is not run here; inside, nothing when it has no such sample.
+pub(crate) enum PeerReply {
+    /// [`None`] when the receiver declines the step.
+    Submit(Option<AcceptOutcome>),
+    /// [`None`] when the receiver does not run the step; [`None`] inside when the step has no such sample.
     Body(Option<Option<Vec<u8>>>),
     Owner(Option<Arc<str>>),
-    Noted,
-    News(Option<Update>),
-    /// There is no newer read, since the platform does not answer.
-    Blind,
+    #[serde(rename = "Noted")]
+    Acknowledged,
+    #[serde(rename = "News")]
+    Update(Option<Update>),
+    /// There is no newer read because the platform does not answer.
+    #[serde(rename = "Blind")]
+    PlatformUnreachable,
     Relay(Result<Answer, PlatError>),
-    Shares(Vec<WindowCounts>),
-    Reaches(bool),
+    #[serde(rename = "Shares")]
+    WindowCounts(Vec<WindowCounts>),
+    #[serde(rename = "Reaches")]
+    ReachesReportAddress(bool),
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -48,7 +48,7 @@
 fn recall(app: &App, head: &Head, spec: &mut Spec) -> Set<u32> {
     let now = app.clock.now();
     let tokens = event_tokens(app, head);
-    let mut known = app.again.lock();
+    let mut known = app.leftovers.lock();
     let mut again = Set::default();
     for (index, sample) in spec.samples.iter_mut().enumerate() {
         let Some(events) = known.take(print::left(head.team.as_deref(), sample), now) else {
@@ -63,13 +63,13 @@
 
 /// Tokens in an event of a step's engines; 0 when it is not known.
 fn event_tokens(app: &App, head: &Head) -> u64 {
-    let plan = app.plan.load();
+    let plan = app.config.load();
     let route = plan
         .as_ref()
         .and_then(|plan| plan.find_route(&head.host, &head.path));
     let service = route.and_then(|route| route.services.first());
     service.map_or(0, |share| {
-        u64::from(app.memory(&share.service).event_tokens)
+        u64::from(app.engine_memory(&share.service).event_tokens)
     })
 }
 
@@ -77,7 +77,7 @@
 fn remember(app: &App, work: &Work) {
     let left = work.ledger.lock().incomplete_samples();
     let now = app.clock.now();
-    let mut again = app.again.lock();
+    let mut again = app.leftovers.lock();
     for index in left {
         let index = index as usize;
         let draft = work.drafts[index].lock();
@@ -127,7 +127,7 @@
 
 /// Keeps a step in memory; false when it is run here already, by what the platform says now.
 fn keep(app: &App, work: &Arc<Work>) -> bool {
-    app.works.with_shard(&work.step, |map| {
+    app.running_steps.with_shard(&work.step, |map| {
         if let Some(held) = map.get(&work.step) {
             if held.rev >= work.rev {
                 return false;
@@ -147,8 +147,8 @@
     if !kept {
         return;
     }
-    app.shelves.remove(&work.step);
-    hint::tell(app, &work.step);
+    app.result_caches.remove(&work.step);
+    hint::publish(app, &work.step);
     let app = app.clone();
     tokio::spawn(async move {
         gather(&app, &work);
@@ -167,7 +167,7 @@
             let _ = timeout(LINGER, lingers).await;
         }
         drop(drive);
-        app.works.with_shard(&work.step, |map| {
+        app.running_steps.with_shard(&work.step, |map| {
             if map
                 .get(&work.step)
                 .is_some_and(|held| Arc::ptr_eq(held, &work))
@@ -188,7 +188,7 @@
     let samples = work.spec.samples.iter();
     let samples: Vec<_> = samples.map(|sample| work.print(sample)).collect();
     let mut drafts = Vec::new();
-    app.works.for_each_shard(|map| {
+    app.running_steps.for_each_shard(|map| {
         for other in map.values() {
             drafts.extend(other.hand(&work.head.model, &samples));
         }
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -19,8 +19,8 @@
 use super::Work;
 use crate::App;
 use crate::claim;
-use crate::through;
-use crate::through::Others;
+use crate::peer_relay;
+use crate::peer_relay::RelayedRead;
 
 /// What the time in which an end has to be in force is divided by to give the time after which a question is asked through
 /// others as well.
@@ -74,7 +74,7 @@
     // One that was turned away a moment ago has the others ask at once.
     let patience = match app.plat.is_unserved() {
         true => 0,
-        false => app.settings.cancel / PATIENCE,
+        false => app.settings.end_limit / PATIENCE,
     };
     let head = match hear(app, work, patience).await {
         Came::Head(item) => claim::standing(asked, work.rev, item.as_ref()),
@@ -96,15 +96,15 @@
 /// Asks the platform, and others to ask it when it does not answer soon.
 async fn hear(app: &Arc<App>, work: &Work, patience: Millis) -> Came {
     let call = Call::Get(keys::head(&work.step));
-    let limit = Duration::from_millis(app.settings.cancel / LIMIT);
+    let limit = Duration::from_millis(app.settings.end_limit / LIMIT);
     let patience = Duration::from_millis(patience);
     let direct = pin!(in_time(limit, app.plat.call_direct(&call)));
     let others = pin!(async {
         sleep(patience).await;
-        through::any(app, &call, limit - patience).await
+        peer_relay::relay_read(app, &call, limit - patience).await
     });
     let (error, said) = match select(direct, others).await {
-        Either::Left((Ok(answer), _)) | Either::Right((Others::Answer(answer), _)) => {
+        Either::Left((Ok(answer), _)) | Either::Right((RelayedRead::Answer(answer), _)) => {
             return head_of(answer);
         }
         Either::Left((Err(error), others)) => (error, others.await),
@@ -114,9 +114,9 @@
         },
     };
     match said {
-        Others::Answer(answer) => head_of(answer),
-        Others::Away if error.is_unavailable() => Came::Outage,
-        Others::Away | Others::Nobody => Came::Nothing(error),
+        RelayedRead::Answer(answer) => head_of(answer),
+        RelayedRead::Unavailable if error.is_unavailable() => Came::Outage,
+        RelayedRead::Unavailable | RelayedRead::NoReply => Came::Nothing(error),
     }
 }
 
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -56,7 +56,7 @@
         }
         let Some(route) = self.work.route(self.app) else {
             // Without any configuration nothing is known; with one, the route is gone.
-            if self.app.plan.load().is_some() {
+            if self.app.config.load().is_some() {
                 self.give_up("route gone");
             }
             return Placed::Looked;
@@ -122,7 +122,7 @@
         let at = todo.job.index as usize;
         let sample = &self.work.spec.samples[at];
         let draft = self.work.drafts[at].lock();
-        let memory = self.app.memory(service);
+        let memory = self.app.engine_memory(service);
         let want = PlacementRequest {
             service,
             model: Some(&self.work.head.model),
@@ -142,8 +142,8 @@
             ..want
         };
         let now = self.app.clock.now();
-        let roster = self.app.roster.lock();
-        let mut fleet = self.app.fleet.lock();
+        let roster = self.app.upstreams.lock();
+        let mut fleet = self.app.engine_tracker.lock();
         let round = rounds
             .entry(service.clone())
             .or_insert_with(|| PlacementRound::new(&fleet, &roster, &any, now));
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -33,7 +33,7 @@
 use crate::claim::Open;
 use crate::claim::Standing;
 use crate::print;
-use crate::shelf::Page;
+use crate::result_cache::ResultPage;
 
 /// Time for which results are gathered into one write: a write is a call that the platform counts, and
 /// nobody waits for the first results of a step.
@@ -90,7 +90,7 @@
             opened,
             ledger: Mutex::new(ledger),
             listed: watch::Sender::new(0),
-            word: Mutex::new(Confirmation::new(app.settings.cancel, open.asked())),
+            word: Mutex::new(Confirmation::new(app.settings.end_limit, open.asked())),
             ended: AtomicBool::new(false),
             lost: AtomicBool::new(false),
             handed: AtomicBool::new(false),
@@ -194,14 +194,14 @@
     }
 
     /// The results from a position on; [`None`] when this instance cannot be sure of them.
-    pub async fn page(&self, app: &App, from: usize, wait: Millis) -> Option<Page> {
+    pub async fn page(&self, app: &App, from: usize, wait: Millis) -> Option<ResultPage> {
         let mut listed = self.listed.subscribe();
         let more = listed.wait_for(|count| *count > from);
         // The wait ends without a result when the time is over, or the step has been dropped.
         let _ = timeout(Duration::from_millis(wait), more).await;
         let page = {
             let ledger = self.ledger.lock();
-            Page {
+            ResultPage {
                 total: self.head.total,
                 entries: ledger.listed().get(from..).unwrap_or_default().to_vec(),
             }
@@ -226,7 +226,7 @@
     }
 
     pub(super) fn route(&self, app: &App) -> Option<Arc<Route>> {
-        let plan = app.plan.load();
+        let plan = app.config.load();
         plan.as_ref()?
             .find_route(&self.head.host, &self.head.path)
             .cloned()
@@ -234,7 +234,7 @@
 
     /// On whose behalf the step runs.
     pub(crate) fn principal(&self, app: &App) -> Principal {
-        let plan = app.plan.load();
+        let plan = app.config.load();
         let configured = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
         Principal::from_record(self.head.team.as_ref(), configured)
     }
--- /dev/null
+++ b/crates/node/src/peer_server.rs
@@ -0,0 +1,137 @@
+//! Handles the requests of other instances.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::record;
+use http::StatusCode;
+use kernel::Millis;
+use net::Reply;
+use plat::Answer;
+use plat::Call;
+use plat::PlatError;
+use spread::SyncState;
+use spread::Update;
+
+use crate::App;
+use crate::hint;
+use crate::message::MAX_MESSAGE_BYTES;
+use crate::message::PeerReply;
+use crate::message::PeerRequest;
+use crate::message::RELAYED_READ_TIMEOUT;
+use crate::steps;
+use crate::steps::accept;
+
+/// Handles a request of another instance.
+pub(crate) async fn handle(app: &Arc<App>, call: net::Call) -> Reply {
+    let body = match net::body::read(call.body, MAX_MESSAGE_BYTES).await {
+        Ok(body) => body,
+        Err(error) => return reject(&error),
+    };
+    let response = match record::decode(&body) {
+        Ok(PeerRequest::Page { step, from, wait }) => {
+            return page_reply(app, &step, from, wait).await;
+        }
+        Ok(request) => reply(app, request).await,
+        Err(error) => return reject(&error),
+    };
+    match record::encode(&response) {
+        Ok(bytes) => net::body::reply(StatusCode::OK, "application/msgpack", bytes),
+        Err(error) => reject(&error),
+    }
+}
+
+fn reject(error: &dyn std::fmt::Display) -> Reply {
+    let error = error.to_string();
+    log::warn!(target: "peer", error = error.as_str(); "invalid peer request");
+    net::body::reply(StatusCode::BAD_REQUEST, "text/plain", error)
+}
+
+/// Replies with results in the form that callers get, or with no content when this instance cannot confirm that it
+/// still runs the step.
+async fn page_reply(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
+    let page = match app.running_steps.get(step) {
+        Some(work) => work.page(app, from, wait).await,
+        None => None,
+    };
+    match page {
+        Some(page) => page.reply(app, from),
+        None => net::body::reply(StatusCode::NO_CONTENT, "text/plain", Vec::new()),
+    }
+}
+
+async fn reply(app: &Arc<App>, request: PeerRequest) -> PeerReply {
+    match request {
+        // Handled by `page_reply`.
+        PeerRequest::Page { .. } => PeerReply::Acknowledged,
+        PeerRequest::Submit(submission) => {
+            PeerReply::Submit(accept::accept_from_peer(app, submission).await)
+        }
+        PeerRequest::Body { step, sample } => {
+            let work = app.running_steps.get(&step);
+            PeerReply::Body(work.map(|work| work.body(&sample)))
+        }
+        PeerRequest::Owner(step) => PeerReply::Owner(hint::get(app, &step)),
+        PeerRequest::SetOwner { step, owner } => {
+            hint::record(app, step, owner);
+            PeerReply::Acknowledged
+        }
+        PeerRequest::Poll { state, wait } => match wait_for_update(app, state, wait).await {
+            None if app.is_platform_unreachable() => PeerReply::PlatformUnreachable,
+            update => PeerReply::Update(update),
+        },
+        PeerRequest::Relay(_) if app.plat.is_unserved() => {
+            PeerReply::Relay(Err(PlatError::Unreachable))
+        }
+        PeerRequest::Counts { owner, snapshot } => {
+            app.snapshots
+                .lock()
+                .update((owner.instance, owner.start), snapshot);
+            PeerReply::Acknowledged
+        }
+        PeerRequest::WindowCounts(window) => {
+            PeerReply::WindowCounts(crate::tally::shares(app, window))
+        }
+        PeerRequest::Ended { step, rev } => {
+            steps::record_end(app, &step, rev);
+            PeerReply::Acknowledged
+        }
+        PeerRequest::TakenOver { step, rev } => {
+            if let Some(work) = app.running_steps.get(&step) {
+                work.replaced(rev);
+            }
+            PeerReply::Acknowledged
+        }
+        PeerRequest::ReachesReportAddress => {
+            PeerReply::ReachesReportAddress(crate::tally::reaches(app).await)
+        }
+        // Not relayed any further: two instances that the platform turns away would relay to each other forever.
+        PeerRequest::Relay(call) => PeerReply::Relay(app.plat.call_for_peer(&call).await),
+        PeerRequest::RelayDirect(call) => PeerReply::Relay(call_with_timeout(app, &call).await),
+    }
+}
+
+/// Calls the platform with a short time limit, since the requester has waited already and needs to know soon, also
+/// that there is no answer.
+async fn call_with_timeout(app: &App, call: &Call) -> Result<Answer, PlatError> {
+    let limit = Duration::from_millis(RELAYED_READ_TIMEOUT);
+    let answer = tokio::time::timeout(limit, app.plat.call_direct(call)).await;
+    answer.unwrap_or(Err(PlatError::NoAnswer))
+}
+
+/// Waits up to `wait` milliseconds for an update that a follower in the given state lacks.
+async fn wait_for_update(app: &App, mut state: SyncState, wait: Millis) -> Option<Update> {
+    let started = app.clock.now();
+    let mut changes = app.replica_changed.subscribe();
+    let age = state.age;
+    let has_update = changes.wait_for(|()| {
+        let now = app.clock.now();
+        // The follower's state ages while it waits.
+        state.age = age.map(|age| age + (now - started));
+        app.replica.lock().has_more(state, now)
+    });
+    let result = tokio::time::timeout(Duration::from_millis(wait), has_update).await;
+    // Neither timed out nor closed.
+    result.ok()?.ok()?;
+    Some(app.replica.lock().update_since(state, app.clock.now()))
+}
--- /dev/null
+++ b/crates/node/src/refusal.rs
@@ -0,0 +1,99 @@
+//! Error replies of the instance itself.
+//!
+//! A status that promises that a request has not run is used only where nothing was sent.
+
+use http::HeaderValue;
+use http::StatusCode;
+use http::header::CONNECTION;
+use http::header::RETRY_AFTER;
+use http::header::WWW_AUTHENTICATE;
+use kernel::Millis;
+use net::Reply;
+use net::body;
+
+/// Delay after which a refused caller should retry, in seconds: long enough for a slot to become free or for a
+/// restarted instance to learn its configuration.
+const RETRY_AFTER_SECONDS: &str = "0.25";
+
+/// Authentication scheme for callers' keys.
+const AUTH_SCHEME: &str = "Token";
+
+/// Milliseconds in a second.
+const MILLIS_PER_SECOND: Millis = 1_000;
+
+/// Why a request is refused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Refusal {
+    /// The request has not been executed and never will be; the caller may retry.
+    NotExecuted,
+    /// Upstreams crash under the request: it was not executed, and may be retried after so many milliseconds.
+    Quarantined(Millis),
+    /// Whether the request was executed is unknown.
+    OutcomeUnknown,
+    /// The request was sent, and its deadline has passed.
+    TimedOut,
+    /// There is no such route, step or sample.
+    NotFound,
+    /// The request has no valid key.
+    Unauthorized,
+    /// The request is invalid.
+    Invalid,
+    /// The body is too large.
+    BodyTooLarge,
+}
+
+impl Refusal {
+    /// Returns the name used in logs, metrics and bodies.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::NotExecuted => "refused",
+            Self::Quarantined(_) => "quarantined",
+            Self::OutcomeUnknown => "unknown",
+            Self::TimedOut => "late",
+            Self::NotFound => "missing",
+            Self::Unauthorized => "unauthorized",
+            Self::Invalid => "wrong",
+            Self::BodyTooLarge => "long",
+        }
+    }
+
+    fn status(self) -> StatusCode {
+        match self {
+            Self::NotExecuted | Self::Quarantined(_) => StatusCode::SERVICE_UNAVAILABLE,
+            Self::OutcomeUnknown => StatusCode::BAD_GATEWAY,
+            Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            Self::NotFound => StatusCode::NOT_FOUND,
+            Self::Unauthorized => StatusCode::UNAUTHORIZED,
+            Self::Invalid => StatusCode::BAD_REQUEST,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+        }
+    }
+
+    /// Builds the reply.
+    pub fn reply(self) -> Reply {
+        let mut reply = body::reply(self.status(), "text/plain", self.name());
+        if self == Self::Unauthorized {
+            let scheme = HeaderValue::from_static(AUTH_SCHEME);
+            reply.headers_mut().insert(WWW_AUTHENTICATE, scheme);
+        }
+        if let Some(delay) = self.retry_after() {
+            reply.headers_mut().insert(RETRY_AFTER, delay);
+        }
+        reply
+    }
+
+    /// Returns the value of the Retry-After header, if the caller should retry.
+    fn retry_after(self) -> Option<HeaderValue> {
+        match self {
+            Self::NotExecuted => Some(HeaderValue::from_static(RETRY_AFTER_SECONDS)),
+            Self::Quarantined(left) => Some(left.div_ceil(MILLIS_PER_SECOND).into()),
+            _ => None,
+        }
+    }
+}
+
+/// Asks the caller to close the connection, so that it opens its next one elsewhere.
+pub fn close_connection(reply: &mut Reply) {
+    let close = HeaderValue::from_static("close");
+    reply.headers_mut().insert(CONNECTION, close);
+}
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -21,7 +21,7 @@
 
 use crate::App;
 use crate::events::Events;
-use crate::events::Next;
+use crate::events::NextEvent;
 use crate::owner::Work;
 use crate::print;
 
@@ -102,7 +102,7 @@
     /// Notes an event, with the milliseconds since the one before it.
     fn event(&self, gap: Option<f64>, tokens: u64) {
         self.tokens.fetch_add(tokens, Ordering::Relaxed);
-        let mut fleet = self.run.app.fleet.lock();
+        let mut fleet = self.run.app.engine_tracker.lock();
         fleet.run_grew(&self.run.engine.id, tokens);
         match gap {
             Some(gap) => fleet.event_received(&self.run.engine.id, gap),
@@ -115,8 +115,8 @@
     fn drop(&mut self) {
         let Run { app, engine, .. } = self.run;
         let tokens = self.tokens.load(Ordering::Relaxed);
-        app.fleet.lock().run_ended(&engine.id, tokens);
-        app.room.notify_waiters();
+        app.engine_tracker.lock().run_ended(&engine.id, tokens);
+        app.capacity_changed.notify_waiters();
     }
 }
 
@@ -125,7 +125,7 @@
     pub async fn go(&self, sample: &Sample, draft: &Mutex<Draft>) -> Ended {
         let begun = self.app.clock.now();
         let first = draft.lock().last_event;
-        let memory = self.app.memory(&self.service);
+        let memory = self.app.engine_memory(&self.service);
         let place = Place {
             run: self,
             tokens: AtomicU64::new(memory.run_tokens(sample.prompt, first)),
@@ -136,7 +136,7 @@
             self.app.crashes.record_success(|| self.mark(sample));
             let events = draft.lock().last_event;
             self.app
-                .fleet
+                .engine_tracker
                 .lock()
                 .sample_finished(sample.expected, events);
         }
@@ -145,7 +145,7 @@
             Ended::Whole | Ended::Hopeless | Ended::Unrun | Ended::Moved | Ended::Stale
         ) {
             self.app
-                .fleet
+                .engine_tracker
                 .lock()
                 .engine_failed(&self.engine.id, self.app.clock.now());
         }
@@ -153,7 +153,7 @@
             && BROKE.contains(why)
         {
             let mark = self.mark(sample);
-            self.app.broke(&sample.id, mark, &self.engine).await;
+            self.app.check_crash(&sample.id, mark, &self.engine).await;
         }
         let took = self.app.clock.now() - begun;
         let outcome = match &ended {
@@ -168,7 +168,7 @@
         log::info!(target: "run", id = &*sample.id, step = &**self.work.name(),
             upstream = &*self.engine.id, first, to = draft.lock().last_event, took_ms = took,
             outcome; "run ended");
-        metrics::counter!(crate::meter::ATTEMPTS, "outcome" => outcome).increment(1);
+        metrics::counter!(crate::telemetry::ATTEMPTS, "outcome" => outcome).increment(1);
         ended
     }
 
@@ -180,15 +180,15 @@
     async fn attempt(&self, sample: &Sample, draft: &Mutex<Draft>, place: &Place<'_>) -> Ended {
         let last = draft.lock().last_event;
         let dialect = &self.app.dialect;
-        let request = match dialect.sample(sample, &self.host, &self.engine, last, &self.principal)
-        {
-            Ok(request) => request,
-            Err(error) => {
-                let why = error.to_string();
-                log::warn!(target: "run", id = &*sample.id, why = why.as_str(); "no request");
-                return Ended::Hopeless;
-            }
-        };
+        let request =
+            match dialect.sample_request(sample, &self.host, &self.engine, last, &self.principal) {
+                Ok(request) => request,
+                Err(error) => {
+                    let why = error.to_string();
+                    log::warn!(target: "run", id = &*sample.id, why = why.as_str(); "no request");
+                    return Ended::Hopeless;
+                }
+            };
         // The process may have been paused since it was begun. From here on the time limit bounds what is sent.
         let left = self.permit.deadline().saturating_sub(self.app.clock.now());
         if left == 0 {
@@ -210,18 +210,21 @@
         place: &Place<'_>,
     ) -> Ended {
         let now = self.app.clock.now();
-        let said = self.app.dialect.said(answer.status(), answer.headers());
+        let said = self
+            .app
+            .dialect
+            .decode_answer_head(answer.status(), answer.headers());
         {
-            let mut fleet = self.app.fleet.lock();
+            let mut fleet = self.app.engine_tracker.lock();
             if let Some(load) = said.load {
                 fleet.load_reported(&self.engine.id, load, now);
             }
-            if said.unrun || said.other {
+            if said.not_executed || said.misdirected {
                 fleet.engine_busy(&self.engine.id, now + FULL);
                 return Ended::Unrun;
             }
         }
-        if said.id.as_deref() != Some(&*sample.id) || said.signature.is_none() {
+        if said.attempt_id.as_deref() != Some(&*sample.id) || said.signature.is_none() {
             return Ended::Broken("answer of something else");
         }
         match answer.status() {
@@ -242,7 +245,7 @@
     /// Tells whether events of a version may be added.
     fn admit(&self, draft: &Draft, version: u64) -> bool {
         self.app
-            .fleet
+            .engine_tracker
             .lock()
             .version_seen(&self.engine.id, &self.model, version);
         let one = draft.versions.iter().all(|have| *have == version);
@@ -257,19 +260,19 @@
         mut events: Events,
         place: &Place<'_>,
     ) -> Ended {
-        let tokens = u64::from(self.app.memory(&self.service).event_tokens);
+        let tokens = u64::from(self.app.engine_memory(&self.service).event_tokens);
         let mut at = self.app.clock.now();
         let mut seen: u64 = 0;
         loop {
             let next = timeout(SILENCE, events.next()).await;
             let block = match next {
-                Ok(Next::Block(block)) => block,
-                Ok(Next::End) if draft.lock().last_event > 0 => return Ended::Whole,
-                Ok(Next::End) => return Ended::Broken("empty"),
-                Ok(Next::Broken) => return Ended::Broken(STREAM),
+                Ok(NextEvent::Block(block)) => block,
+                Ok(NextEvent::End) if draft.lock().last_event > 0 => return Ended::Whole,
+                Ok(NextEvent::End) => return Ended::Broken("empty"),
+                Ok(NextEvent::Broken) => return Ended::Broken(STREAM),
                 Err(_) => return Ended::Broken("silent"),
             };
-            let Some(event) = self.app.dialect.event(&block) else {
+            let Some(event) = self.app.dialect.decode_event(&block) else {
                 return Ended::Broken("no event");
             };
             if let Some(next) = event.version {
@@ -302,7 +305,7 @@
 
     /// Tells whether the rest of the sample would be whole sooner at another engine.
     fn had_better_move(&self, sample: &Sample, draft: &Draft) -> bool {
-        let memory = self.app.memory(&self.service);
+        let memory = self.app.engine_memory(&self.service);
         let want = PlacementRequest {
             service: &self.service,
             model: Some(&self.model),
@@ -314,8 +317,8 @@
             tokens: memory.run_tokens(sample.prompt, draft.last_event),
             memory,
         };
-        let roster = self.app.roster.lock();
-        let fleet = self.app.fleet.lock();
+        let roster = self.app.upstreams.lock();
+        let fleet = self.app.engine_tracker.lock();
         let left = fleet.remaining_events(sample.expected, draft.last_event);
         let now = self.app.clock.now();
         fleet
@@ -331,7 +334,7 @@
 /// the end, the sample is asked for again and again until its step is over.
 async fn rest(draft: &Mutex<Draft>, events: &mut Events) -> Ended {
     match timeout(SILENCE, events.next()).await {
-        Ok(Next::End) if draft.lock().last_event > 0 => Ended::Whole,
+        Ok(NextEvent::End) if draft.lock().last_event > 0 => Ended::Whole,
         _ => Ended::Broken("no version"),
     }
 }
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -18,10 +18,10 @@
 
 use crate::App;
 use crate::forward;
-use crate::forward::Passed;
-use crate::meter;
+use crate::forward::ForwardOutcome;
 use crate::owner::Work;
 use crate::sent::Sent;
+use crate::telemetry;
 
 /// Time after which one try, with its second upstream, is given up: ten times the latency that callers
 /// of plain services aim at. Upstreams that have gone silent would else hold a sample for as long as
@@ -43,7 +43,7 @@
     until: Millis,
 ) -> Option<Arc<str>> {
     let begun = app.clock.now();
-    let head = match app.dialect.scoring(scoring) {
+    let head = match app.dialect.scoring_request_head(scoring) {
         Ok(head) => head,
         Err(error) => {
             let why = error.to_string();
@@ -85,27 +85,29 @@
         }
     };
     let outcome = if score.is_some() { "scored" } else { "failed" };
-    metrics::counter!(meter::SCORES, "outcome" => outcome).increment(1);
+    metrics::counter!(telemetry::SCORES, "outcome" => outcome).increment(1);
     log::info!(target: "score", id = &*scoring.id, tries = asked, outcome,
         took_ms = app.clock.now() - begun; "score ended");
     score
 }
 
 fn route(app: &App, scoring: &Scoring) -> Option<Arc<Route>> {
-    let plan = app.plan.load();
+    let plan = app.config.load();
     plan.as_ref()?
         .find_route(&scoring.host, &scoring.path)
         .cloned()
 }
 
 async fn ask(sent: Sent, route: &Route) -> AttemptResult {
-    match forward::score(Arc::new(sent), route, LIMIT).await {
-        Passed::Answer { answer, signature } if answer.status().is_success() => {
+    match forward::forward_score(Arc::new(sent), route, LIMIT).await {
+        ForwardOutcome::Answer { answer, signature } if answer.status().is_success() => {
             AttemptResult::Scored(signature)
         }
-        Passed::Answer { answer, .. } if answer.status() == StatusCode::INTERNAL_SERVER_ERROR => {
+        ForwardOutcome::Answer { answer, .. }
+            if answer.status() == StatusCode::INTERNAL_SERVER_ERROR =>
+        {
             AttemptResult::Failed
         }
-        Passed::Answer { .. } | Passed::Refused(_) => AttemptResult::Inconclusive,
+        ForwardOutcome::Answer { .. } | ForwardOutcome::Refused(_) => AttemptResult::Inconclusive,
     }
 }
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -64,7 +64,7 @@
         timeout: Millis,
         principal: Principal,
     ) -> Self {
-        let wait = caller.deadline.unwrap_or(timeout).min(timeout);
+        let wait = caller.timeout.unwrap_or(timeout).min(timeout);
         Self {
             app: app.clone(),
             head: head.clone(),
@@ -145,7 +145,7 @@
 
     /// Looks whether an upstream has crashed after the connection broke there.
     pub(crate) async fn broke(&self, one: &Upstream) {
-        self.app.broke(&self.id, self.mark(), one).await;
+        self.app.check_crash(&self.id, self.mark(), one).await;
     }
 
     /// The meter and the team for which the request counts, if it does: requests for scores do not.
@@ -201,7 +201,7 @@
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = uri;
         let dialect = &self.app.dialect;
-        *request.headers_mut() = dialect.forward(
+        *request.headers_mut() = dialect.forward_headers(
             &self.head.headers,
             &one.incarnation.name,
             Some(self.left()),
@@ -224,7 +224,7 @@
             return None;
         }
         let app = &self.app;
-        let roster = app.roster.lock();
+        let roster = app.upstreams.lock();
         let slots = roster
             .of_service(service)
             .map(|one| one.slots)
@@ -248,7 +248,7 @@
             ..any
         };
         let now = app.clock.now();
-        let mut plain = app.plain.lock();
+        let mut plain = app.service_tracker.lock();
         let one = plain
             .choose(&roster, &want, now)
             .or_else(|| plain.choose(&roster, &any, now))?;
@@ -281,6 +281,6 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.app.plain.lock().run_ended(&self.one.id, 0);
+        self.app.service_tracker.lock().run_ended(&self.one.id, 0);
     }
 }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting an instance, and leaving gracefully.
+//! Starts an instance and stops it gracefully.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,55 +27,55 @@
 use crate::App;
 use crate::Dialect;
 use crate::Settings;
-use crate::answer;
 use crate::control;
-use crate::front;
+use crate::dependency::DependencyStatus;
+use crate::frontend;
 use crate::hint;
 use crate::member;
-use crate::meter;
-use crate::news;
-use crate::reach::Reach;
-use crate::refuse::Refusal;
+use crate::peer_relay::PeerRelay;
+use crate::peer_server;
+use crate::refusal::Refusal;
+use crate::replication;
 use crate::settings;
 use crate::settings::Role;
-use crate::through::Through;
+use crate::telemetry;
 
-/// Time for which a leaving instance goes on accepting: callers' balancers look once a second and
-/// send nothing more after two looks.
-const LINGER: Duration = Duration::from_millis(2_500);
+/// Time for which a leaving instance still accepts requests: callers' load balancers probe once a second and stop
+/// sending after two failed probes.
+const LEAVING_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
-/// Part of the time for leaving after which whatever still runs is left to others.
-const PART: f64 = 0.75;
+/// Fraction of the stop grace after which the remaining work is left to other instances.
+const LEAVING_FRACTION: f64 = 0.75;
 
-/// Time between two looks at the settings file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval between reads of the settings file, which may change without a signal.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between two reports of the calls of the platform.
-const COUNT: Duration = Duration::from_secs(10);
+/// Interval between log lines about platform calls.
+const CALL_REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time between two looks for results in memory that nobody reads.
-const TIDY: Duration = Duration::from_secs(2);
+/// Interval between removals of unused results from memory.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after which results that nobody has read are dropped from memory, in milliseconds.
-const UNREAD: u64 = 4_000;
+/// Time after which unused results are removed from memory, in milliseconds.
+const UNREAD_RESULTS_TTL: u64 = 4_000;
 
-/// Time that a connection may be idle or take for its headers: callers keep idle ones for some
-/// ten seconds, and one that is closed by us at the moment of use costs them a try.
-const HEADERS: Duration = Duration::from_secs(20);
+/// Time for which a connection may be idle or take for its headers: callers keep idle ones for about ten seconds,
+/// and a connection closed by this side just when a caller uses it costs that caller an attempt.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running instance.
 pub struct Running {
-    /// What its parts share; the settings name the ports that it listens on.
+    /// The shared state; its settings hold the ports that the instance listens on.
     pub app: Arc<App>,
     drain: Drain,
     front: Option<JoinHandle<bool>>,
 }
 
-/// Runs an instance until it is told to leave.
+/// Runs an instance until it receives a termination signal.
 ///
 /// # Errors
 ///
-/// Returns an error when the settings are wrong or an address cannot be listened on.
+/// Returns an error when the settings are invalid or an address cannot be listened on.
 pub async fn run(
     file: &str,
     dialect: Arc<dyn Dialect>,
@@ -85,7 +85,10 @@
     logs::init(&settings.logs)?;
     let mut term = signal(SignalKind::terminate())?;
     let running = Running::start(settings, dialect, protocol).await?;
-    tokio::spawn(reload(file.to_owned(), running.app.settings.clone()));
+    tokio::spawn(follow_settings(
+        file.to_owned(),
+        running.app.settings.clone(),
+    ));
     term.recv().await;
     running.leave().await;
     logs::flush();
@@ -103,36 +106,45 @@
         dialect: Arc<dyn Dialect>,
         protocol: Arc<dyn Protocol>,
     ) -> eyre::Result<Self> {
-        let inner = bind(SocketAddr::new(settings.address, settings.peer)).await?;
-        settings.peer = inner.local_addr()?.port();
-        let gate = bind_some(&mut settings.ready).await?;
-        let callers = bind_some(&mut settings.listen).await?;
+        let internal = bind(SocketAddr::new(settings.address, settings.peer_port)).await?;
+        settings.peer_port = internal.local_addr()?.port();
+        let readiness = bind_optional(&mut settings.readiness).await?;
+        let callers = bind_optional(&mut settings.listen).await?;
         let plat = Client::with_protocol(vec![settings.platform], protocol);
         let app = App::new(settings, dialect, plat);
-        let scrape = meter::begin();
+        let scrape = telemetry::install();
         let drain = Drain::default();
-        let shared = Arc::new(Inner {
+        let shared = Arc::new(InternalState {
             app: app.clone(),
             scrape,
         });
-        serve(inner, HandlerFn::new(&shared, inside), &Drain::default());
-        if let Some(gate) = gate {
-            // Goes on while the instance leaves, to say that it is not ready.
-            serve(gate, HandlerFn::new(&app, ready), &Drain::default());
+        serve(
+            internal,
+            HandlerFn::new(&shared, handle_internal),
+            &Drain::default(),
+        );
+        if let Some(readiness) = readiness {
+            // Keeps running while the instance leaves, to report that it is not ready.
+            serve(
+                readiness,
+                HandlerFn::new(&app, handle_readiness),
+                &Drain::default(),
+            );
         }
-        let front = HandlerFn::new(&app, front::answer);
+        let front = HandlerFn::new(&app, frontend::handle);
         let front = callers.map(|callers| serve(callers, front, &drain));
-        app.plat.set_relay(Arc::new(Through(Arc::downgrade(&app))));
-        tokio::spawn(member::keep(app.clone()));
-        tokio::spawn(member::follow(app.clone()));
+        app.plat
+            .set_relay(Arc::new(PeerRelay(Arc::downgrade(&app))));
+        tokio::spawn(member::maintain_entry(app.clone()));
+        tokio::spawn(member::refresh_members(app.clone()));
         match app.settings.role {
-            Role::Entry => drop(tokio::spawn(news::follow(app.clone()))),
+            Role::Entry => drop(tokio::spawn(replication::follow(app.clone()))),
             Role::Control => drop(tokio::spawn(control::run(app.clone()))),
         }
         tokio::spawn(control::orphans::reclaim(app.clone()));
-        tokio::spawn(tidy(app.clone()));
-        tokio::spawn(tell_crashes(app.clone()));
-        tokio::spawn(count(app.clone()));
+        tokio::spawn(prune_caches(app.clone()));
+        tokio::spawn(publish_crashes(app.clone()));
+        tokio::spawn(report_calls(app.clone()));
         if app.settings.role == Role::Entry {
             tokio::spawn(crate::tally::tell(app.clone()));
         }
@@ -141,27 +153,27 @@
         Ok(Self { app, drain, front })
     }
 
-    /// Leaves: readiness falls, then nothing more is accepted, then running requests end. What is
-    /// left of steps is taken up by others.
+    /// Stops gracefully: readiness ends, then no request is accepted, then running requests end. Other instances
+    /// take over unfinished steps.
     pub async fn leave(mut self) {
         let app = &self.app;
-        log::info!(target: "start", steps = app.works.len(); "leaving");
-        app.leave();
-        let left = Duration::from_millis(app.settings.grace).mul_f64(PART);
-        let ended = timeout(left, async {
+        log::info!(target: "start", steps = app.running_steps.len(); "leaving");
+        app.start_leaving();
+        let time_left = Duration::from_millis(app.settings.stop_grace).mul_f64(LEAVING_FRACTION);
+        let ended = timeout(time_left, async {
             if let Some(front) = self.front.take() {
-                sleep(LINGER).await;
+                sleep(LEAVING_ACCEPT_TIME).await;
                 self.drain.begin();
-                // A front that has panicked has no requests left.
+                // A listener that has panicked has no requests left.
                 let _ = front.await;
             }
-            while !app.works.is_empty() {
+            while !app.running_steps.is_empty() {
                 sleep(Duration::from_millis(50)).await;
             }
         });
         let whole = ended.await.is_ok();
-        member::leave(app).await;
-        log::info!(target: "start", whole, steps = app.works.len(); "stopped");
+        member::remove_entry(app).await;
+        log::info!(target: "start", whole, steps = app.running_steps.len(); "stopped");
     }
 }
 
@@ -170,8 +182,8 @@
     listener.wrap_err_with(|| format!("could not listen on {addr}"))
 }
 
-/// Listens on an address if there is one, and notes the port that was taken.
-async fn bind_some(addr: &mut Option<SocketAddr>) -> eyre::Result<Option<TcpListener>> {
+/// Listens on an address if there is one, and stores the port that was assigned.
+async fn bind_optional(addr: &mut Option<SocketAddr>) -> eyre::Result<Option<TcpListener>> {
     let Some(addr) = addr else { return Ok(None) };
     let listener = bind(*addr).await?;
     *addr = listener.local_addr()?;
@@ -184,92 +196,98 @@
     drain: &Drain,
 ) -> JoinHandle<bool> {
     let limits = Limits {
-        header_timeout: HEADERS,
+        header_timeout: HEADER_TIMEOUT,
         ..Limits::default()
     };
     let drain = drain.clone();
     tokio::spawn(net::server::serve(listener, handler, limits, drain))
 }
 
-async fn ready(app: Arc<App>, _: Call) -> Reply {
+async fn handle_readiness(app: Arc<App>, _: Call) -> Reply {
     match app.is_ready() {
         true => net::body::reply(StatusCode::OK, "text/plain", "ready"),
-        false => Refusal::Unrun.reply(),
+        false => Refusal::NotExecuted.reply(),
     }
 }
 
-/// What is served to other instances and to operators.
-struct Inner {
+/// State of the server for other instances and operators.
+struct InternalState {
     app: Arc<App>,
     scrape: Option<PrometheusHandle>,
 }
 
-async fn inside(inner: Arc<Inner>, call: Call) -> Reply {
+async fn handle_internal(state: Arc<InternalState>, call: Call) -> Reply {
     if call.method == Method::POST {
-        return answer::answer(&inner.app, call).await;
+        return peer_server::handle(&state.app, call).await;
     }
-    metrics::gauge!(meter::DROPPED).set(logs::dropped_lines() as f64);
-    let text = inner.scrape.as_ref().map(PrometheusHandle::render);
+    metrics::gauge!(telemetry::DROPPED_LOG_LINES).set(logs::dropped_lines() as f64);
+    let text = state.scrape.as_ref().map(PrometheusHandle::render);
     net::body::reply(StatusCode::OK, "text/plain", text.unwrap_or_default())
 }
 
-/// Drops results from memory that nobody reads; they can be read again from the platform.
-async fn tidy(app: Arc<App>) {
+/// Removes cached results that callers no longer read; they can be read again from the platform.
+async fn prune_caches(app: Arc<App>) {
     loop {
-        sleep(TIDY).await;
-        hint::tidy(&app);
+        sleep(PRUNE_INTERVAL).await;
+        hint::prune(&app);
         app.crashes.prune();
-        let mut all = Vec::new();
-        app.shelves
-            .for_each_shard(|map| all.extend(map.values().cloned()));
-        let mut old = Vec::new();
-        for shelf in all {
-            if shelf.used().await + UNREAD < app.clock.now() {
-                old.push(shelf);
+        let mut caches = Vec::new();
+        app.result_caches
+            .for_each_shard(|map| caches.extend(map.values().cloned()));
+        let mut unused = Vec::new();
+        for cache in caches {
+            if cache.last_used().await + UNREAD_RESULTS_TTL < app.clock.now() {
+                unused.push(cache);
             }
         }
-        app.shelves.for_each_shard(|map| {
-            map.retain(|_, shelf| !old.iter().any(|one| Arc::ptr_eq(one, shelf)))
+        app.result_caches.for_each_shard(|map| {
+            map.retain(|_, cache| !unused.iter().any(|other| Arc::ptr_eq(other, cache)))
         });
     }
 }
 
-/// Keeps what this instance has seen of crashes at the platform.
-async fn tell_crashes(app: Arc<App>) {
-    let key = format!("{}{}/{}", news::CRASHES, app.me.instance, app.me.start);
-    let mut reach = Reach::new("record of crashes");
-    let heard = |done: Result<(), &PlatError>| match done {
-        Ok(()) => reach.back(),
-        Err(error) => reach.lost(error),
+/// Publishes this instance's crash reports to the platform.
+async fn publish_crashes(app: Arc<App>) {
+    let key = format!(
+        "{}{}/{}",
+        replication::CRASH_REPORTS_PREFIX,
+        app.me.instance,
+        app.me.start
+    );
+    let mut status = DependencyStatus::new("record of crashes");
+    let on_result = |result: Result<(), &PlatError>| match result {
+        Ok(()) => status.mark_restored(),
+        Err(error) => status.mark_lost(error),
     };
-    crash::report::publish(&app.crashes, &app.plat, &key, heard).await;
+    crash::report::publish(&app.crashes, &app.plat, &key, on_result).await;
 }
 
-/// Reports the calls of the platform, which it counts and limits.
-async fn count(app: Arc<App>) {
+/// Reports the number of platform calls, which the client counts and limits.
+async fn report_calls(app: Arc<App>) {
     loop {
-        sleep(COUNT).await;
+        sleep(CALL_REPORT_INTERVAL).await;
         let used = |kind| app.plat.budget().used(kind);
         for kind in CallKind::ALL {
-            metrics::gauge!(meter::PLATFORM, "kind" => kind.name()).set(used(kind) as f64);
+            metrics::gauge!(telemetry::PLATFORM_CALLS, "kind" => kind.name())
+                .set(used(kind) as f64);
         }
         log::info!(target: "platform", reads = used(CallKind::Read), stale = used(CallKind::Stale),
             writes = used(CallKind::Write), leases = used(CallKind::Lease),
-            watches = used(CallKind::Watch); "calls so far");
+            watches = used(CallKind::Watch); "platform calls so far");
     }
 }
 
-/// Follows the settings file: the level of the log changes at once, other changes are reported and
-/// hold from the next start on.
-async fn reload(file: String, mut held: Settings) {
+/// Reloads the settings file: the log level changes at once, other changes are logged and take effect at the next
+/// start.
+async fn follow_settings(file: String, mut current: Settings) {
     let Ok(mut hup) = signal(SignalKind::hangup()) else {
-        log::error!(target: "start", "cannot follow the signal to reload");
+        log::error!(target: "start", "cannot listen for the reload signal");
         return;
     };
     loop {
         tokio::select! {
-            _ = hup.recv() => log::info!(target: "start", "told to reload"),
-            () = sleep(LOOK) => (),
+            _ = hup.recv() => log::info!(target: "start", "reload signal received"),
+            () = sleep(SETTINGS_CHECK_INTERVAL) => (),
         }
         let text = match conf::load(&file) {
             Ok(text) => text,
@@ -280,15 +298,15 @@
             }
         };
         match settings::read(&file, &text) {
-            Ok(settings) if settings == held => (),
+            Ok(settings) if settings == current => (),
             Ok(settings) => {
                 log::set_max_level(settings.logs.level);
-                log::info!(target: "start", "settings have changed");
-                held = settings;
+                log::info!(target: "start", "settings changed");
+                current = settings;
             }
             Err(mistakes) => {
                 let mistakes = mistakes.to_string();
-                log::error!(target: "start", mistakes = mistakes.as_str(); "settings are wrong");
+                log::error!(target: "start", mistakes = mistakes.as_str(); "settings are invalid");
             }
         }
     }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -1,7 +1,7 @@
-//! Passing a stream of events on to a caller.
+//! Forwards a stream of events to a caller.
 //!
-//! Events go on as they come. A stream that breaks is taken up behind its last event at another
-//! upstream where the route allows it; else the answer is cut off, so that it does not look whole.
+//! Events are forwarded as they arrive. A stream that breaks is resumed after its last event at another upstream
+//! where the route allows it; otherwise the answer is aborted, so that the caller does not take it for complete.
 
 use std::io;
 use std::sync::Arc;
@@ -26,39 +26,39 @@
 use crate::App;
 use crate::dialect::Caller;
 use crate::events::Events;
-use crate::events::Next;
-use crate::refuse::Refusal;
+use crate::events::NextEvent;
+use crate::refusal::Refusal;
 use crate::sent::Place;
 use crate::sent::Sent;
 
-/// Silence within a stream after which its upstream is taken for lost.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// Time without an event after which the upstream of a stream counts as lost.
+const MAX_EVENT_GAP: Duration = Duration::from_millis(1_500);
 
-/// Most bytes of an answer that is no stream.
-const ANSWER: usize = 1 << 20;
+/// Largest answer in bytes that is not a stream; it is buffered.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// What came of one attempt.
-enum Came {
-    /// The head of a stream.
+/// The outcome of one attempt.
+enum AttemptOutcome {
+    /// The head of the answer.
     Stream(Box<Response<Incoming>>, Place),
-    /// The upstream has not run the request and never will.
-    Unrun,
-    /// Nothing was sent: upstreams crash under the request, which may not run for so many milliseconds.
+    /// The upstream has not executed the request and never will.
+    NotExecuted,
+    /// Nothing was sent: upstreams crash under the request, which is blocked for so many milliseconds.
     Quarantined(Millis),
-    /// Whether it ran is not known.
+    /// Whether the request was executed is unknown.
     Unknown,
 }
 
-/// One caller's stream.
+/// The state of one caller's stream.
 struct Stream {
     sent: Sent,
     route: Arc<Route>,
-    last: Option<Arc<str>>,
-    used: Vec<Arc<str>>,
+    last_event: Option<Arc<str>>,
+    tried: Vec<Arc<str>>,
 }
 
-/// Passes a stream on.
-pub async fn pass(
+/// Forwards a stream to a caller.
+pub async fn forward_stream(
     app: &Arc<App>,
     route: &Arc<Route>,
     head: &Parts,
@@ -69,153 +69,153 @@
     let mut stream = Stream {
         sent: Sent::new(app, head, caller, body, route.timeout, principal),
         route: route.clone(),
-        last: caller.last.clone(),
-        used: Vec::new(),
+        last_event: caller.last_event.clone(),
+        tried: Vec::new(),
     };
     match stream.open(None).await {
-        Came::Stream(answer, place) => {
-            // It has begun to run; how long it lasts does not matter for its team's report.
+        AttemptOutcome::Stream(answer, place) => {
+            // The request counts for its team's report once it has started, however long it runs.
             stream.sent.settle();
             stream.answer(*answer, place).await
         }
-        Came::Unrun => Refusal::Unrun.reply(),
-        Came::Quarantined(left) => Refusal::Quarantined(left).reply(),
-        Came::Unknown => Refusal::Unknown.reply(),
+        AttemptOutcome::NotExecuted => Refusal::NotExecuted.reply(),
+        AttemptOutcome::Quarantined(left) => Refusal::Quarantined(left).reply(),
+        AttemptOutcome::Unknown => Refusal::OutcomeUnknown.reply(),
     }
 }
 
 impl Stream {
-    /// Takes a place, where the stream may wait inside the upstream as calls do: if it took free places alone,
-    /// it would get next to none beside calls that wait.
+    /// Reserves a slot, where the stream may queue inside the upstream as calls do: if it used free slots only, it
+    /// would rarely get one beside calls that queue.
     fn choose(&self) -> Option<Place> {
         let service = Config::pick_service(&self.route, rand::random())?;
-        self.sent.choose(service, &self.used, true)
+        self.sent.choose(service, &self.tried, true)
     }
 
-    /// Opens the stream behind an event at one upstream after the other.
-    async fn open(&mut self, last: Option<&str>) -> Came {
+    /// Opens the stream after an event, trying one upstream after the other.
+    async fn open(&mut self, last: Option<&str>) -> AttemptOutcome {
         let resumable = self.route.resumable;
-        let mut unclear = false;
+        let mut may_have_run = false;
         if let Some(left) = self.sent.admit().await {
             log::info!(target: "stream", id = &*self.sent.id, left_ms = left;
-                "upstreams crash under it");
-            return Came::Quarantined(left);
+                "request crashes upstreams");
+            return AttemptOutcome::Quarantined(left);
         }
-        while self.used.len() < self.route.max_attempts.max(1) as usize {
+        while self.tried.len() < self.route.max_attempts.max(1) as usize {
             let Some(place) = self.choose() else { break };
-            self.used.push(place.one.id.clone());
+            self.tried.push(place.one.id.clone());
             match self.attempt(place, last).await {
-                Came::Unrun => (),
-                Came::Unknown if resumable => unclear = true,
-                came => return came,
+                AttemptOutcome::NotExecuted => (),
+                AttemptOutcome::Unknown if resumable => may_have_run = true,
+                outcome => return outcome,
             }
             if self.sent.admit().await.is_some() {
                 break;
             }
         }
-        match unclear {
-            true => Came::Unknown,
-            false => Came::Unrun,
+        match may_have_run {
+            true => AttemptOutcome::Unknown,
+            false => AttemptOutcome::NotExecuted,
         }
     }
 
-    async fn attempt(&self, place: Place, last: Option<&str>) -> Came {
-        let one = &place.one;
-        let Some(request) = self.sent.request(one, last) else {
-            return Came::Unrun;
+    async fn attempt(&self, place: Place, last: Option<&str>) -> AttemptOutcome {
+        let upstream = &place.one;
+        let Some(request) = self.sent.request(upstream, last) else {
+            return AttemptOutcome::NotExecuted;
         };
         let number = self.sent.send();
-        let came = self.tried(request, place).await;
-        if matches!(came, Came::Unrun) {
+        let outcome = self.send_attempt(request, place).await;
+        if matches!(outcome, AttemptOutcome::NotExecuted) {
             self.sent.unrun(number);
         }
-        came
+        outcome
     }
 
-    async fn tried(&self, request: Request<Full<Bytes>>, place: Place) -> Came {
-        let one = &place.one;
+    async fn send_attempt(&self, request: Request<Full<Bytes>>, place: Place) -> AttemptOutcome {
+        let upstream = &place.one;
         let left = Duration::from_millis(self.sent.left());
         let answer = match self.sent.app.http.send(request, left).await {
             Ok(answer) => answer,
             Err(error) => {
                 self.sent
                     .app
-                    .plain
+                    .service_tracker
                     .lock()
-                    .engine_failed(&one.id, self.sent.app.clock.now());
+                    .engine_failed(&upstream.id, self.sent.app.clock.now());
                 let why = error.to_string();
-                log::info!(target: "stream", id = &*self.sent.id, upstream = &*one.id,
+                log::info!(target: "stream", id = &*self.sent.id, upstream = &*upstream.id,
                     why = why.as_str(); "attempt failed");
                 if matches!(error, SendError::Broken) {
-                    self.sent.broke(one).await;
+                    self.sent.broke(upstream).await;
                 }
                 return match error.is_unsent() {
-                    true => Came::Unrun,
-                    false => Came::Unknown,
+                    true => AttemptOutcome::NotExecuted,
+                    false => AttemptOutcome::Unknown,
                 };
             }
         };
-        let said = self
+        let head = self
             .sent
             .app
             .dialect
-            .said(answer.status(), answer.headers());
-        if said.unrun || said.other {
-            return Came::Unrun;
+            .decode_answer_head(answer.status(), answer.headers());
+        if head.not_executed || head.misdirected {
+            return AttemptOutcome::NotExecuted;
         }
-        match said.id.as_deref() == Some(&*self.sent.id) && said.signature.is_some() {
-            true => Came::Stream(Box::new(answer), place),
-            false => Came::Unknown,
+        match head.attempt_id.as_deref() == Some(&*self.sent.id) && head.signature.is_some() {
+            true => AttemptOutcome::Stream(Box::new(answer), place),
+            false => AttemptOutcome::Unknown,
         }
     }
 
     async fn answer(self, answer: Response<Incoming>, place: Place) -> Reply {
         let (head, body) = answer.into_parts();
         if head.status != StatusCode::OK {
-            return self.plain(head, body).await;
+            return self.reply_whole(head, body).await;
         }
         let (sender, out) = net::body::stream();
         let mut reply = Response::new(out);
         *reply.status_mut() = head.status;
-        *reply.headers_mut() = self.sent.app.dialect.back(&head.headers);
+        *reply.headers_mut() = self.sent.app.dialect.reply_headers(&head.headers);
         tokio::spawn(async move {
             let id = self.sent.id.clone();
-            let whole = self.pump(body, place, &sender).await;
-            if !whole {
-                log::info!(target: "stream", id = &*id; "cut off");
-                // The caller must not take what it has for the whole answer.
-                let cut = io::Error::from(io::ErrorKind::ConnectionReset);
-                let _ = sender.send(Err(cut)).await;
+            let is_complete = self.pump(body, place, &sender).await;
+            if !is_complete {
+                log::info!(target: "stream", id = &*id; "stream aborted");
+                // The caller must not take a partial answer for a complete one.
+                let reset = io::Error::from(io::ErrorKind::ConnectionReset);
+                let _ = sender.send(Err(reset)).await;
             }
         });
         reply
     }
 
-    /// Passes an answer on that is no stream, once it is whole.
-    async fn plain(self, head: http::response::Parts, body: Incoming) -> Reply {
-        let Ok(bytes) = net::body::read(body, ANSWER).await else {
-            return Refusal::Unknown.reply();
+    /// Forwards an answer that is not a stream, once it is complete.
+    async fn reply_whole(self, head: http::response::Parts, body: Incoming) -> Reply {
+        let Ok(bytes) = net::body::read(body, MAX_ANSWER_BYTES).await else {
+            return Refusal::OutcomeUnknown.reply();
         };
         self.sent.answered(head.status);
         let mut reply = Response::new(net::body::full(bytes));
         *reply.status_mut() = head.status;
-        *reply.headers_mut() = self.sent.app.dialect.back(&head.headers);
+        *reply.headers_mut() = self.sent.app.dialect.reply_headers(&head.headers);
         reply
     }
 
-    /// Passes events on until the end; tells whether it was reached.
+    /// Forwards events until the end; returns whether it was reached.
     async fn pump(mut self, body: Incoming, place: Place, sender: &Sender) -> bool {
         let mut events = Events::new(body);
         let mut place = Some(place);
-        let mut last = self.last.clone();
+        let mut last = self.last_event.clone();
         loop {
             let next = tokio::select! {
-                next = timeout(SILENCE, events.next()) => next.unwrap_or(Next::Broken),
+                next = timeout(MAX_EVENT_GAP, events.next()) => next.unwrap_or(NextEvent::Broken),
                 () = sender.closed() => return true,
             };
             match next {
-                Next::Block(block) => {
-                    if let Some(event) = self.sent.app.dialect.event(&block) {
+                NextEvent::Block(block) => {
+                    if let Some(event) = self.sent.app.dialect.decode_event(&block) {
                         last = Some(event.number.to_string().into());
                     }
                     let block = Bytes::from(block + "\n\n");
@@ -223,11 +223,11 @@
                         return true;
                     }
                 }
-                Next::End => {
+                NextEvent::End => {
                     self.sent.answered(StatusCode::OK);
                     return true;
                 }
-                Next::Broken => {
+                NextEvent::Broken => {
                     if let Some(place) = place.take() {
                         self.sent.broke(&place.one).await;
                     }
@@ -235,11 +235,13 @@
                         return false;
                     }
                     match self.open(last.as_deref()).await {
-                        Came::Stream(answer, next) => {
+                        AttemptOutcome::Stream(answer, next) => {
                             events = Events::new(answer.into_body());
                             place = Some(next);
                         }
-                        Came::Unrun | Came::Quarantined(_) | Came::Unknown => return false,
+                        AttemptOutcome::NotExecuted
+                        | AttemptOutcome::Quarantined(_)
+                        | AttemptOutcome::Unknown => return false,
                     }
                 }
             }
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -44,9 +44,9 @@
             meet(&app).await;
         }
         for keeper in keepers(&app) {
-            if peer::tally(&app, keeper.addr, tally.clone()).await {
+            if peer::send_counts(&app, keeper.addr, tally.clone()).await {
                 told = Some((keeper.owner, tally));
-                app.set_kept();
+                app.confirm_keeper();
                 break;
             }
         }
@@ -62,8 +62,8 @@
 /// Reads who has entered. An instance that has just started may serve requests before it knows anybody, and
 /// nobody would know what it counted when the window is reported.
 async fn meet(app: &App) {
-    match member::list(app).await {
-        Ok(members) => app.met(members),
+    match member::list_members(app).await {
+        Ok(members) => app.set_members(members),
         Err(error) => {
             let error = error.to_string();
             log::debug!(target: "accounts", error = error.as_str(); "no keeper known");
@@ -89,7 +89,7 @@
 
 /// What this instance knows of the requests of a window: what it was told, and what it has counted.
 pub(crate) fn shares(app: &App, window: u64) -> Vec<WindowCounts> {
-    let mut shares = app.keeper.lock().window_counts(window);
+    let mut shares = app.snapshots.lock().window_counts(window);
     if let Some(meter) = app
         .meter
         .as_ref()
@@ -104,7 +104,7 @@
 
 /// Tells whether the address that takes reports can be reached.
 pub(crate) async fn reaches(app: &App) -> bool {
-    match app.settings.accounts {
+    match app.settings.usage_reports {
         Some(accounts) => net::client::accepts(accounts.address, REACH).await,
         None => false,
     }
--- /dev/null
+++ b/crates/node/src/telemetry.rs
@@ -0,0 +1,89 @@
+//! Names, descriptions and text output of the metrics.
+//!
+//! Labels have bounded values: routes, outcomes and kinds of calls, never requests, steps or paths.
+
+use metrics::Unit;
+use metrics_exporter_prometheus::Matcher;
+use metrics_exporter_prometheus::PrometheusBuilder;
+use metrics_exporter_prometheus::PrometheusHandle;
+
+/// Requests of callers, by route and outcome.
+pub const REQUESTS: &str = "snipeway_requests_total";
+
+/// Time until a caller had its answer, in seconds, by route.
+pub const REQUEST_SECONDS: &str = "snipeway_request_seconds";
+
+/// Attempts at upstreams, by outcome.
+pub const ATTEMPTS: &str = "snipeway_upstream_attempts_total";
+
+/// Samples that ended, by outcome.
+pub const SAMPLES: &str = "snipeway_samples_total";
+
+/// Requests for the score of a sample, by outcome.
+pub const SCORES: &str = "snipeway_scores_total";
+
+/// Steps, by outcome at this instance.
+pub const STEPS: &str = "snipeway_steps_total";
+
+/// Orders to engines, by result.
+pub const LOAD_ORDERS: &str = "snipeway_orders_total";
+
+/// Reports of the requests of teams, by result.
+pub const USAGE_REPORTS: &str = "snipeway_usage_reports_total";
+
+/// Orders of upstreams, by result.
+pub const CAPACITY_ORDERS: &str = "snipeway_upstream_orders_total";
+
+/// Platform calls, by kind.
+pub const PLATFORM_CALLS: &str = "snipeway_platform_calls_total";
+
+/// Log lines that were dropped because the log reader was too slow.
+pub const DROPPED_LOG_LINES: &str = "snipeway_log_lines_dropped_total";
+
+/// Age of the list of upstreams in milliseconds.
+pub const UPSTREAMS_AGE: &str = "snipeway_upstreams_age_milliseconds";
+
+/// Version of the configuration in force.
+pub const CONFIG_VERSION: &str = "snipeway_configuration_version";
+
+/// Buckets of [`REQUEST_SECONDS`].
+const REQUEST_SECONDS_BUCKETS: [f64; 11] =
+    [0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
+
+/// Installs the recorder and registers descriptions; [`None`] when it cannot be installed.
+pub fn install() -> Option<PrometheusHandle> {
+    let matcher = Matcher::Full(REQUEST_SECONDS.to_owned());
+    let builder =
+        PrometheusBuilder::new().set_buckets_for_metric(matcher, &REQUEST_SECONDS_BUCKETS);
+    let handle = builder.ok()?.install_recorder().ok()?;
+    metrics::describe_counter!(REQUESTS, "requests of callers by route and outcome");
+    metrics::describe_histogram!(
+        REQUEST_SECONDS,
+        Unit::Seconds,
+        "time until callers had their answer"
+    );
+    metrics::describe_counter!(ATTEMPTS, "attempts at upstreams by outcome");
+    metrics::describe_counter!(SAMPLES, "samples that ended by outcome");
+    metrics::describe_counter!(SCORES, "requests for the score of a sample by outcome");
+    metrics::describe_counter!(
+        crash::CRASHES_METRIC,
+        "requests at an upstream when that crashed"
+    );
+    metrics::describe_gauge!(crash::QUARANTINED_METRIC, "requests that crash upstreams");
+    metrics::describe_counter!(STEPS, "steps by what became of them here");
+    metrics::describe_counter!(LOAD_ORDERS, "orders to engines by result");
+    metrics::describe_counter!(USAGE_REPORTS, "reports of the requests of teams by result");
+    metrics::describe_counter!(CAPACITY_ORDERS, "orders of upstreams by result");
+    metrics::describe_gauge!(PLATFORM_CALLS, "calls of the platform by kind");
+    metrics::describe_gauge!(
+        DROPPED_LOG_LINES,
+        "log lines dropped because their reader was too slow"
+    );
+    metrics::describe_gauge!(
+        UPSTREAMS_AGE,
+        Unit::Milliseconds,
+        "age of the list of upstreams"
+    );
+    metrics::describe_gauge!(CONFIG_VERSION, "version of the configuration in force");
+    Some(handle)
+}
