--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -58,13 +58,13 @@
 }
 
 /// What came of a try to accept a step.
-pub enum Tried {
+pub enum AcceptOutcome {
     /// It is this instance's.
     Open(Open),
     /// It was accepted before.
-    Known(Item),
+    Exists(Item),
     /// It was accepted before, and its records are gone by now.
-    Gone,
+    Removed,
 }
 
 /// What came of taking a step over.
@@ -98,16 +98,16 @@
     former: Option<&str>,
     head: &Head,
     spec: &Spec,
-) -> Result<Tried, PlatError> {
+) -> Result<AcceptOutcome, PlatError> {
     let asked = app.clock.now();
     let names = || [step].into_iter().chain(former);
     let guards = names().map(|name| Guard::Absent(keys::head(name)));
     if let TxnOutcome::At(rev) = write(app, step, guards.collect(), head, spec).await? {
-        return Ok(Tried::Open(Open { rev, asked }));
+        return Ok(AcceptOutcome::Open(Open { rev, asked }));
     }
     for name in names() {
         match app.plat.get(&keys::head(name)).await {
-            Ok(Some(item)) => return Ok(Tried::Known(item)),
+            Ok(Some(item)) => return Ok(AcceptOutcome::Exists(item)),
             Ok(None) => (),
             Err(error) => {
                 let why = error.to_string();
@@ -117,7 +117,7 @@
             }
         }
     }
-    Ok(Tried::Gone)
+    Ok(AcceptOutcome::Removed)
 }
 
 async fn write(
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -25,7 +25,7 @@
 use super::SETTLE;
 use crate::App;
 use crate::claim;
-use crate::claim::Tried;
+use crate::claim::AcceptOutcome;
 use crate::control::orphans;
 use crate::dialect::Caller;
 use crate::dialect::Submitted;
@@ -256,14 +256,14 @@
         let tried = claim::accept(&app, &id, former.as_deref(), &head, &spec).await;
         let age = app.clock.now() - since;
         match tried {
-            Ok(Tried::Open(open)) => {
+            Ok(AcceptOutcome::Open(open)) => {
                 log::info!(target: "steps", id = &*id, samples = head.total, work = head.work, least = head.min_version,
                     model = &*head.model, revision = open.rev(), took_ms = age; "step accepted");
                 metrics::counter!(meter::STEPS, "outcome" => "accepted").increment(1);
                 owner::begin(&app, &id, head, spec, open);
                 return Accepted::Kept;
             }
-            Ok(Tried::Known(item)) => match known(&app, &id, &item).await {
+            Ok(AcceptOutcome::Exists(item)) => match known(&app, &id, &item).await {
                 Ok(()) => return Accepted::Kept,
                 Err(error) => {
                     unclear = true;
@@ -271,8 +271,8 @@
                 }
             },
             // Removed between the two calls: nothing of it can run.
-            Ok(Tried::Gone) if !unclear => return Accepted::Refused,
-            Ok(Tried::Gone) => (),
+            Ok(AcceptOutcome::Removed) if !unclear => return Accepted::Refused,
+            Ok(AcceptOutcome::Removed) => (),
             Err(error) if error.is_indeterminate() => {
                 unclear = true;
                 tell(&id, &error);
