--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -80,7 +80,7 @@
 
 /// A step that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedStep {
     /// Who ran it.
     pub owner: Owner,
     /// The revision that its head had.
@@ -259,7 +259,7 @@
 /// # Errors
 ///
 /// Returns [`PlatError`]; it may have ended all the same.
-pub async fn end(app: &App, step: &str) -> Result<Option<Ended>, PlatError> {
+pub async fn end(app: &App, step: &str) -> Result<Option<EndedStep>, PlatError> {
     loop {
         let Some(item) = app.plat.get(&keys::head(step)).await? else {
             return Ok(None);
@@ -267,7 +267,7 @@
         let mut head = read(&item)?;
         let owner = head.owner.clone();
         if let Some(rev) = head.ended {
-            return Ok(Some(Ended { owner, rev }));
+            return Ok(Some(EndedStep { owner, rev }));
         }
         head.ended = Some(item.rev);
         let txn = Txn {
@@ -278,7 +278,7 @@
         // Otherwise it was taken over or ended meanwhile.
         if let TxnOutcome::At(_) = app.plat.txn(&txn).await? {
             let rev = item.rev;
-            return Ok(Some(Ended { owner, rev }));
+            return Ok(Some(EndedStep { owner, rev }));
         }
     }
 }
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -18,7 +18,7 @@
 
 use crate::App;
 use crate::claim;
-use crate::claim::Ended;
+use crate::claim::EndedStep;
 use crate::hint;
 use crate::peer;
 use crate::refuse::Refusal;
@@ -263,7 +263,7 @@
     }
 }
 
-async fn tell_owner(app: Arc<App>, step: Arc<str>, ended: Ended) {
+async fn tell_owner(app: Arc<App>, step: Arc<str>, ended: EndedStep) {
     if ended.owner == app.me {
         note_end(&app, &step, ended.rev);
         return;
