--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -163,7 +163,7 @@
 /// # Errors
 ///
 /// Returns [`PlatError::Garbled`].
-pub fn read(item: &Item) -> Result<Head, PlatError> {
+pub fn decode_head(item: &Item) -> Result<Head, PlatError> {
     record::decode(&item.value).map_err(|_| PlatError::Garbled)
 }
 
@@ -228,7 +228,7 @@
 async fn found(app: &App, step: &str, mine: &Head) -> Result<Taken, PlatError> {
     let asked = app.clock.now();
     let item = app.plat.get(&keys::head(step)).await?;
-    let item = item.filter(|item| read(item).is_ok_and(|head| head == *mine));
+    let item = item.filter(|item| decode_head(item).is_ok_and(|head| head == *mine));
     Ok(match item {
         Some(Item { rev, .. }) => Taken::Open(Open { rev, asked }),
         None => Taken::Not,
@@ -248,7 +248,7 @@
     if item.rev == rev {
         return Ok(Standing::Open(Open { rev, asked }));
     }
-    Ok(match read(item)?.ended == Some(rev) {
+    Ok(match decode_head(item)?.ended == Some(rev) {
         true => Standing::Ended,
         false => Standing::Lost,
     })
@@ -264,7 +264,7 @@
         let Some(item) = app.plat.get(&keys::head(step)).await? else {
             return Ok(None);
         };
-        let mut head = read(&item)?;
+        let mut head = decode_head(&item)?;
         let owner = head.owner.clone();
         if let Some(rev) = head.ended {
             return Ok(Some(EndedStep { owner, rev }));
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -128,7 +128,7 @@
     let Some(item) = app.plat.get(&keys::head(step)).await? else {
         return Ok(None);
     };
-    let head = claim::read(&item)?;
+    let head = claim::decode_head(&item)?;
     hint::note(app, step.clone(), head.owner.instance.clone());
     let shelf = app.shelves.with_shard(step, |map| {
         let new = || Arc::new(Shelf::new(step.clone(), &head));
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -320,7 +320,7 @@
 async fn known(app: &Arc<App>, id: &Arc<str>, item: &plat::Item) -> Result<(), PlatError> {
     // It may have been accepted under its former name.
     let id = &keys::step_of_head(&item.key).map_or_else(|| id.clone(), Arc::from);
-    let head = match claim::read(item) {
+    let head = match claim::decode_head(item) {
         Ok(head) => head,
         Err(error) => {
             let why = error.to_string();
