--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -41,7 +41,7 @@
 use crate::access;
 use crate::hint::Hint;
 use crate::member::Entered;
-use crate::owner::Work;
+use crate::owner::OwnedStep;
 use crate::shelf::Shelf;
 
 /// Time for which an idle connection to an upstream is kept: a call on a kept connection saves the
@@ -99,7 +99,7 @@
     /// Rings when the board has changed.
     pub news: watch::Sender<()>,
     /// The steps that this instance runs.
-    pub works: ShardedMap<Arc<str>, Arc<Work>>,
+    pub works: ShardedMap<Arc<str>, Arc<OwnedStep>>,
     /// The steps that this instance is taking over.
     pub taking: Mutex<Set<Arc<str>>>,
     /// What this instance has read of the results of other steps.
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 use self::drive::Drive;
-pub use self::work::Work;
+pub use self::work::OwnedStep;
 use crate::App;
 use crate::claim::Open;
 use crate::hint;
@@ -38,7 +38,7 @@
 /// Begins to run a step that was accepted here.
 pub fn begin(app: &Arc<App>, step: &Arc<str>, head: Head, mut spec: Spec, open: Open) {
     let again = recall(app, &head, &mut spec);
-    let mut work = Work::new(app, step, head, spec, &open, app.clock.now());
+    let mut work = OwnedStep::new(app, step, head, spec, &open, app.clock.now());
     work.again = again;
     start(app, work, "accepted");
 }
@@ -74,7 +74,7 @@
 }
 
 /// Remembers the samples of groups that an ended step has left over.
-fn remember(app: &App, work: &Work) {
+fn remember(app: &App, work: &OwnedStep) {
     let left = work.ledger.lock().incomplete_samples();
     let now = app.clock.now();
     let mut again = app.again.lock();
@@ -105,7 +105,7 @@
 pub fn resume(app: &Arc<App>, step: &Arc<str>, head: Head, spec: Spec, open: Open, left: Left) {
     let age = app.clock.wall().saturating_sub(head.opened);
     let opened = app.clock.now().saturating_sub(age.saturating_sub(SKEW));
-    let work = Work::new(app, step, head, spec, &open, opened);
+    let work = OwnedStep::new(app, step, head, spec, &open, opened);
     {
         let mut ledger = work.ledger.lock();
         for segment in left.segments {
@@ -126,7 +126,7 @@
 }
 
 /// Keeps a step in memory; false when it is run here already, by what the platform says now.
-fn keep(app: &App, work: &Arc<Work>) -> bool {
+fn keep(app: &App, work: &Arc<OwnedStep>) -> bool {
     app.works.with_shard(&work.step, |map| {
         if let Some(held) = map.get(&work.step) {
             if held.rev >= work.rev {
@@ -139,7 +139,7 @@
     })
 }
 
-fn start(app: &Arc<App>, work: Work, why: &str) {
+fn start(app: &Arc<App>, work: OwnedStep, why: &str) {
     let work = Arc::new(work);
     let kept = keep(app, &work);
     log::info!(target: "owner", id = &*work.step, revision = work.rev, why, begun = kept,
@@ -180,7 +180,7 @@
 
 /// Gathers what earlier steps have left over of this step's samples. The steps of one route are run
 /// by one instance, so it is here.
-fn gather(app: &App, work: &Work) {
+fn gather(app: &App, work: &OwnedStep) {
     let single = work.route(app).is_none_or(|route| route.single_version);
     if single {
         return;
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use super::Work;
+use super::OwnedStep;
 use crate::App;
 use crate::claim;
 use crate::through;
@@ -52,7 +52,7 @@
     }
 
     /// Asks when nothing was heard for a while.
-    pub(super) fn begin(&mut self, app: &Arc<App>, work: &Arc<Work>) {
+    pub(super) fn begin(&mut self, app: &Arc<App>, work: &Arc<OwnedStep>) {
         if !self.asks.is_empty() {
             return;
         }
@@ -70,7 +70,7 @@
     }
 }
 
-async fn question(app: &Arc<App>, work: &Work, asked: Millis) {
+async fn question(app: &Arc<App>, work: &OwnedStep, asked: Millis) {
     // One that was turned away a moment ago has the others ask at once.
     let patience = match app.plat.is_unserved() {
         true => 0,
@@ -94,7 +94,7 @@
 }
 
 /// Asks the platform, and others to ask it when it does not answer soon.
-async fn hear(app: &Arc<App>, work: &Work, patience: Millis) -> Came {
+async fn hear(app: &Arc<App>, work: &OwnedStep, patience: Millis) -> Came {
     let call = Call::Get(keys::head(&work.step));
     let limit = Duration::from_millis(app.settings.cancel / LIMIT);
     let patience = Duration::from_millis(patience);
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -20,7 +20,7 @@
 use self::placing::Placed;
 use self::placing::Todo;
 use super::AGAIN;
-use super::Work;
+use super::OwnedStep;
 use super::checks::Checks;
 use super::looks::Looks;
 use super::write::Written;
@@ -53,7 +53,7 @@
 /// The loop that runs a step.
 pub(super) struct Drive<'a> {
     app: &'a Arc<App>,
-    work: &'a Arc<Work>,
+    work: &'a Arc<OwnedStep>,
     todo: VecDeque<Todo>,
     /// Samples under which engines crash; they wait until they may run again or the step gives them up.
     held: Vec<Todo>,
@@ -69,7 +69,7 @@
 }
 
 impl<'a> Drive<'a> {
-    pub(super) fn new(app: &'a Arc<App>, work: &'a Arc<Work>) -> Self {
+    pub(super) fn new(app: &'a Arc<App>, work: &'a Arc<OwnedStep>) -> Self {
         let ledger = work.ledger.lock();
         let samples = work.spec.samples.iter().enumerate();
         let jobs = samples
--- a/crates/node/src/owner/looks.rs
+++ b/crates/node/src/owner/looks.rs
@@ -9,7 +9,7 @@
 use table::Upstream;
 use tokio::task::JoinSet;
 
-use super::Work;
+use super::OwnedStep;
 use crate::App;
 use crate::control;
 
@@ -38,7 +38,13 @@
 
     /// Asks engines whose version is too old whether they have a newer one by now; `waiting` samples
     /// wait for them.
-    pub(super) fn begin(&mut self, app: &Arc<App>, work: &Work, route: &Route, waiting: usize) {
+    pub(super) fn begin(
+        &mut self,
+        app: &Arc<App>,
+        work: &OwnedStep,
+        route: &Route,
+        waiting: usize,
+    ) {
         let now = app.clock.now();
         if now < self.looked + LOOK || !self.asks.is_empty() {
             return;
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -44,7 +44,7 @@
 const FRESH: Millis = 600;
 
 /// A step that this instance owns.
-pub struct Work {
+pub struct OwnedStep {
     pub(super) step: Arc<str>,
     pub(super) head: Head,
     pub(super) rev: i64,
@@ -68,7 +68,7 @@
     pub(super) bell: Notify,
 }
 
-impl Work {
+impl OwnedStep {
     pub(super) fn new(
         app: &App,
         step: &Arc<str>,
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -10,7 +10,7 @@
 use plat::Txn;
 use plat::TxnOutcome;
 
-use super::Work;
+use super::OwnedStep;
 use crate::App;
 use crate::claim;
 use crate::claim::Standing;
@@ -27,7 +27,7 @@
     Lost,
 }
 
-pub(super) async fn write_segment(app: &App, work: &Work, segment: &Segment) -> Written {
+pub(super) async fn write_segment(app: &App, work: &OwnedStep, segment: &Segment) -> Written {
     let sent = app.clock.now();
     let Ok(puts) = puts(&work.step, segment) else {
         // Texts and numbers always have an encoding.
@@ -79,7 +79,7 @@
 
 /// Finds out why a segment could not be written: an earlier try of the same write took effect, the
 /// step has ended, or it was taken over.
-async fn settle(app: &App, work: &Work, put: &Put, end: &str) -> Written {
+async fn settle(app: &App, work: &OwnedStep, put: &Put, end: &str) -> Written {
     let asked = app.clock.now();
     let found: Result<_, PlatError> = async {
         let head = app.plat.get(&keys::head(&work.step)).await?;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -22,7 +22,7 @@
 use crate::App;
 use crate::events::Events;
 use crate::events::Next;
-use crate::owner::Work;
+use crate::owner::OwnedStep;
 use crate::print;
 
 /// Time within which an engine with a free slot begins to answer: ten events of an ordinary engine,
@@ -73,7 +73,7 @@
     /// The instance.
     pub app: Arc<App>,
     /// The step.
-    pub work: Arc<Work>,
+    pub work: Arc<OwnedStep>,
     /// The host of the step's route.
     pub host: Arc<str>,
     /// On whose behalf the step runs.
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -20,7 +20,7 @@
 use crate::forward;
 use crate::forward::Passed;
 use crate::meter;
-use crate::owner::Work;
+use crate::owner::OwnedStep;
 use crate::sent::Sent;
 
 /// Time after which one try, with its second upstream, is given up: ten times the latency that callers
@@ -36,7 +36,7 @@
 /// more.
 pub(crate) async fn score(
     app: &Arc<App>,
-    work: &Work,
+    work: &OwnedStep,
     scoring: &Scoring,
     principal: &Principal,
     most: u32,
