--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -65,7 +65,7 @@
         Ask::Submit(submission) => Told::Submit(accept::handed(app, submission).await),
         Ask::Body { step, sample } => {
             let work = app.works.get(&step);
-            Told::Body(work.map(|work| work.body(&sample)))
+            Told::Body(work.map(|work| work.sample_body(&sample)))
         }
         Ask::Owner(step) => Told::Owner(hint::known(app, &step)),
         Ask::Own { step, owner } => {
@@ -90,7 +90,7 @@
         }
         Ask::Taken { step, rev } => {
             if let Some(work) = app.works.get(&step) {
-                work.replaced(rev);
+                work.mark_replaced(rev);
             }
             Told::Noted
         }
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -101,7 +101,7 @@
 
     /// Notes that the step has ended while its head had a revision, and how that was heard; with another one it is
     /// somebody else's by now, who may have listed more.
-    pub(crate) fn end(&self, app: &App, rev: i64, why: &str) {
+    pub(crate) fn mark_ended(&self, app: &App, rev: i64, why: &str) {
         if rev != self.rev || self.ended.swap(true, Ordering::Relaxed) {
             return;
         }
@@ -115,7 +115,7 @@
     }
 
     /// Notes that somebody else runs the step, whose head had a revision before.
-    pub(crate) fn replaced(&self, rev: i64) {
+    pub(crate) fn mark_replaced(&self, rev: i64) {
         if rev == self.rev {
             self.lose();
         }
@@ -159,7 +159,7 @@
                 self.word.lock().confirm(open.asked());
                 return true;
             }
-            Standing::Ended => self.end(app, self.rev, "asked"),
+            Standing::Ended => self.mark_ended(app, self.rev, "asked"),
             Standing::Lost => self.lose(),
         }
         false
@@ -188,7 +188,7 @@
     }
 
     /// The body of a sample's request.
-    pub fn body(&self, sample: &str) -> Option<Vec<u8>> {
+    pub fn sample_body(&self, sample: &str) -> Option<Vec<u8>> {
         let found = self.spec.samples.iter().find(|one| &*one.id == sample);
         found.map(|one| one.body.clone())
     }
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -106,7 +106,7 @@
         }
         None if !open => Written::Ended,
         None if ended.is_some() => {
-            work.end(app, work.rev, "asked");
+            work.mark_ended(app, work.rev, "asked");
             Written::Ended
         }
         None => Written::Unclear,
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -155,7 +155,7 @@
 
 async fn body_kept(app: &Arc<App>, step: &Arc<str>, sample: &Arc<str>) -> Reply {
     let found = match app.works.get(step) {
-        Some(work) => Ok(work.body(sample)),
+        Some(work) => Ok(work.sample_body(sample)),
         None => find_body(app, step, sample).await,
     };
     match found {
@@ -280,6 +280,6 @@
 /// Takes in that a step has ended while its head had a revision.
 pub(crate) fn note_end(app: &App, step: &Arc<str>, rev: i64) {
     if let Some(work) = app.works.get(step) {
-        work.end(app, rev, "told");
+        work.mark_ended(app, rev, "told");
     }
 }
