--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -27,8 +27,8 @@
 use crate::dialect::Caller;
 use crate::meter;
 use crate::refuse::Refusal;
+use crate::sent::ForwardedRequest;
 use crate::sent::Place;
-use crate::sent::Sent;
 
 /// Time after which a call that may be repeated is sent to a second upstream as well: some times
 /// the usual work of a lookup, and early enough for the second to answer within the latency that
@@ -67,9 +67,9 @@
     body: Bytes,
     principal: Principal,
 ) -> Reply {
-    let sent = Sent::new(app, head, caller, body, route.timeout, principal);
+    let sent = ForwardedRequest::new(app, head, caller, body, route.timeout, principal);
     let sent = Arc::new(sent);
-    let left = Duration::from_millis(sent.left());
+    let left = Duration::from_millis(sent.time_left());
     let mut tries = Tries::new(sent, route, Manner::Caller);
     let passed = match timeout(left, tries.answer()).await {
         Ok(passed) => passed,
@@ -83,8 +83,8 @@
 
 /// Asks a scorer for the score of a sample, once: within `limit`, and no longer than the request
 /// has time.
-pub(crate) async fn score(sent: Arc<Sent>, route: &Route, limit: Duration) -> Passed {
-    let left = Duration::from_millis(sent.left()).min(limit);
+pub(crate) async fn score(sent: Arc<ForwardedRequest>, route: &Route, limit: Duration) -> Passed {
+    let left = Duration::from_millis(sent.time_left()).min(limit);
     let mut tries = Tries::new(sent, route, Manner::Scorer);
     match timeout(left, tries.answer()).await {
         Ok(passed) => passed,
@@ -125,7 +125,7 @@
 
 /// The attempts of one call.
 struct Tries<'a> {
-    sent: Arc<Sent>,
+    sent: Arc<ForwardedRequest>,
     route: &'a Route,
     service: Option<Arc<str>>,
     used: Vec<Arc<str>>,
@@ -136,7 +136,7 @@
 }
 
 impl<'a> Tries<'a> {
-    fn new(sent: Arc<Sent>, route: &'a Route, manner: Manner) -> Self {
+    fn new(sent: Arc<ForwardedRequest>, route: &'a Route, manner: Manner) -> Self {
         Self {
             sent,
             route,
@@ -204,13 +204,13 @@
             return false;
         }
         let service = self.service.as_deref();
-        let place = service.and_then(|name| self.sent.choose(name, &self.used, queue));
+        let place = service.and_then(|name| self.sent.reserve_slot(name, &self.used, queue));
         let Some(place) = place else {
             return false;
         };
         let one = &place.one;
         self.used.push(one.id.clone());
-        let left = self.sent.left();
+        let left = self.sent.time_left();
         let part = match self.may_repeat() && self.used.len() < self.attempts() {
             true => left / Millis::from(PART),
             false => left,
@@ -252,23 +252,23 @@
     }
 }
 
-async fn attempt(sent: &Sent, place: Place, part: Millis) -> Came {
+async fn attempt(sent: &ForwardedRequest, place: Place, part: Millis) -> Came {
     let one = &place.one;
-    let Some(request) = sent.request(one, None) else {
+    let Some(request) = sent.build_request(one, None) else {
         return Came::Unrun;
     };
     let begun = sent.app.clock.now();
-    let number = sent.send();
+    let number = sent.record_send();
     let limit = Duration::from_millis(part);
     let answer = sent.app.http.fetch(request, limit, ANSWER).await;
     let took = sent.app.clock.now() - begun;
     let broke = matches!(answer, Err(SendError::Broken));
     let came = judge(sent, one, answer, took);
     if broke {
-        sent.broke(one).await;
+        sent.check_crash(one).await;
     }
     if matches!(came, Came::Unrun) {
-        sent.unrun(number);
+        sent.mark_unexecuted(number);
     }
     let outcome = match &came {
         Came::Answer(..) => "answered",
@@ -280,7 +280,7 @@
 }
 
 fn judge(
-    sent: &Sent,
+    sent: &ForwardedRequest,
     one: &Arc<Upstream>,
     answer: Result<Response<Bytes>, SendError>,
     took: Millis,
@@ -313,7 +313,7 @@
     {
         plain.event_received(&one.id, took as f64);
         drop(plain);
-        sent.answered(answer.status());
+        sent.record_answer(answer.status());
         return Came::Answer(answer, signature);
     }
     plain.engine_failed(&one.id, now);
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -21,7 +21,7 @@
 use crate::forward::Passed;
 use crate::meter;
 use crate::owner::OwnedStep;
-use crate::sent::Sent;
+use crate::sent::ForwardedRequest;
 
 /// Time after which one try, with its second upstream, is given up: ten times the latency that callers
 /// of plain services aim at. Upstreams that have gone silent would else hold a sample for as long as
@@ -65,7 +65,7 @@
         let mut answer = AttemptResult::Inconclusive;
         if let Some(route) = route(app, scoring) {
             tries.raise_limit(route.max_attempts);
-            let sent = Sent::scoring(
+            let sent = ForwardedRequest::for_score(
                 app,
                 head.clone(),
                 scoring.id.clone(),
@@ -74,7 +74,7 @@
                 principal.clone(),
             );
             // A second upstream is tried while the step is known to be open.
-            let sent = sent.within(permit);
+            let sent = sent.with_permit(permit);
             answer = ask(sent, &route).await;
         }
         asked += 1;
@@ -98,7 +98,7 @@
         .cloned()
 }
 
-async fn ask(sent: Sent, route: &Route) -> AttemptResult {
+async fn ask(sent: ForwardedRequest, route: &Route) -> AttemptResult {
     match forward::score(Arc::new(sent), route, LIMIT).await {
         Passed::Answer { answer, signature } if answer.status().is_success() => {
             AttemptResult::Scored(signature)
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -35,14 +35,14 @@
 const LAST_EVENT: &str = "last-event-id";
 
 /// A caller's request.
-pub(crate) struct Sent {
+pub(crate) struct ForwardedRequest {
     pub(crate) app: Arc<App>,
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
     /// The caller's name for it.
     pub(crate) id: Arc<str>,
     /// When its time is over.
-    pub(crate) until: Millis,
+    pub(crate) deadline: Millis,
     /// On whose behalf it runs.
     pub(crate) principal: Principal,
     /// Its tries, for the report of its team's requests; nothing once it counts.
@@ -54,7 +54,7 @@
     mark: OnceLock<Identity>,
 }
 
-impl Sent {
+impl ForwardedRequest {
     /// Takes in a request that may wait for as long as its caller and its route allow.
     pub(crate) fn new(
         app: &Arc<App>,
@@ -70,7 +70,7 @@
             head: head.clone(),
             body,
             id: caller.id.clone(),
-            until: app.clock.now() + wait,
+            deadline: app.clock.now() + wait,
             principal,
             run: Mutex::new(Some(RequestAttempts::default())),
             scores: false,
@@ -80,12 +80,12 @@
     }
 
     /// Takes in a request for the score of a sample, which has time until then.
-    pub(crate) fn scoring(
+    pub(crate) fn for_score(
         app: &Arc<App>,
         head: Parts,
         id: Arc<str>,
         body: Bytes,
-        until: Millis,
+        deadline: Millis,
         principal: Principal,
     ) -> Self {
         Self {
@@ -93,7 +93,7 @@
             head,
             body,
             id,
-            until,
+            deadline,
             principal,
             run: Mutex::new(Some(RequestAttempts::default())),
             scores: true,
@@ -103,7 +103,7 @@
     }
 
     /// Lets it be sent with a permit alone.
-    pub(crate) fn within(mut self, permit: Permit) -> Self {
+    pub(crate) fn with_permit(mut self, permit: Permit) -> Self {
         self.permit = Some(permit);
         self
     }
@@ -115,7 +115,7 @@
     }
 
     /// How it is known when upstreams crash under it.
-    pub(crate) fn mark(&self) -> Identity {
+    pub(crate) fn identity(&self) -> Identity {
         *self.mark.get_or_init(|| match self.scores {
             true => print::score(&self.head, &self.principal, &self.body),
             false => print::request(&self.head, &self.principal, &self.body).into(),
@@ -124,28 +124,33 @@
 
     /// What may be done with it.
     pub(crate) fn verdict(&self) -> Verdict {
-        self.app.crashes.verdict(|| self.mark())
+        self.app.crashes.verdict(|| self.identity())
     }
 
     /// Waits until it is known whether it may run; gives the time for which it may not.
     pub(crate) async fn admit(&self) -> Option<Millis> {
         match self.verdict() {
             Verdict::Unrestricted => None,
-            _ => self.app.crashes.admit(self.mark(), self.left()).await,
+            _ => {
+                self.app
+                    .crashes
+                    .admit(self.identity(), self.time_left())
+                    .await
+            }
         }
     }
 
     /// Notes that an upstream has answered it whole. A failure of the upstream does not tell that the request
     /// ran: an upstream that fails now and then would clear each request that crashes others.
-    pub(crate) fn answered(&self, status: StatusCode) {
+    pub(crate) fn record_answer(&self, status: StatusCode) {
         if !status.is_server_error() {
-            self.app.crashes.record_success(|| self.mark());
+            self.app.crashes.record_success(|| self.identity());
         }
     }
 
     /// Looks whether an upstream has crashed after the connection broke there.
-    pub(crate) async fn broke(&self, one: &Upstream) {
-        self.app.broke(&self.id, self.mark(), one).await;
+    pub(crate) async fn check_crash(&self, one: &Upstream) {
+        self.app.broke(&self.id, self.identity(), one).await;
     }
 
     /// The meter and the team for which the request counts, if it does: requests for scores do not.
@@ -155,7 +160,7 @@
     }
 
     /// Notes that it is sent to an upstream; gives the number of the try.
-    pub(crate) fn send(&self) -> usize {
+    pub(crate) fn record_send(&self) -> usize {
         let now = self.app.clock.steady();
         let mut run = self.run.lock();
         let Some(run) = run.as_mut() else { return 0 };
@@ -166,14 +171,14 @@
     }
 
     /// Notes that an upstream has not run a try and never will.
-    pub(crate) fn unrun(&self, at: usize) {
+    pub(crate) fn mark_unexecuted(&self, at: usize) {
         if let Some(run) = self.run.lock().as_mut() {
             run.mark_unexecuted(at);
         }
     }
 
     /// Counts it for its team, once; its window may close then.
-    pub(crate) fn settle(&self) {
+    pub(crate) fn finish_count(&self) {
         let run = self.run.lock().take();
         if let (Some(run), Some((meter, team))) = (run, self.counted()) {
             meter.lock().finish_request(&run, team);
@@ -181,12 +186,12 @@
     }
 
     /// Time that an upstream may still use.
-    pub(crate) fn left(&self) -> Millis {
-        self.until.saturating_sub(self.app.clock.now() + WAY)
+    pub(crate) fn time_left(&self) -> Millis {
+        self.deadline.saturating_sub(self.app.clock.now() + WAY)
     }
 
     /// The request for one upstream, behind event `last` of a stream that broke.
-    pub(crate) fn request(
+    pub(crate) fn build_request(
         &self,
         one: &Upstream,
         last: Option<&str>,
@@ -204,7 +209,7 @@
         *request.headers_mut() = dialect.forward(
             &self.head.headers,
             &one.incarnation.name,
-            Some(self.left()),
+            Some(self.time_left()),
             &self.principal,
         );
         if let Some(last) = last {
@@ -219,7 +224,12 @@
     ///
     /// The place is taken before anybody else chooses. Dozens of requests that begin at the same time
     /// would else all see the same places free, and wait inside one upstream.
-    pub(crate) fn choose(&self, service: &str, used: &[Arc<str>], queue: bool) -> Option<Place> {
+    pub(crate) fn reserve_slot(
+        &self,
+        service: &str,
+        used: &[Arc<str>],
+        queue: bool,
+    ) -> Option<Place> {
         if !self.is_permitted() {
             return None;
         }
@@ -230,7 +240,7 @@
             .map(|one| one.slots)
             .max()
             .unwrap_or(0);
-        let mut apart = app.crashes.upstreams_to_avoid(|| self.mark());
+        let mut apart = app.crashes.upstreams_to_avoid(|| self.identity());
         apart.extend_from_slice(used);
         let any = PlacementRequest {
             service,
@@ -253,7 +263,7 @@
             .choose(&roster, &want, now)
             .or_else(|| plain.choose(&roster, &any, now))?;
         plain.run_started(&one.id, 0);
-        let stay = app.crashes.track_suspect(|| self.mark(), &one.id);
+        let stay = app.crashes.track_suspect(|| self.identity(), &one.id);
         let app = app.clone();
         Some(Place {
             app,
@@ -263,10 +273,10 @@
     }
 }
 
-impl Drop for Sent {
+impl Drop for ForwardedRequest {
     /// A request whose caller has left in its midst has run all the same.
     fn drop(&mut self) {
-        self.settle();
+        self.finish_count();
     }
 }
 
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -28,8 +28,8 @@
 use crate::events::Events;
 use crate::events::Next;
 use crate::refuse::Refusal;
+use crate::sent::ForwardedRequest;
 use crate::sent::Place;
-use crate::sent::Sent;
 
 /// Silence within a stream after which its upstream is taken for lost.
 const SILENCE: Duration = Duration::from_millis(1_500);
@@ -51,7 +51,7 @@
 
 /// One caller's stream.
 struct Stream {
-    sent: Sent,
+    sent: ForwardedRequest,
     route: Arc<Route>,
     last: Option<Arc<str>>,
     used: Vec<Arc<str>>,
@@ -67,7 +67,7 @@
     principal: Principal,
 ) -> Reply {
     let mut stream = Stream {
-        sent: Sent::new(app, head, caller, body, route.timeout, principal),
+        sent: ForwardedRequest::new(app, head, caller, body, route.timeout, principal),
         route: route.clone(),
         last: caller.last.clone(),
         used: Vec::new(),
@@ -75,7 +75,7 @@
     match stream.open(None).await {
         Came::Stream(answer, place) => {
             // It has begun to run; how long it lasts does not matter for its team's report.
-            stream.sent.settle();
+            stream.sent.finish_count();
             stream.answer(*answer, place).await
         }
         Came::Unrun => Refusal::Unrun.reply(),
@@ -89,7 +89,7 @@
     /// it would get next to none beside calls that wait.
     fn choose(&self) -> Option<Place> {
         let service = Config::pick_service(&self.route, rand::random())?;
-        self.sent.choose(service, &self.used, true)
+        self.sent.reserve_slot(service, &self.used, true)
     }
 
     /// Opens the stream behind an event at one upstream after the other.
@@ -121,20 +121,20 @@
 
     async fn attempt(&self, place: Place, last: Option<&str>) -> Came {
         let one = &place.one;
-        let Some(request) = self.sent.request(one, last) else {
+        let Some(request) = self.sent.build_request(one, last) else {
             return Came::Unrun;
         };
-        let number = self.sent.send();
+        let number = self.sent.record_send();
         let came = self.tried(request, place).await;
         if matches!(came, Came::Unrun) {
-            self.sent.unrun(number);
+            self.sent.mark_unexecuted(number);
         }
         came
     }
 
     async fn tried(&self, request: Request<Full<Bytes>>, place: Place) -> Came {
         let one = &place.one;
-        let left = Duration::from_millis(self.sent.left());
+        let left = Duration::from_millis(self.sent.time_left());
         let answer = match self.sent.app.http.send(request, left).await {
             Ok(answer) => answer,
             Err(error) => {
@@ -147,7 +147,7 @@
                 log::info!(target: "stream", id = &*self.sent.id, upstream = &*one.id,
                     why = why.as_str(); "attempt failed");
                 if matches!(error, SendError::Broken) {
-                    self.sent.broke(one).await;
+                    self.sent.check_crash(one).await;
                 }
                 return match error.is_unsent() {
                     true => Came::Unrun,
@@ -196,7 +196,7 @@
         let Ok(bytes) = net::body::read(body, ANSWER).await else {
             return Refusal::Unknown.reply();
         };
-        self.sent.answered(head.status);
+        self.sent.record_answer(head.status);
         let mut reply = Response::new(net::body::full(bytes));
         *reply.status_mut() = head.status;
         *reply.headers_mut() = self.sent.app.dialect.back(&head.headers);
@@ -224,12 +224,12 @@
                     }
                 }
                 Next::End => {
-                    self.sent.answered(StatusCode::OK);
+                    self.sent.record_answer(StatusCode::OK);
                     return true;
                 }
                 Next::Broken => {
                     if let Some(place) = place.take() {
-                        self.sent.broke(&place.one).await;
+                        self.sent.check_crash(&place.one).await;
                     }
                     if !self.route.resumable {
                         return false;
