--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -28,7 +28,7 @@
 use crate::meter;
 use crate::refuse::Refusal;
 use crate::sent::ForwardedRequest;
-use crate::sent::Place;
+use crate::sent::UpstreamSlot;
 
 /// Time after which a call that may be repeated is sent to a second upstream as well: some times
 /// the usual work of a lookup, and early enough for the second to answer within the latency that
@@ -208,7 +208,7 @@
         let Some(place) = place else {
             return false;
         };
-        let one = &place.one;
+        let one = &place.upstream;
         self.used.push(one.id.clone());
         let left = self.sent.time_left();
         let part = match self.may_repeat() && self.used.len() < self.attempts() {
@@ -252,8 +252,8 @@
     }
 }
 
-async fn attempt(sent: &ForwardedRequest, place: Place, part: Millis) -> Came {
-    let one = &place.one;
+async fn attempt(sent: &ForwardedRequest, place: UpstreamSlot, part: Millis) -> Came {
+    let one = &place.upstream;
     let Some(request) = sent.build_request(one, None) else {
         return Came::Unrun;
     };
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -229,7 +229,7 @@
         service: &str,
         used: &[Arc<str>],
         queue: bool,
-    ) -> Option<Place> {
+    ) -> Option<UpstreamSlot> {
         if !self.is_permitted() {
             return None;
         }
@@ -259,16 +259,16 @@
         };
         let now = app.clock.now();
         let mut plain = app.plain.lock();
-        let one = plain
+        let upstream = plain
             .choose(&roster, &want, now)
             .or_else(|| plain.choose(&roster, &any, now))?;
-        plain.run_started(&one.id, 0);
-        let stay = app.crashes.track_suspect(|| self.identity(), &one.id);
+        plain.run_started(&upstream.id, 0);
+        let suspect = app.crashes.track_suspect(|| self.identity(), &upstream.id);
         let app = app.clone();
-        Some(Place {
+        Some(UpstreamSlot {
             app,
-            one,
-            _stay: stay,
+            upstream,
+            _suspect: suspect,
         })
     }
 }
@@ -281,16 +281,16 @@
 }
 
 /// Counts a request at an upstream for as long as it lives, also when the caller leaves.
-pub(crate) struct Place {
+pub(crate) struct UpstreamSlot {
     app: Arc<App>,
     /// The upstream.
-    pub(crate) one: Arc<Upstream>,
+    pub(crate) upstream: Arc<Upstream>,
     /// Held for its drop.
-    _stay: Option<SuspectGuard>,
+    _suspect: Option<SuspectGuard>,
 }
 
-impl Drop for Place {
+impl Drop for UpstreamSlot {
     fn drop(&mut self) {
-        self.app.plain.lock().run_ended(&self.one.id, 0);
+        self.app.plain.lock().run_ended(&self.upstream.id, 0);
     }
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -29,7 +29,7 @@
 use crate::events::Next;
 use crate::refuse::Refusal;
 use crate::sent::ForwardedRequest;
-use crate::sent::Place;
+use crate::sent::UpstreamSlot;
 
 /// Silence within a stream after which its upstream is taken for lost.
 const SILENCE: Duration = Duration::from_millis(1_500);
@@ -40,7 +40,7 @@
 /// What came of one attempt.
 enum Came {
     /// The head of a stream.
-    Stream(Box<Response<Incoming>>, Place),
+    Stream(Box<Response<Incoming>>, UpstreamSlot),
     /// The upstream has not run the request and never will.
     Unrun,
     /// Nothing was sent: upstreams crash under the request, which may not run for so many milliseconds.
@@ -87,7 +87,7 @@
 impl Stream {
     /// Takes a place, where the stream may wait inside the upstream as calls do: if it took free places alone,
     /// it would get next to none beside calls that wait.
-    fn choose(&self) -> Option<Place> {
+    fn choose(&self) -> Option<UpstreamSlot> {
         let service = Config::pick_service(&self.route, rand::random())?;
         self.sent.reserve_slot(service, &self.used, true)
     }
@@ -103,7 +103,7 @@
         }
         while self.used.len() < self.route.max_attempts.max(1) as usize {
             let Some(place) = self.choose() else { break };
-            self.used.push(place.one.id.clone());
+            self.used.push(place.upstream.id.clone());
             match self.attempt(place, last).await {
                 Came::Unrun => (),
                 Came::Unknown if resumable => unclear = true,
@@ -119,8 +119,8 @@
         }
     }
 
-    async fn attempt(&self, place: Place, last: Option<&str>) -> Came {
-        let one = &place.one;
+    async fn attempt(&self, place: UpstreamSlot, last: Option<&str>) -> Came {
+        let one = &place.upstream;
         let Some(request) = self.sent.build_request(one, last) else {
             return Came::Unrun;
         };
@@ -132,8 +132,8 @@
         came
     }
 
-    async fn tried(&self, request: Request<Full<Bytes>>, place: Place) -> Came {
-        let one = &place.one;
+    async fn tried(&self, request: Request<Full<Bytes>>, place: UpstreamSlot) -> Came {
+        let one = &place.upstream;
         let left = Duration::from_millis(self.sent.time_left());
         let answer = match self.sent.app.http.send(request, left).await {
             Ok(answer) => answer,
@@ -169,7 +169,7 @@
         }
     }
 
-    async fn answer(self, answer: Response<Incoming>, place: Place) -> Reply {
+    async fn answer(self, answer: Response<Incoming>, place: UpstreamSlot) -> Reply {
         let (head, body) = answer.into_parts();
         if head.status != StatusCode::OK {
             return self.plain(head, body).await;
@@ -204,7 +204,7 @@
     }
 
     /// Passes events on until the end; tells whether it was reached.
-    async fn pump(mut self, body: Incoming, place: Place, sender: &Sender) -> bool {
+    async fn pump(mut self, body: Incoming, place: UpstreamSlot, sender: &Sender) -> bool {
         let mut events = Events::new(body);
         let mut place = Some(place);
         let mut last = self.last.clone();
@@ -229,7 +229,7 @@
                 }
                 Next::Broken => {
                     if let Some(place) = place.take() {
-                        self.sent.check_crash(&place.one).await;
+                        self.sent.check_crash(&place.upstream).await;
                     }
                     if !self.route.resumable {
                         return false;
