--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -169,7 +169,7 @@
         let asks = members.iter().map(|one| self.oldest(one, before.clone()));
         let told = join_all(asks).await;
         let own = before.clone().find(|window| {
-            let shares = crate::tally::shares(self.app, *window);
+            let shares = crate::tally::window_counts(self.app, *window);
             shares.iter().any(|share| !share.counts.is_empty())
         });
         told.into_iter().flatten().chain(own).fold(newest, u64::min)
@@ -213,7 +213,7 @@
         let asks = keepers.map(|one| peer::shares(self.app, one.addr, window));
         let told = join_all(asks).await;
         let mut shares: Vec<WindowCounts> = told.into_iter().flatten().flatten().collect();
-        shares.extend(crate::tally::shares(self.app, window));
+        shares.extend(crate::tally::window_counts(self.app, window));
         let age = now.saturating_sub(self.windows.end(window));
         if age >= DIRECT {
             let known = members.iter().filter(|one| one.is_reader);
@@ -295,7 +295,9 @@
         let Some(since) = self.failing else {
             return false;
         };
-        if self.app.clock.now() < since + UNREACHED || crate::tally::reaches(self.app).await {
+        if self.app.clock.now() < since + UNREACHED
+            || crate::tally::can_reach_accounts(self.app).await
+        {
             return false;
         }
         let members = self.app.members.lock().clone();
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -29,7 +29,7 @@
 const TRIED: usize = 3;
 
 /// Tells keepers what this instance counts.
-pub(crate) async fn tell(app: Arc<App>) {
+pub(crate) async fn push_snapshots(app: Arc<App>) {
     let Some(meter) = &app.meter else { return };
     // The first word has nothing to tell but that this instance is there.
     let mut told: Option<(Owner, Snapshot)> = None;
@@ -88,7 +88,7 @@
 }
 
 /// What this instance knows of the requests of a window: what it was told, and what it has counted.
-pub(crate) fn shares(app: &App, window: u64) -> Vec<WindowCounts> {
+pub(crate) fn window_counts(app: &App, window: u64) -> Vec<WindowCounts> {
     let mut shares = app.keeper.lock().window_counts(window);
     if let Some(meter) = app
         .meter
@@ -103,7 +103,7 @@
 }
 
 /// Tells whether the address that takes reports can be reached.
-pub(crate) async fn reaches(app: &App) -> bool {
+pub(crate) async fn can_reach_accounts(app: &App) -> bool {
     match app.settings.accounts {
         Some(accounts) => net::client::accepts(accounts.address, REACH).await,
         None => false,
