--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -1,4 +1,4 @@
-//! A caller's request as it goes on to upstreams, once for each attempt.
+//! A caller's request that is forwarded to upstreams, once for each attempt.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -27,35 +27,35 @@
 use crate::dialect::Caller;
 use crate::print;
 
-/// Time kept back for the way of the answer to the caller, in milliseconds: a few each way within a
-/// region, and the rest for our own work.
-pub(crate) const WAY: Millis = 10;
+/// Part of a request's time that is reserved for returning the answer to the caller: a few milliseconds of network
+/// latency each way within a region, and the rest for processing in this instance.
+pub(crate) const RESPONSE_ALLOWANCE: Millis = 10;
 
-/// The header that names the last event of a stream that broke.
-const LAST_EVENT: &str = "last-event-id";
+/// The header that names the last event that was received before a stream broke.
+const LAST_EVENT_HEADER: &str = "last-event-id";
 
-/// A caller's request.
+/// A caller's request, or a request for the score of a sample.
 pub(crate) struct ForwardedRequest {
     pub(crate) app: Arc<App>,
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
-    /// The caller's name for it.
+    /// The request ID that the caller chose.
     pub(crate) id: Arc<str>,
-    /// When its time is over.
+    /// When its time limit is reached, on this instance's clock.
     pub(crate) deadline: Millis,
-    /// On whose behalf it runs.
+    /// The team on whose behalf it runs, if teams are configured.
     pub(crate) principal: Principal,
-    /// Its tries, for the report of its team's requests; nothing once it counts.
-    run: Mutex<Option<RequestAttempts>>,
+    /// Its attempts, for the report of its team's requests; [`None`] once it has been counted.
+    attempts: Mutex<Option<RequestAttempts>>,
     /// Whether it asks for the score of a sample.
-    scores: bool,
-    /// Leave to send it, for a request that belongs to a step.
+    is_score: bool,
+    /// Permission to send it, for a request that belongs to a step.
     permit: Option<Permit>,
-    mark: OnceLock<Identity>,
+    identity: OnceLock<Identity>,
 }
 
 impl ForwardedRequest {
-    /// Takes in a request that may wait for as long as its caller and its route allow.
+    /// Creates a request whose time limit is the shorter one of its caller's deadline and its route's timeout.
     pub(crate) fn new(
         app: &Arc<App>,
         head: &Parts,
@@ -72,14 +72,14 @@
             id: caller.id.clone(),
             deadline: app.clock.now() + wait,
             principal,
-            run: Mutex::new(Some(RequestAttempts::default())),
-            scores: false,
+            attempts: Mutex::new(Some(RequestAttempts::default())),
+            is_score: false,
             permit: None,
-            mark: OnceLock::new(),
+            identity: OnceLock::new(),
         }
     }
 
-    /// Takes in a request for the score of a sample, which has time until then.
+    /// Creates a request for the score of a sample.
     pub(crate) fn for_score(
         app: &Arc<App>,
         head: Parts,
@@ -95,39 +95,40 @@
             id,
             deadline,
             principal,
-            run: Mutex::new(Some(RequestAttempts::default())),
-            scores: true,
+            attempts: Mutex::new(Some(RequestAttempts::default())),
+            is_score: true,
             permit: None,
-            mark: OnceLock::new(),
+            identity: OnceLock::new(),
         }
     }
 
-    /// Lets it be sent with a permit alone.
+    /// Restricts sending to the time before the permit's deadline.
     pub(crate) fn with_permit(mut self, permit: Permit) -> Self {
         self.permit = Some(permit);
         self
     }
 
-    /// Tells whether it may be sent now.
+    /// Returns whether it may be sent now.
     fn is_permitted(&self) -> bool {
         let now = self.app.clock.now();
         self.permit.is_none_or(|permit| now < permit.deadline())
     }
 
-    /// How it is known when upstreams crash under it.
+    /// The identity by which its crashes of upstreams are tracked.
     pub(crate) fn identity(&self) -> Identity {
-        *self.mark.get_or_init(|| match self.scores {
+        *self.identity.get_or_init(|| match self.is_score {
             true => print::score(&self.head, &self.principal, &self.body),
             false => print::request(&self.head, &self.principal, &self.body).into(),
         })
     }
 
-    /// What may be done with it.
+    /// Returns whether, and where, it may run, depending on the upstreams that crashed while they processed it.
     pub(crate) fn verdict(&self) -> Verdict {
         self.app.crashes.verdict(|| self.identity())
     }
 
-    /// Waits until it is known whether it may run; gives the time for which it may not.
+    /// Waits until it is known whether it may run; returns the time for which it may not, in milliseconds, or [`None`]
+    /// when it may.
     pub(crate) async fn admit(&self) -> Option<Millis> {
         match self.verdict() {
             Verdict::Unrestricted => None,
@@ -140,81 +141,85 @@
         }
     }
 
-    /// Notes that an upstream has answered it whole. A failure of the upstream does not tell that the request
-    /// ran: an upstream that fails now and then would clear each request that crashes others.
+    /// Records that an upstream has answered completely. A server error does not count as a success: an upstream that
+    /// returns one now and then would clear the requests that crash others.
     pub(crate) fn record_answer(&self, status: StatusCode) {
         if !status.is_server_error() {
             self.app.crashes.record_success(|| self.identity());
         }
     }
 
-    /// Looks whether an upstream has crashed after the connection broke there.
-    pub(crate) async fn check_crash(&self, one: &Upstream) {
-        self.app.broke(&self.id, self.identity(), one).await;
+    /// Checks whether an upstream has crashed, after the connection to it broke.
+    pub(crate) async fn check_crash(&self, upstream: &Upstream) {
+        self.app.broke(&self.id, self.identity(), upstream).await;
     }
 
-    /// The meter and the team for which the request counts, if it does: requests for scores do not.
-    fn counted(&self) -> Option<(&Mutex<Meter>, &Arc<str>)> {
-        let meter = self.app.meter.as_ref().filter(|_| !self.scores)?;
+    /// The meter and the team for which the request is counted; [`None`] if it is not: requests for scores are not.
+    fn meter_and_team(&self) -> Option<(&Mutex<Meter>, &Arc<str>)> {
+        let meter = self.app.meter.as_ref().filter(|_| !self.is_score)?;
         Some((meter, self.principal.team()?))
     }
 
-    /// Notes that it is sent to an upstream; gives the number of the try.
+    /// Records that it is sent to an upstream; returns the number of the attempt.
     pub(crate) fn record_send(&self) -> usize {
         let now = self.app.clock.steady();
-        let mut run = self.run.lock();
-        let Some(run) = run.as_mut() else { return 0 };
-        if let Some((meter, _)) = self.counted().filter(|_| run.is_unsent()) {
-            meter.lock().start_request(run, now);
+        let mut attempts = self.attempts.lock();
+        let Some(attempts) = attempts.as_mut() else {
+            return 0;
+        };
+        if let Some((meter, _)) = self.meter_and_team().filter(|_| attempts.is_unsent()) {
+            meter.lock().start_request(attempts, now);
         }
-        run.record_send(now)
+        attempts.record_send(now)
     }
 
-    /// Notes that an upstream has not run a try and never will.
-    pub(crate) fn mark_unexecuted(&self, at: usize) {
-        if let Some(run) = self.run.lock().as_mut() {
-            run.mark_unexecuted(at);
+    /// Records that the upstream has not executed an attempt and never will.
+    pub(crate) fn mark_unexecuted(&self, attempt: usize) {
+        if let Some(attempts) = self.attempts.lock().as_mut() {
+            attempts.mark_unexecuted(attempt);
         }
     }
 
-    /// Counts it for its team, once; its window may close then.
+    /// Counts the request for its team, once, after which the window of the report may close.
     pub(crate) fn finish_count(&self) {
-        let run = self.run.lock().take();
-        if let (Some(run), Some((meter, team))) = (run, self.counted()) {
-            meter.lock().finish_request(&run, team);
+        let attempts = self.attempts.lock().take();
+        if let (Some(attempts), Some((meter, team))) = (attempts, self.meter_and_team()) {
+            meter.lock().finish_request(&attempts, team);
         }
     }
 
-    /// Time that an upstream may still use.
+    /// Time that an upstream may still take to answer, in milliseconds.
     pub(crate) fn time_left(&self) -> Millis {
-        self.deadline.saturating_sub(self.app.clock.now() + WAY)
+        self.deadline
+            .saturating_sub(self.app.clock.now() + RESPONSE_ALLOWANCE)
     }
 
-    /// The request for one upstream, behind event `last` of a stream that broke.
+    /// Builds the request for an upstream; for a stream that broke, it asks for the events after `last_event`. Returns
+    /// [`None`] when the request may not be sent now or a header or the URI is invalid.
     pub(crate) fn build_request(
         &self,
-        one: &Upstream,
-        last: Option<&str>,
+        upstream: &Upstream,
+        last_event: Option<&str>,
     ) -> Option<Request<Full<Bytes>>> {
         if !self.is_permitted() {
             return None;
         }
         let path = self.head.uri.path_and_query();
         let path = path.map_or("/", |path| path.as_str());
-        let uri: Uri = net::client::uri(one.addr, path).parse().ok()?;
+        let uri: Uri = net::client::uri(upstream.addr, path).parse().ok()?;
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = uri;
         let dialect = &self.app.dialect;
         *request.headers_mut() = dialect.forward(
             &self.head.headers,
-            &one.incarnation.name,
+            &upstream.incarnation.name,
             Some(self.time_left()),
             &self.principal,
         );
-        if let Some(last) = last {
-            let last = HeaderValue::from_str(last).ok()?;
-            request.headers_mut().insert(LAST_EVENT, last);
+        if let Some(last_event) = last_event {
+            let last_event = HeaderValue::from_str(last_event).ok()?;
+            request.headers_mut().insert(LAST_EVENT_HEADER, last_event);
         }
         Some(request)
     }
@@ -237,12 +242,12 @@
         let roster = app.roster.lock();
         let slots = roster
             .of_service(service)
-            .map(|one| one.slots)
+            .map(|upstream| upstream.slots)
             .max()
             .unwrap_or(0);
-        let mut apart = app.crashes.upstreams_to_avoid(|| self.identity());
-        apart.extend_from_slice(used);
-        let any = PlacementRequest {
+        let mut avoid = app.crashes.upstreams_to_avoid(|| self.identity());
+        avoid.extend_from_slice(used);
+        let fallback = PlacementRequest {
             service,
             model: None,
             min_version: 0,
@@ -253,15 +258,15 @@
             tokens: 0,
             memory: EngineMemory::default(),
         };
-        let want = PlacementRequest {
-            avoid: &apart,
-            ..any
+        let preferred = PlacementRequest {
+            avoid: &avoid,
+            ..fallback
         };
         let now = app.clock.now();
         let mut plain = app.plain.lock();
         let upstream = plain
-            .choose(&roster, &want, now)
-            .or_else(|| plain.choose(&roster, &any, now))?;
+            .choose(&roster, &preferred, now)
+            .or_else(|| plain.choose(&roster, &fallback, now))?;
         plain.run_started(&upstream.id, 0);
         let suspect = app.crashes.track_suspect(|| self.identity(), &upstream.id);
         let app = app.clone();
@@ -274,18 +279,18 @@
 }
 
 impl Drop for ForwardedRequest {
-    /// A request whose caller has left in its midst has run all the same.
+    /// A request whose caller disconnected before the answer has nevertheless run, so it is counted as well.
     fn drop(&mut self) {
         self.finish_count();
     }
 }
 
-/// Counts a request at an upstream for as long as it lives, also when the caller leaves.
+/// Counts a request against an upstream's slots until it is dropped, also when the caller disconnects.
 pub(crate) struct UpstreamSlot {
     app: Arc<App>,
     /// The upstream.
     pub(crate) upstream: Arc<Upstream>,
-    /// Held for its drop.
+    /// Held until the slot is dropped.
     _suspect: Option<SuspectGuard>,
 }
 
