--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -1,9 +1,9 @@
-//! The head of a step at the platform, which decides whether the step may begin or go on.
+//! The head record of a step at the platform, which decides whether the step may start or continue.
 //!
-//! It names the instance that runs the step, and says whether the step has ended. Whatever runs a step needs an
-//! [`Open`] for it, and there are two ways to one: the write that accepts the step, which succeeds while there
-//! is no head, and the one that takes it over, which succeeds while the head is as it was read. Ending a step
-//! changes its head, so both fail once it has ended, and so does each write of results.
+//! The record names the instance that runs the step and whether the step has ended. Running a step requires an
+//! [`Ownership`], which is obtained in one of two ways: by the write that accepts the step, which succeeds only if
+//! there is no head, or by the write that takes the step over, which succeeds only if the head is unchanged since it
+//! was read. Ending a step changes its head, so both writes fail afterwards, and so does each write of results.
 
 use std::sync::Arc;
 
@@ -22,76 +22,77 @@
 use tokio::time::sleep;
 
 use crate::App;
-use crate::owner::AGAIN;
+use crate::owner::RETRY_PAUSE;
 
-/// Bytes of samples that one write holds beside the head; more is written before it.
-const BYTES: usize = 4 << 20;
+/// Maximum total size of the specification's parts that are written in one transaction with the head. Larger
+/// specifications are written part by part before it.
+const MAX_INLINE_SPEC_BYTES: usize = 4 << 20;
 
-/// Proof that a step was open, and this instance's, when the platform was asked.
+/// Proof that a step was open and owned by this instance when the platform was asked.
 #[derive(Debug)]
-pub struct Open {
+pub struct Ownership {
     rev: i64,
-    asked: Millis,
+    asked_at: Millis,
 }
 
-impl Open {
+impl Ownership {
     /// The revision of the head.
     pub fn rev(&self) -> i64 {
         self.rev
     }
 
-    /// When the platform was asked.
-    pub fn asked(&self) -> Millis {
-        self.asked
+    /// When the platform was asked, on this instance's clock.
+    pub fn asked_at(&self) -> Millis {
+        self.asked_at
     }
 }
 
-/// What a step's head says to an instance that wrote it with some revision.
+/// State of a step for the instance that wrote its head at a given revision.
 #[derive(Debug)]
-pub enum Standing {
-    /// The step is open, and still that instance's.
-    Open(Open),
-    /// It has ended.
+pub enum OwnershipState {
+    /// The step is open and still owned by that instance.
+    Open(Ownership),
+    /// The step has ended.
     Ended,
-    /// Somebody else runs it, or its records are gone.
+    /// Another instance runs the step, or its records were removed.
     Lost,
 }
 
-/// What came of a try to accept a step.
+/// Result of [`accept`].
 pub enum AcceptOutcome {
-    /// It is this instance's.
-    Open(Open),
-    /// It was accepted before.
+    /// This instance owns the step.
+    Open(Ownership),
+    /// The step was accepted before; holds its head.
     Exists(Item),
-    /// It was accepted before, and its records are gone by now.
+    /// The step was accepted before, and its records have since been removed.
     Removed,
 }
 
-/// What came of taking a step over.
+/// Result of [`take_over`].
 #[derive(Debug)]
-pub enum Taken {
-    /// It is this instance's.
-    Open(Open),
-    /// The version before has ended it.
+pub enum TakeOverOutcome {
+    /// This instance owns the step.
+    Open(Ownership),
+    /// An instance of the previous release has ended the step.
     Ended,
-    /// It has ended, somebody else took it, or its records are gone.
-    Not,
+    /// The step has ended, another instance took it over, or its records were removed.
+    Rejected,
 }
 
 /// A step that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedStep {
-    /// Who ran it.
+    /// The instance that ran it.
     pub owner: Owner,
-    /// The revision that its head had.
+    /// The revision of its head before the end was written.
     pub rev: i64,
 }
 
-/// Writes a step that is not known yet, once; neither under its name nor under a former one.
+/// Writes a new step, unless there is a head under its name or under its former name.
 ///
 /// # Errors
 ///
-/// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether the step may be there.
+/// Returns [`PlatError`]; [`PlatError::is_indeterminate`] returns whether the step may have been written.
 pub async fn accept(
     app: &App,
     step: &str,
@@ -99,11 +100,11 @@
     head: &Head,
     spec: &Spec,
 ) -> Result<AcceptOutcome, PlatError> {
-    let asked = app.clock.now();
+    let asked_at = app.clock.now();
     let names = || [step].into_iter().chain(former);
     let guards = names().map(|name| Guard::Absent(keys::head(name)));
-    if let TxnOutcome::At(rev) = write(app, step, guards.collect(), head, spec).await? {
-        return Ok(AcceptOutcome::Open(Open { rev, asked }));
+    if let TxnOutcome::At(rev) = write_step(app, step, guards.collect(), head, spec).await? {
+        return Ok(AcceptOutcome::Open(Ownership { rev, asked_at }));
     }
     for name in names() {
         match app.plat.get(&keys::head(name)).await {
@@ -111,8 +112,8 @@
             Ok(None) => (),
             Err(error) => {
                 let why = error.to_string();
-                log::info!(target: "claim", id = step, why = why.as_str(); "known step not read");
-                // There is a head, or was: that nothing runs cannot be said any more.
+                log::info!(target: "claim", id = step, why = why.as_str(); "could not read the head of an existing step");
+                // There is a head, or was, so the caller must not assume that the step does not run.
                 return Err(PlatError::NoAnswer);
             }
         }
@@ -120,7 +121,7 @@
     Ok(AcceptOutcome::Removed)
 }
 
-async fn write(
+async fn write_step(
     app: &App,
     step: &str,
     guards: Vec<Guard>,
@@ -131,11 +132,11 @@
     let mut puts: Vec<_> = parts
         .into_iter()
         .enumerate()
-        .map(|(at, part)| Put::new(keys::part(step, at), part))
+        .map(|(index, part)| Put::new(keys::part(step, index), part))
         .collect();
     let bytes: usize = puts.iter().map(|put| put.value.len()).sum();
-    if bytes > BYTES {
-        // The head comes last, so that a step with a head is whole.
+    if bytes > MAX_INLINE_SPEC_BYTES {
+        // The head is written last, so that a step with a head is complete.
         for put in std::mem::take(&mut puts) {
             let txn = Txn {
                 puts: vec![put],
@@ -144,7 +145,7 @@
             app.plat.txn(&txn).await?;
         }
     }
-    puts.push(put(step, head)?);
+    puts.push(head_put(step, head)?);
     let txn = Txn {
         guards,
         puts,
@@ -153,112 +154,123 @@
     app.plat.txn(&txn).await
 }
 
-fn put(step: &str, head: &Head) -> Result<Put, PlatError> {
+fn head_put(step: &str, head: &Head) -> Result<Put, PlatError> {
     let value = record::encode(head).map_err(|_| PlatError::Garbled)?;
     Ok(Put::new(keys::head(step), value))
 }
 
-/// Reads a head.
+/// Decodes the head of a step.
 ///
 /// # Errors
 ///
-/// Returns [`PlatError::Garbled`].
+/// Returns [`PlatError::Garbled`] when the record has another format.
 pub fn decode_head(item: &Item) -> Result<Head, PlatError> {
     record::decode(&item.value).map_err(|_| PlatError::Garbled)
 }
 
-/// Makes this instance the owner of a step whose head was read. Tries until it is known whether it is: an owner
-/// that does not know that it is one would leave the step to nobody.
+/// Makes this instance the owner of a step whose head was read. Retries until the outcome is known: a step whose owner
+/// does not know that it owns it would not be run by any instance.
 ///
 /// # Errors
 ///
 /// Returns [`PlatError`] when nothing was written.
-pub async fn take(
+pub async fn take_over(
     app: &Arc<App>,
     step: &str,
     item: &Item,
     head: &Head,
-) -> Result<Taken, PlatError> {
+) -> Result<TakeOverOutcome, PlatError> {
     if head.ended.is_some() {
-        return Ok(Taken::Not);
+        return Ok(TakeOverOutcome::Rejected);
     }
-    let mine = Head {
+    let own_head = Head {
         owner: app.me.clone(),
         ..head.clone()
     };
     let txn = Txn {
         guards: vec![
             Guard::At(keys::head(step), item.rev),
-            // Versions before wrote the end of a step there.
+            // Previous releases wrote the end of a step under this key.
             Guard::Absent(keys::end(step)),
         ],
-        puts: vec![put(step, &mine)?],
+        puts: vec![head_put(step, &own_head)?],
         deletes: Vec::new(),
     };
-    let mut unclear = false;
+    let mut indeterminate = false;
     while app.clock.wall() < head.opened + app.settings.keep {
-        let asked = app.clock.now();
+        let asked_at = app.clock.now();
         match app.plat.txn(&txn).await {
-            Ok(TxnOutcome::At(rev)) => return Ok(Taken::Open(Open { rev, asked })),
-            Ok(TxnOutcome::Conflict) if !unclear => {
+            Ok(TxnOutcome::At(rev)) => {
+                return Ok(TakeOverOutcome::Open(Ownership { rev, asked_at }));
+            }
+            Ok(TxnOutcome::Conflict) if !indeterminate => {
                 let ended = app.plat.get(&keys::end(step)).await?;
-                return Ok(ended.map_or(Taken::Not, |_| Taken::Ended));
+                return Ok(ended.map_or(TakeOverOutcome::Rejected, |_| TakeOverOutcome::Ended));
             }
-            Ok(TxnOutcome::Conflict) => match found(app, step, &mine).await {
-                Ok(taken) => return Ok(taken),
-                Err(error) => note(step, &error),
+            Ok(TxnOutcome::Conflict) => match verify_take_over(app, step, &own_head).await {
+                Ok(outcome) => return Ok(outcome),
+                Err(error) => log_indeterminate(step, &error),
             },
-            Err(error) if !unclear && !error.is_indeterminate() => return Err(error),
+            Err(error) if !indeterminate && !error.is_indeterminate() => return Err(error),
             Err(error) => {
-                unclear = true;
-                note(step, &error);
+                indeterminate = true;
+                log_indeterminate(step, &error);
             }
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_PAUSE).await;
     }
-    Ok(Taken::Not)
+    Ok(TakeOverOutcome::Rejected)
 }
 
-fn note(step: &str, error: &PlatError) {
+fn log_indeterminate(step: &str, error: &PlatError) {
     let why = error.to_string();
-    log::warn!(target: "claim", id = step, why = why.as_str(); "not known whether the step was taken over");
+    log::warn!(target: "claim", id = step, why = why.as_str(); "unknown whether the step was taken over");
 }
 
-/// Whether a head that was written without an answer is there.
-async fn found(app: &App, step: &str, mine: &Head) -> Result<Taken, PlatError> {
-    let asked = app.clock.now();
+/// Reads whether a head whose write was not answered was written.
+async fn verify_take_over(
+    app: &App,
+    step: &str,
+    own_head: &Head,
+) -> Result<TakeOverOutcome, PlatError> {
+    let asked_at = app.clock.now();
     let item = app.plat.get(&keys::head(step)).await?;
-    let item = item.filter(|item| decode_head(item).is_ok_and(|head| head == *mine));
+    let item = item.filter(|item| decode_head(item).is_ok_and(|head| head == *own_head));
     Ok(match item {
-        Some(Item { rev, .. }) => Taken::Open(Open { rev, asked }),
-        None => Taken::Not,
+        Some(Item { rev, .. }) => TakeOverOutcome::Open(Ownership { rev, asked_at }),
+        None => TakeOverOutcome::Rejected,
     })
 }
 
-/// What the head of a step says to the instance that wrote it with a revision. An ended one names the revision that was
-/// ended, so that an owner that was replaced before does not take the end for that of its own.
+/// Determines the state of a step for the instance that wrote its head at revision `rev`, from the head that was read
+/// at `asked_at`. The head of an ended step names the revision that was ended, so that an owner that was replaced
+/// before the end does not mistake it for the end of its own run.
 ///
 /// # Errors
 ///
-/// Returns [`PlatError`].
-pub fn standing(asked: Millis, rev: i64, item: Option<&Item>) -> Result<Standing, PlatError> {
+/// Returns [`PlatError::Garbled`] when the head cannot be decoded.
+pub fn ownership_state(
+    asked_at: Millis,
+    rev: i64,
+    item: Option<&Item>,
+) -> Result<OwnershipState, PlatError> {
     let Some(item) = item else {
-        return Ok(Standing::Lost);
+        return Ok(OwnershipState::Lost);
     };
     if item.rev == rev {
-        return Ok(Standing::Open(Open { rev, asked }));
+        return Ok(OwnershipState::Open(Ownership { rev, asked_at }));
     }
     Ok(match decode_head(item)?.ended == Some(rev) {
-        true => Standing::Ended,
-        false => Standing::Lost,
+        true => OwnershipState::Ended,
+        false => OwnershipState::Lost,
     })
 }
 
-/// Ends a step, unless it has ended before; gives [`None`] when there is no such step.
+/// Ends a step, unless it has already ended; returns [`None`] when there is no such step.
 ///
 /// # Errors
 ///
-/// Returns [`PlatError`]; it may have ended all the same.
+/// Returns [`PlatError`]; the step may have ended nevertheless if [`PlatError::is_indeterminate`] returns true.
 pub async fn end(app: &App, step: &str) -> Result<Option<EndedStep>, PlatError> {
     loop {
         let Some(item) = app.plat.get(&keys::head(step)).await? else {
@@ -272,10 +284,10 @@
         head.ended = Some(item.rev);
         let txn = Txn {
             guards: vec![Guard::At(keys::head(step), item.rev)],
-            puts: vec![put(step, &head)?],
+            puts: vec![head_put(step, &head)?],
             deletes: Vec::new(),
         };
-        // Otherwise it was taken over or ended meanwhile.
+        // A conflict means that the step was taken over or ended meanwhile, so its head is read again.
         if let TxnOutcome::At(_) = app.plat.txn(&txn).await? {
             let rev = item.rev;
             return Ok(Some(EndedStep { owner, rev }));
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -24,8 +24,8 @@
 use super::targets::Targets;
 use crate::App;
 use crate::claim;
-use crate::claim::Open;
-use crate::claim::Taken;
+use crate::claim::Ownership;
+use crate::claim::TakeOverOutcome;
 use crate::member;
 use crate::owner;
 use crate::owner::Left;
@@ -259,14 +259,14 @@
         return Ok(());
     };
     let from = head.owner.clone();
-    let open = match claim::take(app, step, item, &head).await? {
-        Taken::Open(open) => open,
-        Taken::Ended => {
+    let open = match claim::take_over(app, step, item, &head).await? {
+        TakeOverOutcome::Open(open) => open,
+        TakeOverOutcome::Ended => {
             // The version before has written the end where nobody looks any more.
             claim::end(app, step).await?;
             return Ok(());
         }
-        Taken::Not => {
+        TakeOverOutcome::Rejected => {
             log::info!(target: "control", id = &**step, instance = &*from.instance, revision = item.rev;
                 "step not taken over");
             return Ok(());
@@ -314,7 +314,7 @@
 }
 
 /// Goes on with a step that was taken over, once its records could be read.
-async fn go_on(taking: Taking, step: Arc<str>, head: Head, open: Open) {
+async fn go_on(taking: Taking, step: Arc<str>, head: Head, open: Ownership) {
     let app = taking.app.clone();
     while app.clock.wall() < head.opened + app.settings.keep {
         match load(&app, &step, &head).await {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -21,12 +21,12 @@
 use self::drive::Drive;
 pub use self::work::OwnedStep;
 use crate::App;
-use crate::claim::Open;
+use crate::claim::Ownership;
 use crate::hint;
 use crate::print;
 
 /// Pause after a call of the platform whose outcome is not known.
-pub(crate) const AGAIN: Duration = Duration::from_millis(150);
+pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Time for which an ended step stays in memory for readers that are late.
 const LINGER: Duration = Duration::from_secs(3);
@@ -36,7 +36,7 @@
 const SKEW: Millis = 2_500;
 
 /// Begins to run a step that was accepted here.
-pub fn begin(app: &Arc<App>, step: &Arc<str>, head: Head, mut spec: Spec, open: Open) {
+pub fn begin(app: &Arc<App>, step: &Arc<str>, head: Head, mut spec: Spec, open: Ownership) {
     let again = recall(app, &head, &mut spec);
     let mut work = OwnedStep::new(app, step, head, spec, &open, app.clock.now());
     work.again = again;
@@ -102,7 +102,14 @@
 
 /// Goes on with a step whose owner is gone, from the results that are listed and from what is kept of
 /// samples that are not whole.
-pub fn resume(app: &Arc<App>, step: &Arc<str>, head: Head, spec: Spec, open: Open, left: Left) {
+pub fn resume(
+    app: &Arc<App>,
+    step: &Arc<str>,
+    head: Head,
+    spec: Spec,
+    open: Ownership,
+    left: Left,
+) {
     let age = app.clock.wall().saturating_sub(head.opened);
     let opened = app.clock.now().saturating_sub(age.saturating_sub(SKEW));
     let work = OwnedStep::new(app, step, head, spec, &open, opened);
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -77,7 +77,7 @@
         false => app.settings.cancel / PATIENCE,
     };
     let head = match hear(app, work, patience).await {
-        Came::Head(item) => claim::standing(asked, work.rev, item.as_ref()),
+        Came::Head(item) => claim::ownership_state(asked, work.rev, item.as_ref()),
         Came::Outage => {
             // When the others were asked.
             work.word.lock().record_outage(asked + patience);
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -19,8 +19,8 @@
 
 use self::placing::Placed;
 use self::placing::Todo;
-use super::AGAIN;
 use super::OwnedStep;
+use super::RETRY_PAUSE;
 use super::checks::Checks;
 use super::looks::Looks;
 use super::write::Written;
@@ -287,7 +287,7 @@
                 log::info!(target: "owner", id = &*self.work.step, listed = count,
                     total = self.work.head.total; "results listed");
             }
-            Written::Unclear => sleep(AGAIN).await,
+            Written::Unclear => sleep(RETRY_PAUSE).await,
             // What was heard ends the loop.
             Written::Ended | Written::Lost => (),
         }
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -30,8 +30,8 @@
 
 use crate::App;
 use crate::claim;
-use crate::claim::Open;
-use crate::claim::Standing;
+use crate::claim::Ownership;
+use crate::claim::OwnershipState;
 use crate::print;
 use crate::shelf::Page;
 
@@ -74,7 +74,7 @@
         step: &Arc<str>,
         head: Head,
         spec: Spec,
-        open: &Open,
+        open: &Ownership,
         opened: Millis,
     ) -> Self {
         let groups = spec.samples.iter().map(|sample| &sample.group);
@@ -90,7 +90,7 @@
             opened,
             ledger: Mutex::new(ledger),
             listed: watch::Sender::new(0),
-            word: Mutex::new(Confirmation::new(app.settings.cancel, open.asked())),
+            word: Mutex::new(Confirmation::new(app.settings.cancel, open.asked_at())),
             ended: AtomicBool::new(false),
             lost: AtomicBool::new(false),
             handed: AtomicBool::new(false),
@@ -153,14 +153,14 @@
     }
 
     /// Takes in what the platform says of the step; tells whether it is open, and still this instance's.
-    pub(super) fn stand(&self, app: &App, standing: Standing) -> bool {
+    pub(super) fn stand(&self, app: &App, standing: OwnershipState) -> bool {
         match standing {
-            Standing::Open(open) => {
-                self.word.lock().confirm(open.asked());
+            OwnershipState::Open(open) => {
+                self.word.lock().confirm(open.asked_at());
                 return true;
             }
-            Standing::Ended => self.mark_ended(app, self.rev, "asked"),
-            Standing::Lost => self.lose(),
+            OwnershipState::Ended => self.mark_ended(app, self.rev, "asked"),
+            OwnershipState::Lost => self.lose(),
         }
         false
     }
@@ -169,7 +169,7 @@
     pub(super) async fn ask(&self, app: &App) -> bool {
         let asked = app.clock.now();
         let standing = match app.plat.get(&keys::head(&self.step)).await {
-            Ok(item) => claim::standing(asked, self.rev, item.as_ref()),
+            Ok(item) => claim::ownership_state(asked, self.rev, item.as_ref()),
             Err(error) => Err(error),
         };
         match standing {
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -13,7 +13,7 @@
 use super::OwnedStep;
 use crate::App;
 use crate::claim;
-use crate::claim::Standing;
+use crate::claim::OwnershipState;
 
 /// What a write of a segment came to.
 pub(super) enum Written {
@@ -86,7 +86,7 @@
         let there = app.plat.get(&put.key).await?;
         let ended = app.plat.get(end).await?;
         Ok((
-            claim::standing(asked, work.rev, head.as_ref())?,
+            claim::ownership_state(asked, work.rev, head.as_ref())?,
             there,
             ended,
         ))
@@ -95,7 +95,7 @@
     let Ok((standing, there, ended)) = found else {
         return Written::Unclear;
     };
-    let lost = matches!(standing, Standing::Lost);
+    let lost = matches!(standing, OwnershipState::Lost);
     let open = work.stand(app, standing);
     match there {
         _ if lost => Written::Lost,
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/sent.rs
@@ -122,7 +122,7 @@
         })
     }
 
-    /// Returns whether, and where, it may run, depending on the upstreams that crashed while they processed it.
+    /// Whether it may run, and on which upstreams, given the upstreams that crashed while running it.
     pub(crate) fn verdict(&self) -> Verdict {
         self.app.crashes.verdict(|| self.identity())
     }
@@ -224,11 +224,11 @@
         Some(request)
     }
 
-    /// Takes a place at an upstream of a service that was not used yet; `queue` tells whether the
-    /// request may wait inside it.
+    /// Reserves a slot at an upstream of a service, excluding the `used` ones; `queue` tells whether the request may
+    /// wait in the upstream's queue.
     ///
-    /// The place is taken before anybody else chooses. Dozens of requests that begin at the same time
-    /// would else all see the same places free, and wait inside one upstream.
+    /// The slot is reserved under the same lock as the choice: otherwise dozens of requests that start at the same
+    /// time would all see the same free slots and queue in one upstream.
     pub(crate) fn reserve_slot(
         &self,
         service: &str,
