--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -131,23 +131,23 @@
 /// # Errors
 ///
 /// Returns [`StateError`].
-pub async fn state(app: &App, one: &Arc<Upstream>) -> Result<Stated, StateError> {
+pub async fn query_state(app: &App, engine: &Arc<Upstream>) -> Result<Stated, StateError> {
     let (method, path) = app.dialect.ask_state();
     let request = http::Request::builder()
         .method(method)
-        .uri(net::client::uri(one.addr, path))
+        .uri(net::client::uri(engine.addr, path))
         .body(http_body_util::Full::default())?;
     let answer = app.http.fetch(request, STATE, MOST).await?;
     let stated = app.dialect.stated(answer.body())?;
     // What it has counts for that start, which the list will name within a second or two.
-    if let (Some(born), Some(listed)) = (stated.born, one.incarnation.started_at)
+    if let (Some(born), Some(listed)) = (stated.born, engine.incarnation.started_at)
         && born != listed
     {
         return Err(StateError::Start);
     }
     let mut fleet = app.fleet.lock();
     for (model, version) in &stated.models {
-        fleet.version_seen(&one.id, model, *version);
+        fleet.version_seen(&engine.id, model, *version);
     }
     Ok(stated)
 }
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -139,7 +139,7 @@
             }
             let (app, one) = (self.app.clone(), one.clone());
             asks.spawn(async move {
-                let state = super::state(&app, &one).await;
+                let state = super::query_state(&app, &one).await;
                 state.ok().map(|state| (one.id.clone(), state))
             });
         }
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -28,7 +28,7 @@
 use crate::claim::TakeOverOutcome;
 use crate::member;
 use crate::owner;
-use crate::owner::Left;
+use crate::owner::SavedProgress;
 use crate::peer;
 
 /// Time between two looks. Stale reads do: taking over is decided by a write under a condition.
@@ -320,7 +320,7 @@
         match load(&app, &step, &head).await {
             Ok((spec, left)) => {
                 log::info!(target: "control", id = &*step, segments = left.segments.len(),
-                    pieces = left.pieces.len(); "records read");
+                    pieces = left.deltas.len(); "records read");
                 owner::resume(&app, &step, head, spec, open, left);
                 return;
             }
@@ -337,7 +337,7 @@
 }
 
 /// Reads what the owner before has left. It can list nothing more, so what is read is all there is.
-async fn load(app: &App, step: &str, head: &Head) -> Result<(Spec, Left), PlatError> {
+async fn load(app: &App, step: &str, head: &Head) -> Result<(Spec, SavedProgress), PlatError> {
     let parts = app.plat.list(&keys::spec_prefix(step)).await?;
     let spec = Spec::decode_parts(parts.items.iter().map(|item| &*item.value), head.total);
     let spec = spec.map_err(|_| PlatError::Garbled)?;
@@ -349,10 +349,10 @@
         .collect();
     let segments = segments.map_err(|_| PlatError::Garbled)?;
     let (pieces, seq) = kept(app, step).await?;
-    let left = Left {
+    let left = SavedProgress {
         segments,
-        pieces,
-        seq,
+        deltas: pieces,
+        next_seq: seq,
     };
     Ok((spec, left))
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,4 +1,4 @@
-//! Running the samples of a step that this instance owns, and listing their results.
+//! Runs the samples of the steps that this instance owns, and writes their results to the platform.
 
 mod checks;
 mod drive;
@@ -18,50 +18,51 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use self::drive::Drive;
+use self::drive::StepRunner;
 pub use self::work::OwnedStep;
 use crate::App;
 use crate::claim::Ownership;
 use crate::hint;
 use crate::print;
 
-/// Pause after a call of the platform whose outcome is not known.
+/// Pause after a platform call whose outcome is unknown.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Time for which an ended step stays in memory for readers that are late.
-const LINGER: Duration = Duration::from_secs(3);
+/// Time for which an ended step stays in memory, for late readers and for a later step that adopts its drafts.
+const ENDED_RETENTION: Duration = Duration::from_secs(3);
 
-/// Time by which a step that was taken over is taken to be younger than it seems: the clocks of
-/// two instances differ, and a sample must not be given up early.
-const SKEW: Millis = 2_500;
+/// Amount by which the age of a step that was taken over is reduced: the clocks of two instances may differ, and its
+/// samples must not time out early.
+const CLOCK_SKEW_ALLOWANCE: Millis = 2_500;
 
-/// Begins to run a step that was accepted here.
-pub fn begin(app: &Arc<App>, step: &Arc<str>, head: Head, mut spec: Spec, open: Ownership) {
-    let again = recall(app, &head, &mut spec);
-    let mut work = OwnedStep::new(app, step, head, spec, &open, app.clock.now());
-    work.again = again;
-    start(app, work, "accepted");
+/// Starts a step that was accepted by this instance.
+pub fn begin(app: &Arc<App>, step: &Arc<str>, head: Head, mut spec: Spec, ownership: Ownership) {
+    let carried_over = apply_leftovers(app, &head, &mut spec);
+    let mut owned = OwnedStep::new(app, step, head, spec, &ownership, app.clock.now());
+    owned.carried_over = carried_over;
+    start(app, owned, "accepted");
 }
 
-/// Finds the samples that an earlier step has left over. How long they became says more of how long they
-/// will be than their senders do.
-fn recall(app: &App, head: &Head, spec: &mut Spec) -> Set<u32> {
+/// Finds the samples that an earlier step did not finish, and raises their expected length to the length they had
+/// reached, which is a better estimate than the one their sender gives. Returns their indices.
+fn apply_leftovers(app: &App, head: &Head, spec: &mut Spec) -> Set<u32> {
     let now = app.clock.now();
     let tokens = event_tokens(app, head);
-    let mut known = app.again.lock();
-    let mut again = Set::default();
+    let mut leftovers = app.again.lock();
+    let mut carried_over = Set::default();
     for (index, sample) in spec.samples.iter_mut().enumerate() {
-        let Some(events) = known.take(print::left(head.team.as_deref(), sample), now) else {
+        let Some(events) = leftovers.take(print::leftover(head.team.as_deref(), sample), now)
+        else {
             continue;
         };
-        again.insert(index as u32);
+        carried_over.insert(index as u32);
         let expected = events.saturating_mul(tokens).try_into().unwrap_or(u32::MAX);
         sample.expected = expected.max(sample.expected);
     }
-    again
+    carried_over
 }
 
-/// Tokens in an event of a step's engines; 0 when it is not known.
+/// Tokens in one event of the step's engines; 0 when unknown.
 fn event_tokens(app: &App, head: &Head) -> u64 {
     let plan = app.plan.load();
     let route = plan
@@ -73,16 +74,16 @@
     })
 }
 
-/// Remembers the samples of groups that an ended step has left over.
-fn remember(app: &App, work: &OwnedStep) {
-    let left = work.ledger.lock().incomplete_samples();
+/// Records the unfinished samples of an ended step, for the step that asks for them again.
+fn record_leftovers(app: &App, owned: &OwnedStep) {
+    let incomplete = owned.ledger.lock().incomplete_samples();
     let now = app.clock.now();
-    let mut again = app.again.lock();
-    for index in left {
+    let mut leftovers = app.again.lock();
+    for index in incomplete {
         let index = index as usize;
-        let draft = work.drafts[index].lock();
-        again.record(
-            work.print(&work.spec.samples[index]),
+        let draft = owned.drafts[index].lock();
+        leftovers.record(
+            owned.fingerprint(&owned.spec.samples[index]),
             draft.last_event,
             draft.complete,
             now,
@@ -90,119 +91,122 @@
     }
 }
 
-/// What the owner before has left of a step at the platform.
-pub struct Left {
-    /// The results that are listed.
+/// The progress of a step that its previous owner has saved at the platform.
+pub struct SavedProgress {
+    /// The results that were written, segment by segment.
     pub segments: Vec<Vec<Entry>>,
-    /// What is kept of samples that are not whole.
-    pub pieces: Vec<DraftDelta>,
-    /// A number for the next segment.
-    pub seq: u32,
+    /// The saved parts of samples that are not complete, oldest first.
+    pub deltas: Vec<DraftDelta>,
+    /// Sequence number of the next segment.
+    pub next_seq: u32,
 }
 
-/// Goes on with a step whose owner is gone, from the results that are listed and from what is kept of
-/// samples that are not whole.
+/// Continues a step whose owner is gone, from the results and partial samples that were saved.
 pub fn resume(
     app: &Arc<App>,
     step: &Arc<str>,
     head: Head,
     spec: Spec,
-    open: Ownership,
-    left: Left,
+    ownership: Ownership,
+    progress: SavedProgress,
 ) {
     let age = app.clock.wall().saturating_sub(head.opened);
-    let opened = app.clock.now().saturating_sub(age.saturating_sub(SKEW));
-    let work = OwnedStep::new(app, step, head, spec, &open, opened);
+    let opened_at = app
+        .clock
+        .now()
+        .saturating_sub(age.saturating_sub(CLOCK_SKEW_ALLOWANCE));
+    let owned = OwnedStep::new(app, step, head, spec, &ownership, opened_at);
     {
-        let mut ledger = work.ledger.lock();
-        for segment in left.segments {
+        let mut ledger = owned.ledger.lock();
+        for segment in progress.segments {
             ledger.restore(segment);
         }
-        ledger.set_next_seq(left.seq);
-        work.listed.send_replace(ledger.listed().len());
+        ledger.set_next_seq(progress.next_seq);
+        owned.listed.send_replace(ledger.listed().len());
     }
-    for piece in left.pieces {
-        if let Some(draft) = work.drafts.get(piece.index as usize) {
-            let index = piece.index;
+    for delta in progress.deltas {
+        if let Some(draft) = owned.drafts.get(delta.index as usize) {
+            let index = delta.index;
             let mut draft = draft.lock();
-            draft.apply(piece);
-            work.kept.lock().mark_saved(index, &draft);
+            draft.apply(delta);
+            owned.checkpoints.lock().mark_saved(index, &draft);
         }
     }
-    start(app, work, "taken over");
+    start(app, owned, "taken over");
 }
 
-/// Keeps a step in memory; false when it is run here already, by what the platform says now.
-fn keep(app: &App, work: &Arc<OwnedStep>) -> bool {
-    app.works.with_shard(&work.step, |map| {
-        if let Some(held) = map.get(&work.step) {
-            if held.rev >= work.rev {
+/// Registers a step as run by this instance. Returns false when the instance already runs it with the same or a newer
+/// revision of its head; one with an older revision is stopped.
+fn register(app: &App, owned: &Arc<OwnedStep>) -> bool {
+    app.works.with_shard(&owned.step, |map| {
+        if let Some(registered) = map.get(&owned.step) {
+            if registered.rev >= owned.rev {
                 return false;
             }
-            held.lose();
+            registered.mark_lost();
         }
-        map.insert(work.step.clone(), work.clone());
+        map.insert(owned.step.clone(), owned.clone());
         true
     })
 }
 
-fn start(app: &Arc<App>, work: OwnedStep, why: &str) {
-    let work = Arc::new(work);
-    let kept = keep(app, &work);
-    log::info!(target: "owner", id = &*work.step, revision = work.rev, why, begun = kept,
-        heard_ms = work.unheard(app); "step begun");
-    if !kept {
+fn start(app: &Arc<App>, owned: OwnedStep, why: &str) {
+    let owned = Arc::new(owned);
+    let registered = register(app, &owned);
+    log::info!(target: "owner", id = &*owned.step, revision = owned.rev, why, begun = registered,
+        heard_ms = owned.confirmation_age(app); "step begun");
+    if !registered {
         return;
     }
-    app.shelves.remove(&work.step);
-    hint::tell(app, &work.step);
+    app.shelves.remove(&owned.step);
+    hint::tell(app, &owned.step);
     let app = app.clone();
     tokio::spawn(async move {
-        gather(&app, &work);
-        let mut drive = Drive::new(&app, &work);
-        drive.run().await;
-        let ledger_done = work.ledger.lock().is_done();
-        log::info!(target: "owner", id = &*work.step, ended = work.has_ended(),
-            lost = work.is_lost(), whole = ledger_done; "step done");
-        if !work.is_lost() {
-            remember(&app, &work);
-            let lingers = async {
-                drive.leave().await;
-                sleep(LINGER).await;
+        adopt_leftover_drafts(&app, &owned);
+        let mut runner = StepRunner::new(&app, &owned);
+        runner.run().await;
+        let ledger_done = owned.ledger.lock().is_done();
+        log::info!(target: "owner", id = &*owned.step, ended = owned.has_ended(),
+            lost = owned.is_lost(), whole = ledger_done; "step done");
+        if !owned.is_lost() {
+            record_leftovers(&app, &owned);
+            let retention = async {
+                runner.finish_runs().await;
+                sleep(ENDED_RETENTION).await;
             };
-            // The time is over, or a later step has what was left over.
-            let _ = timeout(LINGER, lingers).await;
+            // The limit includes the time that running samples take to finish or to be handed over.
+            let _ = timeout(ENDED_RETENTION, retention).await;
         }
-        drop(drive);
-        app.works.with_shard(&work.step, |map| {
+        drop(runner);
+        app.works.with_shard(&owned.step, |map| {
             if map
-                .get(&work.step)
-                .is_some_and(|held| Arc::ptr_eq(held, &work))
+                .get(&owned.step)
+                .is_some_and(|registered| Arc::ptr_eq(registered, &owned))
             {
-                map.remove(&work.step);
+                map.remove(&owned.step);
             }
         });
     });
 }
 
-/// Gathers what earlier steps have left over of this step's samples. The steps of one route are run
-/// by one instance, so it is here.
-fn gather(app: &App, work: &OwnedStep) {
-    let single = work.route(app).is_none_or(|route| route.single_version);
-    if single {
+/// Adopts the drafts that earlier steps have left of this step's samples. One instance runs all steps of a route, so
+/// the drafts are in its memory.
+fn adopt_leftover_drafts(app: &App, owned: &OwnedStep) {
+    let single_version = owned.route(app).is_none_or(|route| route.single_version);
+    if single_version {
         return;
     }
-    let samples = work.spec.samples.iter();
-    let samples: Vec<_> = samples.map(|sample| work.print(sample)).collect();
+    let samples = owned.spec.samples.iter();
+    let fingerprints: Vec<_> = samples.map(|sample| owned.fingerprint(sample)).collect();
     let mut drafts = Vec::new();
     app.works.for_each_shard(|map| {
         for other in map.values() {
-            drafts.extend(other.hand(&work.head.model, &samples));
+            drafts.extend(other.hand_over_drafts(&owned.head.model, &fingerprints));
         }
     });
     let found = drafts.len();
-    let taken = work.take_drafts(drafts);
+    let taken = owned.adopt_drafts(drafts);
     if found > 0 {
-        log::info!(target: "owner", id = &*work.step, found, taken; "left-over samples taken up");
+        log::info!(target: "owner", id = &*owned.step, found, taken; "adopted drafts of earlier steps");
     }
 }
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -1,4 +1,4 @@
-//! Asking the platform whether a step is open, in time to begin no sample long after its end.
+//! Checks at the platform whether a step is open, often enough that no sample is started long after its end.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -22,105 +22,109 @@
 use crate::through;
 use crate::through::Others;
 
-/// What the time in which an end has to be in force is divided by to give the time after which a question is asked through
-/// others as well.
-const PATIENCE: u64 = 10;
+/// The cancellation bound of a step divided by this is the time after which an unanswered check is also sent through
+/// other instances.
+const RELAY_DELAY_DIVISOR: u64 = 10;
 
-/// What it is divided by to give the time that a question may take with both.
-const LIMIT: u64 = 3;
+/// The cancellation bound of a step divided by this is the time limit of a check, direct and relayed.
+const CHECK_TIMEOUT_DIVISOR: u64 = 3;
 
-/// What a question came to.
-enum Came {
-    /// The step's head.
+/// Result of [`read_head`].
+enum HeadRead {
+    /// The step's head, if there is one.
     Head(Option<Item>),
-    /// Neither this instance nor others that were reached reach the platform.
+    /// Neither this instance reaches the platform nor the other instances that answered, if there are any.
     Outage,
-    /// Nothing was heard here, though the platform may serve others.
-    Nothing(PlatError),
+    /// The read failed, but the platform may serve other instances.
+    Failed(PlatError),
 }
 
-/// The question that is under way.
+/// The running check of a step.
 #[derive(Debug, Default)]
 pub(super) struct Checks {
-    asks: JoinSet<()>,
+    running: JoinSet<()>,
 }
 
 impl Checks {
-    /// Waits until a question has been answered; [`None`] when there is none.
-    pub(super) async fn ended(&mut self) -> Option<()> {
-        self.asks.join_next().await.map(|_| ())
+    /// Waits until a check has finished; [`None`] when none is running.
+    pub(super) async fn finished(&mut self) -> Option<()> {
+        self.running.join_next().await.map(|_| ())
     }
 
-    /// Asks when nothing was heard for a while.
-    pub(super) fn begin(&mut self, app: &Arc<App>, work: &Arc<OwnedStep>) {
-        if !self.asks.is_empty() {
+    /// Starts a check if one is due.
+    pub(super) fn begin(&mut self, app: &Arc<App>, owned: &Arc<OwnedStep>) {
+        if !self.running.is_empty() {
             return;
         }
-        let asked = app.clock.now();
+        let asked_at = app.clock.now();
         {
-            let mut word = work.word.lock();
-            if !word.is_check_due(asked) {
+            let mut confirmation = owned.confirmation.lock();
+            if !confirmation.is_check_due(asked_at) {
                 return;
             }
-            word.start_check(asked);
+            confirmation.start_check(asked_at);
         }
-        let (app, work) = (app.clone(), work.clone());
-        self.asks
-            .spawn(async move { question(&app, &work, asked).await });
+        let (app, owned) = (app.clone(), owned.clone());
+        self.running
+            .spawn(async move { check(&app, &owned, asked_at).await });
     }
 }
 
-async fn question(app: &Arc<App>, work: &OwnedStep, asked: Millis) {
-    // One that was turned away a moment ago has the others ask at once.
-    let patience = match app.plat.is_unserved() {
+async fn check(app: &Arc<App>, owned: &OwnedStep, asked_at: Millis) {
+    // An instance that the platform does not serve asks the others at once.
+    let relay_delay = match app.plat.is_unserved() {
         true => 0,
-        false => app.settings.cancel / PATIENCE,
+        false => app.settings.cancel / RELAY_DELAY_DIVISOR,
     };
-    let head = match hear(app, work, patience).await {
-        Came::Head(item) => claim::ownership_state(asked, work.rev, item.as_ref()),
-        Came::Outage => {
-            // When the others were asked.
-            work.word.lock().record_outage(asked + patience);
-            return work.unknown(app, "nobody reaches the platform");
+    let state = match read_head(app, owned, relay_delay).await {
+        HeadRead::Head(item) => claim::ownership_state(asked_at, owned.rev, item.as_ref()),
+        HeadRead::Outage => {
+            // The outage is confirmed as of the time at which the others were asked.
+            owned
+                .confirmation
+                .lock()
+                .record_outage(asked_at + relay_delay);
+            return owned.log_unconfirmed(app, "no instance reaches the platform");
         }
-        Came::Nothing(error) => Err(error),
+        HeadRead::Failed(error) => Err(error),
     };
-    match head {
-        Ok(standing) => {
-            work.stand(app, standing);
+    match state {
+        Ok(state) => {
+            owned.apply_state(app, state);
         }
-        Err(error) => work.unknown(app, &error.to_string()),
+        Err(error) => owned.log_unconfirmed(app, &error.to_string()),
     }
 }
 
-/// Asks the platform, and others to ask it when it does not answer soon.
-async fn hear(app: &Arc<App>, work: &OwnedStep, patience: Millis) -> Came {
-    let call = Call::Get(keys::head(&work.step));
-    let limit = Duration::from_millis(app.settings.cancel / LIMIT);
-    let patience = Duration::from_millis(patience);
-    let direct = pin!(in_time(limit, app.plat.call_direct(&call)));
-    let others = pin!(async {
-        sleep(patience).await;
-        through::any(app, &call, limit - patience).await
+/// Reads the head of a step from the platform, and also through other instances if there is no answer after
+/// `relay_delay` milliseconds.
+async fn read_head(app: &Arc<App>, owned: &OwnedStep, relay_delay: Millis) -> HeadRead {
+    let call = Call::Get(keys::head(&owned.step));
+    let limit = Duration::from_millis(app.settings.cancel / CHECK_TIMEOUT_DIVISOR);
+    let relay_delay = Duration::from_millis(relay_delay);
+    let direct = pin!(with_timeout(limit, app.plat.call_direct(&call)));
+    let relayed = pin!(async {
+        sleep(relay_delay).await;
+        through::any(app, &call, limit - relay_delay).await
     });
-    let (error, said) = match select(direct, others).await {
+    let (error, others) = match select(direct, relayed).await {
         Either::Left((Ok(answer), _)) | Either::Right((Others::Answer(answer), _)) => {
-            return head_of(answer);
+            return decode_answer(answer);
         }
-        Either::Left((Err(error), others)) => (error, others.await),
-        Either::Right((said, direct)) => match direct.await {
-            Ok(answer) => return head_of(answer),
-            Err(error) => (error, said),
+        Either::Left((Err(error), relayed)) => (error, relayed.await),
+        Either::Right((others, direct)) => match direct.await {
+            Ok(answer) => return decode_answer(answer),
+            Err(error) => (error, others),
         },
     };
-    match said {
-        Others::Answer(answer) => head_of(answer),
-        Others::Away if error.is_unavailable() => Came::Outage,
-        Others::Away | Others::Nobody => Came::Nothing(error),
+    match others {
+        Others::Answer(answer) => decode_answer(answer),
+        Others::Away if error.is_unavailable() => HeadRead::Outage,
+        Others::Away | Others::Nobody => HeadRead::Failed(error),
     }
 }
 
-async fn in_time(
+async fn with_timeout(
     limit: Duration,
     call: impl Future<Output = Result<Answer, PlatError>>,
 ) -> Result<Answer, PlatError> {
@@ -129,9 +133,9 @@
         .unwrap_or(Err(PlatError::NoAnswer))
 }
 
-fn head_of(answer: Answer) -> Came {
+fn decode_answer(answer: Answer) -> HeadRead {
     match answer {
-        Answer::Range(range) => Came::Head(range.items.into_iter().next()),
-        _ => Came::Nothing(PlatError::Garbled),
+        Answer::Range(range) => HeadRead::Head(range.items.into_iter().next()),
+        _ => HeadRead::Failed(PlatError::Garbled),
     }
 }
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/drive.rs
@@ -17,279 +17,284 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use self::placing::Placed;
-use self::placing::Todo;
+use self::placing::PendingRun;
+use self::placing::PlaceOutcome;
 use super::OwnedStep;
 use super::RETRY_PAUSE;
 use super::checks::Checks;
-use super::looks::Looks;
-use super::write::Written;
+use super::looks::VersionProbes;
+use super::write::WriteOutcome;
 use super::write::write_segment;
 use crate::App;
 use crate::meter;
-use crate::run::Ended;
+use crate::run::RunOutcome;
 use crate::score;
 
-/// Longest pause between two looks at what can be done.
-const TICK: Duration = Duration::from_millis(50);
+/// Maximum interval between two passes of the loop.
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after a step's begin for which its samples' scores are asked for when its route is not known any
-/// more, in milliseconds: no trainer waits longer for a step.
-const TTL: Millis = 15_000;
+/// Time after the start of a step for which scores are requested if its route was removed, in milliseconds: no trainer
+/// waits longer for a step.
+const DEFAULT_TTL: Millis = 15_000;
 
-/// What a run came to.
-struct Ran {
+/// A run that ended.
+struct FinishedRun {
     index: u32,
-    ended: Ended,
+    outcome: RunOutcome,
     engine: Arc<Upstream>,
 }
 
-/// What asking for a sample's score came to.
-struct Scored {
+/// A request for a score that ended; without a score, the sample has failed.
+struct FinishedScore {
     index: u32,
     score: Option<Arc<str>>,
 }
 
-/// The loop that runs a step.
-pub(super) struct Drive<'a> {
+/// Runs a step until it has ended or was lost.
+pub(super) struct StepRunner<'a> {
     app: &'a Arc<App>,
-    work: &'a Arc<OwnedStep>,
-    todo: VecDeque<Todo>,
-    /// Samples under which engines crash; they wait until they may run again or the step gives them up.
-    held: Vec<Todo>,
-    runs: JoinSet<Ran>,
-    scores: JoinSet<Scored>,
-    writes: JoinSet<Written>,
+    owned: &'a Arc<OwnedStep>,
+    pending: VecDeque<PendingRun>,
+    /// Samples under which engines crashed; they wait until they may run again or have failed with the step.
+    quarantined: Vec<PendingRun>,
+    runs: JoinSet<FinishedRun>,
+    scores: JoinSet<FinishedScore>,
+    writes: JoinSet<WriteOutcome>,
     checks: Checks,
-    looks: Looks,
-    /// When no engine had room.
-    blocked: Millis,
+    probes: VersionProbes,
+    /// When no engine had a free slot, at the last attempt.
+    engines_full_at: Millis,
+    /// Failed runs of each sample.
     failures: Map<u32, u32>,
-    kin: Map<Arc<str>, Arc<str>>,
+    /// The engine at which a sample of each group was last started.
+    group_engines: Map<Arc<str>, Arc<str>>,
 }
 
-impl<'a> Drive<'a> {
-    pub(super) fn new(app: &'a Arc<App>, work: &'a Arc<OwnedStep>) -> Self {
-        let ledger = work.ledger.lock();
-        let samples = work.spec.samples.iter().enumerate();
-        let jobs = samples
+impl<'a> StepRunner<'a> {
+    pub(super) fn new(app: &'a Arc<App>, owned: &'a Arc<OwnedStep>) -> Self {
+        let ledger = owned.ledger.lock();
+        let samples = owned.spec.samples.iter().enumerate();
+        let pending = samples
             .map(|(index, sample)| {
-                let begun = work.drafts[index].lock().last_event > 0;
+                let started = owned.drafts[index].lock().last_event > 0;
                 let index = index as u32;
                 PendingSample {
                     index,
                     group: sample.group.clone(),
                     expected_tokens: sample.expected,
-                    carried_over: begun || work.again.contains(&index),
+                    carried_over: started || owned.carried_over.contains(&index),
                 }
             })
-            .filter(|job| !ledger.has_ended(job.index));
-        // An earlier step may have left over texts that are whole already.
-        let (texts, jobs): (Vec<_>, _) =
-            jobs.partition(|job| work.drafts[job.index as usize].lock().complete);
+            .filter(|sample| !ledger.has_ended(sample.index));
+        // Texts that were adopted from an earlier step may already be complete.
+        let (complete, pending): (Vec<_>, _) =
+            pending.partition(|sample| owned.drafts[sample.index as usize].lock().complete);
         drop(ledger);
-        let jobs = place::order_samples(jobs, work.head.required_groups);
-        let todo = jobs.into_iter().map(|job| Todo {
-            job,
+        let pending = place::order_samples(pending, owned.head.required_groups);
+        let pending = pending.into_iter().map(|sample| PendingRun {
+            sample,
             avoid: Vec::new(),
         });
-        let mut drive = Self {
+        let mut runner = Self {
             app,
-            work,
-            todo: todo.collect(),
-            held: Vec::new(),
+            owned,
+            pending: pending.collect(),
+            quarantined: Vec::new(),
             runs: JoinSet::new(),
             scores: JoinSet::new(),
             writes: JoinSet::new(),
             checks: Checks::default(),
-            looks: Looks::default(),
-            blocked: 0,
+            probes: VersionProbes::default(),
+            engines_full_at: 0,
             failures: Map::default(),
-            kin: Map::default(),
+            group_engines: Map::default(),
         };
-        for text in texts {
-            drive.score(text.index);
+        for sample in complete {
+            runner.score(sample.index);
         }
-        drive
+        runner
     }
 
-    /// Runs the step until it is whole, has ended or belongs to somebody else. Dropping the runs
-    /// closes their connections, at which the engines stop.
+    /// Runs the step until all results are written, it has ended, or another instance has taken it over. Dropping
+    /// the runs closes their connections, at which the engines stop generating.
     pub(super) async fn run(&mut self) {
         loop {
-            if self.work.is_lost() || self.work.has_ended() {
+            if self.owned.is_lost() || self.owned.has_ended() {
                 return;
             }
             let pause = match self.place() {
-                Placed::Looked => TICK,
-                Placed::Later(pause) => pause,
+                PlaceOutcome::Done => MAX_PASS_INTERVAL,
+                PlaceOutcome::Deferred(pause) => pause,
             };
             if self.write() {
                 return;
             }
-            self.checks.begin(self.app, self.work);
+            self.checks.begin(self.app, self.owned);
             tokio::select! {
-                Some(Ok(ran)) = self.runs.join_next() => self.take(ran),
-                Some(Ok(scored)) = self.scores.join_next() => self.scored(scored),
-                Some(Ok(written)) = self.writes.join_next() => self.note(written).await,
-                Some(()) = self.checks.ended() => (),
-                Some(()) = self.looks.ended() => (),
-                () = self.work.bell.notified() => (),
+                Some(Ok(run)) = self.runs.join_next() => self.handle_run(run),
+                Some(Ok(score)) = self.scores.join_next() => self.handle_score(score),
+                Some(Ok(outcome)) = self.writes.join_next() => self.handle_write(outcome).await,
+                Some(()) = self.checks.finished() => (),
+                Some(()) = self.probes.finished() => (),
+                () = self.owned.changed.notified() => (),
                 () = self.app.room.notified() => (),
                 () = sleep(pause) => (),
             }
         }
     }
 
-    /// Lets running samples go on after the end of their step, until a later step has asked for
-    /// them or they have ended. Groups that were left over come again within a second or two, and
-    /// what is made meanwhile need not be made again.
-    pub(super) async fn leave(&mut self) {
-        // A score is of no use to a step that has ended, and no request of it may run after that.
+    /// Lets running samples continue after the end of their step, until a later step has adopted drafts of this one
+    /// or all runs have ended. Unfinished groups are usually requested again within a second or two, and events that
+    /// are generated meanwhile need not be generated again.
+    pub(super) async fn finish_runs(&mut self) {
+        // An ended step needs no scores, and none of its requests for scores may run after its end.
         self.scores.abort_all();
-        while !self.work.handed.load(Ordering::Relaxed) {
+        while !self.owned.handed_over.load(Ordering::Relaxed) {
             tokio::select! {
-                ran = self.runs.join_next() => if ran.is_none() { return },
-                () = self.work.bell.notified() => (),
+                run = self.runs.join_next() => if run.is_none() { return },
+                () = self.owned.changed.notified() => (),
             }
         }
     }
 
-    /// Takes in how a run ended.
-    fn take(&mut self, ran: Ran) {
-        let Ran {
+    fn handle_run(&mut self, run: FinishedRun) {
+        let FinishedRun {
             index,
-            ended,
+            outcome,
             engine,
-        } = ran;
-        let draft = &self.work.drafts[index as usize];
-        match ended {
-            Ended::Whole => return self.score(index),
-            Ended::Hopeless => return self.fail(index),
-            Ended::Failed => {
+        } = run;
+        let draft = &self.owned.drafts[index as usize];
+        match outcome {
+            RunOutcome::Completed => return self.score(index),
+            RunOutcome::Rejected => return self.fail(index),
+            RunOutcome::Failed => {
                 let failures = self.failures.entry(index).or_default();
                 *failures += 1;
-                let route = self.work.route(self.app);
-                let most = route.map_or(1, |route| route.max_attempts.max(1));
-                if *failures >= most {
+                let route = self.owned.route(self.app);
+                let max_failures = route.map_or(1, |route| route.max_attempts.max(1));
+                if *failures >= max_failures {
                     return self.fail(index);
                 }
             }
-            Ended::Broken(why) if why.starts_with("version") => {
-                let single = self
-                    .work
+            RunOutcome::Broken(why) if why.starts_with("version") => {
+                let single_version = self
+                    .owned
                     .route(self.app)
                     .is_some_and(|route| route.single_version);
-                if single {
+                if single_version {
                     *draft.lock() = Draft::default();
-                    self.work.kept.lock().reset(index);
+                    self.owned.checkpoints.lock().reset(index);
                 }
             }
-            Ended::Unrun | Ended::Moved | Ended::Stale | Ended::Broken(_) => (),
+            RunOutcome::Unexecuted
+            | RunOutcome::Moved
+            | RunOutcome::PermitExpired
+            | RunOutcome::Broken(_) => (),
         }
-        let sample = &self.work.spec.samples[index as usize];
-        let job = PendingSample {
+        let sample = &self.owned.spec.samples[index as usize];
+        let sample = PendingSample {
             index,
             group: sample.group.clone(),
             expected_tokens: sample.expected,
             carried_over: false,
         };
-        let avoid = match ended {
-            Ended::Unrun | Ended::Stale => Vec::new(),
+        let avoid = match outcome {
+            RunOutcome::Unexecuted | RunOutcome::PermitExpired => Vec::new(),
             _ => vec![engine.id.clone()],
         };
-        self.todo.push_front(Todo { job, avoid });
+        self.pending.push_front(PendingRun { sample, avoid });
     }
 
-    /// Has a sample whose text is whole scored, or finishes it when it needs no score.
+    /// Requests the score of a sample whose text is complete, or finishes the sample if it needs no score.
     fn score(&mut self, index: u32) {
-        if self.work.spec.samples[index as usize].scoring.is_none() {
+        if self.owned.spec.samples[index as usize].scoring.is_none() {
             return self.finish(index, None);
         }
-        let route = self.work.route(self.app);
-        let most = route.as_ref().map_or(1, |route| route.max_attempts);
-        let ttl = route.map_or(TTL, |route| route.ttl);
-        let (app, work) = (self.app.clone(), self.work.clone());
-        let until = work.opened + ttl;
+        let route = self.owned.route(self.app);
+        let max_failures = route.as_ref().map_or(1, |route| route.max_attempts);
+        let ttl = route.map_or(DEFAULT_TTL, |route| route.ttl);
+        let (app, owned) = (self.app.clone(), self.owned.clone());
+        let deadline = owned.opened_at + ttl;
         self.scores.spawn(async move {
-            let score = match &work.spec.samples[index as usize].scoring {
+            let score = match &owned.spec.samples[index as usize].scoring {
                 Some(scoring) => {
-                    let principal = work.principal(&app);
-                    score::score(&app, &work, scoring, &principal, most, until).await
+                    let principal = owned.principal(&app);
+                    score::score(&app, &owned, scoring, &principal, max_failures, deadline).await
                 }
                 None => None,
             };
-            Scored { index, score }
+            FinishedScore { index, score }
         });
     }
 
-    fn scored(&mut self, scored: Scored) {
-        match scored.score {
-            Some(score) => self.finish(scored.index, Some(score)),
-            None => self.fail(scored.index),
+    fn handle_score(&mut self, finished: FinishedScore) {
+        match finished.score {
+            Some(score) => self.finish(finished.index, Some(score)),
+            None => self.fail(finished.index),
         }
     }
 
     fn finish(&mut self, index: u32, score: Option<Arc<str>>) {
-        let draft = self.work.drafts[index as usize].lock().clone();
-        self.enter(index, Outcome::Completed, draft, score);
+        let draft = self.owned.drafts[index as usize].lock().clone();
+        self.record(index, Outcome::Completed, draft, score);
     }
 
     fn fail(&mut self, index: u32) {
-        self.enter(index, Outcome::Failed, Draft::default(), None);
+        self.record(index, Outcome::Failed, Draft::default(), None);
     }
 
-    fn enter(&mut self, index: u32, outcome: Outcome, draft: Draft, score: Option<Arc<str>>) {
-        let word = match outcome {
+    /// Records the result of a sample for the next write.
+    fn record(&mut self, index: u32, outcome: Outcome, draft: Draft, score: Option<Arc<str>>) {
+        let label = match outcome {
             Outcome::Completed => "whole",
             Outcome::Failed => "failed",
         };
-        metrics::counter!(meter::SAMPLES, "outcome" => word).increment(1);
-        let entry = self.work.entry(index, outcome, draft, score);
-        self.work.ledger.lock().finish(entry, self.app.clock.now());
+        metrics::counter!(meter::SAMPLES, "outcome" => label).increment(1);
+        let entry = self.owned.entry(index, outcome, draft, score);
+        self.owned.ledger.lock().finish(entry, self.app.clock.now());
     }
 
-    /// Lists every sample that has not begun as failed.
-    fn give_up(&mut self, why: &str) {
-        log::warn!(target: "owner", id = &*self.work.step, why, samples = self.todo.len();
-            "samples given up");
-        self.todo.extend(self.held.drain(..));
-        for todo in std::mem::take(&mut self.todo) {
-            self.fail(todo.job.index);
+    /// Records all samples that are not running as failed.
+    fn fail_pending(&mut self, why: &str) {
+        log::warn!(target: "owner", id = &*self.owned.step, why, samples = self.pending.len();
+            "pending samples failed");
+        self.pending.extend(self.quarantined.drain(..));
+        for pending in std::mem::take(&mut self.pending) {
+            self.fail(pending.sample.index);
         }
     }
 
-    /// Writes the next segment when it is time; tells whether all is written.
+    /// Writes the next segment when it is due; returns whether all results are written.
     fn write(&mut self) -> bool {
-        let mut ledger = self.work.ledger.lock();
+        let mut ledger = self.owned.ledger.lock();
         if ledger.is_done() {
             return true;
         }
         if !self.writes.is_empty() {
             return false;
         }
-        let gained = |ended: &[bool]| self.work.gained(ended);
-        if let Action::Write(segment) = ledger.next_action(self.app.clock.now(), gained) {
-            let (app, work) = (self.app.clone(), self.work.clone());
+        let take_deltas = |ended: &[bool]| self.owned.take_deltas(ended);
+        if let Action::Write(segment) = ledger.next_action(self.app.clock.now(), take_deltas) {
+            let (app, owned) = (self.app.clone(), self.owned.clone());
             self.writes
-                .spawn(async move { write_segment(&app, &work, &segment).await });
+                .spawn(async move { write_segment(&app, &owned, &segment).await });
         }
         false
     }
 
-    async fn note(&mut self, written: Written) {
-        match written {
-            Written::Kept => {
-                let mut ledger = self.work.ledger.lock();
+    async fn handle_write(&mut self, outcome: WriteOutcome) {
+        match outcome {
+            WriteOutcome::Applied => {
+                let mut ledger = self.owned.ledger.lock();
                 ledger.mark_written();
                 let count = ledger.listed().len();
-                self.work.listed.send_replace(count);
-                log::info!(target: "owner", id = &*self.work.step, listed = count,
-                    total = self.work.head.total; "results listed");
+                self.owned.listed.send_replace(count);
+                log::info!(target: "owner", id = &*self.owned.step, listed = count,
+                    total = self.owned.head.total; "results written");
             }
-            Written::Unclear => sleep(RETRY_PAUSE).await,
-            // What was heard ends the loop.
-            Written::Ended | Written::Lost => (),
+            WriteOutcome::Indeterminate => sleep(RETRY_PAUSE).await,
+            // The step is marked as ended or lost, which ends the loop.
+            WriteOutcome::Ended | WriteOutcome::Lost => (),
         }
     }
 }
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/drive/placing.rs
@@ -1,7 +1,7 @@
-//! Placing the samples of a step at engines.
+//! Places the samples of a step at engines.
 //!
-//! Load pattern: a step's samples come all at once, by the hundred or thousand, and hundreds of runs end each
-//! second while others wait for their places.
+//! Load pattern: the samples of a step arrive at once, by the hundred or thousand, and hundreds of runs end each
+//! second while other samples wait for a free slot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,179 +18,194 @@
 use table::Route;
 use table::Upstream;
 
-use super::Drive;
-use super::Ran;
+use super::FinishedRun;
+use super::StepRunner;
 use crate::print;
 use crate::run::Run;
 
-/// Shortest time between two looks for places after one that found none, in milliseconds: each looks through
-/// all engines, and hundreds of runs end each second. A place stays free for half of it on average, a
+/// Minimum time between a placement that found no free slot and the next one, in milliseconds. Each placement searches
+/// all engines, and hundreds of runs end each second. A slot stays free for half of this time on average, which is a
 /// thousandth of a run of some seconds.
-const PLACE: Millis = 8;
+const MIN_RETRY_INTERVAL: Millis = 8;
 
-/// What came of looking for places.
-pub(super) enum Placed {
-    /// All that could begin has begun.
-    Looked,
-    /// The last look found none a moment ago; the next one is due after this.
-    Later(Duration),
+/// Result of [`StepRunner::place`].
+pub(super) enum PlaceOutcome {
+    /// All runs that could be started were started.
+    Done,
+    /// There was no free slot a moment ago; the next placement is due after this time.
+    Deferred(Duration),
 }
 
-/// A sample that has to run.
-pub(super) struct Todo {
-    pub(super) job: PendingSample,
+/// A sample that has to be run, and the engines to avoid.
+pub(super) struct PendingRun {
+    pub(super) sample: PendingSample,
     pub(super) avoid: Vec<Arc<str>>,
 }
 
-impl Drive<'_> {
-    /// Begins as many runs as there is room for.
-    pub(super) fn place(&mut self) -> Placed {
-        let due = self.blocked + PLACE;
+impl StepRunner<'_> {
+    /// Starts as many runs as there are free slots.
+    pub(super) fn place(&mut self) -> PlaceOutcome {
+        let due = self.engines_full_at + MIN_RETRY_INTERVAL;
         let now = self.app.clock.now();
         if now < due {
-            return Placed::Later(Duration::from_millis(due - now));
+            return PlaceOutcome::Deferred(Duration::from_millis(due - now));
         }
-        self.release();
-        if self.todo.is_empty() && self.held.is_empty() {
-            return Placed::Looked;
+        self.release_quarantined();
+        if self.pending.is_empty() && self.quarantined.is_empty() {
+            return PlaceOutcome::Done;
         }
-        let Some(route) = self.work.route(self.app) else {
-            // Without any configuration nothing is known; with one, the route is gone.
+        let Some(route) = self.owned.route(self.app) else {
+            // The route was removed only if there is a configuration; this instance may not have one yet.
             if self.app.plan.load().is_some() {
-                self.give_up("route gone");
+                self.fail_pending("route gone");
             }
-            return Placed::Looked;
+            return PlaceOutcome::Done;
         };
-        if now > self.work.opened + route.ttl {
-            self.give_up("time to live is over");
-            return Placed::Looked;
+        if now > self.owned.opened_at + route.ttl {
+            self.fail_pending("time to live is over");
+            return PlaceOutcome::Done;
         }
-        // The bell rings, or an answer comes, when there is word again.
-        let Some(permit) = self.work.permit(self.app) else {
-            return Placed::Looked;
+        // The finished check wakes the loop as soon as there is a confirmation again.
+        let Some(permit) = self.owned.permit(self.app) else {
+            return PlaceOutcome::Done;
         };
         let mut rounds = Map::default();
-        while let Some(todo) = self.todo.pop_front() {
-            if self.is_held(&todo) {
-                log::warn!(target: "owner", id = &*self.sample(&todo).id, step = &*self.work.step;
-                    "sample held: engines crash under it");
-                self.held.push(todo);
+        while let Some(pending) = self.pending.pop_front() {
+            if self.is_quarantined(&pending) {
+                log::warn!(target: "owner", id = &*self.sample(&pending).id, step = &*self.owned.step;
+                    "sample quarantined: engines crashed while running it");
+                self.quarantined.push(pending);
                 continue;
             }
-            match self.choose(&route, &todo, &mut rounds) {
-                Some((service, engine)) => self.begin(&route, service, engine, todo, permit),
+            match self.choose_engine(&route, &pending, &mut rounds) {
+                Some((service, engine)) => self.start_run(&route, service, engine, pending, permit),
                 None => {
-                    self.todo.push_front(todo);
-                    self.blocked = now;
-                    self.looks
-                        .begin(self.app, self.work, &route, self.todo.len());
+                    self.pending.push_front(pending);
+                    self.engines_full_at = now;
+                    self.probes
+                        .begin(self.app, self.owned, &route, self.pending.len());
                     break;
                 }
             }
         }
-        Placed::Looked
+        PlaceOutcome::Done
     }
 
-    fn sample(&self, todo: &Todo) -> &Sample {
-        &self.work.spec.samples[todo.job.index as usize]
+    fn sample(&self, pending: &PendingRun) -> &Sample {
+        &self.owned.spec.samples[pending.sample.index as usize]
     }
 
-    fn mark(&self, todo: &Todo) -> Identity {
-        let head = &self.work.head;
-        print::sample(&head.host, head.team.as_deref(), self.sample(todo))
+    fn identity(&self, pending: &PendingRun) -> Identity {
+        let head = &self.owned.head;
+        print::sample(&head.host, head.team.as_deref(), self.sample(pending))
     }
 
-    fn is_held(&self, todo: &Todo) -> bool {
-        self.app.crashes.is_blocked(|| self.mark(todo))
+    fn is_quarantined(&self, pending: &PendingRun) -> bool {
+        self.app.crashes.is_blocked(|| self.identity(pending))
     }
 
-    /// Lets held samples go that may run again.
-    fn release(&mut self) {
-        let held = std::mem::take(&mut self.held);
-        let (held, free) = held.into_iter().partition(|todo| self.is_held(todo));
-        self.held = held;
-        self.todo.extend::<Vec<_>>(free);
+    /// Moves the quarantined samples that may run again back to the pending ones.
+    fn release_quarantined(&mut self) {
+        let all = std::mem::take(&mut self.quarantined);
+        let (quarantined, released) = all
+            .into_iter()
+            .partition(|pending| self.is_quarantined(pending));
+        self.quarantined = quarantined;
+        self.pending.extend::<Vec<_>>(released);
     }
 
-    fn choose(
+    /// Chooses an engine and reserves a slot there; engines to avoid are used if no other one has a free slot.
+    fn choose_engine(
         &self,
         route: &Route,
-        todo: &Todo,
+        pending: &PendingRun,
         rounds: &mut Map<Arc<str>, PlacementRound>,
     ) -> Option<(Arc<str>, Arc<Upstream>)> {
         let service = Config::pick_service(route, rand::random())?;
-        let at = todo.job.index as usize;
-        let sample = &self.work.spec.samples[at];
-        let draft = self.work.drafts[at].lock();
+        let index = pending.sample.index as usize;
+        let sample = &self.owned.spec.samples[index];
+        let draft = self.owned.drafts[index].lock();
         let memory = self.app.memory(service);
-        let want = PlacementRequest {
+        let request = PlacementRequest {
             service,
-            model: Some(&self.work.head.model),
-            min_version: self.work.head.min_version,
+            model: Some(&self.owned.head.model),
+            min_version: self.owned.head.min_version,
             queue_limit: 0,
             domain: &self.app.settings.domain,
-            cached_on: self.kin.get(&todo.job.group).map(|kin| &**kin),
-            avoid: &todo.avoid,
+            cached_on: self
+                .group_engines
+                .get(&pending.sample.group)
+                .map(|engine| &**engine),
+            avoid: &pending.avoid,
             tokens: memory.run_tokens(sample.prompt, draft.last_event),
             memory,
         };
-        let mut apart = self.app.crashes.upstreams_to_avoid(|| self.mark(todo));
-        apart.extend_from_slice(&todo.avoid);
-        let any = PlacementRequest { avoid: &[], ..want };
-        let want = PlacementRequest {
-            avoid: &apart,
-            ..want
+        let mut avoid = self
+            .app
+            .crashes
+            .upstreams_to_avoid(|| self.identity(pending));
+        avoid.extend_from_slice(&pending.avoid);
+        let fallback = PlacementRequest {
+            avoid: &[],
+            ..request
+        };
+        let preferred = PlacementRequest {
+            avoid: &avoid,
+            ..request
         };
         let now = self.app.clock.now();
         let roster = self.app.roster.lock();
         let mut fleet = self.app.fleet.lock();
         let round = rounds
             .entry(service.clone())
-            .or_insert_with(|| PlacementRound::new(&fleet, &roster, &any, now));
+            .or_insert_with(|| PlacementRound::new(&fleet, &roster, &fallback, now));
         let engine = round
-            .choose(&fleet, &roster, &want, now)
-            .or_else(|| round.choose(&fleet, &roster, &any, now))?;
-        fleet.run_started(&engine.id, want.tokens);
+            .choose(&fleet, &roster, &preferred, now)
+            .or_else(|| round.choose(&fleet, &roster, &fallback, now))?;
+        fleet.run_started(&engine.id, preferred.tokens);
         Some((service.clone(), engine))
     }
 
-    fn begin(
+    fn start_run(
         &mut self,
         route: &Route,
         service: Arc<str>,
         engine: Arc<Upstream>,
-        todo: Todo,
+        pending: PendingRun,
         permit: Permit,
     ) {
-        self.kin.insert(todo.job.group.clone(), engine.id.clone());
+        self.group_engines
+            .insert(pending.sample.group.clone(), engine.id.clone());
         let run = Run {
             app: self.app.clone(),
-            work: self.work.clone(),
-            host: self.work.head.host.clone(),
-            principal: self.work.principal(self.app),
+            owned: self.owned.clone(),
+            host: self.owned.head.host.clone(),
+            principal: self.owned.principal(self.app),
             service,
-            model: self.work.head.model.clone(),
-            least: self.work.head.min_version,
-            single: route.single_version,
+            model: self.owned.head.model.clone(),
+            min_version: self.owned.head.min_version,
+            single_version: route.single_version,
             engine: engine.clone(),
             permit,
         };
-        let work = self.work.clone();
-        let index = todo.job.index;
-        log::info!(target: "owner", id = &*self.sample(&todo).id, step = &*work.step,
-            upstream = &*engine.id, first = work.drafts[index as usize].lock().last_event,
-            heard_ms = work.unheard(self.app); "sample begun");
-        let stay = self
+        let owned = self.owned.clone();
+        let index = pending.sample.index;
+        log::info!(target: "owner", id = &*self.sample(&pending).id, step = &*owned.step,
+            upstream = &*engine.id, first = owned.drafts[index as usize].lock().last_event,
+            heard_ms = owned.confirmation_age(self.app); "sample begun");
+        let suspect = self
             .app
             .crashes
-            .track_suspect(|| self.mark(&todo), &engine.id);
+            .track_suspect(|| self.identity(&pending), &engine.id);
         self.runs.spawn(async move {
-            let _stay = stay;
-            let at = index as usize;
-            let ended = run.go(&work.spec.samples[at], &work.drafts[at]).await;
-            Ran {
+            let _suspect = suspect;
+            let position = index as usize;
+            let outcome = run
+                .execute(&owned.spec.samples[position], &owned.drafts[position])
+                .await;
+            FinishedRun {
                 index,
-                ended,
+                outcome,
                 engine,
             }
         });
--- a/crates/node/src/owner/looks.rs
+++ b/crates/node/src/owner/looks.rs
@@ -1,4 +1,4 @@
-//! Looking after engines whose weights are too old for a step.
+//! Probes engines whose weights are too old for a step, to notice newer ones before the upstream list names them.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -13,70 +13,69 @@
 use crate::App;
 use crate::control;
 
-/// Time between two looks at engines whose version is too old.
-const LOOK: Millis = 250;
+/// Minimum interval between two rounds of probes.
+const PROBE_INTERVAL: Millis = 250;
 
-/// Engines that are asked in one such look: enough for the first samples that wait, and few probes.
-const LOOKED: usize = 12;
+/// Maximum number of engines in one round: enough for the first waiting samples, at the cost of few requests.
+const MAX_PROBES: usize = 12;
 
-/// Time between two lines that say for what samples wait.
-const TELL: Millis = 1_000;
+/// Minimum interval between two log lines about waiting samples.
+const LOG_INTERVAL: Millis = 1_000;
 
-/// Questions to engines, and when they were asked.
+/// The running probes, and when probes and log lines were last issued.
 #[derive(Debug, Default)]
-pub(super) struct Looks {
-    asks: JoinSet<()>,
-    looked: Millis,
-    told: Millis,
+pub(super) struct VersionProbes {
+    running: JoinSet<()>,
+    probed_at: Millis,
+    logged_at: Millis,
 }
 
-impl Looks {
-    /// Waits until a question has been answered; [`None`] when there is none.
-    pub(super) async fn ended(&mut self) -> Option<()> {
-        self.asks.join_next().await.map(|_| ())
+impl VersionProbes {
+    /// Waits until a probe has finished; [`None`] when none is running.
+    pub(super) async fn finished(&mut self) -> Option<()> {
+        self.running.join_next().await.map(|_| ())
     }
 
-    /// Asks engines whose version is too old whether they have a newer one by now; `waiting` samples
-    /// wait for them.
+    /// Starts a round of probes if one is due. `waiting` is the number of samples without an engine, for the log.
     pub(super) fn begin(
         &mut self,
         app: &Arc<App>,
-        work: &OwnedStep,
+        owned: &OwnedStep,
         route: &Route,
         waiting: usize,
     ) {
         let now = app.clock.now();
-        if now < self.looked + LOOK || !self.asks.is_empty() {
+        if now < self.probed_at + PROBE_INTERVAL || !self.running.is_empty() {
             return;
         }
-        self.looked = now;
-        let (model, least) = (&work.head.model, work.head.min_version);
+        self.probed_at = now;
+        let (model, least) = (&owned.head.model, owned.head.min_version);
         let roster = app.roster.lock();
         let fleet = app.fleet.lock();
-        let mine = |one: &&Arc<Upstream>| {
+        let serves_route = |engine: &&Arc<Upstream>| {
             let mut shares = route.services.iter();
-            shares.any(|share| share.service == one.service)
+            shares.any(|share| share.service == engine.service)
         };
         let mut old: Vec<_> = roster
             .all()
-            .filter(mine)
-            .filter_map(|one| Some((fleet.version(one, model)?, one)))
+            .filter(serves_route)
+            .filter_map(|engine| Some((fleet.version(engine, model)?, engine)))
             .filter(|(version, _)| *version < least)
             .collect();
-        if now >= self.told + TELL {
-            self.told = now;
-            let engines = roster.all().filter(mine).count();
-            log::info!(target: "owner", id = &*work.step, samples = waiting, engines,
+        if now >= self.logged_at + LOG_INTERVAL {
+            self.logged_at = now;
+            let engines = roster.all().filter(serves_route).count();
+            log::info!(target: "owner", id = &*owned.step, samples = waiting, engines,
                 old = old.len(), least; "samples wait for engines");
         }
-        // Those that are least behind belong to the model and are about to have the version.
+        // Engines with the newest versions come first: they serve the model and are about to load the required version.
         old.shuffle(&mut rand::rng());
         old.sort_by_key(|(version, _)| Reverse(*version));
-        for (_, one) in old.into_iter().take(LOOKED) {
-            let (app, one) = (app.clone(), one.clone());
-            self.asks.spawn(async move {
-                // An engine that does not tell is asked again with a later look.
-                let _ = control::state(&app, &one).await;
+        for (_, engine) in old.into_iter().take(MAX_PROBES) {
+            let (app, engine) = (app.clone(), engine.clone());
+            self.running.spawn(async move {
+                // An engine that does not answer is probed again in a later round.
+                let _ = control::query_state(&app, &engine).await;
             });
         }
     }
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/work.rs
@@ -1,4 +1,4 @@
-//! A step that this instance owns, and what it knows of it.
+//! A step that this instance owns, with the progress of its samples.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -35,13 +35,13 @@
 use crate::print;
 use crate::shelf::Page;
 
-/// Time for which results are gathered into one write: a write is a call that the platform counts, and
-/// nobody waits for the first results of a step.
-const GATHER: Millis = 400;
+/// Time for which results are collected into one write. Each write counts against the platform's limits, and callers
+/// do not wait for the first results of a step.
+const WRITE_INTERVAL: Millis = 400;
 
-/// Time for which word from the platform that the step is ours is believed when a reader is told
-/// that there is no result yet.
-const FRESH: Millis = 600;
+/// Maximum age of the last confirmation that the step is open and owned by this instance, for an answer to a reader
+/// that there are no new results.
+const MAX_CONFIRMATION_AGE: Millis = 600;
 
 /// A step that this instance owns.
 pub struct OwnedStep {
@@ -49,23 +49,26 @@
     pub(super) head: Head,
     pub(super) rev: i64,
     pub(super) spec: Arc<Spec>,
-    /// What each sample has so far, by its place in the step.
+    /// The text of each sample so far, by the sample's index in the step.
     pub(super) drafts: Vec<Mutex<Draft>>,
-    /// How far the platform has them.
-    pub(super) kept: Mutex<Checkpoints>,
+    /// How much of the drafts is saved at the platform.
+    pub(super) checkpoints: Mutex<Checkpoints>,
     /// When the step was opened, on this instance's clock.
-    pub(super) opened: Millis,
+    pub(super) opened_at: Millis,
     pub(super) ledger: Mutex<Ledger>,
+    /// Number of results that were written to the platform.
     pub(super) listed: watch::Sender<usize>,
-    /// What is known of whether the step is open.
-    pub(super) word: Mutex<Confirmation>,
+    /// The last confirmation that the step is open.
+    pub(super) confirmation: Mutex<Confirmation>,
     pub(super) ended: AtomicBool,
+    /// Whether another instance has taken the step over, or its records were removed.
     pub(super) lost: AtomicBool,
-    /// Whether another step goes on with what this one has left over.
-    pub(super) handed: AtomicBool,
-    /// Samples that an earlier step has left over.
-    pub(super) again: Set<u32>,
-    pub(super) bell: Notify,
+    /// Whether another step has adopted drafts of this one.
+    pub(super) handed_over: AtomicBool,
+    /// Indices of the samples that an earlier step did not finish.
+    pub(super) carried_over: Set<u32>,
+    /// Notified when the state of the step has changed.
+    pub(super) changed: Notify,
 }
 
 impl OwnedStep {
@@ -74,59 +77,59 @@
         step: &Arc<str>,
         head: Head,
         spec: Spec,
-        open: &Ownership,
-        opened: Millis,
+        ownership: &Ownership,
+        opened_at: Millis,
     ) -> Self {
         let groups = spec.samples.iter().map(|sample| &sample.group);
-        let ledger = Ledger::new(Groups::new(groups, head.required_groups), GATHER);
+        let ledger = Ledger::new(Groups::new(groups, head.required_groups), WRITE_INTERVAL);
         let drafts = spec.samples.iter().map(|_| Mutex::default());
         Self {
             drafts: drafts.collect(),
-            kept: Mutex::default(),
+            checkpoints: Mutex::default(),
             step: step.clone(),
             head,
-            rev: open.rev(),
+            rev: ownership.rev(),
             spec: Arc::new(spec),
-            opened,
+            opened_at,
             ledger: Mutex::new(ledger),
             listed: watch::Sender::new(0),
-            word: Mutex::new(Confirmation::new(app.settings.cancel, open.asked_at())),
+            confirmation: Mutex::new(Confirmation::new(app.settings.cancel, ownership.asked_at())),
             ended: AtomicBool::new(false),
             lost: AtomicBool::new(false),
-            handed: AtomicBool::new(false),
-            again: Set::default(),
-            bell: Notify::new(),
+            handed_over: AtomicBool::new(false),
+            carried_over: Set::default(),
+            changed: Notify::new(),
         }
     }
 
-    /// Notes that the step has ended while its head had a revision, and how that was heard; with another one it is
-    /// somebody else's by now, who may have listed more.
+    /// Marks the step as ended if it ended at head revision `rev`; `why` says how this instance learned of it. At
+    /// another revision, another instance owned the step and may have written more results.
     pub(crate) fn mark_ended(&self, app: &App, rev: i64, why: &str) {
         if rev != self.rev || self.ended.swap(true, Ordering::Relaxed) {
             return;
         }
-        log::info!(target: "owner", id = &*self.step, revision = rev, why, heard_ms = self.unheard(app);
-            "end heard of");
-        self.bell.notify_one();
+        log::info!(target: "owner", id = &*self.step, revision = rev, why, heard_ms = self.confirmation_age(app);
+            "step has ended");
+        self.changed.notify_one();
     }
 
     pub(super) fn has_ended(&self) -> bool {
         self.ended.load(Ordering::Relaxed)
     }
 
-    /// Notes that somebody else runs the step, whose head had a revision before.
+    /// Marks the step as lost if the instance that took it over replaced head revision `rev`.
     pub(crate) fn mark_replaced(&self, rev: i64) {
         if rev == self.rev {
-            self.lose();
+            self.mark_lost();
         }
     }
 
-    pub(super) fn lose(&self) {
+    pub(super) fn mark_lost(&self) {
         if self.lost.swap(true, Ordering::Relaxed) {
             return;
         }
-        log::warn!(target: "owner", id = &*self.step, revision = self.rev; "step taken over by somebody else");
-        self.bell.notify_one();
+        log::warn!(target: "owner", id = &*self.step, revision = self.rev; "step taken over by another instance");
+        self.changed.notify_one();
     }
 
     pub(super) fn is_lost(&self) -> bool {
@@ -138,66 +141,67 @@
         &self.step
     }
 
-    /// Time since the step was last known to be open.
-    pub(super) fn unheard(&self, app: &App) -> Millis {
-        let heard = self.word.lock().confirmed_at();
-        app.clock.now().saturating_sub(heard)
+    /// Time since the check that last confirmed the step as open, in milliseconds.
+    pub(super) fn confirmation_age(&self, app: &App) -> Millis {
+        let confirmed_at = self.confirmation.lock().confirmed_at();
+        app.clock.now().saturating_sub(confirmed_at)
     }
 
-    /// Leave to begin samples, or requests for their scores.
+    /// Returns a permit to start samples, or to send requests for their scores, if the step is known to be open.
     pub(crate) fn permit(&self, app: &App) -> Option<Permit> {
         if self.has_ended() || self.is_lost() {
             return None;
         }
-        self.word.lock().permit(app.clock.now())
+        self.confirmation.lock().permit(app.clock.now())
     }
 
-    /// Takes in what the platform says of the step; tells whether it is open, and still this instance's.
-    pub(super) fn stand(&self, app: &App, standing: OwnershipState) -> bool {
-        match standing {
-            OwnershipState::Open(open) => {
-                self.word.lock().confirm(open.asked_at());
+    /// Applies the result of a check of the head; returns whether the step is open and still owned by this instance.
+    pub(super) fn apply_state(&self, app: &App, state: OwnershipState) -> bool {
+        match state {
+            OwnershipState::Open(ownership) => {
+                self.confirmation.lock().confirm(ownership.asked_at());
                 return true;
             }
             OwnershipState::Ended => self.mark_ended(app, self.rev, "asked"),
-            OwnershipState::Lost => self.lose(),
+            OwnershipState::Lost => self.mark_lost(),
         }
         false
     }
 
-    /// Asks the platform whether the step is open, and still this instance's.
-    pub(super) async fn ask(&self, app: &App) -> bool {
-        let asked = app.clock.now();
-        let standing = match app.plat.get(&keys::head(&self.step)).await {
-            Ok(item) => claim::ownership_state(asked, self.rev, item.as_ref()),
+    /// Asks the platform whether the step is open and still owned by this instance; false if it does not answer.
+    pub(super) async fn confirm_ownership(&self, app: &App) -> bool {
+        let asked_at = app.clock.now();
+        let state = match app.plat.get(&keys::head(&self.step)).await {
+            Ok(item) => claim::ownership_state(asked_at, self.rev, item.as_ref()),
             Err(error) => Err(error),
         };
-        match standing {
-            Ok(standing) => self.stand(app, standing),
+        match state {
+            Ok(state) => self.apply_state(app, state),
             Err(error) => {
-                self.unknown(app, &error.to_string());
+                self.log_unconfirmed(app, &error.to_string());
                 false
             }
         }
     }
 
-    /// Tells that a question had no answer.
-    pub(super) fn unknown(&self, app: &App, why: &str) {
-        log::info!(target: "owner", id = &*self.step, why, heard_ms = self.unheard(app);
-            "not known whether the step is open");
+    /// Logs that a check of the head failed.
+    pub(super) fn log_unconfirmed(&self, app: &App, why: &str) {
+        log::info!(target: "owner", id = &*self.step, why, heard_ms = self.confirmation_age(app);
+            "unknown whether the step is open");
     }
 
-    /// The body of a sample's request.
-    pub fn sample_body(&self, sample: &str) -> Option<Vec<u8>> {
-        let found = self.spec.samples.iter().find(|one| &*one.id == sample);
-        found.map(|one| one.body.clone())
+    /// The body of the request of the sample with this ID.
+    pub fn sample_body(&self, id: &str) -> Option<Vec<u8>> {
+        let found = self.spec.samples.iter().find(|sample| &*sample.id == id);
+        found.map(|sample| sample.body.clone())
     }
 
-    /// The results from a position on; [`None`] when this instance cannot be sure of them.
+    /// The results from index `from` on, after waiting up to `wait` milliseconds for one; [`None`] if other results
+    /// may have been written that this instance does not know.
     pub async fn page(&self, app: &App, from: usize, wait: Millis) -> Option<Page> {
         let mut listed = self.listed.subscribe();
         let more = listed.wait_for(|count| *count > from);
-        // The wait ends without a result when the time is over, or the step has been dropped.
+        // The wait ends without a result on a timeout, or when the step was dropped.
         let _ = timeout(Duration::from_millis(wait), more).await;
         let page = {
             let ledger = self.ledger.lock();
@@ -206,23 +210,23 @@
                 entries: ledger.listed().get(from..).unwrap_or_default().to_vec(),
             }
         };
-        let sure = !page.entries.is_empty() || self.is_sure(app).await;
-        sure.then_some(page)
+        let current = !page.entries.is_empty() || self.is_current(app).await;
+        current.then_some(page)
     }
 
-    /// Tells whether nobody else can have listed results that are not known here.
-    pub(super) async fn is_sure(&self, app: &App) -> bool {
-        // A write that is under way may be at the platform, where others have read it already.
+    /// Returns whether this instance knows all results that were written.
+    pub(super) async fn is_current(&self, app: &App) -> bool {
+        // A pending write may already have been applied, and other instances may have read it.
         if self.is_lost() || self.ledger.lock().has_pending_write() {
             return false;
         }
         if self.ledger.lock().is_done() || self.has_ended() {
             return true;
         }
-        if app.clock.now() < self.word.lock().confirmed_at() + FRESH {
+        if app.clock.now() < self.confirmation.lock().confirmed_at() + MAX_CONFIRMATION_AGE {
             return true;
         }
-        self.ask(app).await
+        self.confirm_ownership(app).await
     }
 
     pub(super) fn route(&self, app: &App) -> Option<Arc<Route>> {
@@ -232,77 +236,77 @@
             .cloned()
     }
 
-    /// On whose behalf the step runs.
+    /// The team on whose behalf the step runs, if teams are configured.
     pub(crate) fn principal(&self, app: &App) -> Principal {
         let plan = app.plan.load();
         let configured = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
         Principal::from_record(self.head.team.as_ref(), configured)
     }
 
-    /// A number that differs between samples whose requests differ, or are of different teams: no team gets
-    /// anything of another one's text.
-    pub(super) fn print(&self, sample: &Sample) -> u64 {
-        print::left(self.head.team.as_deref(), sample)
+    /// The fingerprint of a sample's request and its team, so that a draft is never given to another team.
+    pub(super) fn fingerprint(&self, sample: &Sample) -> u64 {
+        print::leftover(self.head.team.as_deref(), sample)
     }
 
-    /// Hands over what the step has left over of samples with some prints, once it has ended.
-    pub fn hand(&self, model: &str, samples: &[u64]) -> Vec<(u64, Draft)> {
+    /// Hands over the drafts of the samples with these fingerprints, once the step has ended. Returns none if the
+    /// step used another model.
+    pub fn hand_over_drafts(&self, model: &str, fingerprints: &[u64]) -> Vec<(u64, Draft)> {
         if !self.has_ended() || *self.head.model != *model {
             return Vec::new();
         }
         let all = self.spec.samples.iter().zip(&self.drafts);
-        let prints = all.map(|(sample, draft)| (self.print(sample), draft));
-        let left = prints.filter(|(print, _)| samples.contains(print));
-        let left = left.map(|(print, draft)| (print, draft.lock().clone()));
-        let left: Vec<_> = left.filter(|(_, draft)| draft.last_event > 0).collect();
-        if !left.is_empty() {
-            self.handed.store(true, Ordering::Relaxed);
-            self.bell.notify_one();
+        let all = all.map(|(sample, draft)| (self.fingerprint(sample), draft));
+        let matching = all.filter(|(fingerprint, _)| fingerprints.contains(fingerprint));
+        let matching = matching.map(|(fingerprint, draft)| (fingerprint, draft.lock().clone()));
+        let started: Vec<_> = matching.filter(|(_, draft)| draft.last_event > 0).collect();
+        if !started.is_empty() {
+            self.handed_over.store(true, Ordering::Relaxed);
+            self.changed.notify_one();
         }
-        left
+        started
     }
 
-    /// Takes over what an earlier step has left over, as far as the versions do here; gives the
-    /// number of samples.
-    pub(super) fn take_drafts(&self, drafts: Vec<(u64, Draft)>) -> usize {
-        let mut left: Map<u64, Draft> = Map::default();
-        for (print, draft) in drafts {
-            let fits = draft
+    /// Adopts the drafts of an earlier step whose versions are recent enough for this one; returns the number of
+    /// samples that adopted one.
+    pub(super) fn adopt_drafts(&self, drafts: Vec<(u64, Draft)>) -> usize {
+        let mut longest: Map<u64, Draft> = Map::default();
+        for (fingerprint, draft) in drafts {
+            let recent = draft
                 .versions
                 .iter()
                 .all(|version| *version >= self.head.min_version);
-            let longer = left
-                .get(&print)
-                .is_none_or(|have| have.last_event < draft.last_event);
-            if fits && longer {
-                left.insert(print, draft);
+            let longer = longest
+                .get(&fingerprint)
+                .is_none_or(|known| known.last_event < draft.last_event);
+            if recent && longer {
+                longest.insert(fingerprint, draft);
             }
         }
         let ledger = self.ledger.lock();
-        let mut taken = 0;
+        let mut adopted = 0;
         for (index, sample) in self.spec.samples.iter().enumerate() {
-            let Some(draft) = left.remove(&self.print(sample)) else {
+            let Some(draft) = longest.remove(&self.fingerprint(sample)) else {
                 continue;
             };
-            let mut have = self.drafts[index].lock();
-            if !ledger.has_ended(index as u32) && draft.last_event > have.last_event {
-                *have = draft;
-                self.kept.lock().reset(index as u32);
-                taken += 1;
+            let mut own = self.drafts[index].lock();
+            if !ledger.has_ended(index as u32) && draft.last_event > own.last_event {
+                *own = draft;
+                self.checkpoints.lock().reset(index as u32);
+                adopted += 1;
             }
         }
-        taken
+        adopted
     }
 
-    /// What samples that have not ended have gained since the platform was told of them.
-    pub(super) fn gained(&self, ended: &[bool]) -> Vec<DraftDelta> {
+    /// The changes to the drafts of samples that have not ended since they were last saved at the platform.
+    pub(super) fn take_deltas(&self, ended: &[bool]) -> Vec<DraftDelta> {
         let drafts = self.drafts.iter().zip(ended).enumerate();
-        let open = drafts.filter(|(_, (_, ended))| !**ended);
-        let drafts: Vec<_> = open
+        let unfinished = drafts.filter(|(_, (_, ended))| !**ended);
+        let drafts: Vec<_> = unfinished
             .map(|(index, (draft, _))| (index as u32, draft.lock()))
             .collect();
         let drafts = drafts.iter().map(|(index, draft)| (*index, &**draft));
-        self.kept.lock().take_deltas(drafts)
+        self.checkpoints.lock().take_deltas(drafts)
     }
 
     pub(super) fn entry(
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -1,4 +1,4 @@
-//! Writing a segment of results under the conditions that make it safe.
+//! Writes a segment of results on condition that this instance still owns the step and that it has not ended.
 
 use batch::RecordError;
 use batch::Segment;
@@ -15,31 +15,31 @@
 use crate::claim;
 use crate::claim::OwnershipState;
 
-/// What a write of a segment came to.
-pub(super) enum Written {
-    /// It is at the platform.
-    Kept,
-    /// Whether it is there is not known.
-    Unclear,
+/// Result of [`write_segment`].
+pub(super) enum WriteOutcome {
+    /// The segment was written.
+    Applied,
+    /// It is unknown whether the segment was written.
+    Indeterminate,
     /// The step has ended.
     Ended,
-    /// Somebody else owns the step.
+    /// Another instance owns the step.
     Lost,
 }
 
-pub(super) async fn write_segment(app: &App, work: &OwnedStep, segment: &Segment) -> Written {
-    let sent = app.clock.now();
-    let Ok(puts) = puts(&work.step, segment) else {
-        // Texts and numbers always have an encoding.
-        return Written::Unclear;
+pub(super) async fn write_segment(app: &App, owned: &OwnedStep, segment: &Segment) -> WriteOutcome {
+    let sent_at = app.clock.now();
+    let Ok(puts) = encode_segment(&owned.step, segment) else {
+        // Strings and integers can always be encoded.
+        return WriteOutcome::Indeterminate;
     };
-    // All are written together, so any of them tells of the others.
+    // All keys are written in one transaction, so the first one shows whether it was applied.
     let Some(first) = puts.first().cloned() else {
-        return Written::Kept;
+        return WriteOutcome::Applied;
     };
-    let end = keys::end(&work.step);
+    let end = keys::end(&owned.step);
     let mut guards = vec![
-        Guard::At(keys::head(&work.step), work.rev),
+        Guard::At(keys::head(&owned.step), owned.rev),
         Guard::Absent(end.clone()),
     ];
     guards.extend(puts.iter().map(|put| Guard::Absent(put.key.clone())));
@@ -50,21 +50,21 @@
     };
     match app.plat.txn(&txn).await {
         Ok(TxnOutcome::At(_)) => {
-            work.word.lock().confirm(sent);
-            Written::Kept
+            owned.confirmation.lock().confirm(sent_at);
+            WriteOutcome::Applied
         }
-        Ok(TxnOutcome::Conflict) => settle(app, work, &first, &end).await,
+        Ok(TxnOutcome::Conflict) => resolve_conflict(app, owned, &first, &end).await,
         Err(error) => {
             let why = error.to_string();
-            log::warn!(target: "owner", id = &*work.step, segment = segment.seq,
-                why = why.as_str(); "segment not written");
-            Written::Unclear
+            log::warn!(target: "owner", id = &*owned.step, segment = segment.seq,
+                why = why.as_str(); "could not write segment");
+            WriteOutcome::Indeterminate
         }
     }
 }
 
-/// What is written of a segment: its results, if there are any, and what samples have gained.
-fn puts(step: &str, segment: &Segment) -> Result<Vec<Put>, RecordError> {
+/// Encodes a segment: its results, if there are any, and the changes to the drafts of unfinished samples.
+fn encode_segment(step: &str, segment: &Segment) -> Result<Vec<Put>, RecordError> {
     let mut puts = Vec::new();
     if !segment.entries.is_empty() {
         let value = record::encode(&segment.entries)?;
@@ -77,38 +77,38 @@
     Ok(puts)
 }
 
-/// Finds out why a segment could not be written: an earlier try of the same write took effect, the
-/// step has ended, or it was taken over.
-async fn settle(app: &App, work: &OwnedStep, put: &Put, end: &str) -> Written {
-    let asked = app.clock.now();
-    let found: Result<_, PlatError> = async {
-        let head = app.plat.get(&keys::head(&work.step)).await?;
-        let there = app.plat.get(&put.key).await?;
+/// Finds out why the conditions of a write failed: an earlier attempt of the same write was applied, the step has
+/// ended, or it was taken over.
+async fn resolve_conflict(app: &App, owned: &OwnedStep, put: &Put, end: &str) -> WriteOutcome {
+    let asked_at = app.clock.now();
+    let reads: Result<_, PlatError> = async {
+        let head = app.plat.get(&keys::head(&owned.step)).await?;
+        let written = app.plat.get(&put.key).await?;
         let ended = app.plat.get(end).await?;
         Ok((
-            claim::ownership_state(asked, work.rev, head.as_ref())?,
-            there,
+            claim::ownership_state(asked_at, owned.rev, head.as_ref())?,
+            written,
             ended,
         ))
     }
     .await;
-    let Ok((standing, there, ended)) = found else {
-        return Written::Unclear;
+    let Ok((state, written, ended)) = reads else {
+        return WriteOutcome::Indeterminate;
     };
-    let lost = matches!(standing, OwnershipState::Lost);
-    let open = work.stand(app, standing);
-    match there {
-        _ if lost => Written::Lost,
-        Some(item) if item.value == put.value => Written::Kept,
+    let lost = matches!(state, OwnershipState::Lost);
+    let open = owned.apply_state(app, state);
+    match written {
+        _ if lost => WriteOutcome::Lost,
+        Some(item) if item.value == put.value => WriteOutcome::Applied,
         Some(_) => {
-            work.lose();
-            Written::Lost
+            owned.mark_lost();
+            WriteOutcome::Lost
         }
-        None if !open => Written::Ended,
+        None if !open => WriteOutcome::Ended,
         None if ended.is_some() => {
-            work.mark_ended(app, work.rev, "asked");
-            Written::Ended
+            owned.mark_ended(app, owned.rev, "asked");
+            WriteOutcome::Ended
         }
-        None => Written::Unclear,
+        None => WriteOutcome::Indeterminate,
     }
 }
--- a/crates/node/src/print.rs
+++ b/crates/node/src/print.rs
@@ -50,7 +50,7 @@
 }
 
 /// A number that differs between samples whose requests differ, though their names be alike, and between teams.
-pub(crate) fn left(team: Option<&str>, sample: &Sample) -> u64 {
+pub(crate) fn leftover(team: Option<&str>, sample: &Sample) -> u64 {
     let team = team.unwrap_or_default();
     let of = kernel::digest(&[team.as_bytes(), &sample.fingerprint().to_be_bytes()]);
     u64::from_be_bytes(of)
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of one sample at one engine.
+//! Runs one sample at one engine.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -25,82 +25,81 @@
 use crate::owner::OwnedStep;
 use crate::print;
 
-/// Time within which an engine with a free slot begins to answer: ten events of an ordinary engine,
-/// three of a slow one. One that does not is full, cut off or dark, and the sample had better begin
-/// elsewhere.
-const FIRST: Duration = Duration::from_millis(500);
+/// Time limit for the start of an engine's answer: ten events of an ordinary engine, three of a slow one. An engine
+/// that exceeds it is full or unreachable, and the sample will complete sooner at another one.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Silence between two events after which a run goes on elsewhere: several events of a slow engine,
-/// and a small part of the seconds that a step has.
-const SILENCE: Duration = Duration::from_millis(900);
+/// Time without an event after which a run is continued at another engine: several events of a slow engine, and a
+/// small part of the seconds that a step has.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for which an engine that turned a run away gets no other, in milliseconds.
-const FULL: Millis = 150;
+/// Time for which an engine that rejected a run as busy gets no other run, in milliseconds.
+const BUSY_BACKOFF: Millis = 150;
 
-/// Events after which a run asks whether it had better move.
-const LOOK: u64 = 4;
+/// Interval, in events, at which a run checks whether another engine would complete the sample sooner.
+const MOVE_CHECK_EVENTS: u64 = 4;
 
-/// The connection broke before the answer began.
-const CONNECTION: &str = "connection broke";
+/// The connection broke before the answer started.
+const CONNECTION_BROKE: &str = "connection broke";
 
-/// The connection broke in the midst of the answer.
-const STREAM: &str = "stream broke";
+/// The connection broke during the answer.
+const STREAM_BROKE: &str = "stream broke";
 
-/// How runs end at an engine that ends.
-const BROKE: [&str; 2] = [CONNECTION, STREAM];
+/// Reasons for which a run breaks off when its engine crashes.
+const CRASH_REASONS: [&str; 2] = [CONNECTION_BROKE, STREAM_BROKE];
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// The sample is whole.
-    Whole,
-    /// The engine says that the sample can never be made.
-    Hopeless,
-    /// The engine failed at the sample.
+pub enum RunOutcome {
+    /// The sample is complete.
+    Completed,
+    /// The sample cannot be run: the engine rejected its request permanently, or the request cannot be built.
+    Rejected,
+    /// The engine failed to run the sample.
     Failed,
-    /// The engine did not run it.
-    Unrun,
-    /// The rest will be whole sooner at another engine.
+    /// The engine did not execute the run.
+    Unexecuted,
+    /// Another engine is expected to complete the sample sooner.
     Moved,
-    /// The run broke off; it goes on elsewhere.
+    /// The run broke off for this reason, and is to be continued at another engine.
     Broken(&'static str),
-    /// It could not be sent while the step was known to be open.
-    Stale,
+    /// The permit expired before the run was sent.
+    PermitExpired,
 }
 
-/// One run.
+/// A run of a sample.
 pub struct Run {
     /// The instance.
     pub app: Arc<App>,
     /// The step.
-    pub work: Arc<OwnedStep>,
+    pub owned: Arc<OwnedStep>,
     /// The host of the step's route.
     pub host: Arc<str>,
-    /// On whose behalf the step runs.
+    /// The team on whose behalf the step runs, if teams are configured.
     pub principal: Principal,
     /// The service.
     pub service: Arc<str>,
     /// The model.
     pub model: Arc<str>,
-    /// The oldest version that may make events.
-    pub least: u64,
-    /// Whether all events have to be made by one version.
-    pub single: bool,
+    /// The oldest version of the weights that may generate events.
+    pub min_version: u64,
+    /// Whether one version has to generate all events.
+    pub single_version: bool,
     /// The engine.
     pub engine: Arc<Upstream>,
-    /// Leave to begin it: the step is open.
+    /// Permission to start the run, since the step is known to be open.
     pub permit: Permit,
 }
 
-/// Counts a run at an engine, and what it takes of its memory, for as long as it lives.
-struct Place<'a> {
+/// Counts a run against an engine's slots and memory until it is dropped.
+struct EngineSlot<'a> {
     run: &'a Run,
     tokens: AtomicU64,
 }
 
-impl Place<'_> {
-    /// Notes an event, with the milliseconds since the one before it.
-    fn event(&self, gap: Option<f64>, tokens: u64) {
+impl EngineSlot<'_> {
+    /// Records an event of `tokens` tokens; `gap` is the time since the previous event in milliseconds.
+    fn record_event(&self, gap: Option<f64>, tokens: u64) {
         self.tokens.fetch_add(tokens, Ordering::Relaxed);
         let mut fleet = self.run.app.fleet.lock();
         fleet.run_grew(&self.run.engine.id, tokens);
@@ -111,7 +110,7 @@
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for EngineSlot<'_> {
     fn drop(&mut self) {
         let Run { app, engine, .. } = self.run;
         let tokens = self.tokens.load(Ordering::Relaxed);
@@ -121,19 +120,20 @@
 }
 
 impl Run {
-    /// Runs the sample on from what it has. The place at the engine was taken by whoever chose it.
-    pub async fn go(&self, sample: &Sample, draft: &Mutex<Draft>) -> Ended {
-        let begun = self.app.clock.now();
+    /// Continues the sample after the events that its draft has. The caller must have reserved the slot at the engine;
+    /// it is released when the run ends.
+    pub async fn execute(&self, sample: &Sample, draft: &Mutex<Draft>) -> RunOutcome {
+        let started_at = self.app.clock.now();
         let first = draft.lock().last_event;
         let memory = self.app.memory(&self.service);
-        let place = Place {
+        let slot = EngineSlot {
             run: self,
             tokens: AtomicU64::new(memory.run_tokens(sample.prompt, first)),
         };
-        let ended = self.attempt(sample, draft, &place).await;
-        if ended == Ended::Whole {
+        let result = self.attempt(sample, draft, &slot).await;
+        if result == RunOutcome::Completed {
             draft.lock().complete = true;
-            self.app.crashes.record_success(|| self.mark(sample));
+            self.app.crashes.record_success(|| self.identity(sample));
             let events = draft.lock().last_event;
             self.app
                 .fleet
@@ -141,74 +141,89 @@
                 .sample_finished(sample.expected, events);
         }
         if !matches!(
-            ended,
-            Ended::Whole | Ended::Hopeless | Ended::Unrun | Ended::Moved | Ended::Stale
+            result,
+            RunOutcome::Completed
+                | RunOutcome::Rejected
+                | RunOutcome::Unexecuted
+                | RunOutcome::Moved
+                | RunOutcome::PermitExpired
         ) {
             self.app
                 .fleet
                 .lock()
                 .engine_failed(&self.engine.id, self.app.clock.now());
         }
-        if let Ended::Broken(why) = &ended
-            && BROKE.contains(why)
+        if let RunOutcome::Broken(why) = &result
+            && CRASH_REASONS.contains(why)
         {
-            let mark = self.mark(sample);
-            self.app.broke(&sample.id, mark, &self.engine).await;
+            let identity = self.identity(sample);
+            self.app.broke(&sample.id, identity, &self.engine).await;
         }
-        let took = self.app.clock.now() - begun;
-        let outcome = match &ended {
-            Ended::Whole => "whole",
-            Ended::Hopeless => "hopeless",
-            Ended::Failed => "failed",
-            Ended::Unrun => "unrun",
-            Ended::Moved => "moved",
-            Ended::Stale => "stale",
-            Ended::Broken(why) => why,
+        let took = self.app.clock.now() - started_at;
+        let outcome = match &result {
+            RunOutcome::Completed => "whole",
+            RunOutcome::Rejected => "hopeless",
+            RunOutcome::Failed => "failed",
+            RunOutcome::Unexecuted => "unrun",
+            RunOutcome::Moved => "moved",
+            RunOutcome::PermitExpired => "stale",
+            RunOutcome::Broken(why) => why,
         };
-        log::info!(target: "run", id = &*sample.id, step = &**self.work.name(),
+        log::info!(target: "run", id = &*sample.id, step = &**self.owned.name(),
             upstream = &*self.engine.id, first, to = draft.lock().last_event, took_ms = took,
             outcome; "run ended");
         metrics::counter!(crate::meter::ATTEMPTS, "outcome" => outcome).increment(1);
-        ended
+        result
     }
 
-    fn mark(&self, sample: &Sample) -> Identity {
+    fn identity(&self, sample: &Sample) -> Identity {
         let team = self.principal.team();
         print::sample(&self.host, team.map(|team| &**team), sample)
     }
 
-    async fn attempt(&self, sample: &Sample, draft: &Mutex<Draft>, place: &Place<'_>) -> Ended {
-        let last = draft.lock().last_event;
+    async fn attempt(
+        &self,
+        sample: &Sample,
+        draft: &Mutex<Draft>,
+        slot: &EngineSlot<'_>,
+    ) -> RunOutcome {
+        let last_event = draft.lock().last_event;
         let dialect = &self.app.dialect;
-        let request = match dialect.sample(sample, &self.host, &self.engine, last, &self.principal)
-        {
+        let request = match dialect.sample(
+            sample,
+            &self.host,
+            &self.engine,
+            last_event,
+            &self.principal,
+        ) {
             Ok(request) => request,
             Err(error) => {
                 let why = error.to_string();
-                log::warn!(target: "run", id = &*sample.id, why = why.as_str(); "no request");
-                return Ended::Hopeless;
+                log::warn!(target: "run", id = &*sample.id, why = why.as_str(); "could not build the sample's request");
+                return RunOutcome::Rejected;
             }
         };
-        // The process may have been paused since it was begun. From here on the time limit bounds what is sent.
+        // The process may have been paused since the permit was given. After this check, the time limit of the request
+        // bounds when it is sent.
         let left = self.permit.deadline().saturating_sub(self.app.clock.now());
         if left == 0 {
-            return Ended::Stale;
+            return RunOutcome::PermitExpired;
         }
-        match self.app.http.send(request, FIRST).await {
-            Ok(answer) => self.answer(sample, draft, answer, place).await,
-            Err(net::SendError::Unconnected) => Ended::Broken("no connection"),
-            Err(net::SendError::Late) => Ended::Broken("no answer"),
-            Err(_) => Ended::Broken(CONNECTION),
+        match self.app.http.send(request, ANSWER_TIMEOUT).await {
+            Ok(answer) => self.handle_answer(sample, draft, answer, slot).await,
+            Err(net::SendError::Unconnected) => RunOutcome::Broken("no connection"),
+            Err(net::SendError::Late) => RunOutcome::Broken("no answer"),
+            Err(_) => RunOutcome::Broken(CONNECTION_BROKE),
         }
     }
 
-    async fn answer(
+    async fn handle_answer(
         &self,
         sample: &Sample,
         draft: &Mutex<Draft>,
         answer: Response<Incoming>,
-        place: &Place<'_>,
-    ) -> Ended {
+        slot: &EngineSlot<'_>,
+    ) -> RunOutcome {
         let now = self.app.clock.now();
         let said = self.app.dialect.said(answer.status(), answer.headers());
         {
@@ -217,96 +232,96 @@
                 fleet.load_reported(&self.engine.id, load, now);
             }
             if said.unrun || said.other {
-                fleet.engine_busy(&self.engine.id, now + FULL);
-                return Ended::Unrun;
+                fleet.engine_busy(&self.engine.id, now + BUSY_BACKOFF);
+                return RunOutcome::Unexecuted;
             }
         }
         if said.id.as_deref() != Some(&*sample.id) || said.signature.is_none() {
-            return Ended::Broken("answer of something else");
+            return RunOutcome::Broken("answer of something else");
         }
         match answer.status() {
             StatusCode::OK => (),
-            StatusCode::UNPROCESSABLE_ENTITY => return Ended::Hopeless,
-            _ => return Ended::Failed,
+            StatusCode::UNPROCESSABLE_ENTITY => return RunOutcome::Rejected,
+            _ => return RunOutcome::Failed,
         }
         let mut events = Events::new(answer.into_body());
         let Some(version) = said.version else {
-            return rest(draft, &mut events).await;
+            return read_unversioned(draft, &mut events).await;
         };
-        if !self.admit(&draft.lock(), version) {
-            return Ended::Broken("version too old");
+        if !self.accepts_version(&draft.lock(), version) {
+            return RunOutcome::Broken("version too old");
         }
-        self.events(sample, draft, version, events, place).await
+        self.read_events(sample, draft, version, events, slot).await
     }
 
-    /// Tells whether events of a version may be added.
-    fn admit(&self, draft: &Draft, version: u64) -> bool {
+    /// Records the engine's version, and returns whether events of that version may be added to the draft.
+    fn accepts_version(&self, draft: &Draft, version: u64) -> bool {
         self.app
             .fleet
             .lock()
             .version_seen(&self.engine.id, &self.model, version);
-        let one = draft.versions.iter().all(|have| *have == version);
-        version >= self.least && (one || !self.single)
+        let unmixed = draft.versions.iter().all(|other| *other == version);
+        version >= self.min_version && (unmixed || !self.single_version)
     }
 
-    async fn events(
+    async fn read_events(
         &self,
         sample: &Sample,
         draft: &Mutex<Draft>,
         mut version: u64,
         mut events: Events,
-        place: &Place<'_>,
-    ) -> Ended {
+        slot: &EngineSlot<'_>,
+    ) -> RunOutcome {
         let tokens = u64::from(self.app.memory(&self.service).event_tokens);
-        let mut at = self.app.clock.now();
-        let mut seen: u64 = 0;
+        let mut previous_at = self.app.clock.now();
+        let mut received: u64 = 0;
         loop {
-            let next = timeout(SILENCE, events.next()).await;
+            let next = timeout(EVENT_TIMEOUT, events.next()).await;
             let block = match next {
                 Ok(Next::Block(block)) => block,
-                Ok(Next::End) if draft.lock().last_event > 0 => return Ended::Whole,
-                Ok(Next::End) => return Ended::Broken("empty"),
-                Ok(Next::Broken) => return Ended::Broken(STREAM),
-                Err(_) => return Ended::Broken("silent"),
+                Ok(Next::End) if draft.lock().last_event > 0 => return RunOutcome::Completed,
+                Ok(Next::End) => return RunOutcome::Broken("empty"),
+                Ok(Next::Broken) => return RunOutcome::Broken(STREAM_BROKE),
+                Err(_) => return RunOutcome::Broken("silent"),
             };
             let Some(event) = self.app.dialect.event(&block) else {
-                return Ended::Broken("no event");
+                return RunOutcome::Broken("no event");
             };
             if let Some(next) = event.version {
                 version = next;
-                if !self.admit(&draft.lock(), version) {
-                    return Ended::Broken("version changed");
+                if !self.accepts_version(&draft.lock(), version) {
+                    return RunOutcome::Broken("version changed");
                 }
             }
             if !draft.lock().add(event.number, &event.data, version) {
-                return Ended::Broken("event out of turn");
+                return RunOutcome::Broken("event out of turn");
             }
             let now = self.app.clock.now();
-            seen += 1;
-            let gap = (seen > 1).then_some((now - at) as f64);
-            place.event(gap, tokens);
-            at = now;
-            if seen.is_multiple_of(LOOK)
+            received += 1;
+            let gap = (received > 1).then_some((now - previous_at) as f64);
+            slot.record_event(gap, tokens);
+            previous_at = now;
+            if received.is_multiple_of(MOVE_CHECK_EVENTS)
                 && self.may_move()
-                && self.had_better_move(sample, &draft.lock())
+                && self.is_move_faster(sample, &draft.lock())
             {
-                return Ended::Moved;
+                return RunOutcome::Moved;
             }
         }
     }
 
-    /// Tells whether the sample may begin anywhere else now.
+    /// Returns whether the sample may be started at another engine now.
     fn may_move(&self) -> bool {
-        self.work.permit(&self.app).is_some()
+        self.owned.permit(&self.app).is_some()
     }
 
-    /// Tells whether the rest of the sample would be whole sooner at another engine.
-    fn had_better_move(&self, sample: &Sample, draft: &Draft) -> bool {
+    /// Returns whether another engine is expected to complete the sample sooner.
+    fn is_move_faster(&self, sample: &Sample, draft: &Draft) -> bool {
         let memory = self.app.memory(&self.service);
-        let want = PlacementRequest {
+        let request = PlacementRequest {
             service: &self.service,
             model: Some(&self.model),
-            min_version: self.least,
+            min_version: self.min_version,
             queue_limit: 0,
             domain: &self.app.settings.domain,
             cached_on: None,
@@ -316,22 +331,22 @@
         };
         let roster = self.app.roster.lock();
         let fleet = self.app.fleet.lock();
-        let left = fleet.remaining_events(sample.expected, draft.last_event);
+        let remaining = fleet.remaining_events(sample.expected, draft.last_event);
         let now = self.app.clock.now();
         fleet
-            .choose_better(&roster, &want, &self.engine.id, left, now)
+            .choose_better(&roster, &request, &self.engine.id, remaining, now)
             .is_some()
     }
 }
 
 /// Reads an answer that names no version.
 ///
-/// A run that broke off behind its last event leaves a text that is whole, and nobody knows it.
-/// Taking it up gives an answer without events, and so without a version; unless that counts as
-/// the end, the sample is asked for again and again until its step is over.
-async fn rest(draft: &Mutex<Draft>, events: &mut Events) -> Ended {
-    match timeout(SILENCE, events.next()).await {
-        Ok(Next::End) if draft.lock().last_event > 0 => Ended::Whole,
-        _ => Ended::Broken("no version"),
+/// If a run broke off after the last event of its sample, the text is complete, but this instance does not know that.
+/// Continuing the run gives an answer without events, and so without a version. It has to count as the end of the
+/// sample, which would otherwise be requested repeatedly until its step ends.
+async fn read_unversioned(draft: &Mutex<Draft>, events: &mut Events) -> RunOutcome {
+    match timeout(EVENT_TIMEOUT, events.next()).await {
+        Ok(Next::End) if draft.lock().last_event > 0 => RunOutcome::Completed,
+        _ => RunOutcome::Broken("no version"),
     }
 }
