--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -1,6 +1,6 @@
-//! Asking for the score of a sample whose text is whole.
+//! Requests the score of a sample whose text is complete.
 //!
-//! What follows from an answer is decided by [`batch::score`]; nothing of an engine is held meanwhile.
+//! [`batch::score`] decides what follows from an answer. The sample occupies no engine while its score is requested.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,62 +23,61 @@
 use crate::owner::OwnedStep;
 use crate::sent::ForwardedRequest;
 
-/// Time after which one try, with its second upstream, is given up: ten times the latency that callers
-/// of plain services aim at. Upstreams that have gone silent would else hold a sample for as long as
-/// its step lasts.
-const LIMIT: Duration = Duration::from_millis(1_500);
+/// Time limit of an attempt, including its second upstream: ten times the target latency of plain services. Without
+/// it, unresponsive upstreams would delay a sample for as long as its step lasts.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause before it is looked again whether the step is known to be open.
-const HOLD: Duration = Duration::from_millis(50);
+/// Interval between two checks whether the step is known to be open.
+const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Asks until there is a score, the scorer has failed too often, or the time is over; [`None`] when
-/// the sample cannot be scored. `most` failures are allowed where the route of the request allows no
-/// more.
+/// Requests a score until there is one, the scorer has failed too often, or the deadline has passed. Returns [`None`]
+/// when the sample cannot be scored. At least `max_failures` failed attempts are allowed; the route of the request may
+/// allow more.
 pub(crate) async fn score(
     app: &Arc<App>,
-    work: &OwnedStep,
+    owned: &OwnedStep,
     scoring: &Scoring,
     principal: &Principal,
-    most: u32,
-    until: Millis,
+    max_failures: u32,
+    deadline: Millis,
 ) -> Option<Arc<str>> {
-    let begun = app.clock.now();
+    let started_at = app.clock.now();
     let head = match app.dialect.scoring(scoring) {
         Ok(head) => head,
         Err(error) => {
             let why = error.to_string();
-            log::warn!(target: "score", id = &*scoring.id, why = why.as_str(); "no request");
+            log::warn!(target: "score", id = &*scoring.id, why = why.as_str(); "could not build the scoring request");
             return None;
         }
     };
     let body = Bytes::from(scoring.body.clone());
-    let mut tries = Retries::new(most);
-    let mut asked = 0;
+    let mut retries = Retries::new(max_failures);
+    let mut attempts = 0;
     let score = loop {
-        if app.clock.now() >= until {
+        if app.clock.now() >= deadline {
             break None;
         }
-        let Some(permit) = work.permit(app) else {
-            sleep(HOLD).await;
+        let Some(permit) = owned.permit(app) else {
+            sleep(PERMIT_POLL_INTERVAL).await;
             continue;
         };
-        let mut answer = AttemptResult::Inconclusive;
-        if let Some(route) = route(app, scoring) {
-            tries.raise_limit(route.max_attempts);
-            let sent = ForwardedRequest::for_score(
+        let mut result = AttemptResult::Inconclusive;
+        if let Some(route) = find_route(app, scoring) {
+            retries.raise_limit(route.max_attempts);
+            let request = ForwardedRequest::for_score(
                 app,
                 head.clone(),
                 scoring.id.clone(),
                 body.clone(),
-                until,
+                deadline,
                 principal.clone(),
             );
-            // A second upstream is tried while the step is known to be open.
-            let sent = sent.with_permit(permit);
-            answer = ask(sent, &route).await;
+            // The second upstream is tried only while the step is known to be open, too.
+            let request = request.with_permit(permit);
+            result = attempt(request, &route).await;
         }
-        asked += 1;
-        match tries.decide(answer) {
+        attempts += 1;
+        match retries.decide(result) {
             Decision::Score(score) => break Some(score),
             Decision::Fail => break None,
             Decision::Retry(pause) => sleep(Duration::from_millis(pause)).await,
@@ -86,20 +85,20 @@
     };
     let outcome = if score.is_some() { "scored" } else { "failed" };
     metrics::counter!(meter::SCORES, "outcome" => outcome).increment(1);
-    log::info!(target: "score", id = &*scoring.id, tries = asked, outcome,
-        took_ms = app.clock.now() - begun; "score ended");
+    log::info!(target: "score", id = &*scoring.id, tries = attempts, outcome,
+        took_ms = app.clock.now() - started_at; "scoring ended");
     score
 }
 
-fn route(app: &App, scoring: &Scoring) -> Option<Arc<Route>> {
+fn find_route(app: &App, scoring: &Scoring) -> Option<Arc<Route>> {
     let plan = app.plan.load();
     plan.as_ref()?
         .find_route(&scoring.host, &scoring.path)
         .cloned()
 }
 
-async fn ask(sent: ForwardedRequest, route: &Route) -> AttemptResult {
-    match forward::score(Arc::new(sent), route, LIMIT).await {
+async fn attempt(request: ForwardedRequest, route: &Route) -> AttemptResult {
+    match forward::score(Arc::new(request), route, ATTEMPT_TIMEOUT).await {
         Passed::Answer { answer, signature } if answer.status().is_success() => {
             AttemptResult::Scored(signature)
         }
--- a/crates/node/src/tally.rs
+++ b/crates/node/src/tally.rs
@@ -1,7 +1,9 @@
-//! What this instance knows of the requests of teams.
+//! This instance's counts of the requests of teams, and the copies that other instances keep of them.
 //!
-//! An entry instance tells a keeper of its failure domain what it counts, a part of a second after it changed and
-//! when a window closes, so that little is lost when it is killed. See [`usage`].
+//! An entry instance sends a snapshot of its counts to a keeper, an instance that stores it, preferably in the same
+//! failure domain. It does so a fraction of a second after the counts have changed and when a window closes, so that
+//! little is lost when the instance is killed.
+//! See [`usage`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,94 +20,94 @@
 use crate::settings::Role;
 use spread::Member;
 
-/// Time between two looks at whether there is something to tell. What was counted since is lost with a killed
-/// instance.
-const PUSH: Duration = Duration::from_millis(300);
+/// Interval between two checks whether the counts have changed. Requests that are counted in between are lost if the
+/// instance is killed.
+const PUSH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time that the address which takes reports has to accept a connection: within a region it takes milliseconds.
-const REACH: Duration = Duration::from_millis(250);
+/// Time limit for connecting to the address that receives reports: within a region it takes milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Keepers that are tried in turn.
-const TRIED: usize = 3;
+/// Maximum number of keepers that are tried in turn.
+const MAX_KEEPERS: usize = 3;
 
-/// Tells keepers what this instance counts.
+/// Sends snapshots of this instance's counts to a keeper.
 pub(crate) async fn push_snapshots(app: Arc<App>) {
     let Some(meter) = &app.meter else { return };
-    // The first word has nothing to tell but that this instance is there.
-    let mut told: Option<(Owner, Snapshot)> = None;
+    // The first snapshot is sent even without counts: it makes the instance known to the keeper.
+    let mut pushed: Option<(Owner, Snapshot)> = None;
     loop {
-        let tally = meter.lock().snapshot(app.clock.steady());
-        let known = told.as_ref().filter(|(_, known)| *known == tally);
-        if known.is_some_and(|(keeper, _)| is_there(&app, keeper)) {
-            sleep(PUSH).await;
+        let snapshot = meter.lock().snapshot(app.clock.steady());
+        let unchanged = pushed.as_ref().filter(|(_, last)| *last == snapshot);
+        if unchanged.is_some_and(|(keeper, _)| is_keeper(&app, keeper)) {
+            sleep(PUSH_INTERVAL).await;
             continue;
         }
         if keepers(&app).is_empty() {
-            meet(&app).await;
+            refresh_members(&app).await;
         }
         for keeper in keepers(&app) {
-            if peer::tally(&app, keeper.addr, tally.clone()).await {
-                told = Some((keeper.owner, tally));
+            if peer::tally(&app, keeper.addr, snapshot.clone()).await {
+                pushed = Some((keeper.owner, snapshot));
                 app.set_kept();
                 break;
             }
         }
-        sleep(PUSH).await;
+        sleep(PUSH_INTERVAL).await;
     }
 }
 
-/// Tells whether a keeper is still there: one that was started anew knows nothing of what its former start was told.
-fn is_there(app: &App, keeper: &Owner) -> bool {
-    keepers(app).iter().any(|one| one.owner == *keeper)
+/// Returns whether this start of an instance is still a keeper: after a restart, an instance has lost its snapshots.
+fn is_keeper(app: &App, start: &Owner) -> bool {
+    keepers(app).iter().any(|keeper| keeper.owner == *start)
 }
 
-/// Reads who has entered. An instance that has just started may serve requests before it knows anybody, and
-/// nobody would know what it counted when the window is reported.
-async fn meet(app: &App) {
+/// Reads the list of members. An instance that has just started may serve requests before it knows any other, and its
+/// counts would be missing when the window is reported.
+async fn refresh_members(app: &App) {
     match member::list(app).await {
         Ok(members) => app.met(members),
         Err(error) => {
             let error = error.to_string();
-            log::debug!(target: "accounts", error = error.as_str(); "no keeper known");
+            log::debug!(target: "accounts", error = error.as_str(); "could not list members to find a keeper");
         }
     }
 }
 
-/// The instances that keep what this one counts: those of its failure domain first.
+/// The keepers of this instance's counts, those of its failure domain first.
 fn keepers(app: &App) -> Vec<Member> {
     let members = app.members.lock();
-    let all = members.iter().filter(|one| !one.is_reader);
-    let mut all: Vec<&Member> = all.collect();
-    let far = |one: &&Member| *one.domain != *app.settings.domain;
-    all.sort_by_key(|one| {
+    let candidates = members.iter().filter(|member| !member.is_reader);
+    let mut candidates: Vec<&Member> = candidates.collect();
+    let is_remote = |member: &&Member| *member.domain != *app.settings.domain;
+    candidates.sort_by_key(|member| {
         (
-            far(one),
-            rendezvous_rank(&one.owner.instance, &app.me.instance),
+            is_remote(member),
+            rendezvous_rank(&member.owner.instance, &app.me.instance),
         )
     });
-    all.truncate(TRIED);
-    all.into_iter().cloned().collect()
+    candidates.truncate(MAX_KEEPERS);
+    candidates.into_iter().cloned().collect()
 }
 
-/// What this instance knows of the requests of a window: what it was told, and what it has counted.
+/// The counts of a window that this instance knows: the snapshots that it keeps, and its own counts.
 pub(crate) fn window_counts(app: &App, window: u64) -> Vec<WindowCounts> {
-    let mut shares = app.keeper.lock().window_counts(window);
+    let mut counts = app.keeper.lock().window_counts(window);
     if let Some(meter) = app
         .meter
         .as_ref()
         .filter(|_| app.settings.role == Role::Entry)
     {
-        let tally = meter.lock().snapshot(app.clock.steady());
-        let me = (app.me.instance.clone(), app.me.start);
-        shares.push(tally.window_counts(me, window));
+        let snapshot = meter.lock().snapshot(app.clock.steady());
+        let source = (app.me.instance.clone(), app.me.start);
+        counts.push(snapshot.window_counts(source, window));
     }
-    shares
+    counts
 }
 
-/// Tells whether the address that takes reports can be reached.
+/// Returns whether this instance can connect to the address that receives reports.
 pub(crate) async fn can_reach_accounts(app: &App) -> bool {
     match app.settings.accounts {
-        Some(accounts) => net::client::accepts(accounts.address, REACH).await,
+        Some(accounts) => net::client::accepts(accounts.address, CONNECT_TIMEOUT).await,
         None => false,
     }
 }
