--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,5 +1,5 @@
-//! Work that one instance at a time does for all: orders to engines, steps whose owner is gone,
-//! and records that are not needed any more.
+//! Duties of the leader, one instance at a time: loading weights at engines, ordering upstreams, reporting the requests
+//! of teams, taking over steps whose owner is gone, and removing records that are no longer needed.
 
 mod accounts;
 mod kept;
@@ -20,33 +20,33 @@
 use crate::dialect::DialectError;
 use crate::dialect::Stated;
 use crate::news;
-use office::Office;
+use office::Leadership;
 
-/// Time between two looks of the leader at what is due.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between two passes of the leader over the engines.
+const ORDER_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time that an engine has to state its versions and load.
-const STATE: Duration = Duration::from_millis(400);
+/// Time limit for an engine's answer about its versions and load.
+const STATE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Most bytes of such an answer.
-const MOST: usize = 1 << 20;
+/// Maximum size of that answer.
+const MAX_STATE_BYTES: usize = 1 << 20;
 
-/// Time for which an instance does not stand again that has given the office up for another one: longer than
-/// the others need to notice and to wait for its last order.
-const REST: Duration = Duration::from_secs(8);
+/// Time for which an instance that resigned in favor of another one is no candidate: longer than the other instances
+/// take to notice and to wait until its last order can no longer arrive.
+const CANDIDACY_PAUSE: Duration = Duration::from_secs(8);
 
-/// Why an instance leads no more.
+/// Reason for the end of a leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Over {
-    /// Its record belongs to somebody else.
+enum EndReason {
+    /// Another instance has replaced the leader's record.
     Lost,
-    /// It is leaving.
+    /// The instance is leaving.
     Leaving,
-    /// It does not reach what another instance reaches.
+    /// The instance cannot reach an address that another instance reaches.
     Unable,
 }
 
-impl Over {
+impl EndReason {
     fn name(self) -> &'static str {
         match self {
             Self::Lost => "replaced",
@@ -56,77 +56,77 @@
     }
 }
 
-/// Takes part in control until the instance has left.
+/// Runs for leader, and performs the leader's duties when elected, until the instance is leaving.
 pub async fn run(app: Arc<App>) {
     while !app.is_leaving() {
-        let office = office::stand(&app).await;
-        lead(&app, office).await;
+        let leadership = office::win_election(&app).await;
+        lead(&app, leadership).await;
     }
 }
 
-async fn lead(app: &Arc<App>, office: Office) {
-    let fence = office.fence();
+async fn lead(app: &Arc<App>, leadership: Leadership) {
+    let fence = leadership.fencing_token();
     log::info!(target: "control", fence; "became leader");
     let mut tasks = JoinSet::new();
     tasks.spawn(news::follow(app.clone()));
     let targets = targets::Targets::default();
     tasks.spawn(targets::follow(app.clone(), targets.clone()));
     tasks.spawn(orphans::run(app.clone(), targets.clone()));
-    let orders = async {
-        let mut orders = orders::Orders::new(app, &office);
+    let load_orders = async {
+        let mut orders = orders::LoadOrders::new(app, &leadership);
         while !app.is_leaving() {
-            orders.turn(&targets).await;
-            sleep(TICK).await;
+            orders.issue_due(&targets).await;
+            sleep(ORDER_INTERVAL).await;
         }
     };
     let reports = async {
-        match accounts::Reports::new(app, &office) {
-            Some(reports) => reports.run().await,
+        match accounts::UsageReporter::new(app, &leadership) {
+            Some(reporter) => reporter.run().await,
             None => std::future::pending().await,
         }
     };
-    let supplies = async {
-        match supply::Supplies::new(app, &office) {
-            Some(supplies) => supplies.run(&targets).await,
+    let capacity_orders = async {
+        match supply::CapacityOrders::new(app, &leadership) {
+            Some(orders) => orders.run(&targets).await,
             None => std::future::pending().await,
         }
     };
-    let over = tokio::select! {
-        () = office.keep(app) => Over::Lost,
-        () = orders => Over::Leaving,
-        // They end with the office alone.
-        () = supplies => Over::Lost,
-        accounts::Unable::Unreached = reports => Over::Unable,
+    let reason = tokio::select! {
+        () = leadership.renew(app) => EndReason::Lost,
+        () = load_orders => EndReason::Leaving,
+        // Never completes before the leadership ends.
+        () = capacity_orders => EndReason::Lost,
+        accounts::Unable::Unreached = reports => EndReason::Unable,
     };
-    if over != Over::Lost {
-        office.resign(app).await;
+    if reason != EndReason::Lost {
+        leadership.resign(app).await;
     }
-    log::warn!(target: "control", fence, why = over.name(); "leader no more");
-    if over == Over::Unable {
-        // The others stand meanwhile; one that reaches what this one does not is among them.
-        sleep(REST).await;
+    log::warn!(target: "control", fence, why = reason.name(); "leadership ended");
+    if reason == EndReason::Unable {
+        // Meanwhile another instance, which reaches that address, can become the leader.
+        sleep(CANDIDACY_PAUSE).await;
     }
 }
 
-/// Why an engine's state is not known.
+/// The error of a query of an engine's state.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum StateError {
-    /// There is no answer.
+    /// The engine did not answer.
     #[error(transparent)]
     Send(#[from] net::SendError),
-    /// The answer makes no sense.
+    /// The answer does not follow the protocol.
     #[error(transparent)]
     Dialect(#[from] DialectError),
-    /// Another start of the engine answers than the list names.
+    /// The engine was restarted, and the list still names its previous start.
     #[error("another start answers")]
     Start,
-    /// The request cannot be made.
+    /// The request could not be built.
     #[error("could not make the request")]
     Request(#[from] http::Error),
 }
 
-/// Asks an engine for its versions and load.
+/// Queries an engine's versions and load, and records its versions.
 ///
 /// # Errors
 ///
@@ -137,11 +137,14 @@
         .method(method)
         .uri(net::client::uri(engine.addr, path))
         .body(http_body_util::Full::default())?;
-    let answer = app.http.fetch(request, STATE, MOST).await?;
+    let answer = app
+        .http
+        .fetch(request, STATE_TIMEOUT, MAX_STATE_BYTES)
+        .await?;
     let stated = app.dialect.stated(answer.body())?;
-    // What it has counts for that start, which the list will name within a second or two.
-    if let (Some(born), Some(listed)) = (stated.born, engine.incarnation.started_at)
-        && born != listed
+    // The answer is valid for the new start only, which the list will name within a second or two.
+    if let (Some(started_at), Some(listed)) = (stated.born, engine.incarnation.started_at)
+        && started_at != listed
     {
         return Err(StateError::Start);
     }
--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/accounts.rs
@@ -1,8 +1,8 @@
-//! Reporting the requests of teams, window by window.
+//! Reports the requests of teams, window by window.
 //!
-//! What can go wrong: a report whose answer was lost is sent again by a successor that has collected other
-//! figures, and the platform has two for one window. Each report is therefore written down under the revision
-//! of the one before, and sent only when that write is known to hold.
+//! If the answer to a report is lost, the next leader sends the report again. If it collected other counts for that
+//! window, the platform would have two different reports of it. Each report is therefore stored by a compare-and-swap
+//! first, and sent only when that write is known to have been applied.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -20,8 +20,8 @@
 use usage::Windows;
 
 use super::kept;
-use super::kept::Kept;
-use super::office::Office;
+use super::kept::Versioned;
+use super::office::Leadership;
 use crate::App;
 use crate::dialect::Account;
 use crate::dialect::Accounted;
@@ -32,75 +32,77 @@
 use crate::settings::Accounts;
 use spread::Member;
 
-/// The key of what was reported.
-const KEY: &str = "snipeway/usage";
+/// The key of the stored reports.
+const USAGE_KEY: &str = "snipeway/usage";
 
-/// Pause between two tries, and between two looks at instances that have not closed a window.
-const AGAIN: Duration = Duration::from_millis(300);
+/// Pause between two attempts, and between two queries of instances that have not closed a window.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Time that a report has to be answered.
-const LIMIT: Duration = Duration::from_millis(1_000);
+/// Time limit for the answer to a report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Most bytes of an answer.
-const MOST: usize = 64 << 10;
+/// Maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Time after the end of a window from which instances that have not closed it are asked themselves, in
-/// milliseconds: their keeper may have been restarted and know nothing.
-const DIRECT: Millis = 900;
+/// Time after the end of a window from which instances that have not closed it are queried directly, in milliseconds:
+/// their keeper may have been restarted and have lost their counts.
+const DIRECT_QUERY_DELAY: Millis = 900;
 
-/// Part of the time that a report may take for which it waits for instances that are silent.
-const PATIENCE: f64 = 0.6;
+/// Fraction of the time limit of a report for which it waits for instances that do not answer.
+const WAIT_FRACTION: f64 = 0.6;
 
-/// Time for which reports fail before it is asked whether another instance reaches the address, in milliseconds.
-const UNREACHED: Millis = 2_000;
+/// Time for which reports must have failed before the other instances are asked whether they reach the address, in
+/// milliseconds.
+const UNREACHED_DELAY: Millis = 2_000;
 
-/// Why the holder of the duty gives it up.
+/// Reason for which the leader cannot report and should resign.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unable {
-    /// Another instance reaches the address that takes reports, and this one does not.
+    /// Another instance reaches the address that receives reports, and this one does not.
     Unreached,
 }
 
-/// The holder's reports.
-pub(super) struct Reports<'a> {
+/// The leader's reports.
+pub(super) struct UsageReporter<'a> {
     app: &'a Arc<App>,
-    office: &'a Office,
-    to: Accounts,
+    leadership: &'a Leadership,
+    settings: Accounts,
     windows: Windows,
-    ledger: Option<Kept<Ledger>>,
-    /// The last window that the platform has taken from this holder.
-    taken: u64,
+    /// The stored reports, unless they have to be read again.
+    ledger: Option<Versioned<Ledger>>,
+    /// The last window whose report was accepted or refused under this leader.
+    last_settled: u64,
     /// Since when reports have failed.
-    failing: Option<Millis>,
+    failing_since: Option<Millis>,
     reach: Reach,
 }
 
-impl<'a> Reports<'a> {
-    /// Makes a holder that has reported nothing yet; [`None`] where nothing is reported.
-    pub(super) fn new(app: &'a Arc<App>, office: &'a Office) -> Option<Self> {
-        let to = app.settings.accounts?;
+impl<'a> UsageReporter<'a> {
+    /// Creates the reporter of a new leader; [`None`] if no address for reports is configured.
+    pub(super) fn new(app: &'a Arc<App>, leadership: &'a Leadership) -> Option<Self> {
+        let settings = app.settings.accounts?;
         Some(Self {
             app,
-            office,
-            to,
-            windows: Windows::new(to.window),
+            leadership,
+            settings,
+            windows: Windows::new(settings.window),
             ledger: None,
-            taken: 0,
-            failing: None,
+            last_settled: 0,
+            failing_since: None,
             reach: Reach::new("address of reports"),
         })
     }
 
-    /// Reports window after window, until another instance had better do it.
+    /// Reports window after window, until another instance should do so.
     pub(super) async fn run(mut self) -> Unable {
         loop {
-            let pause = match self.turn().await {
+            let pause = match self.report_due().await {
                 Ok(pause) => pause,
                 Err(error) => {
                     self.ledger = None;
                     let error = error.to_string();
-                    log::debug!(target: "accounts", error = error.as_str(); "record of reports not reached");
-                    AGAIN
+                    log::debug!(target: "accounts", error = error.as_str(); "could not read or write the stored reports");
+                    RETRY_PAUSE
                 }
             };
             if self.is_unable().await {
@@ -110,49 +112,50 @@
         }
     }
 
-    async fn turn(&mut self) -> Result<Duration, PlatError> {
+    /// Performs the next step of reporting; returns the pause before the one after it.
+    async fn report_due(&mut self) -> Result<Duration, PlatError> {
         let now = self.app.clock.steady();
-        if !self.has_teams() || !self.office.may_order(self.app.clock.now()) {
-            return Ok(AGAIN);
+        if !self.has_teams() || !self.leadership.may_order(self.app.clock.now()) {
+            return Ok(RETRY_PAUSE);
         }
         let (mut ledger, rev) = match self.ledger.take() {
-            Some(held) => held,
-            None => self.open(now).await?,
+            Some(ledger) => ledger,
+            None => self.open_ledger(now).await?,
         };
-        // Everything that is written down is sent before anything new is.
-        let sent = self.send(&ledger).await;
-        if !sent {
+        // All stored reports are sent before a new one is stored.
+        let settled = self.send_stored(&ledger).await;
+        if !settled {
             self.ledger = Some((ledger, rev));
-            return Ok(AGAIN);
+            return Ok(RETRY_PAUSE);
         }
         let window = match ledger.next_action(self.windows, now) {
             NextAction::Wait(wait) => {
                 self.ledger = Some((ledger, rev));
-                return Ok(Duration::from_millis(wait).min(AGAIN));
+                return Ok(Duration::from_millis(wait).min(RETRY_PAUSE));
             }
             NextAction::Collect(window) => window,
         };
         let Some(report) = self.collect(&ledger, window, now).await else {
             self.ledger = Some((ledger, rev));
-            return Ok(AGAIN);
+            return Ok(RETRY_PAUSE);
         };
         let requests: u64 = report.counts.iter().map(|(_, count)| count).sum();
         log::info!(target: "accounts", window, teams = report.counts.len(), requests,
-            age_ms = now.saturating_sub(self.windows.end(window)); "window added up");
+            age_ms = now.saturating_sub(self.windows.end(window)); "window collected");
         ledger.record(report);
-        let rev = kept::write(self.app, KEY, &ledger, rev).await?;
+        let rev = kept::write(self.app, USAGE_KEY, &ledger, rev).await?;
         self.ledger = Some((ledger, rev));
         Ok(Duration::ZERO)
     }
 
-    /// Reads what was reported. The first holder of all writes down with which window it begins: a successor would
-    /// else begin with its own, and leave out those before.
-    async fn open(&self, now: Millis) -> Result<Kept<Ledger>, PlatError> {
-        if let Some(held) = kept::read(self.app, KEY).await? {
-            return Ok(held);
+    /// Reads the stored reports. The first leader stores with which window the reports start: otherwise, the next
+    /// leader would start with its own first window and omit those before it.
+    async fn open_ledger(&self, now: Millis) -> Result<Versioned<Ledger>, PlatError> {
+        if let Some(ledger) = kept::read(self.app, USAGE_KEY).await? {
+            return Ok(ledger);
         }
-        let ledger = Ledger::starting_at(self.first(now).await);
-        let rev = kept::write(self.app, KEY, &ledger, 0).await?;
+        let ledger = Ledger::starting_at(self.first_window(now).await);
+        let rev = kept::write(self.app, USAGE_KEY, &ledger, 0).await?;
         Ok((ledger, rev))
     }
 
@@ -161,30 +164,37 @@
         plan.as_ref().is_some_and(|plan| plan.teams.is_some())
     }
 
-    /// The first window of which anybody has a request: entry instances serve before there is a holder.
-    async fn first(&self, now: Millis) -> u64 {
+    /// The first window in which any instance has counted a request: entry instances may serve requests before there
+    /// is a leader.
+    async fn first_window(&self, now: Millis) -> u64 {
         let newest = self.windows.containing(now);
-        let before = Ledger::reportable_before(newest);
-        let members = self.meet().await;
-        let asks = members.iter().map(|one| self.oldest(one, before.clone()));
-        let told = join_all(asks).await;
-        let own = before.clone().find(|window| {
-            let shares = crate::tally::window_counts(self.app, *window);
-            shares.iter().any(|share| !share.counts.is_empty())
+        let earlier = Ledger::reportable_before(newest);
+        let members = self.refresh_members().await;
+        let queries = members
+            .iter()
+            .map(|member| self.oldest_window(member, earlier.clone()));
+        let answers = join_all(queries).await;
+        let own = earlier.clone().find(|window| {
+            let counts = crate::tally::window_counts(self.app, *window);
+            counts.iter().any(|source| !source.counts.is_empty())
         });
-        told.into_iter().flatten().chain(own).fold(newest, u64::min)
+        answers
+            .into_iter()
+            .flatten()
+            .chain(own)
+            .fold(newest, u64::min)
     }
 
-    /// The oldest window in which an instance knows of a request that was served, or has one under way itself. One
-    /// that does not answer is asked no further, so that it holds up nobody.
-    async fn oldest(&self, one: &Member, windows: Range<u64>) -> Option<u64> {
-        let me = (one.owner.instance.clone(), one.owner.start);
+    /// The oldest window in which an instance knows of a counted request, or in which it still processes one itself. An
+    /// instance that does not answer is not queried for further windows, so that it does not delay the others.
+    async fn oldest_window(&self, member: &Member, windows: Range<u64>) -> Option<u64> {
+        let start = (member.owner.instance.clone(), member.owner.start);
         for window in windows {
-            let shares = peer::shares(self.app, one.addr, window).await?;
-            let under_way = |share: &WindowCounts| share.source == me && !share.closed;
-            if shares
+            let counts = peer::shares(self.app, member.addr, window).await?;
+            let in_progress = |source: &WindowCounts| source.source == start && !source.closed;
+            if counts
                 .iter()
-                .any(|share| !share.counts.is_empty() || under_way(share))
+                .any(|source| !source.counts.is_empty() || in_progress(source))
             {
                 return Some(window);
             }
@@ -192,91 +202,97 @@
         None
     }
 
-    /// Reads who has entered: what is known may be seconds old, and an entry that has just started may have told a
-    /// control instance that has just started as well. Gives those who were there a while ago, too.
-    async fn meet(&self) -> Vec<Member> {
+    /// Reads the list of members, since the known one may be seconds old: an entry instance that has just started may
+    /// have sent its counts to a control instance that has just started as well. Returns recent former members, too.
+    async fn refresh_members(&self) -> Vec<Member> {
         if let Ok(members) = member::list(self.app).await {
             self.app.met(members);
         }
         self.app.acquainted()
     }
 
-    /// Collects the figures of a window from all who may have some.
+    /// Collects the counts of a window from all instances that may have some; [`None`] while more are expected.
     async fn collect(&self, ledger: &Ledger, window: u64, now: Millis) -> Option<Report> {
-        let members = self.meet().await;
-        let entered = self.app.members.lock().clone();
-        let live = entered.iter().filter(|one| one.is_reader);
+        let members = self.refresh_members().await;
+        let current = self.app.members.lock().clone();
+        let live = current.iter().filter(|member| member.is_reader);
         let live: Set<_> = live
-            .map(|one| (one.owner.instance.clone(), one.owner.start))
+            .map(|member| (member.owner.instance.clone(), member.owner.start))
             .collect();
-        let keepers = members.iter().filter(|one| !one.is_reader);
-        let asks = keepers.map(|one| peer::shares(self.app, one.addr, window));
-        let told = join_all(asks).await;
-        let mut shares: Vec<WindowCounts> = told.into_iter().flatten().flatten().collect();
-        shares.extend(crate::tally::window_counts(self.app, window));
+        let keepers = members.iter().filter(|member| !member.is_reader);
+        let queries = keepers.map(|keeper| peer::shares(self.app, keeper.addr, window));
+        let answers = join_all(queries).await;
+        let mut counts: Vec<WindowCounts> = answers.into_iter().flatten().flatten().collect();
+        counts.extend(crate::tally::window_counts(self.app, window));
         let age = now.saturating_sub(self.windows.end(window));
-        if age >= DIRECT {
-            let known = members.iter().filter(|one| one.is_reader);
-            let known = known.map(|one| (one.owner.instance.clone(), one.owner.start));
-            let missing = Ledger::missing_sources(&shares, &known.collect());
-            let silent = members
-                .iter()
-                .filter(|one| missing.iter().any(|(name, _)| *name == one.owner.instance));
-            let asks = silent.map(|one| peer::shares(self.app, one.addr, window));
-            shares.extend(join_all(asks).await.into_iter().flatten().flatten());
+        if age >= DIRECT_QUERY_DELAY {
+            let known = members.iter().filter(|member| member.is_reader);
+            let known = known.map(|member| (member.owner.instance.clone(), member.owner.start));
+            let missing = Ledger::missing_sources(&counts, &known.collect());
+            let unreported = members.iter().filter(|member| {
+                missing
+                    .iter()
+                    .any(|(name, _)| *name == member.owner.instance)
+            });
+            let queries = unreported.map(|member| peer::shares(self.app, member.addr, window));
+            counts.extend(join_all(queries).await.into_iter().flatten().flatten());
         }
-        let late = age as f64 >= self.to.late as f64 * PATIENCE;
-        ledger.aggregate(window, shares, &live, age, late)
+        let late = age as f64 >= self.settings.late as f64 * WAIT_FRACTION;
+        ledger.aggregate(window, counts, &live, age, late)
     }
 
-    /// Sends what is written down and was not taken from this holder; tells whether all of it was.
-    async fn send(&mut self, ledger: &Ledger) -> bool {
+    /// Sends the stored reports that were not yet settled under this leader; returns whether all are settled now.
+    async fn send_stored(&mut self, ledger: &Ledger) -> bool {
         for report in ledger.reports() {
-            if report.window <= self.taken {
+            if report.window <= self.last_settled {
                 continue;
             }
-            match self.report(report).await {
-                Some(Accounted::Taken | Accounted::Refused) => self.taken = report.window,
+            match self.send(report).await {
+                Some(Accounted::Taken | Accounted::Refused) => self.last_settled = report.window,
                 Some(Accounted::Busy | Accounted::Fenced) | None => return false,
             }
         }
         true
     }
 
-    async fn report(&mut self, report: &Report) -> Option<Accounted> {
+    async fn send(&mut self, report: &Report) -> Option<Accounted> {
         let now = self.app.clock.now();
-        // Asked right before each report: the process may have been paused since the last renewal.
-        if !self.office.may_order(now) {
+        // Checked right before each report, since the process may have been paused since the last renewal.
+        if !self.leadership.may_order(now) {
             return None;
         }
         let account = Account {
-            addr: self.to.address,
+            addr: self.settings.address,
             report,
             holder: &self.app.me.instance,
-            fence: self.office.fence(),
+            fence: self.leadership.fencing_token(),
         };
         let request = match self.app.dialect.account(&account) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
-                log::error!(target: "accounts", window = report.window, error = error.as_str(); "no report");
+                log::error!(target: "accounts", window = report.window, error = error.as_str(); "could not build the report");
                 return Some(Accounted::Refused);
             }
         };
-        let answer = self.app.http.fetch(request, LIMIT, MOST).await;
-        let came = match &answer {
+        let answer = self
+            .app
+            .http
+            .fetch(request, REPORT_TIMEOUT, MAX_ANSWER_BYTES)
+            .await;
+        let result = match &answer {
             Ok(answer) => {
-                self.failing = None;
+                self.failing_since = None;
                 self.reach.back();
                 Some(self.app.dialect.accounted(answer.status()))
             }
             Err(_) => {
-                self.failing.get_or_insert(now);
+                self.failing_since.get_or_insert(now);
                 self.reach.lost(&PlatError::Unreachable);
                 None
             }
         };
-        let outcome = match came {
+        let outcome = match result {
             Some(Accounted::Taken) => "taken",
             Some(Accounted::Busy) => "busy",
             Some(Accounted::Fenced) => "fenced",
@@ -287,15 +303,15 @@
         let end = self.windows.end(report.window);
         log::info!(target: "accounts", window = report.window, fence = account.fence, outcome,
             age_ms = self.app.clock.steady().saturating_sub(end); "window reported");
-        came
+        result
     }
 
-    /// Tells whether another instance that may hold the duty reaches the address and this one does not.
+    /// Returns whether another instance that may become the leader reaches the address and this one does not.
     async fn is_unable(&self) -> bool {
-        let Some(since) = self.failing else {
+        let Some(since) = self.failing_since else {
             return false;
         };
-        if self.app.clock.now() < since + UNREACHED
+        if self.app.clock.now() < since + UNREACHED_DELAY
             || crate::tally::can_reach_accounts(self.app).await
         {
             return false;
@@ -303,8 +319,8 @@
         let members = self.app.members.lock().clone();
         let others = members
             .iter()
-            .filter(|one| !one.is_reader && one.owner.instance != self.app.me.instance);
-        let asks = others.map(|one| peer::reaches(self.app, one.addr));
-        join_all(asks).await.contains(&true)
+            .filter(|member| !member.is_reader && member.owner.instance != self.app.me.instance);
+        let queries = others.map(|member| peer::reaches(self.app, member.addr));
+        join_all(queries).await.contains(&true)
     }
 }
--- a/crates/node/src/control/kept.rs
+++ b/crates/node/src/control/kept.rs
@@ -1,4 +1,4 @@
-//! A value at the platform that the leader alone changes, under the revision of the value before.
+//! Values at the platform that only the leader changes, each by a compare-and-swap of its revision.
 
 use batch::record;
 use plat::Guard;
@@ -11,14 +11,14 @@
 
 use crate::App;
 
-/// A value with the revision at which it stands; 0 for one that was never written.
-pub(super) type Kept<T> = (T, i64);
+/// A value with its revision; 0 for a value that was never written.
+pub(super) type Versioned<T> = (T, i64);
 
 /// Reads a value; [`None`] when it was never written.
 pub(super) async fn read<T: DeserializeOwned>(
     app: &App,
     key: &str,
-) -> Result<Option<Kept<T>>, PlatError> {
+) -> Result<Option<Versioned<T>>, PlatError> {
     let Some(item) = app.plat.get(key).await? else {
         return Ok(None);
     };
@@ -26,8 +26,8 @@
     Ok(Some((value, item.rev)))
 }
 
-/// Writes a value in place of the one at a revision, and gives the new one. When the answer is lost, or another
-/// leader has written, nobody knows what stands there, and it has to be read again.
+/// Replaces the value at revision `rev`; returns the new revision. After any error, the caller has to read the value
+/// again: the write may have been applied without an answer, or another leader may have written meanwhile.
 pub(super) async fn write<T: Serialize>(
     app: &App,
     key: &str,
--- a/crates/node/src/control/office.rs
+++ b/crates/node/src/control/office.rs
@@ -1,4 +1,4 @@
-//! The leader's record at the platform: standing for it, renewing it, giving it up.
+//! Leader election: claiming, renewing and resigning the leader's record at the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,36 +21,37 @@
 use crate::App;
 use crate::reach::Reach;
 
-/// The key of the record.
-const KEY: &str = "snipeway/leader";
+/// The key of the leader's record.
+const LEADER_KEY: &str = "snipeway/leader";
 
-/// Time between two looks of a candidate. Stale reads do: the record is replaced under its revision.
-const LOOK: Duration = Duration::from_millis(600);
+/// Interval between two reads of the record by a candidate. Stale reads suffice, since the record is only replaced
+/// under the revision that was read.
+const CANDIDATE_READ_INTERVAL: Duration = Duration::from_millis(600);
 
-/// Time between two looks at whether the record is to be renewed, and after a failed renewal.
-const TICK: Duration = Duration::from_millis(150);
+/// Interval between two checks whether a renewal is due, also after a failed one.
+const RENEWAL_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A leader whose record is renewed while others ask whether it may give orders.
-pub struct Office {
+/// This instance's leadership, which is renewed while other tasks check whether it may give orders.
+pub struct Leadership {
     leader: Mutex<Leader>,
 }
 
-impl Office {
-    /// Tells whether an order may be given now.
+impl Leadership {
+    /// Returns whether an order may be given now.
     pub fn may_order(&self, now: Millis) -> bool {
         self.leader.lock().may_order(now)
     }
 
-    /// The fencing number of orders.
-    pub fn fence(&self) -> i64 {
+    /// The fencing token of orders.
+    pub fn fencing_token(&self) -> i64 {
         self.leader.lock().fencing_token().0
     }
 
-    /// Renews the record until it belongs to somebody else.
-    pub async fn keep(&self, app: &App) {
+    /// Renews the record until another instance has replaced it.
+    pub async fn renew(&self, app: &App) {
         let mut reach = Reach::new("leader's record");
         loop {
-            sleep(TICK).await;
+            sleep(RENEWAL_CHECK_INTERVAL).await;
             let now = app.clock.now();
             let due = {
                 let leader = self.leader.lock();
@@ -65,7 +66,7 @@
                     reach.back();
                 }
                 Ok(TxnOutcome::Conflict) => match read(app).await {
-                    // A renewal whose answer was lost; when it took effect is not known.
+                    // A renewal whose answer was lost was applied, at an unknown time.
                     Ok(Some((record, rev))) if self.leader.lock().owns(&record) => {
                         self.leader.lock().renewed(rev, 0);
                     }
@@ -77,57 +78,57 @@
         }
     }
 
-    /// Gives the office up, so that another instance need not wait for its silence.
+    /// Resigns, so that another instance can become the leader before the record would count as abandoned.
     pub async fn resign(self, app: &App) {
         let leader = self.leader.into_inner();
         let rev = leader.rev();
         let record = leader.resign(app.clock.now());
         if let Err(error) = write(app, rev, &record).await {
             let error = error.to_string();
-            log::warn!(target: "control", error = error.as_str(); "others wait for this leader");
+            log::warn!(target: "control", error = error.as_str(); "could not resign; the leader's record has to time out");
         }
     }
 }
 
-/// Stands for leader until this instance is it.
-pub async fn stand(app: &App) -> Office {
+/// Runs for leader until this instance is elected.
+pub async fn win_election(app: &App) -> Leadership {
     let addr = SocketAddr::new(app.settings.address, app.settings.peer);
-    let me = ProcessId {
+    let process = ProcessId {
         machine: addr.to_string().into(),
         start: app.me.start,
     };
-    let mut candidate = Candidate::new(me, app.settings.turn);
+    let mut candidate = Candidate::new(process, app.settings.turn);
     let mut reach = Reach::new("leader's record");
     loop {
-        if let CandidateAction::Claim(rev, record) = look(app, &mut candidate).await {
-            let sent = app.clock.now();
+        if let CandidateAction::Claim(rev, record) = observe(app, &mut candidate).await {
+            let sent_at = app.clock.now();
             match write(app, rev, &record).await {
                 Ok(TxnOutcome::At(rev)) => {
-                    let leader = Mutex::new(candidate.won(rev, sent));
-                    return Office { leader };
+                    let leader = Mutex::new(candidate.won(rev, sent_at));
+                    return Leadership { leader };
                 }
-                // Somebody else was first, or this write's answer was lost: the next read shows it.
+                // Another candidate was first, or the answer to an applied write was lost; the next read shows which.
                 Ok(TxnOutcome::Conflict) => reach.back(),
                 Err(error) => reach.lost(&error),
             }
         }
-        sleep(LOOK).await;
+        sleep(CANDIDATE_READ_INTERVAL).await;
     }
 }
 
-async fn look(app: &App, candidate: &mut Candidate) -> CandidateAction {
-    let sent = app.clock.now();
-    let found = match app.plat.list_stale(KEY).await {
+async fn observe(app: &App, candidate: &mut Candidate) -> CandidateAction {
+    let sent_at = app.clock.now();
+    let current = match app.plat.list_stale(LEADER_KEY).await {
         Ok(range) => range.items.first().map(decode).transpose(),
         Err(error) => Err(error),
     };
-    match found {
-        Ok(found) => {
-            let found = found.as_ref().map(|(record, rev)| (record, *rev));
-            candidate.observe(found, sent)
+    match current {
+        Ok(current) => {
+            let current = current.as_ref().map(|(record, rev)| (record, *rev));
+            candidate.observe(current, sent_at)
         }
         Err(error) => {
-            log::debug!(target: "control", error = error.to_string().as_str(); "no look at the leader");
+            log::debug!(target: "control", error = error.to_string().as_str(); "could not read the leader's record");
             candidate.read_failed(app.clock.now());
             CandidateAction::Wait
         }
@@ -135,7 +136,7 @@
 }
 
 async fn read(app: &App) -> Result<Option<(Record, i64)>, PlatError> {
-    let item = app.plat.get(KEY).await?;
+    let item = app.plat.get(LEADER_KEY).await?;
     item.as_ref().map(decode).transpose()
 }
 
@@ -147,8 +148,8 @@
 async fn write(app: &App, rev: i64, record: &Record) -> Result<TxnOutcome, PlatError> {
     let value = record::encode(record).map_err(|_| PlatError::Garbled)?;
     let txn = Txn {
-        guards: vec![Guard::on(KEY, rev)],
-        puts: vec![Put::new(KEY, value)],
+        guards: vec![Guard::on(LEADER_KEY, rev)],
+        puts: vec![Put::new(LEADER_KEY, value)],
         deletes: Vec::new(),
     };
     app.plat.txn(&txn).await
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines.
+//! Orders engines to load newer weights.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use weight::scheduler::LoadOrder;
 use weight::scheduler::LoadScheduler;
 
-use super::office::Office;
+use super::office::Leadership;
 use super::targets::Targets;
 use crate::App;
 use crate::dialect::Order;
@@ -24,163 +24,177 @@
 use crate::dialect::Stated;
 use crate::meter;
 
-/// Time that an engine has to answer an order.
-const LIMIT: Duration = Duration::from_millis(500);
+/// Time limit for an engine's answer to an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for which an engine counts as loading after an order. A load takes 0.9 s on the users'
-/// deployments; the engine's own word comes some hundred milliseconds later, and waiting for it
-/// left a fifth of the time between loads unused.
-const LOADING: Millis = 900;
+/// Time for which an engine counts as loading after an order, in milliseconds. A load takes 0.9 s on the users'
+/// deployments. The engine itself reports the new version some hundred milliseconds later; waiting for that report
+/// would leave a fifth of the time between loads unused.
+const LOAD_TIME: Millis = 900;
 
-/// Time for which an engine is left alone after a question or an order that it did not answer, in
-/// milliseconds. An order may be carried out late; the next one expects that it was not.
-const LATE: Millis = 1_200;
+/// Time for which an engine gets no requests after a query that it did not answer or an order that it did not accept,
+/// in milliseconds. It may carry out an unanswered order late; the next order is conditional on its not having done so.
+const ENGINE_BACKOFF: Millis = 1_200;
 
-/// Engines that are asked for each that can be ordered: the least busy one is chosen.
-const SPARE: usize = 2;
+/// Number of engines that are queried for each one that may be ordered, to choose the least busy one.
+const QUERIES_PER_ORDER: usize = 2;
 
-/// Most bytes of an engine's answer.
-const MOST: usize = 64 << 10;
+/// Maximum size of an engine's answer.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// The leader's orders.
-pub struct Orders<'a> {
+/// The leader's load orders.
+pub struct LoadOrders<'a> {
     app: &'a Arc<App>,
-    office: &'a Office,
-    swaps: Map<Arc<str>, LoadScheduler>,
-    /// Engines that were ordered and of which nothing more is asked for a while.
-    ordered: Map<Arc<str>, Loading>,
-    /// Engines that did not state how they are, with the time until which they are left alone.
-    silent: Map<Arc<str>, Millis>,
+    leadership: &'a Leadership,
+    /// The scheduler of each service.
+    schedulers: Map<Arc<str>, LoadScheduler>,
+    /// Engines that were ordered a moment ago, and get no other order meanwhile.
+    ordered: Map<Arc<str>, OrderedLoad>,
+    /// Engines that did not answer a query, with the time until which they get no requests.
+    unresponsive: Map<Arc<str>, Millis>,
 }
 
 /// A load that was ordered.
-struct Loading {
+struct OrderedLoad {
     model: Arc<str>,
     version: Version,
-    /// When the engine may be asked again.
+    /// When the engine may be queried again.
     until: Millis,
 }
 
-impl<'a> Orders<'a> {
-    /// Makes a leader that has ordered nothing yet.
-    pub fn new(app: &'a Arc<App>, office: &'a Office) -> Self {
+impl<'a> LoadOrders<'a> {
+    /// Creates the orders of a new leader.
+    pub fn new(app: &'a Arc<App>, leadership: &'a Leadership) -> Self {
         Self {
             app,
-            office,
-            swaps: Map::default(),
+            leadership,
+            schedulers: Map::default(),
             ordered: Map::default(),
-            silent: Map::default(),
+            unresponsive: Map::default(),
         }
     }
 
-    /// Looks at the engines and orders what is due.
-    pub async fn turn(&mut self, targets: &Targets) {
+    /// Orders the loads that are due at all engines.
+    pub async fn issue_due(&mut self, targets: &Targets) {
         let now = self.app.clock.now();
-        let aims = targets.aims(now);
-        if !self.office.may_order(now) || aims.is_empty() {
+        let targets = targets.by_model(now);
+        if !self.leadership.may_order(now) || targets.is_empty() {
             return;
         }
         self.ordered.retain(|_, ordered| now < ordered.until);
-        self.silent.retain(|_, until| now < *until);
+        self.unresponsive.retain(|_, until| now < *until);
         let plan = self.app.plan.load_full();
         let Some(plan) = plan else { return };
         for service in plan.services() {
             if service.engine.is_some() {
-                self.serve(&service.name, &aims).await;
+                self.order_service(&service.name, &targets).await;
             }
         }
     }
 
     fn engines(&self, service: &str) -> Vec<Arc<Upstream>> {
         let roster = self.app.roster.lock();
-        let engines = roster.of_service(service).filter(|one| !one.leaving);
+        let engines = roster.of_service(service).filter(|engine| !engine.leaving);
         engines.cloned().collect()
     }
 
-    async fn serve(&mut self, service: &Arc<str>, aims: &Map<Arc<str>, Target>) {
+    async fn order_service(&mut self, service: &Arc<str>, targets: &Map<Arc<str>, Target>) {
         let engines = self.engines(service);
         let part = self.app.settings.part * engines.len() as f64;
-        let width = (part.round() as usize).max(1);
-        let room = width.saturating_sub(self.ordered.len());
-        let mut swap = self.swaps.remove(service).unwrap_or_default();
-        // What the list says is a second or two old, so an engine states its versions itself
-        // before it is ordered. Only those are asked that could be ordered now: asking all cost
-        // 32,580 probes on a day with 48 engines.
-        let due = swap.schedule(&self.seen(&engines, &Map::default()), SPARE * room, aims);
+        let max_loading = (part.round() as usize).max(1);
+        let max_orders = max_loading.saturating_sub(self.ordered.len());
+        let mut scheduler = self.schedulers.remove(service).unwrap_or_default();
+        // The upstream list is a second or two old, so an engine is queried for its versions before it is ordered. Only
+        // engines that could be ordered now are queried: querying all 48 engines of a deployment took 32,580 requests
+        // a day.
+        let due = scheduler.schedule(
+            &self.engine_states(&engines, &Map::default()),
+            QUERIES_PER_ORDER * max_orders,
+            targets,
+        );
         if due.is_empty() {
-            self.swaps.insert(service.clone(), swap);
+            self.schedulers.insert(service.clone(), scheduler);
             return;
         }
-        let states = self.ask(&engines, &due).await;
-        let until = self.app.clock.now() + LATE;
-        let silent = due.iter().filter(|load| !states.contains_key(&load.id));
-        let silent = silent.map(|load| (load.id.clone(), until));
-        self.silent.extend(silent);
-        let loads = swap.schedule(&self.seen(&engines, &states), room, aims);
-        self.swaps.insert(service.clone(), swap);
-        let engines: Map<_, _> = engines.iter().map(|one| (&one.id, one)).collect();
+        let states = self.query_states(&engines, &due).await;
+        let until = self.app.clock.now() + ENGINE_BACKOFF;
+        let unresponsive = due.iter().filter(|load| !states.contains_key(&load.id));
+        let unresponsive = unresponsive.map(|load| (load.id.clone(), until));
+        self.unresponsive.extend(unresponsive);
+        let loads = scheduler.schedule(&self.engine_states(&engines, &states), max_orders, targets);
+        self.schedulers.insert(service.clone(), scheduler);
+        let engines: Map<_, _> = engines.iter().map(|engine| (&engine.id, engine)).collect();
         let orders = loads.iter().filter_map(|load| {
             let engine = engines.get(&load.id)?;
-            // An engine that does not tell gets no order.
+            // An engine that has not answered the query gets no order.
             Some(self.order(engine, load, states.get(&load.id)?))
         });
-        // All at once: each engine that does not answer holds the others up otherwise.
+        // Sent concurrently, so that an unresponsive engine does not delay the others.
         let ordered = join_all(orders).await;
         self.ordered.extend(ordered.into_iter().flatten());
     }
 
-    /// Asks engines that may have to load for their state.
-    async fn ask(&self, engines: &[Arc<Upstream>], due: &[LoadOrder]) -> Map<Arc<str>, Stated> {
-        let mut asks = JoinSet::new();
+    /// Queries the state of the engines that may have to load.
+    async fn query_states(
+        &self,
+        engines: &[Arc<Upstream>],
+        due: &[LoadOrder],
+    ) -> Map<Arc<str>, Stated> {
+        let mut queries = JoinSet::new();
         let due: Set<_> = due.iter().map(|load| &load.id).collect();
-        for one in engines {
-            if !due.contains(&one.id) {
+        for engine in engines {
+            if !due.contains(&engine.id) {
                 continue;
             }
-            let (app, one) = (self.app.clone(), one.clone());
-            asks.spawn(async move {
-                let state = super::query_state(&app, &one).await;
-                state.ok().map(|state| (one.id.clone(), state))
+            let (app, engine) = (self.app.clone(), engine.clone());
+            queries.spawn(async move {
+                let state = super::query_state(&app, &engine).await;
+                state.ok().map(|state| (engine.id.clone(), state))
             });
         }
-        let answers = asks.join_all().await;
+        let answers = queries.join_all().await;
         answers.into_iter().flatten().collect()
     }
 
-    fn seen(&self, engines: &[Arc<Upstream>], states: &Map<Arc<str>, Stated>) -> Vec<EngineState> {
+    /// The states of engines for the scheduler, from the answers in `states` where there are any.
+    fn engine_states(
+        &self,
+        engines: &[Arc<Upstream>],
+        states: &Map<Arc<str>, Stated>,
+    ) -> Vec<EngineState> {
         let fleet = self.app.fleet.lock();
-        let one = |one: &Arc<Upstream>| {
-            let ordered = self.ordered.get(&one.id);
-            let state = states.get(&one.id);
+        let engine_state = |engine: &Arc<Upstream>| {
+            let ordered = self.ordered.get(&engine.id);
+            let state = states.get(&engine.id);
             let newest = |(model, version): &(Arc<str>, u64)| {
-                let seen = fleet.version(one, model).unwrap_or(*version);
+                let seen = fleet.version(engine, model).unwrap_or(*version);
                 let loading = ordered.filter(|load| load.model == *model);
                 let loading = loading.map_or(0, |load| load.version);
                 (model.clone(), seen.max(loading))
             };
             EngineState {
-                id: one.id.clone(),
-                models: one.weights.iter().map(newest).collect(),
-                slots: one.slots,
+                id: engine.id.clone(),
+                models: engine.weights.iter().map(newest).collect(),
+                slots: engine.slots,
                 running: state.map_or(u32::MAX, |state| state.running),
                 busy: ordered.is_some()
-                    || self.silent.contains_key(&one.id)
+                    || self.unresponsive.contains_key(&engine.id)
                     || state.is_some_and(|state| state.busy),
             }
         };
-        engines.iter().map(one).collect()
+        engines.iter().map(engine_state).collect()
     }
 
-    /// Orders a load; gives what is to be remembered of it, if it was sent.
+    /// Orders a load; returns the engine's ID and the load if the order was sent.
     async fn order(
         &self,
         engine: &Arc<Upstream>,
         load: &LoadOrder,
         state: &Stated,
-    ) -> Option<(Arc<str>, Loading)> {
+    ) -> Option<(Arc<str>, OrderedLoad)> {
         let now = self.app.clock.now();
-        // Asked right before each order: the process may have been paused since the last renewal.
-        if !self.office.may_order(now) {
+        // Checked right before each order, since the process may have been paused since the last renewal.
+        if !self.leadership.may_order(now) {
             return None;
         }
         let order = Order {
@@ -188,38 +202,39 @@
             addr: engine.addr,
             model: load.model.clone(),
             version: load.version,
-            passing: self.passing(&engine.service),
+            passing: self.running_policy(&engine.service),
             holder: self.app.me.instance.clone(),
-            fence: self.office.fence(),
+            fence: self.leadership.fencing_token(),
             orders: state.orders,
         };
         let result = self.send(&order).await;
-        let (word, pause) = match result {
-            Some(Ordered::Taken) => ("taken", LOADING),
-            Some(Ordered::Conflict) => ("conflict", LATE),
-            Some(Ordered::Fenced) => ("fenced", LATE),
-            Some(Ordered::Refused) => ("refused", LATE),
-            None => ("unanswered", LATE),
+        let (label, pause) = match result {
+            Some(Ordered::Taken) => ("taken", LOAD_TIME),
+            Some(Ordered::Conflict) => ("conflict", ENGINE_BACKOFF),
+            Some(Ordered::Fenced) => ("fenced", ENGINE_BACKOFF),
+            Some(Ordered::Refused) => ("refused", ENGINE_BACKOFF),
+            None => ("unanswered", ENGINE_BACKOFF),
         };
-        let loading = Loading {
+        let ordered = OrderedLoad {
             model: load.model.clone(),
             version: load.version,
             until: self.app.clock.now() + pause,
         };
-        metrics::counter!(meter::ORDERS, "result" => word).increment(1);
+        metrics::counter!(meter::ORDERS, "result" => label).increment(1);
         log::info!(target: "control", upstream = &*engine.id, model = &*load.model,
-            version = load.version, fence = self.office.fence(), orders = state.orders,
-            running = state.running, result = word; "ordered");
-        Some((engine.id.clone(), loading))
+            version = load.version, fence = self.leadership.fencing_token(), orders = state.orders,
+            running = state.running, result = label; "ordered");
+        Some((engine.id.clone(), ordered))
     }
 
-    /// A sample that has to come from one version must not live through a change of weights.
-    fn passing(&self, service: &str) -> Passing {
+    /// What happens to running samples at a load: if a route requires a single version for each sample, the engine
+    /// drains first, so that no sample spans a change of weights.
+    fn running_policy(&self, service: &str) -> Passing {
         let plan = self.app.plan.load();
-        let single = plan
+        let single_version = plan
             .as_ref()
             .is_some_and(|plan| plan.routes_to(service).any(|route| route.single_version));
-        match single {
+        match single_version {
             true => Passing::Drain,
             false => Passing::Keep,
         }
@@ -230,11 +245,16 @@
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
-                log::error!(target: "control", error = error.as_str(); "no order");
+                log::error!(target: "control", error = error.as_str(); "could not build the load order");
                 return None;
             }
         };
-        let answer = self.app.http.fetch(request, LIMIT, MOST).await.ok()?;
+        let answer = self
+            .app
+            .http
+            .fetch(request, ORDER_TIMEOUT, MAX_ANSWER_BYTES)
+            .await
+            .ok()?;
         Some(self.app.dialect.ordered(answer.status()))
     }
 }
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -1,5 +1,4 @@
-//! Steps whose owner is gone, records that are not needed any more, and instances that are to be
-//! emptied.
+//! Takes over steps whose owner is gone, removes records that are no longer needed, and reports drained instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,63 +30,63 @@
 use crate::owner::SavedProgress;
 use crate::peer;
 
-/// Time between two looks. Stale reads do: taking over is decided by a write under a condition.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval between two passes over the steps. Stale reads suffice, since a conditional write decides a takeover.
+const PASS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time for which an owner's entry has to be missing before its step is taken over: an instance
-/// whose entry lapsed while the platform was away enters again within this time.
-const MISSING: Millis = 900;
+/// Time for which an owner's membership entry must be missing before its step is taken over: an instance whose entry
+/// expired during an outage of the platform writes it again within this time.
+const OWNER_MISSING_DELAY: Millis = 900;
 
-/// Pauses before the looks of a restarted instance at the steps that it owned: a stale read shows a step that
-/// was accepted in the second before the end a little later.
-const RECLAIM: [Duration; 3] = [
+/// Pauses of a restarted instance before each of its reads of the steps that it owned. The first stale read may not yet
+/// show a step that was accepted in the last second before the restart.
+const RECLAIM_PAUSES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(700),
     Duration::from_millis(1_500),
 ];
 
-/// Time after which a step's records are removed, beyond the time for which they can be read: the
-/// clocks of instances differ by seconds.
-const SPARE: Millis = 30_000;
+/// Additional time for which the records of a step are kept after they can no longer be read, in milliseconds: the
+/// clocks of instances may differ by seconds.
+const REMOVAL_DELAY: Millis = 30_000;
 
-/// Keys that one write removes: platforms take 32 entries.
-const TOGETHER: usize = 30;
+/// Maximum number of keys in one delete: platforms accept 32 operations in a transaction.
+const MAX_DELETED_KEYS: usize = 30;
 
-/// Looks after steps for as long as this instance leads.
+/// Monitors all steps for as long as this instance is the leader.
 pub async fn run(app: Arc<App>, targets: Targets) {
-    let mut looks = Looks::default();
+    let mut monitor = StepMonitor::default();
     loop {
-        sleep(LOOK).await;
-        if let Err(error) = looks.turn(&app, &targets).await {
+        sleep(PASS_INTERVAL).await;
+        if let Err(error) = monitor.pass(&app, &targets).await {
             let error = error.to_string();
-            log::debug!(target: "control", error = error.as_str(); "no look at steps");
-            // What was missing before an outage says nothing after it.
-            looks.missing.clear();
+            log::debug!(target: "control", error = error.as_str(); "could not check steps");
+            // An owner that was missing before an outage of the platform may be back after it.
+            monitor.owner_missing_since.clear();
         }
     }
 }
 
-/// A step's head as the platform has it.
-struct Found<'a> {
+/// The head of a step, and its item at the platform.
+struct StepHead<'a> {
     step: Arc<str>,
     head: Head,
     item: &'a Item,
 }
 
 #[derive(Default)]
-struct Looks {
-    /// Steps that were seen before.
+struct StepMonitor {
+    /// Steps that were seen in an earlier pass.
     known: Set<Arc<str>>,
-    /// Steps whose owner's entry is missing, and since when.
-    missing: Map<Arc<str>, Millis>,
-    /// Steps that need nobody any more.
+    /// Steps whose owner's membership entry is missing, and since when.
+    owner_missing_since: Map<Arc<str>, Millis>,
+    /// Ended steps whose owner is gone; they need no new one.
     settled: Set<Arc<str>>,
-    /// Instances that were said to be empty.
-    emptied: Set<String>,
+    /// Instances that were reported as drained.
+    drained: Set<String>,
 }
 
-impl Looks {
-    async fn turn(&mut self, app: &Arc<App>, targets: &Targets) -> Result<(), PlatError> {
+impl StepMonitor {
+    async fn pass(&mut self, app: &Arc<App>, targets: &Targets) -> Result<(), PlatError> {
         let heads = app.plat.list_stale(keys::HEADS_PREFIX).await?;
         if !heads.items.is_empty() {
             let entries = app.plat.list_stale(member::INSTANCES).await?;
@@ -98,22 +97,22 @@
                 .map(|member| (member.owner.instance, member.owner.start))
                 .collect();
             let heads = self.decode(&heads.items);
-            self.learn(&heads, targets);
-            for found in heads {
-                self.look(app, found, &live).await?;
+            self.record_new(&heads, targets);
+            for head in heads {
+                self.check(app, head, &live).await?;
             }
         }
-        self.empty(app).await
+        self.report_drained(app).await
     }
 
-    fn decode<'a>(&self, items: &'a [Item]) -> Vec<Found<'a>> {
-        let mut found = Vec::with_capacity(items.len());
+    fn decode<'a>(&self, items: &'a [Item]) -> Vec<StepHead<'a>> {
+        let mut heads = Vec::with_capacity(items.len());
         for item in items {
             let Some(step) = keys::step_of_head(&item.key) else {
                 continue;
             };
             match record::decode(&item.value) {
-                Ok(head) => found.push(Found {
+                Ok(head) => heads.push(StepHead {
                     step: step.into(),
                     head,
                     item,
@@ -121,55 +120,56 @@
                 Err(error) => {
                     let error = error.to_string();
                     log::error!(target: "control", id = step, error = error.as_str();
-                        "head not understood");
+                        "could not decode the head of a step");
                 }
             }
         }
-        found
+        heads
     }
 
-    /// Learns from steps that were not seen before how old their weights may be.
-    fn learn(&mut self, heads: &[Found<'_>], targets: &Targets) {
+    /// Records the steps that were not seen before, so that the versions that they require are known.
+    fn record_new(&mut self, heads: &[StepHead<'_>], targets: &Targets) {
         self.known
-            .retain(|step| heads.iter().any(|found| found.step == *step));
+            .retain(|step| heads.iter().any(|head| head.step == *step));
         let mut new: Vec<_> = heads
             .iter()
-            .filter(|found| self.known.insert(found.step.clone()))
+            .filter(|head| self.known.insert(head.step.clone()))
             .collect();
-        new.sort_by_key(|found| found.head.opened);
-        for found in new {
-            targets.opened(&found.head);
+        new.sort_by_key(|new| new.head.opened);
+        for new in new {
+            targets.record_step(&new.head);
         }
     }
 
-    async fn look(
+    /// Removes the records of an expired step, and takes over a step whose owner is gone.
+    async fn check(
         &mut self,
         app: &Arc<App>,
-        found: Found<'_>,
+        step_head: StepHead<'_>,
         live: &Set<(Arc<str>, u64)>,
     ) -> Result<(), PlatError> {
-        let Found { step, head, item } = found;
+        let StepHead { step, head, item } = step_head;
         let age = app.clock.wall().saturating_sub(head.opened);
-        if age > app.settings.keep + SPARE {
-            return sweep(app, &step, item).await;
+        if age > app.settings.keep + REMOVAL_DELAY {
+            return remove_records(app, &step, item).await;
         }
         let now = app.clock.now();
         let owner = (head.owner.instance.clone(), head.owner.start);
-        let mine = head.owner == app.me && app.works.get(&step).is_some();
-        if self.settled.contains(&step) || live.contains(&owner) || mine {
-            self.missing.remove(&step);
+        let runs_here = head.owner == app.me && app.works.get(&step).is_some();
+        if self.settled.contains(&step) || live.contains(&owner) || runs_here {
+            self.owner_missing_since.remove(&step);
             return Ok(());
         }
-        let since = *self.missing.entry(step.clone()).or_insert(now);
-        if now < since + MISSING {
+        let since = *self.owner_missing_since.entry(step.clone()).or_insert(now);
+        if now < since + OWNER_MISSING_DELAY {
             return Ok(());
         }
         if head.ended.is_some() {
             self.settled.insert(step);
             return Ok(());
         }
-        self.missing.remove(&step);
-        // It has to be known whether the write took effect, also when this instance leads no more.
+        self.owner_missing_since.remove(&step);
+        // The takeover runs in a task of its own, since its outcome must be awaited even if the leadership ends.
         let (app, item) = (app.clone(), item.clone());
         tokio::spawn(async move {
             if let Err(error) = take_over(&app, &step, &item, head).await {
@@ -180,15 +180,14 @@
         Ok(())
     }
 
-    /// Says of each instance that is to be emptied that it is: nothing that lasts is kept outside
-    /// the platform's store.
-    async fn empty(&mut self, app: &App) -> Result<(), PlatError> {
+    /// Reports each instance that has to be drained as drained at once: all durable state is at the platform.
+    async fn report_drained(&mut self, app: &App) -> Result<(), PlatError> {
         let prefix = app.dialect.places().empty;
         for item in app.plat.list_stale(prefix).await?.items {
             let Some(name) = item.key.strip_prefix(prefix) else {
                 continue;
             };
-            if self.emptied.contains(name) {
+            if self.drained.contains(name) {
                 continue;
             }
             let (key, value) = app.dialect.emptied(name);
@@ -197,25 +196,25 @@
                 ..Txn::default()
             };
             app.plat.txn(&txn).await?;
-            log::info!(target: "control", instance = name; "instance is empty");
-            self.emptied.insert(name.to_owned());
+            log::info!(target: "control", instance = name; "instance is drained");
+            self.drained.insert(name.to_owned());
         }
         Ok(())
     }
 }
 
-/// Takes up the steps that this instance owned before it was restarted, without waiting for
-/// anybody to notice: after a loss of power of all instances nobody else would for seconds.
+/// Continues the steps that this instance owned before it was restarted, without waiting for the leader: after a power
+/// loss of all instances, it would take seconds until there is one that takes them over.
 ///
-/// Stale reads do, a few of them: a step that none of them shows yet is taken over by the leader.
+/// A few stale reads suffice: the leader takes over a step that none of them shows.
 pub async fn reclaim(app: Arc<App>) {
     let mut settled = Set::default();
-    for pause in RECLAIM {
+    for pause in RECLAIM_PAUSES {
         sleep(pause).await;
         while let Err(error) = try_reclaim(&app, &mut settled).await {
             let error = error.to_string();
-            log::warn!(target: "control", error = error.as_str(); "steps not reclaimed");
-            sleep(LOOK).await;
+            log::warn!(target: "control", error = error.as_str(); "could not reclaim steps");
+            sleep(PASS_INTERVAL).await;
         }
     }
 }
@@ -226,11 +225,12 @@
             continue;
         };
         let Ok(head) = record::decode::<Head>(&item.value) else {
-            // Whoever looks after all steps reports it.
+            // The leader, which checks all steps, logs the error.
             continue;
         };
-        let earlier = head.owner.instance == app.me.instance && head.owner.start != app.me.start;
-        if !earlier || settled.contains(&step) {
+        let previous_start =
+            head.owner.instance == app.me.instance && head.owner.start != app.me.start;
+        if !previous_start || settled.contains(&step) {
             continue;
         }
         let age = app.clock.wall().saturating_sub(head.opened);
@@ -243,7 +243,7 @@
     Ok(())
 }
 
-/// Takes a step over whose owner is gone, and goes on with it, unless that is under way here already.
+/// Takes over a step whose owner is gone and continues it, unless this instance is already doing so.
 ///
 /// # Errors
 ///
@@ -254,52 +254,58 @@
     item: &Item,
     head: Head,
 ) -> Result<(), PlatError> {
-    // Whoever asks meanwhile need not wait for it.
-    let Some(taking) = Taking::begin(app, step) else {
+    // If a takeover is in progress, the caller need not wait for it.
+    let Some(guard) = TakeoverGuard::begin(app, step) else {
         return Ok(());
     };
-    let from = head.owner.clone();
-    let open = match claim::take_over(app, step, item, &head).await? {
-        TakeOverOutcome::Open(open) => open,
+    let former = head.owner.clone();
+    let ownership = match claim::take_over(app, step, item, &head).await? {
+        TakeOverOutcome::Open(ownership) => ownership,
         TakeOverOutcome::Ended => {
-            // The version before has written the end where nobody looks any more.
+            // The previous release has written the end under a key that is only checked here, so it is written to the
+            // head as well.
             claim::end(app, step).await?;
             return Ok(());
         }
         TakeOverOutcome::Rejected => {
-            log::info!(target: "control", id = &**step, instance = &*from.instance, revision = item.rev;
+            log::info!(target: "control", id = &**step, instance = &*former.instance, revision = item.rev;
                 "step not taken over");
             return Ok(());
         }
     };
-    log::info!(target: "control", id = &**step, owner = &*from.instance, revision = open.rev(); "step taken over");
+    log::info!(target: "control", id = &**step, owner = &*former.instance, revision = ownership.rev(); "step taken over");
     metrics::counter!(crate::meter::STEPS, "outcome" => "taken over").increment(1);
     let head = Head {
         owner: app.me.clone(),
         ..head
     };
-    tokio::spawn(tell_former(app.clone(), step.clone(), from, item.rev));
-    // From here on the step is left to nobody else while this instance lives.
-    tokio::spawn(go_on(taking, step.clone(), head, open));
+    tokio::spawn(notify_former_owner(
+        app.clone(),
+        step.clone(),
+        former,
+        item.rev,
+    ));
+    // The task must not be canceled: other instances leave the step to this one for as long as it is live.
+    tokio::spawn(resume(guard, step.clone(), head, ownership));
     Ok(())
 }
 
-/// Tells the former owner of a step that was taken over. One that lives and reaches neither the platform nor others would
-/// go on with it, also after its end, of which its new owner alone is told.
-async fn tell_former(app: Arc<App>, step: Arc<str>, former: Owner, rev: i64) {
+/// Notifies the former owner of a step that was taken over. If it is still live but reaches neither the platform nor
+/// other instances, it would continue the step even after its end, of which only the new owner is notified.
+async fn notify_former_owner(app: Arc<App>, step: Arc<str>, former: Owner, rev: i64) {
     if former.instance != app.me.instance && !peer::taken(&app, &former.instance, &step, rev).await
     {
-        log::info!(target: "control", id = &*step, instance = &*former.instance; "former owner not told");
+        log::info!(target: "control", id = &*step, instance = &*former.instance; "could not notify the former owner");
     }
 }
 
-/// A step that is being taken over here, until this is dropped.
-struct Taking {
+/// Marks a step as being taken over by this instance until it is dropped.
+struct TakeoverGuard {
     app: Arc<App>,
     step: Arc<str>,
 }
 
-impl Taking {
+impl TakeoverGuard {
     fn begin(app: &Arc<App>, step: &Arc<str>) -> Option<Self> {
         let (app, step) = (app.clone(), step.clone());
         app.taking.lock().insert(step.clone()).then_some(())?;
@@ -307,36 +313,36 @@
     }
 }
 
-impl Drop for Taking {
+impl Drop for TakeoverGuard {
     fn drop(&mut self) {
         self.app.taking.lock().remove(&self.step);
     }
 }
 
-/// Goes on with a step that was taken over, once its records could be read.
-async fn go_on(taking: Taking, step: Arc<str>, head: Head, open: Ownership) {
-    let app = taking.app.clone();
+/// Continues a step that was taken over, as soon as its records could be read.
+async fn resume(guard: TakeoverGuard, step: Arc<str>, head: Head, ownership: Ownership) {
+    let app = guard.app.clone();
     while app.clock.wall() < head.opened + app.settings.keep {
         match load(&app, &step, &head).await {
-            Ok((spec, left)) => {
-                log::info!(target: "control", id = &*step, segments = left.segments.len(),
-                    pieces = left.deltas.len(); "records read");
-                owner::resume(&app, &step, head, spec, open, left);
+            Ok((spec, progress)) => {
+                log::info!(target: "control", id = &*step, segments = progress.segments.len(),
+                    pieces = progress.deltas.len(); "records read");
+                owner::resume(&app, &step, head, spec, ownership, progress);
                 return;
             }
             Err(error) => {
                 let why = error.to_string();
-                log::warn!(target: "control", id = &*step, why = why.as_str(); "records not read");
+                log::warn!(target: "control", id = &*step, why = why.as_str(); "could not read the records of a step");
                 if matches!(error, PlatError::Garbled) {
                     return;
                 }
             }
         }
-        sleep(LOOK).await;
+        sleep(PASS_INTERVAL).await;
     }
 }
 
-/// Reads what the owner before has left. It can list nothing more, so what is read is all there is.
+/// Reads the progress that the former owner has saved. It is complete, since the former owner can no longer write.
 async fn load(app: &App, step: &str, head: &Head) -> Result<(Spec, SavedProgress), PlatError> {
     let parts = app.plat.list(&keys::spec_prefix(step)).await?;
     let spec = Spec::decode_parts(parts.items.iter().map(|item| &*item.value), head.total);
@@ -348,50 +354,48 @@
         .map(|item| record::decode(&item.value))
         .collect();
     let segments = segments.map_err(|_| PlatError::Garbled)?;
-    let (pieces, seq) = kept(app, step).await?;
-    let left = SavedProgress {
+    let (deltas, next_seq) = load_deltas(app, step).await?;
+    let progress = SavedProgress {
         segments,
-        deltas: pieces,
-        next_seq: seq,
+        deltas,
+        next_seq,
     };
-    Ok((spec, left))
+    Ok((spec, progress))
 }
 
-/// What the owner before has kept of samples that are not whole, in the order in which they gained it, and
-/// a number for the next segment.
-async fn kept(app: &App, step: &str) -> Result<(Vec<DraftDelta>, u32), PlatError> {
-    let kept = app.plat.list(&keys::drafts_prefix(step)).await?;
-    let mut all = Vec::new();
-    let mut seq = 0;
-    for item in &kept.items {
-        let pieces: Vec<DraftDelta> =
-            record::decode(&item.value).map_err(|_| PlatError::Garbled)?;
-        all.extend(pieces);
-        seq = keys::draft_seq(step, &item.key).map_or(seq, |last| last + 1);
+/// Reads the saved parts of samples that are not complete, oldest first, and the sequence number of the next segment.
+async fn load_deltas(app: &App, step: &str) -> Result<(Vec<DraftDelta>, u32), PlatError> {
+    let drafts = app.plat.list(&keys::drafts_prefix(step)).await?;
+    let mut deltas = Vec::new();
+    let mut next_seq = 0;
+    for item in &drafts.items {
+        let saved: Vec<DraftDelta> = record::decode(&item.value).map_err(|_| PlatError::Garbled)?;
+        deltas.extend(saved);
+        next_seq = keys::draft_seq(step, &item.key).map_or(next_seq, |last| last + 1);
     }
-    Ok((all, seq))
+    Ok((deltas, next_seq))
 }
 
-/// Removes the records of a step that nobody may read any more; the head goes last, so that an
-/// interrupted removal goes on later, and says until then that the step has ended.
-async fn sweep(app: &App, step: &str, head: &Item) -> Result<(), PlatError> {
-    let mut gone = Vec::new();
+/// Removes the records of a step that can no longer be read. The head is removed last, so that an interrupted removal
+/// is continued later, and the end of the step stays known until then.
+async fn remove_records(app: &App, step: &str, head: &Item) -> Result<(), PlatError> {
+    let mut removed = Vec::new();
     for prefix in [
         keys::spec_prefix(step),
         keys::segments_prefix(step),
         keys::drafts_prefix(step),
     ] {
         let range = app.plat.list(&prefix).await?;
-        gone.extend(range.items.into_iter().map(|item| item.key));
+        removed.extend(range.items.into_iter().map(|item| item.key));
     }
     let last = [keys::end(step), head.key.clone()];
-    for part in gone.chunks(TOGETHER).chain([&last[..]]) {
+    for chunk in removed.chunks(MAX_DELETED_KEYS).chain([&last[..]]) {
         let txn = Txn {
-            deletes: part.iter().cloned().map(Delete::Key).collect(),
+            deletes: chunk.iter().cloned().map(Delete::Key).collect(),
             ..Txn::default()
         };
         app.plat.txn(&txn).await?;
     }
-    log::info!(target: "control", id = step, keys = gone.len() + last.len(); "step removed");
+    log::info!(target: "control", id = step, keys = removed.len() + last.len(); "step removed");
     Ok(())
 }
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/supply.rs
@@ -1,7 +1,7 @@
-//! Ordering upstreams.
+//! Orders upstreams.
 //!
-//! [`capacity::plan_orders`] decides how many are wanted. What is wanted is written down first, and a successor goes
-//! on from what is written.
+//! [`capacity::plan_orders`] decides how many are needed. The desired number is stored before it is ordered, and the
+//! next leader continues from what is stored.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,8 +20,8 @@
 use tokio::time::sleep;
 
 use super::kept;
-use super::kept::Kept;
-use super::office::Office;
+use super::kept::Versioned;
+use super::office::Leadership;
 use super::targets::Targets;
 use crate::App;
 use crate::dialect::Granted;
@@ -29,112 +29,122 @@
 use crate::meter;
 use crate::settings::Accounts;
 
-/// The key of what was asked for.
-const KEY: &str = "snipeway/capacity";
+/// The key of the desired capacity.
+const CAPACITY_KEY: &str = "snipeway/capacity";
 
-/// Pause between two looks at what is needed.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval between two checks of the needed capacity.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time that an order has to be answered.
-const LIMIT: Duration = Duration::from_millis(1_000);
+/// Time limit for the answer to an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Most bytes of an answer.
-const MOST: usize = 64 << 10;
+/// Maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Steps of one model that the number of its samples at one time is made of: the one that runs, and the one that
-/// its trainer asks for meanwhile.
-const STEPS: u64 = 2;
+/// Number of a model's steps that its concurrent samples come from: the step that runs, and the one that its trainer
+/// submits meanwhile.
+const CONCURRENT_STEPS: u64 = 2;
 
 /// The leader's orders of upstreams.
-pub(super) struct Supplies<'a> {
+pub(super) struct CapacityOrders<'a> {
     app: &'a Arc<App>,
-    office: &'a Office,
-    to: Accounts,
-    held: Option<Kept<DesiredCapacity>>,
-    tries: RetrySchedule,
+    leadership: &'a Leadership,
+    settings: Accounts,
+    /// The stored capacity, unless it has to be read again.
+    desired: Option<Versioned<DesiredCapacity>>,
+    retries: RetrySchedule,
 }
 
-impl<'a> Supplies<'a> {
-    /// Makes a leader that has ordered nothing yet; [`None`] where nothing can be ordered.
-    pub(super) fn new(app: &'a Arc<App>, office: &'a Office) -> Option<Self> {
-        let to = app.settings.accounts?;
+impl<'a> CapacityOrders<'a> {
+    /// Creates the orders of a new leader; [`None`] if no address for orders is configured.
+    pub(super) fn new(app: &'a Arc<App>, leadership: &'a Leadership) -> Option<Self> {
+        let settings = app.settings.accounts?;
         Some(Self {
             app,
-            office,
-            to,
-            held: None,
-            tries: RetrySchedule::default(),
+            leadership,
+            settings,
+            desired: None,
+            retries: RetrySchedule::default(),
         })
     }
 
-    /// Orders what is needed for as long as this instance leads.
+    /// Orders the needed upstreams for as long as this instance is the leader.
     pub(super) async fn run(mut self, targets: &Targets) {
         loop {
-            sleep(LOOK).await;
-            if let Err(error) = self.turn(targets).await {
-                self.held = None;
+            sleep(CHECK_INTERVAL).await;
+            if let Err(error) = self.order_due(targets).await {
+                self.desired = None;
                 let error = error.to_string();
-                log::debug!(target: "capacity", error = error.as_str(); "record of orders not reached");
+                log::debug!(target: "capacity", error = error.as_str(); "could not read or write the desired capacity");
             }
         }
     }
 
-    async fn turn(&mut self, targets: &Targets) -> Result<(), PlatError> {
+    async fn order_due(&mut self, targets: &Targets) -> Result<(), PlatError> {
         let Some(plan) = self.app.plan.load_full() else {
             return Ok(());
         };
         let scaled = plan.services().any(|service| service.scaling.is_some());
-        if !scaled || !self.office.may_order(self.app.clock.now()) {
+        if !scaled || !self.leadership.may_order(self.app.clock.now()) {
             return Ok(());
         }
-        let (mut ledger, rev) = match self.held.take() {
-            Some(held) => held,
-            None => kept::read(self.app, KEY).await?.unwrap_or_default(),
+        let (mut desired, rev) = match self.desired.take() {
+            Some(desired) => desired,
+            None => kept::read(self.app, CAPACITY_KEY)
+                .await?
+                .unwrap_or_default(),
         };
         let mut changed = false;
-        for order in self.wanted(&plan, &ledger, targets) {
-            changed |= ledger.raise(order);
+        for order in self.needed_orders(&plan, &desired, targets) {
+            changed |= desired.raise(order);
         }
         let rev = match changed {
-            true => kept::write(self.app, KEY, &ledger, rev).await?,
+            true => kept::write(self.app, CAPACITY_KEY, &desired, rev).await?,
             false => rev,
         };
-        for order in ledger.orders() {
-            self.ask(&plan, order).await;
+        for order in desired.orders() {
+            self.order(&plan, order).await;
         }
-        self.held = Some((ledger, rev));
+        self.desired = Some((desired, rev));
         Ok(())
     }
 
-    fn wanted(&self, plan: &Config, ledger: &DesiredCapacity, targets: &Targets) -> Vec<Order> {
-        let aims = targets.aims(self.app.clock.now());
+    fn needed_orders(
+        &self,
+        plan: &Config,
+        desired: &DesiredCapacity,
+        targets: &Targets,
+    ) -> Vec<Order> {
+        let targets = targets.by_model(self.app.clock.now());
         let mut orders = Vec::new();
         for service in plan.services() {
             let (Some(bounds), Some(engine)) = (&service.scaling, &service.engine) else {
                 continue;
             };
-            let models = engine.models.iter().filter_map(|model| aims.get(model));
-            let wish = CapacityDemand {
-                requests: models.map(|aim| aim.concurrent_samples / STEPS).sum(),
+            let models = engine.models.iter().filter_map(|model| targets.get(model));
+            let demand = CapacityDemand {
+                requests: models
+                    .map(|target| target.concurrent_samples / CONCURRENT_STEPS)
+                    .sum(),
                 slots: engine.slots,
                 fill: self.app.settings.fill,
             };
-            let present = self.present(&service.name, bounds);
+            let present = self.count_present(&service.name, bounds);
             orders.extend(plan_orders(
                 &service.name,
                 bounds,
                 &present,
-                ledger.orders(),
-                wish,
+                desired.orders(),
+                demand,
             ));
         }
         orders
     }
 
-    /// The upstreams of a service in each failure domain in which there may be some.
-    fn present(&self, service: &str, bounds: &ScalingBounds) -> Vec<DomainUpstreams> {
+    /// Counts the upstreams of a service in each failure domain in which it may have some.
+    fn count_present(&self, service: &str, bounds: &ScalingBounds) -> Vec<DomainUpstreams> {
         let roster = self.app.roster.lock();
-        let mut all: Vec<_> = bounds
+        let mut domains: Vec<_> = bounds
             .prices
             .iter()
             .map(|(domain, _)| DomainUpstreams {
@@ -143,19 +153,25 @@
                 spot: 0,
             })
             .collect();
-        for one in roster.of_service(service).filter(|one| !one.leaving) {
-            let Some(at) = all.iter_mut().find(|present| present.domain == one.domain) else {
+        for upstream in roster
+            .of_service(service)
+            .filter(|upstream| !upstream.leaving)
+        {
+            let Some(domain) = domains
+                .iter_mut()
+                .find(|domain| domain.domain == upstream.domain)
+            else {
                 continue;
             };
-            match one.spot {
-                true => at.spot += 1,
-                false => at.regular += 1,
+            match upstream.spot {
+                true => domain.spot += 1,
+                false => domain.regular += 1,
             }
         }
-        all
+        domains
     }
 
-    async fn ask(&mut self, plan: &Config, order: &Order) {
+    async fn order(&mut self, plan: &Config, order: &Order) {
         let now = self.app.clock.now();
         let subject = &order.subject;
         let service = plan.service(&subject.service);
@@ -163,11 +179,19 @@
         else {
             return;
         };
-        let present = self.present(&subject.service, bounds);
-        let here = present.iter().find(|one| one.domain == subject.domain);
-        let count = here.map_or(0, |one| if subject.spot { one.spot } else { one.regular });
-        // Asked right before each order: the process may have been paused since the last renewal.
-        if !self.tries.is_due(order, count, now) || !self.office.may_order(now) {
+        let present = self.count_present(&subject.service, bounds);
+        let domain = present
+            .iter()
+            .find(|domain| domain.domain == subject.domain);
+        let count = domain.map_or(0, |domain| {
+            if subject.spot {
+                domain.spot
+            } else {
+                domain.regular
+            }
+        });
+        // Checked right before each order, since the process may have been paused since the last renewal.
+        if !self.retries.is_due(order, count, now) || !self.leadership.may_order(now) {
             return;
         }
         let granted = self.send(order).await;
@@ -181,32 +205,37 @@
             None => "unanswered",
         };
         match granted {
-            Some(Granted::Taken) => self.tries.accepted(subject, bounds.startup_ms, now),
-            Some(Granted::Scarce | Granted::Refused) => self.tries.unavailable(subject, now),
-            Some(Granted::Busy | Granted::Fenced) | None => self.tries.unanswered(subject, now),
+            Some(Granted::Taken) => self.retries.accepted(subject, bounds.startup_ms, now),
+            Some(Granted::Scarce | Granted::Refused) => self.retries.unavailable(subject, now),
+            Some(Granted::Busy | Granted::Fenced) | None => self.retries.unanswered(subject, now),
         }
         metrics::counter!(meter::SUPPLIES, "result" => outcome).increment(1);
         log::info!(target: "capacity", service = &*subject.service, domain = &*subject.domain,
-            wanted = order.count, present = count, fence = self.office.fence(), outcome;
+            wanted = order.count, present = count, fence = self.leadership.fencing_token(), outcome;
             "upstreams ordered");
     }
 
     async fn send(&self, order: &Order) -> Option<Granted> {
         let supply = Supply {
-            addr: self.to.address,
+            addr: self.settings.address,
             order,
             holder: &self.app.me.instance,
-            fence: self.office.fence(),
+            fence: self.leadership.fencing_token(),
         };
         let request = match self.app.dialect.supply(&supply) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
-                log::error!(target: "capacity", error = error.as_str(); "no order");
+                log::error!(target: "capacity", error = error.as_str(); "could not build the order of upstreams");
                 return Some(Granted::Refused);
             }
         };
-        let answer = self.app.http.fetch(request, LIMIT, MOST).await.ok()?;
+        let answer = self
+            .app
+            .http
+            .fetch(request, ORDER_TIMEOUT, MAX_ANSWER_BYTES)
+            .await
+            .ok()?;
         Some(self.app.dialect.granted(answer.status()))
     }
 }
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -1,4 +1,4 @@
-//! The versions of weights that trainers have announced.
+//! The versions of weights that engines should load, from the announcements of trainers and the steps they submit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,80 +18,84 @@
 use crate::App;
 use crate::reach::Reach;
 
-/// Longest time that one watch waits, in milliseconds. A watch may hear nothing of a change, so
-/// the newest state is read after each that heard nothing.
-const WATCH: Millis = 2_000;
+/// Maximum time that one watch waits, in milliseconds. A watch may miss a change, so the current state is read after
+/// each watch that reported none.
+const MAX_WATCH_WAIT: Millis = 2_000;
 
-/// Time between two stale reads beside the watch. One whose connection has gone silent is noticed
-/// only when its time is over; nothing was loaded for four seconds meanwhile, on a day on which
-/// six versions were announced in that time.
-const GLANCE: Duration = Duration::from_millis(400);
+/// Interval between the stale reads beside the watch. A watch whose connection has become unresponsive is noticed only
+/// when its time is over, for up to four seconds, in which six versions may be announced and none would be loaded.
+const STALE_READ_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Pause after a failed call.
-const AGAIN: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// What is known of the wishes of each model's trainers.
+/// The demand of each model's trainers.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
-    all: Arc<Mutex<Map<Arc<str>, Demand>>>,
+    demands: Arc<Mutex<Map<Arc<str>, Demand>>>,
 }
 
 impl Targets {
-    /// The versions that are worth having, of each model of which one was announced.
-    pub fn aims(&self, now: Millis) -> Map<Arc<str>, Target> {
-        let all = self.all.lock();
-        let aims = all
+    /// The versions that engines should load, for each model of which a version was announced.
+    pub fn by_model(&self, now: Millis) -> Map<Arc<str>, Target> {
+        let demands = self.demands.lock();
+        let targets = demands
             .iter()
             .map(|(model, demand)| (model, demand.target(now)));
-        aims.filter(|(_, aim)| aim.newest > 0)
-            .map(|(model, aim)| (model.clone(), aim))
+        targets
+            .filter(|(_, target)| target.newest > 0)
+            .map(|(model, target)| (model.clone(), target))
             .collect()
     }
 
-    /// Notes an announced version; tells whether it is new.
-    pub fn announce(&self, model: Arc<str>, version: Version, now: Millis) -> bool {
-        let mut all = self.all.lock();
-        all.entry(model)
+    /// Records an announced version; returns whether it is new.
+    pub fn record_announcement(&self, model: Arc<str>, version: Version, now: Millis) -> bool {
+        let mut demands = self.demands.lock();
+        demands
+            .entry(model)
             .or_default()
             .record_announcement(version, now)
     }
 
-    /// Notes a step.
-    pub fn opened(&self, head: &Head) {
-        let mut all = self.all.lock();
-        let demand = all.entry(head.model.clone()).or_default();
+    /// Records a step that was accepted.
+    pub fn record_step(&self, head: &Head) {
+        let mut demands = self.demands.lock();
+        let demand = demands.entry(head.model.clone()).or_default();
         let samples = u64::from(head.total);
         demand.record_step(head.min_version, head.work, samples, head.opened);
     }
 }
 
-/// Follows what trainers announce.
+/// Follows the announcements of trainers.
 pub async fn follow(app: Arc<App>, targets: Targets) {
-    tokio::join!(listen(&app, &targets), glance(&app, &targets));
+    tokio::join!(watch_loop(&app, &targets), stale_read_loop(&app, &targets));
 }
 
-/// Reads now and then what may be some time old, which is cheap.
-async fn glance(app: &App, targets: &Targets) {
+/// Reads the announcements at intervals with stale reads, which are cheap.
+async fn stale_read_loop(app: &App, targets: &Targets) {
     let prefix = app.dialect.places().weights;
     loop {
-        sleep(GLANCE).await;
+        sleep(STALE_READ_INTERVAL).await;
         match app.plat.list_stale(prefix).await {
-            Ok(range) => range.items.iter().for_each(|item| note(app, targets, item)),
+            Ok(range) => range
+                .items
+                .iter()
+                .for_each(|item| apply(app, targets, item)),
             Err(error) => {
                 let error = error.to_string();
-                log::debug!(target: "control", error = error.as_str(); "no glance at weights");
+                log::debug!(target: "control", error = error.as_str(); "could not read announced weights");
             }
         }
     }
 }
 
-async fn listen(app: &App, targets: &Targets) {
+async fn watch_loop(app: &App, targets: &Targets) {
     let prefix = app.dialect.places().weights;
     let mut reach = Reach::new("announced weights");
     let mut rev = None;
     loop {
         let next = match rev {
-            None => read(app, targets, prefix).await,
+            None => read_all(app, targets, prefix).await,
             Some(rev) => watch(app, targets, prefix, rev).await,
         };
         rev = match next {
@@ -101,41 +105,41 @@
             }
             Err(error) => {
                 reach.lost(&error);
-                sleep(AGAIN).await;
+                sleep(RETRY_PAUSE).await;
                 None
             }
         };
     }
 }
 
-async fn read(app: &App, targets: &Targets, prefix: &str) -> Result<Option<i64>, PlatError> {
+async fn read_all(app: &App, targets: &Targets, prefix: &str) -> Result<Option<i64>, PlatError> {
     let range = app.plat.list(prefix).await?;
     for item in &range.items {
-        note(app, targets, item);
+        apply(app, targets, item);
     }
     Ok(Some(range.rev))
 }
 
-/// Waits for changes; gives the revision to go on from, or nothing when it heard none.
+/// Waits for changes; returns the revision from which to continue, or [`None`] when there were none.
 async fn watch(
     app: &App,
     targets: &Targets,
     prefix: &str,
     rev: i64,
 ) -> Result<Option<i64>, PlatError> {
-    let (changes, next) = app.plat.poll(prefix, rev, WATCH).await?;
+    let (changes, next) = app.plat.poll(prefix, rev, MAX_WATCH_WAIT).await?;
     for change in &changes {
         if let Change::Put(item) = change {
-            note(app, targets, item);
+            apply(app, targets, item);
         }
     }
     Ok((!changes.is_empty()).then_some(next.max(rev)))
 }
 
-fn note(app: &App, targets: &Targets, item: &Item) {
+fn apply(app: &App, targets: &Targets, item: &Item) {
     match app.dialect.announced(&item.value) {
         Ok((model, version)) => {
-            if targets.announce(model.clone(), version, app.clock.now()) {
+            if targets.record_announcement(model.clone(), version, app.clock.now()) {
                 log::info!(target: "control", model = &*model, version, revision = item.rev;
                     "weights announced");
             }
@@ -143,7 +147,7 @@
         Err(error) => {
             let error = error.to_string();
             log::warn!(target: "control", key = item.key.as_str(), error = error.as_str();
-                "announcement not understood");
+                "could not decode announcement");
         }
     }
 }
