--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -83,7 +83,7 @@
                 .update((owner.instance, owner.start), tally);
             Told::Noted
         }
-        Ask::Shares(window) => Told::Shares(crate::tally::window_counts(app, window)),
+        Ask::Shares(window) => Told::Shares(crate::request_counts::window_counts(app, window)),
         Ask::Ended { step, rev } => {
             steps::note_end(app, &step, rev);
             Told::Noted
@@ -94,7 +94,7 @@
             }
             Told::Noted
         }
-        Ask::Reaches => Told::Reaches(crate::tally::can_reach_accounts(app).await),
+        Ask::Reaches => Told::Reaches(crate::request_counts::can_reach_accounts(app).await),
         // Never through a third one: two that are turned away would ask each other forever.
         Ask::Relay(call) => Told::Relay(app.plat.call_for_peer(&call).await),
         Ask::Try(call) => Told::Relay(attempted(app, &call).await),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,13 +1,13 @@
 //! Duties of the leader, one instance at a time: loading weights at engines, ordering upstreams, reporting the requests
 //! of teams, taking over steps whose owner is gone, and removing records that are no longer needed.
 
-mod accounts;
-mod kept;
-pub mod office;
-pub mod orders;
+pub mod leadership;
+pub mod load_orders;
 pub mod orphans;
-mod supply;
 pub mod targets;
+mod upstream_orders;
+mod usage_reports;
+mod versioned;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use crate::dialect::DialectError;
 use crate::dialect::Stated;
 use crate::news;
-use office::Leadership;
+use leadership::Leadership;
 
 /// Interval between two passes of the leader over the engines.
 const ORDER_INTERVAL: Duration = Duration::from_millis(100);
@@ -59,7 +59,7 @@
 /// Runs for leader, and performs the leader's duties when elected, until the instance is leaving.
 pub async fn run(app: Arc<App>) {
     while !app.is_leaving() {
-        let leadership = office::win_election(&app).await;
+        let leadership = leadership::win_election(&app).await;
         lead(&app, leadership).await;
     }
 }
@@ -73,20 +73,20 @@
     tasks.spawn(targets::follow(app.clone(), targets.clone()));
     tasks.spawn(orphans::run(app.clone(), targets.clone()));
     let load_orders = async {
-        let mut orders = orders::LoadOrders::new(app, &leadership);
+        let mut orders = load_orders::LoadOrders::new(app, &leadership);
         while !app.is_leaving() {
             orders.issue_due(&targets).await;
             sleep(ORDER_INTERVAL).await;
         }
     };
     let reports = async {
-        match accounts::UsageReporter::new(app, &leadership) {
+        match usage_reports::UsageReporter::new(app, &leadership) {
             Some(reporter) => reporter.run().await,
             None => std::future::pending().await,
         }
     };
     let capacity_orders = async {
-        match supply::CapacityOrders::new(app, &leadership) {
+        match upstream_orders::CapacityOrders::new(app, &leadership) {
             Some(orders) => orders.run(&targets).await,
             None => std::future::pending().await,
         }
@@ -96,7 +96,7 @@
         () = load_orders => EndReason::Leaving,
         // Never completes before the leadership ends.
         () = capacity_orders => EndReason::Lost,
-        accounts::Unable::Unreached = reports => EndReason::Unable,
+        usage_reports::Unable::Unreached = reports => EndReason::Unable,
     };
     if reason != EndReason::Lost {
         leadership.resign(app).await;
--- a/crates/node/src/control/orders.rs
+++ b/crates/node/src/control/load_orders.rs
@@ -15,7 +15,7 @@
 use weight::scheduler::LoadOrder;
 use weight::scheduler::LoadScheduler;
 
-use super::office::Leadership;
+use super::leadership::Leadership;
 use super::targets::Targets;
 use crate::App;
 use crate::dialect::Order;
--- a/crates/node/src/control/orphans.rs
+++ b/crates/node/src/control/orphans.rs
@@ -22,13 +22,13 @@
 
 use super::targets::Targets;
 use crate::App;
-use crate::claim;
-use crate::claim::Ownership;
-use crate::claim::TakeOverOutcome;
 use crate::member;
 use crate::owner;
 use crate::owner::SavedProgress;
 use crate::peer;
+use crate::step_head;
+use crate::step_head::Ownership;
+use crate::step_head::TakeOverOutcome;
 
 /// Interval between two passes over the steps. Stale reads suffice, since a conditional write decides a takeover.
 const PASS_INTERVAL: Duration = Duration::from_millis(500);
@@ -259,12 +259,12 @@
         return Ok(());
     };
     let former = head.owner.clone();
-    let ownership = match claim::take_over(app, step, item, &head).await? {
+    let ownership = match step_head::take_over(app, step, item, &head).await? {
         TakeOverOutcome::Open(ownership) => ownership,
         TakeOverOutcome::Ended => {
             // The previous release has written the end under a key that is only checked here, so it is written to the
             // head as well.
-            claim::end(app, step).await?;
+            step_head::end(app, step).await?;
             return Ok(());
         }
         TakeOverOutcome::Rejected => {
--- a/crates/node/src/control/supply.rs
+++ b/crates/node/src/control/upstream_orders.rs
@@ -19,10 +19,10 @@
 use table::Service;
 use tokio::time::sleep;
 
-use super::kept;
-use super::kept::Versioned;
-use super::office::Leadership;
+use super::leadership::Leadership;
 use super::targets::Targets;
+use super::versioned;
+use super::versioned::Versioned;
 use crate::App;
 use crate::dialect::Granted;
 use crate::dialect::Supply;
@@ -90,7 +90,7 @@
         }
         let (mut desired, rev) = match self.desired.take() {
             Some(desired) => desired,
-            None => kept::read(self.app, CAPACITY_KEY)
+            None => versioned::read(self.app, CAPACITY_KEY)
                 .await?
                 .unwrap_or_default(),
         };
@@ -99,7 +99,7 @@
             changed |= desired.raise(order);
         }
         let rev = match changed {
-            true => kept::write(self.app, CAPACITY_KEY, &desired, rev).await?,
+            true => versioned::write(self.app, CAPACITY_KEY, &desired, rev).await?,
             false => rev,
         };
         for order in desired.orders() {
--- a/crates/node/src/control/accounts.rs
+++ b/crates/node/src/control/usage_reports.rs
@@ -19,9 +19,9 @@
 use usage::WindowCounts;
 use usage::Windows;
 
-use super::kept;
-use super::kept::Versioned;
-use super::office::Leadership;
+use super::leadership::Leadership;
+use super::versioned;
+use super::versioned::Versioned;
 use crate::App;
 use crate::dialect::Account;
 use crate::dialect::Accounted;
@@ -143,7 +143,7 @@
         log::info!(target: "accounts", window, teams = report.counts.len(), requests,
             age_ms = now.saturating_sub(self.windows.end(window)); "window collected");
         ledger.record(report);
-        let rev = kept::write(self.app, USAGE_KEY, &ledger, rev).await?;
+        let rev = versioned::write(self.app, USAGE_KEY, &ledger, rev).await?;
         self.ledger = Some((ledger, rev));
         Ok(Duration::ZERO)
     }
@@ -151,11 +151,11 @@
     /// Reads the stored reports. The first leader stores with which window the reports start: otherwise, the next
     /// leader would start with its own first window and omit those before it.
     async fn open_ledger(&self, now: Millis) -> Result<Versioned<Ledger>, PlatError> {
-        if let Some(ledger) = kept::read(self.app, USAGE_KEY).await? {
+        if let Some(ledger) = versioned::read(self.app, USAGE_KEY).await? {
             return Ok(ledger);
         }
         let ledger = Ledger::starting_at(self.first_window(now).await);
-        let rev = kept::write(self.app, USAGE_KEY, &ledger, 0).await?;
+        let rev = versioned::write(self.app, USAGE_KEY, &ledger, 0).await?;
         Ok((ledger, rev))
     }
 
@@ -175,7 +175,7 @@
             .map(|member| self.oldest_window(member, earlier.clone()));
         let answers = join_all(queries).await;
         let own = earlier.clone().find(|window| {
-            let counts = crate::tally::window_counts(self.app, *window);
+            let counts = crate::request_counts::window_counts(self.app, *window);
             counts.iter().any(|source| !source.counts.is_empty())
         });
         answers
@@ -223,7 +223,7 @@
         let queries = keepers.map(|keeper| peer::shares(self.app, keeper.addr, window));
         let answers = join_all(queries).await;
         let mut counts: Vec<WindowCounts> = answers.into_iter().flatten().flatten().collect();
-        counts.extend(crate::tally::window_counts(self.app, window));
+        counts.extend(crate::request_counts::window_counts(self.app, window));
         let age = now.saturating_sub(self.windows.end(window));
         if age >= DIRECT_QUERY_DELAY {
             let known = members.iter().filter(|member| member.is_reader);
@@ -312,7 +312,7 @@
             return false;
         };
         if self.app.clock.now() < since + UNREACHED_DELAY
-            || crate::tally::can_reach_accounts(self.app).await
+            || crate::request_counts::can_reach_accounts(self.app).await
         {
             return false;
         }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -25,10 +25,10 @@
 
 use crate::App;
 use crate::dialect::Caller;
+use crate::forwarded_request::ForwardedRequest;
+use crate::forwarded_request::UpstreamSlot;
 use crate::meter;
 use crate::refuse::Refusal;
-use crate::sent::ForwardedRequest;
-use crate::sent::UpstreamSlot;
 
 /// Time after which a call that may be repeated is sent to a second upstream as well: some times
 /// the usual work of a lookup, and early enough for the second to answer within the latency that
--- a/crates/node/src/sent.rs
+++ b/crates/node/src/forwarded_request.rs
@@ -25,7 +25,7 @@
 
 use crate::App;
 use crate::dialect::Caller;
-use crate::print;
+use crate::fingerprint;
 
 /// Part of a request's time that is reserved for returning the answer to the caller: a few milliseconds of network
 /// latency each way within a region, and the rest for processing in this instance.
@@ -117,8 +117,8 @@
     /// The identity by which its crashes of upstreams are tracked.
     pub(crate) fn identity(&self) -> Identity {
         *self.identity.get_or_init(|| match self.is_score {
-            true => print::score(&self.head, &self.principal, &self.body),
-            false => print::request(&self.head, &self.principal, &self.body).into(),
+            true => fingerprint::score(&self.head, &self.principal, &self.body),
+            false => fingerprint::request(&self.head, &self.principal, &self.body).into(),
         })
     }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,18 +6,19 @@
 //!
 //! - [`front`] takes requests in: [`forward`] passes calls on, [`steps`] answers for steps.
 //! - [`owner`] runs the samples of a step that this instance owns, one by one in [`mod@run`].
-//! - [`claim`] decides whether a step may begin or go on, by its head at the platform.
+//! - [`step_head`] decides whether a step may begin or go on, by its head at the platform.
 //! - [`news`] follows the configuration and the list of upstreams.
 //! - [`control`] is the leader that orders loads and takes up steps whose owner is gone.
 
 mod access;
 mod answer;
 pub mod app;
-pub mod claim;
 pub mod control;
 pub mod dialect;
 pub mod events;
+mod fingerprint;
 pub mod forward;
+mod forwarded_request;
 pub mod front;
 pub mod hand;
 pub mod hint;
@@ -27,18 +28,17 @@
 pub mod news;
 pub mod owner;
 pub mod peer;
-mod print;
 mod reach;
 pub mod refuse;
+mod request_counts;
 pub mod run;
 mod score;
-mod sent;
 pub mod settings;
 pub mod shelf;
 pub mod start;
+pub mod step_head;
 pub mod steps;
 pub mod stream;
-mod tally;
 mod through;
 
 pub use app::App;
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,9 +1,9 @@
 //! Runs the samples of the steps that this instance owns, and writes their results to the platform.
 
 mod checks;
-mod drive;
-mod looks;
-mod work;
+mod owned_step;
+mod runner;
+mod version_probes;
 mod write;
 
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use self::drive::StepRunner;
-pub use self::work::OwnedStep;
+pub use self::owned_step::OwnedStep;
+use self::runner::StepRunner;
 use crate::App;
-use crate::claim::Ownership;
+use crate::fingerprint;
 use crate::hint;
-use crate::print;
+use crate::step_head::Ownership;
 
 /// Pause after a platform call whose outcome is unknown.
 pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(150);
@@ -51,7 +51,7 @@
     let mut leftovers = app.again.lock();
     let mut carried_over = Set::default();
     for (index, sample) in spec.samples.iter_mut().enumerate() {
-        let Some(events) = leftovers.take(print::leftover(head.team.as_deref(), sample), now)
+        let Some(events) = leftovers.take(fingerprint::leftover(head.team.as_deref(), sample), now)
         else {
             continue;
         };
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -18,7 +18,7 @@
 
 use super::OwnedStep;
 use crate::App;
-use crate::claim;
+use crate::step_head;
 use crate::through;
 use crate::through::Others;
 
@@ -77,7 +77,7 @@
         false => app.settings.cancel / RELAY_DELAY_DIVISOR,
     };
     let state = match read_head(app, owned, relay_delay).await {
-        HeadRead::Head(item) => claim::ownership_state(asked_at, owned.rev, item.as_ref()),
+        HeadRead::Head(item) => step_head::ownership_state(asked_at, owned.rev, item.as_ref()),
         HeadRead::Outage => {
             // The outage is confirmed as of the time at which the others were asked.
             owned
--- a/crates/node/src/owner/work.rs
+++ b/crates/node/src/owner/owned_step.rs
@@ -29,11 +29,11 @@
 use tokio::time::timeout;
 
 use crate::App;
-use crate::claim;
-use crate::claim::Ownership;
-use crate::claim::OwnershipState;
-use crate::print;
+use crate::fingerprint;
 use crate::shelf::Page;
+use crate::step_head;
+use crate::step_head::Ownership;
+use crate::step_head::OwnershipState;
 
 /// Time for which results are collected into one write. Each write counts against the platform's limits, and callers
 /// do not wait for the first results of a step.
@@ -172,7 +172,7 @@
     pub(super) async fn confirm_ownership(&self, app: &App) -> bool {
         let asked_at = app.clock.now();
         let state = match app.plat.get(&keys::head(&self.step)).await {
-            Ok(item) => claim::ownership_state(asked_at, self.rev, item.as_ref()),
+            Ok(item) => step_head::ownership_state(asked_at, self.rev, item.as_ref()),
             Err(error) => Err(error),
         };
         match state {
@@ -245,7 +245,7 @@
 
     /// The fingerprint of a sample's request and its team, so that a draft is never given to another team.
     pub(super) fn fingerprint(&self, sample: &Sample) -> u64 {
-        print::leftover(self.head.team.as_deref(), sample)
+        fingerprint::leftover(self.head.team.as_deref(), sample)
     }
 
     /// Hands over the drafts of the samples with these fingerprints, once the step has ended. Returns none if the
--- a/crates/node/src/owner/drive.rs
+++ b/crates/node/src/owner/runner.rs
@@ -1,6 +1,6 @@
 //! The loop that runs the samples of a step.
 
-mod placing;
+mod placement;
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use self::placing::PendingRun;
-use self::placing::PlaceOutcome;
+use self::placement::PendingRun;
+use self::placement::PlaceOutcome;
 use super::OwnedStep;
 use super::RETRY_PAUSE;
 use super::checks::Checks;
-use super::looks::VersionProbes;
+use super::version_probes::VersionProbes;
 use super::write::WriteOutcome;
 use super::write::write_segment;
 use crate::App;
--- a/crates/node/src/owner/drive/placing.rs
+++ b/crates/node/src/owner/runner/placement.rs
@@ -20,7 +20,7 @@
 
 use super::FinishedRun;
 use super::StepRunner;
-use crate::print;
+use crate::fingerprint;
 use crate::run::Run;
 
 /// Minimum time between a placement that found no free slot and the next one, in milliseconds. Each placement searches
@@ -97,7 +97,7 @@
 
     fn identity(&self, pending: &PendingRun) -> Identity {
         let head = &self.owned.head;
-        print::sample(&head.host, head.team.as_deref(), self.sample(pending))
+        fingerprint::sample(&head.host, head.team.as_deref(), self.sample(pending))
     }
 
     fn is_quarantined(&self, pending: &PendingRun) -> bool {
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -12,8 +12,8 @@
 
 use super::OwnedStep;
 use crate::App;
-use crate::claim;
-use crate::claim::OwnershipState;
+use crate::step_head;
+use crate::step_head::OwnershipState;
 
 /// Result of [`write_segment`].
 pub(super) enum WriteOutcome {
@@ -86,7 +86,7 @@
         let written = app.plat.get(&put.key).await?;
         let ended = app.plat.get(end).await?;
         Ok((
-            claim::ownership_state(asked_at, owned.rev, head.as_ref())?,
+            step_head::ownership_state(asked_at, owned.rev, head.as_ref())?,
             written,
             ended,
         ))
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -22,8 +22,8 @@
 use crate::App;
 use crate::events::Events;
 use crate::events::Next;
+use crate::fingerprint;
 use crate::owner::OwnedStep;
-use crate::print;
 
 /// Time limit for the start of an engine's answer: ten events of an ordinary engine, three of a slow one. An engine
 /// that exceeds it is full or unreachable, and the sample will complete sooner at another one.
@@ -178,7 +178,7 @@
 
     fn identity(&self, sample: &Sample) -> Identity {
         let team = self.principal.team();
-        print::sample(&self.host, team.map(|team| &**team), sample)
+        fingerprint::sample(&self.host, team.map(|team| &**team), sample)
     }
 
     async fn attempt(
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -19,9 +19,9 @@
 use crate::App;
 use crate::forward;
 use crate::forward::Passed;
+use crate::forwarded_request::ForwardedRequest;
 use crate::meter;
 use crate::owner::OwnedStep;
-use crate::sent::ForwardedRequest;
 
 /// Time limit of an attempt, including its second upstream: ten times the target latency of plain services. Without
 /// it, unresponsive upstreams would delay a sample for as long as its step lasts.
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -134,7 +134,7 @@
         tokio::spawn(tell_crashes(app.clone()));
         tokio::spawn(count(app.clone()));
         if app.settings.role == Role::Entry {
-            tokio::spawn(crate::tally::push_snapshots(app.clone()));
+            tokio::spawn(crate::request_counts::push_snapshots(app.clone()));
         }
         log::info!(target: "start", instance = &*app.me.instance, start = app.me.start,
             domain = &*app.settings.domain; "started");
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -17,12 +17,12 @@
 use tokio::time::timeout;
 
 use crate::App;
-use crate::claim;
-use crate::claim::EndedStep;
 use crate::hint;
 use crate::peer;
 use crate::refuse::Refusal;
 use crate::shelf::Shelf;
+use crate::step_head;
+use crate::step_head::EndedStep;
 
 /// Longest time that a caller waits for a write, unless it says less.
 const ACCEPT: Duration = Duration::from_millis(4_000);
@@ -128,7 +128,7 @@
     let Some(item) = app.plat.get(&keys::head(step)).await? else {
         return Ok(None);
     };
-    let head = claim::decode_head(&item)?;
+    let head = step_head::decode_head(&item)?;
     hint::note(app, step.clone(), head.owner.instance.clone());
     let shelf = app.shelves.with_shard(step, |map| {
         let new = || Arc::new(Shelf::new(step.clone(), &head));
@@ -242,7 +242,7 @@
 async fn end_surely(app: Arc<App>, step: Arc<str>) -> Ending {
     let begun = app.clock.now();
     loop {
-        match claim::end(&app, &step).await {
+        match step_head::end(&app, &step).await {
             Ok(Some(ended)) => {
                 log::info!(target: "steps", id = &*step, instance = &*ended.owner.instance, revision = ended.rev,
                     took_ms = app.clock.now() - begun; "step ended");
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -24,8 +24,6 @@
 use super::PAUSE;
 use super::SETTLE;
 use crate::App;
-use crate::claim;
-use crate::claim::AcceptOutcome;
 use crate::control::orphans;
 use crate::dialect::Caller;
 use crate::dialect::Submitted;
@@ -35,6 +33,8 @@
 use crate::meter;
 use crate::owner;
 use crate::refuse::Refusal;
+use crate::step_head;
+use crate::step_head::AcceptOutcome;
 
 /// Time for which a step that the platform turns away is tried again before the caller is turned
 /// away too: a busy platform takes calls again within moments.
@@ -253,7 +253,7 @@
             log::warn!(target: "steps", id = &*id, took_ms = age; "step unclear");
             return Accepted::Unclear;
         }
-        let tried = claim::accept(&app, &id, former.as_deref(), &head, &spec).await;
+        let tried = step_head::accept(&app, &id, former.as_deref(), &head, &spec).await;
         let age = app.clock.now() - since;
         match tried {
             Ok(AcceptOutcome::Open(open)) => {
@@ -320,7 +320,7 @@
 async fn known(app: &Arc<App>, id: &Arc<str>, item: &plat::Item) -> Result<(), PlatError> {
     // It may have been accepted under its former name.
     let id = &keys::step_of_head(&item.key).map_or_else(|| id.clone(), Arc::from);
-    let head = match claim::decode_head(item) {
+    let head = match step_head::decode_head(item) {
         Ok(head) => head,
         Err(error) => {
             let why = error.to_string();
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -27,9 +27,9 @@
 use crate::dialect::Caller;
 use crate::events::Events;
 use crate::events::Next;
+use crate::forwarded_request::ForwardedRequest;
+use crate::forwarded_request::UpstreamSlot;
 use crate::refuse::Refusal;
-use crate::sent::ForwardedRequest;
-use crate::sent::UpstreamSlot;
 
 /// Silence within a stream after which its upstream is taken for lost.
 const SILENCE: Duration = Duration::from_millis(1_500);
