--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -41,7 +41,7 @@
 use crate::access;
 use crate::hint::Hint;
 use crate::member::OwnEntry;
-use crate::owner::Work;
+use crate::owner::OwnedStep;
 use crate::result_cache::ResultCache;
 
 /// Time for which an idle connection to an upstream is kept open. Reusing it saves the upstream from opening a new
@@ -99,7 +99,7 @@
     /// Notified when the replica has changed.
     pub replica_changed: watch::Sender<()>,
     /// The steps that this instance runs, by name.
-    pub running_steps: ShardedMap<Arc<str>, Arc<Work>>,
+    pub running_steps: ShardedMap<Arc<str>, Arc<OwnedStep>>,
     /// The steps that this instance is taking over.
     pub takeovers: Mutex<Set<Arc<str>>>,
     /// Cached results of steps that other instances run.
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -25,9 +25,9 @@
 
 use crate::App;
 use crate::dialect::Caller;
+use crate::forwarded_request::ForwardedRequest;
+use crate::forwarded_request::UpstreamSlot;
 use crate::refusal::Refusal;
-use crate::sent::Place;
-use crate::sent::Sent;
 use crate::telemetry;
 
 /// Delay after which a call that may be repeated is sent to a second upstream as well: several times the usual
@@ -65,9 +65,9 @@
     body: Bytes,
     principal: Principal,
 ) -> Reply {
-    let sent = Sent::new(app, head, caller, body, route.timeout, principal);
+    let sent = ForwardedRequest::new(app, head, caller, body, route.timeout, principal);
     let sent = Arc::new(sent);
-    let left = Duration::from_millis(sent.left());
+    let left = Duration::from_millis(sent.time_left());
     let mut attempts = Attempts::new(sent, route, Requester::Caller);
     let outcome = match timeout(left, attempts.answer()).await {
         Ok(outcome) => outcome,
@@ -81,11 +81,11 @@
 
 /// Requests the score of a sample once: within `limit`, and no longer than the request's deadline.
 pub(crate) async fn forward_score(
-    sent: Arc<Sent>,
+    sent: Arc<ForwardedRequest>,
     route: &Route,
     limit: Duration,
 ) -> ForwardOutcome {
-    let left = Duration::from_millis(sent.left()).min(limit);
+    let left = Duration::from_millis(sent.time_left()).min(limit);
     let mut attempts = Attempts::new(sent, route, Requester::Scorer);
     match timeout(left, attempts.answer()).await {
         Ok(outcome) => outcome,
@@ -126,7 +126,7 @@
 
 /// The attempts of one call.
 struct Attempts<'a> {
-    sent: Arc<Sent>,
+    sent: Arc<ForwardedRequest>,
     route: &'a Route,
     service: Option<Arc<str>>,
     tried: Vec<Arc<str>>,
@@ -137,7 +137,7 @@
 }
 
 impl<'a> Attempts<'a> {
-    fn new(sent: Arc<Sent>, route: &'a Route, requester: Requester) -> Self {
+    fn new(sent: Arc<ForwardedRequest>, route: &'a Route, requester: Requester) -> Self {
         Self {
             sent,
             route,
@@ -207,13 +207,13 @@
             return false;
         }
         let service = self.service.as_deref();
-        let place = service.and_then(|name| self.sent.choose(name, &self.tried, queue));
+        let place = service.and_then(|name| self.sent.reserve_slot(name, &self.tried, queue));
         let Some(place) = place else {
             return false;
         };
-        let upstream = &place.one;
+        let upstream = &place.upstream;
         self.tried.push(upstream.id.clone());
-        let left = self.sent.left();
+        let left = self.sent.time_left();
         let limit = match self.may_repeat() && self.tried.len() < self.max_attempts() {
             true => left / Millis::from(ATTEMPT_TIME_DIVISOR),
             false => left,
@@ -263,23 +263,23 @@
     }
 }
 
-async fn attempt(sent: &Sent, place: Place, limit_ms: Millis) -> AttemptOutcome {
-    let upstream = &place.one;
-    let Some(request) = sent.request(upstream, None) else {
+async fn attempt(sent: &ForwardedRequest, place: UpstreamSlot, limit_ms: Millis) -> AttemptOutcome {
+    let upstream = &place.upstream;
+    let Some(request) = sent.build_request(upstream, None) else {
         return AttemptOutcome::NotExecuted;
     };
     let started = sent.app.clock.now();
-    let number = sent.send();
+    let number = sent.record_send();
     let limit = Duration::from_millis(limit_ms);
     let answer = sent.app.http.fetch(request, limit, MAX_ANSWER_BYTES).await;
     let took = sent.app.clock.now() - started;
     let is_broken = matches!(answer, Err(SendError::Broken));
     let result = classify(sent, upstream, answer, took);
     if is_broken {
-        sent.broke(upstream).await;
+        sent.check_crash(upstream).await;
     }
     if matches!(result, AttemptOutcome::NotExecuted) {
-        sent.unrun(number);
+        sent.mark_unexecuted(number);
     }
     let outcome = match &result {
         AttemptOutcome::Answer(..) => "answered",
@@ -291,7 +291,7 @@
 }
 
 fn classify(
-    sent: &Sent,
+    sent: &ForwardedRequest,
     upstream: &Arc<Upstream>,
     answer: Result<Response<Bytes>, SendError>,
     took: Millis,
@@ -330,7 +330,7 @@
     {
         tracker.event_received(&upstream.id, took as f64);
         drop(tracker);
-        sent.answered(answer.status());
+        sent.record_answer(answer.status());
         return AttemptOutcome::Answer(answer, signature);
     }
     tracker.engine_failed(&upstream.id, now);
--- /dev/null
+++ b/crates/node/src/forwarded_request.rs
@@ -0,0 +1,306 @@
+//! A caller's request that is forwarded to upstreams, once for each attempt.
+
+use std::sync::Arc;
+use std::sync::OnceLock;
+
+use batch::Permit;
+use bytes::Bytes;
+use crash::SuspectGuard;
+use http::HeaderValue;
+use http::Request;
+use http::StatusCode;
+use http::Uri;
+use http::request::Parts;
+use http_body_util::Full;
+use kernel::Millis;
+use parking_lot::Mutex;
+use place::EngineMemory;
+use place::PlacementRequest;
+use poison::Identity;
+use poison::Verdict;
+use table::Upstream;
+use team::Principal;
+use usage::Meter;
+use usage::RequestAttempts;
+
+use crate::App;
+use crate::dialect::Caller;
+use crate::fingerprint;
+
+/// Part of a request's time that is reserved for returning the answer to the caller: a few milliseconds of network
+/// latency each way within a region, and the rest for processing in this instance.
+pub(crate) const RESPONSE_ALLOWANCE: Millis = 10;
+
+/// The header that names the last event that was received before a stream broke.
+const LAST_EVENT_HEADER: &str = "last-event-id";
+
+/// A caller's request, or a request for the score of a sample.
+pub(crate) struct ForwardedRequest {
+    pub(crate) app: Arc<App>,
+    pub(crate) head: Parts,
+    pub(crate) body: Bytes,
+    /// The request ID that the caller chose.
+    pub(crate) id: Arc<str>,
+    /// When its time limit is reached, on this instance's clock.
+    pub(crate) deadline: Millis,
+    /// The team on whose behalf it runs, if teams are configured.
+    pub(crate) principal: Principal,
+    /// Its attempts, for the report of its team's requests; [`None`] once it has been counted.
+    attempts: Mutex<Option<RequestAttempts>>,
+    /// Whether it asks for the score of a sample.
+    is_score: bool,
+    /// Permission to send it, for a request that belongs to a step.
+    permit: Option<Permit>,
+    identity: OnceLock<Identity>,
+}
+
+impl ForwardedRequest {
+    /// Creates a request whose time limit is the shorter one of its caller's deadline and its route's timeout.
+    pub(crate) fn new(
+        app: &Arc<App>,
+        head: &Parts,
+        caller: &Caller,
+        body: Bytes,
+        timeout: Millis,
+        principal: Principal,
+    ) -> Self {
+        let wait = caller.timeout.unwrap_or(timeout).min(timeout);
+        Self {
+            app: app.clone(),
+            head: head.clone(),
+            body,
+            id: caller.id.clone(),
+            deadline: app.clock.now() + wait,
+            principal,
+            attempts: Mutex::new(Some(RequestAttempts::default())),
+            is_score: false,
+            permit: None,
+            identity: OnceLock::new(),
+        }
+    }
+
+    /// Creates a request for the score of a sample.
+    pub(crate) fn for_score(
+        app: &Arc<App>,
+        head: Parts,
+        id: Arc<str>,
+        body: Bytes,
+        deadline: Millis,
+        principal: Principal,
+    ) -> Self {
+        Self {
+            app: app.clone(),
+            head,
+            body,
+            id,
+            deadline,
+            principal,
+            attempts: Mutex::new(Some(RequestAttempts::default())),
+            is_score: true,
+            permit: None,
+            identity: OnceLock::new(),
+        }
+    }
+
+    /// Restricts sending to the time before the permit's deadline.
+    pub(crate) fn with_permit(mut self, permit: Permit) -> Self {
+        self.permit = Some(permit);
+        self
+    }
+
+    /// Returns whether it may be sent now.
+    fn is_permitted(&self) -> bool {
+        let now = self.app.clock.now();
+        self.permit.is_none_or(|permit| now < permit.deadline())
+    }
+
+    /// The identity by which its crashes of upstreams are tracked.
+    pub(crate) fn identity(&self) -> Identity {
+        *self.identity.get_or_init(|| match self.is_score {
+            true => fingerprint::score(&self.head, &self.principal, &self.body),
+            false => fingerprint::request(&self.head, &self.principal, &self.body).into(),
+        })
+    }
+
+    /// Whether it may run, and on which upstreams, given the upstreams that crashed while running it.
+    pub(crate) fn verdict(&self) -> Verdict {
+        self.app.crashes.verdict(|| self.identity())
+    }
+
+    /// Waits until it is known whether it may run; returns the time for which it may not, in milliseconds, or [`None`]
+    /// when it may.
+    pub(crate) async fn admit(&self) -> Option<Millis> {
+        match self.verdict() {
+            Verdict::Unrestricted => None,
+            _ => {
+                self.app
+                    .crashes
+                    .admit(self.identity(), self.time_left())
+                    .await
+            }
+        }
+    }
+
+    /// Records that an upstream has answered completely. A server error does not count as a success: an upstream that
+    /// returns one now and then would clear the requests that crash others.
+    pub(crate) fn record_answer(&self, status: StatusCode) {
+        if !status.is_server_error() {
+            self.app.crashes.record_success(|| self.identity());
+        }
+    }
+
+    /// Checks whether an upstream has crashed, after the connection to it broke.
+    pub(crate) async fn check_crash(&self, upstream: &Upstream) {
+        self.app
+            .check_crash(&self.id, self.identity(), upstream)
+            .await;
+    }
+
+    /// The meter and the team for which the request is counted; [`None`] if it is not: requests for scores are not.
+    fn meter_and_team(&self) -> Option<(&Mutex<Meter>, &Arc<str>)> {
+        let meter = self.app.meter.as_ref().filter(|_| !self.is_score)?;
+        Some((meter, self.principal.team()?))
+    }
+
+    /// Records that it is sent to an upstream; returns the number of the attempt.
+    pub(crate) fn record_send(&self) -> usize {
+        let now = self.app.clock.steady();
+        let mut attempts = self.attempts.lock();
+        let Some(attempts) = attempts.as_mut() else {
+            return 0;
+        };
+        if let Some((meter, _)) = self.meter_and_team().filter(|_| attempts.is_unsent()) {
+            meter.lock().start_request(attempts, now);
+        }
+        attempts.record_send(now)
+    }
+
+    /// Records that the upstream has not executed an attempt and never will.
+    pub(crate) fn mark_unexecuted(&self, attempt: usize) {
+        if let Some(attempts) = self.attempts.lock().as_mut() {
+            attempts.mark_unexecuted(attempt);
+        }
+    }
+
+    /// Counts the request for its team, once, after which the window of the report may close.
+    pub(crate) fn finish_count(&self) {
+        let attempts = self.attempts.lock().take();
+        if let (Some(attempts), Some((meter, team))) = (attempts, self.meter_and_team()) {
+            meter.lock().finish_request(&attempts, team);
+        }
+    }
+
+    /// Time that an upstream may still take to answer, in milliseconds.
+    pub(crate) fn time_left(&self) -> Millis {
+        self.deadline
+            .saturating_sub(self.app.clock.now() + RESPONSE_ALLOWANCE)
+    }
+
+    /// Builds the request for an upstream; for a stream that broke, it asks for the events after `last_event`. Returns
+    /// [`None`] when the request may not be sent now or a header or the URI is invalid.
+    pub(crate) fn build_request(
+        &self,
+        upstream: &Upstream,
+        last_event: Option<&str>,
+    ) -> Option<Request<Full<Bytes>>> {
+        if !self.is_permitted() {
+            return None;
+        }
+        let path = self.head.uri.path_and_query();
+        let path = path.map_or("/", |path| path.as_str());
+        let uri: Uri = net::client::uri(upstream.addr, path).parse().ok()?;
+        let mut request = Request::new(Full::new(self.body.clone()));
+        *request.method_mut() = self.head.method.clone();
+        *request.uri_mut() = uri;
+        let dialect = &self.app.dialect;
+        *request.headers_mut() = dialect.forward_headers(
+            &self.head.headers,
+            &upstream.incarnation.name,
+            Some(self.time_left()),
+            &self.principal,
+        );
+        if let Some(last_event) = last_event {
+            let last_event = HeaderValue::from_str(last_event).ok()?;
+            request.headers_mut().insert(LAST_EVENT_HEADER, last_event);
+        }
+        Some(request)
+    }
+
+    /// Reserves a slot at an upstream of a service, excluding the `used` ones; `queue` tells whether the request may
+    /// wait in the upstream's queue.
+    ///
+    /// The slot is reserved under the same lock as the choice: otherwise dozens of requests that start at the same
+    /// time would all see the same free slots and queue in one upstream.
+    pub(crate) fn reserve_slot(
+        &self,
+        service: &str,
+        used: &[Arc<str>],
+        queue: bool,
+    ) -> Option<UpstreamSlot> {
+        if !self.is_permitted() {
+            return None;
+        }
+        let app = &self.app;
+        let roster = app.upstreams.lock();
+        let slots = roster
+            .of_service(service)
+            .map(|upstream| upstream.slots)
+            .max()
+            .unwrap_or(0);
+        let mut avoid = app.crashes.upstreams_to_avoid(|| self.identity());
+        avoid.extend_from_slice(used);
+        let fallback = PlacementRequest {
+            service,
+            model: None,
+            min_version: 0,
+            queue_limit: if queue { slots } else { 0 },
+            domain: &app.settings.domain,
+            cached_on: None,
+            avoid: used,
+            tokens: 0,
+            memory: EngineMemory::default(),
+        };
+        let preferred = PlacementRequest {
+            avoid: &avoid,
+            ..fallback
+        };
+        let now = app.clock.now();
+        let mut plain = app.service_tracker.lock();
+        let upstream = plain
+            .choose(&roster, &preferred, now)
+            .or_else(|| plain.choose(&roster, &fallback, now))?;
+        plain.run_started(&upstream.id, 0);
+        let suspect = app.crashes.track_suspect(|| self.identity(), &upstream.id);
+        let app = app.clone();
+        Some(UpstreamSlot {
+            app,
+            upstream,
+            _suspect: suspect,
+        })
+    }
+}
+
+impl Drop for ForwardedRequest {
+    /// A request whose caller disconnected before the answer has nevertheless run, so it is counted as well.
+    fn drop(&mut self) {
+        self.finish_count();
+    }
+}
+
+/// Counts a request against an upstream's slots until it is dropped, also when the caller disconnects.
+pub(crate) struct UpstreamSlot {
+    app: Arc<App>,
+    /// The upstream.
+    pub(crate) upstream: Arc<Upstream>,
+    /// Held until the slot is dropped.
+    _suspect: Option<SuspectGuard>,
+}
+
+impl Drop for UpstreamSlot {
+    fn drop(&mut self) {
+        self.app
+            .service_tracker
+            .lock()
+            .run_ended(&self.upstream.id, 0);
+    }
+}
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,18 +6,19 @@
 //!
 //! - [`frontend`] handles callers' requests: [`forward`] forwards calls, [`steps`] handles operations on steps.
 //! - [`owner`] runs the samples of the steps that this instance owns, each in [`mod@run`].
-//! - [`claim`] decides by a step's head at the platform whether the step may start or continue.
+//! - [`step_head`] decides by a step's head at the platform whether the step may start or continue.
 //! - [`replication`] keeps the configuration and the list of upstreams current.
 //! - [`control`] is the leader, which orders loads and takes over steps whose owner is gone.
 
 mod access;
 pub mod app;
-pub mod claim;
 pub mod control;
 mod dependency;
 pub mod dialect;
 pub mod events;
+mod fingerprint;
 pub mod forward;
+mod forwarded_request;
 pub mod frontend;
 pub mod handover;
 pub mod hint;
@@ -27,18 +28,17 @@
 pub mod peer;
 mod peer_relay;
 mod peer_server;
-mod print;
 pub mod refusal;
 pub mod replication;
+mod request_counts;
 pub mod result_cache;
 pub mod run;
 mod score;
-mod sent;
 pub mod settings;
 pub mod start;
+pub mod step_head;
 pub mod steps;
 pub mod stream;
-mod tally;
 pub mod telemetry;
 
 pub use app::App;
--- /dev/null
+++ b/crates/node/src/owner/owned_step.rs
@@ -0,0 +1,332 @@
+//! A step that this instance owns, with the progress of its samples.
+
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use batch::Confirmation;
+use batch::Draft;
+use batch::DraftDelta;
+use batch::Entry;
+use batch::Groups;
+use batch::Head;
+use batch::Ledger;
+use batch::Outcome;
+use batch::Permit;
+use batch::Sample;
+use batch::Spec;
+use batch::draft::Checkpoints;
+use batch::keys;
+use kernel::Map;
+use kernel::Millis;
+use kernel::Set;
+use parking_lot::Mutex;
+use table::Route;
+use team::Principal;
+use tokio::sync::Notify;
+use tokio::sync::watch;
+use tokio::time::timeout;
+
+use crate::App;
+use crate::fingerprint;
+use crate::result_cache::ResultPage;
+use crate::step_head;
+use crate::step_head::Ownership;
+use crate::step_head::OwnershipState;
+
+/// Time for which results are collected into one write. Each write counts against the platform's limits, and callers
+/// do not wait for the first results of a step.
+const WRITE_INTERVAL: Millis = 400;
+
+/// Maximum age of the last confirmation that the step is open and owned by this instance, for an answer to a reader
+/// that there are no new results.
+const MAX_CONFIRMATION_AGE: Millis = 600;
+
+/// A step that this instance owns.
+pub struct OwnedStep {
+    pub(super) step: Arc<str>,
+    pub(super) head: Head,
+    pub(super) rev: i64,
+    pub(super) spec: Arc<Spec>,
+    /// The text of each sample so far, by the sample's index in the step.
+    pub(super) drafts: Vec<Mutex<Draft>>,
+    /// How much of the drafts is saved at the platform.
+    pub(super) checkpoints: Mutex<Checkpoints>,
+    /// When the step was opened, on this instance's clock.
+    pub(super) opened_at: Millis,
+    pub(super) ledger: Mutex<Ledger>,
+    /// Number of results that were written to the platform.
+    pub(super) listed: watch::Sender<usize>,
+    /// The last confirmation that the step is open.
+    pub(super) confirmation: Mutex<Confirmation>,
+    pub(super) ended: AtomicBool,
+    /// Whether another instance has taken the step over, or its records were removed.
+    pub(super) lost: AtomicBool,
+    /// Whether another step has adopted drafts of this one.
+    pub(super) handed_over: AtomicBool,
+    /// Indices of the samples that an earlier step did not finish.
+    pub(super) carried_over: Set<u32>,
+    /// Notified when the state of the step has changed.
+    pub(super) changed: Notify,
+}
+
+impl OwnedStep {
+    pub(super) fn new(
+        app: &App,
+        step: &Arc<str>,
+        head: Head,
+        spec: Spec,
+        ownership: &Ownership,
+        opened_at: Millis,
+    ) -> Self {
+        let groups = spec.samples.iter().map(|sample| &sample.group);
+        let ledger = Ledger::new(Groups::new(groups, head.required_groups), WRITE_INTERVAL);
+        let drafts = spec.samples.iter().map(|_| Mutex::default());
+        Self {
+            drafts: drafts.collect(),
+            checkpoints: Mutex::default(),
+            step: step.clone(),
+            head,
+            rev: ownership.rev(),
+            spec: Arc::new(spec),
+            opened_at,
+            ledger: Mutex::new(ledger),
+            listed: watch::Sender::new(0),
+            confirmation: Mutex::new(Confirmation::new(
+                app.settings.end_limit,
+                ownership.asked_at(),
+            )),
+            ended: AtomicBool::new(false),
+            lost: AtomicBool::new(false),
+            handed_over: AtomicBool::new(false),
+            carried_over: Set::default(),
+            changed: Notify::new(),
+        }
+    }
+
+    /// Marks the step as ended if it ended at head revision `rev`; `why` says how this instance learned of it. At
+    /// another revision, another instance owned the step and may have written more results.
+    pub(crate) fn mark_ended(&self, app: &App, rev: i64, why: &str) {
+        if rev != self.rev || self.ended.swap(true, Ordering::Relaxed) {
+            return;
+        }
+        log::info!(target: "owner", id = &*self.step, revision = rev, why, heard_ms = self.confirmation_age(app);
+            "step has ended");
+        self.changed.notify_one();
+    }
+
+    pub(super) fn has_ended(&self) -> bool {
+        self.ended.load(Ordering::Relaxed)
+    }
+
+    /// Marks the step as lost if the instance that took it over replaced head revision `rev`.
+    pub(crate) fn mark_replaced(&self, rev: i64) {
+        if rev == self.rev {
+            self.mark_lost();
+        }
+    }
+
+    pub(super) fn mark_lost(&self) {
+        if self.lost.swap(true, Ordering::Relaxed) {
+            return;
+        }
+        log::warn!(target: "owner", id = &*self.step, revision = self.rev; "step taken over by another instance");
+        self.changed.notify_one();
+    }
+
+    pub(super) fn is_lost(&self) -> bool {
+        self.lost.load(Ordering::Relaxed)
+    }
+
+    /// The step's name.
+    pub(crate) fn name(&self) -> &Arc<str> {
+        &self.step
+    }
+
+    /// Time since the check that last confirmed the step as open, in milliseconds.
+    pub(super) fn confirmation_age(&self, app: &App) -> Millis {
+        let confirmed_at = self.confirmation.lock().confirmed_at();
+        app.clock.now().saturating_sub(confirmed_at)
+    }
+
+    /// Returns a permit to start samples, or to send requests for their scores, if the step is known to be open.
+    pub(crate) fn permit(&self, app: &App) -> Option<Permit> {
+        if self.has_ended() || self.is_lost() {
+            return None;
+        }
+        self.confirmation.lock().permit(app.clock.now())
+    }
+
+    /// Applies the result of a check of the head; returns whether the step is open and still owned by this instance.
+    pub(super) fn apply_state(&self, app: &App, state: OwnershipState) -> bool {
+        match state {
+            OwnershipState::Open(ownership) => {
+                self.confirmation.lock().confirm(ownership.asked_at());
+                return true;
+            }
+            OwnershipState::Ended => self.mark_ended(app, self.rev, "asked"),
+            OwnershipState::Lost => self.mark_lost(),
+        }
+        false
+    }
+
+    /// Asks the platform whether the step is open and still owned by this instance; false if it does not answer.
+    pub(super) async fn confirm_ownership(&self, app: &App) -> bool {
+        let asked_at = app.clock.now();
+        let state = match app.plat.get(&keys::head(&self.step)).await {
+            Ok(item) => step_head::ownership_state(asked_at, self.rev, item.as_ref()),
+            Err(error) => Err(error),
+        };
+        match state {
+            Ok(state) => self.apply_state(app, state),
+            Err(error) => {
+                self.log_unconfirmed(app, &error.to_string());
+                false
+            }
+        }
+    }
+
+    /// Logs that a check of the head failed.
+    pub(super) fn log_unconfirmed(&self, app: &App, why: &str) {
+        log::info!(target: "owner", id = &*self.step, why, heard_ms = self.confirmation_age(app);
+            "unknown whether the step is open");
+    }
+
+    /// The body of the request of the sample with this ID.
+    pub fn sample_body(&self, id: &str) -> Option<Vec<u8>> {
+        let found = self.spec.samples.iter().find(|sample| &*sample.id == id);
+        found.map(|sample| sample.body.clone())
+    }
+
+    /// The results from index `from` on, after waiting up to `wait` milliseconds for one; [`None`] if other results
+    /// may have been written that this instance does not know.
+    pub async fn page(&self, app: &App, from: usize, wait: Millis) -> Option<ResultPage> {
+        let mut listed = self.listed.subscribe();
+        let more = listed.wait_for(|count| *count > from);
+        // The wait ends without a result on a timeout, or when the step was dropped.
+        let _ = timeout(Duration::from_millis(wait), more).await;
+        let page = {
+            let ledger = self.ledger.lock();
+            ResultPage {
+                total: self.head.total,
+                entries: ledger.listed().get(from..).unwrap_or_default().to_vec(),
+            }
+        };
+        let current = !page.entries.is_empty() || self.is_current(app).await;
+        current.then_some(page)
+    }
+
+    /// Returns whether this instance knows all results that were written.
+    pub(super) async fn is_current(&self, app: &App) -> bool {
+        // A pending write may already have been applied, and other instances may have read it.
+        if self.is_lost() || self.ledger.lock().has_pending_write() {
+            return false;
+        }
+        if self.ledger.lock().is_done() || self.has_ended() {
+            return true;
+        }
+        if app.clock.now() < self.confirmation.lock().confirmed_at() + MAX_CONFIRMATION_AGE {
+            return true;
+        }
+        self.confirm_ownership(app).await
+    }
+
+    pub(super) fn route(&self, app: &App) -> Option<Arc<Route>> {
+        let plan = app.config.load();
+        plan.as_ref()?
+            .find_route(&self.head.host, &self.head.path)
+            .cloned()
+    }
+
+    /// The team on whose behalf the step runs, if teams are configured.
+    pub(crate) fn principal(&self, app: &App) -> Principal {
+        let plan = app.config.load();
+        let configured = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
+        Principal::from_record(self.head.team.as_ref(), configured)
+    }
+
+    /// The fingerprint of a sample's request and its team, so that a draft is never given to another team.
+    pub(super) fn fingerprint(&self, sample: &Sample) -> u64 {
+        fingerprint::leftover(self.head.team.as_deref(), sample)
+    }
+
+    /// Hands over the drafts of the samples with these fingerprints, once the step has ended. Returns none if the
+    /// step used another model.
+    pub fn hand_over_drafts(&self, model: &str, fingerprints: &[u64]) -> Vec<(u64, Draft)> {
+        if !self.has_ended() || *self.head.model != *model {
+            return Vec::new();
+        }
+        let all = self.spec.samples.iter().zip(&self.drafts);
+        let all = all.map(|(sample, draft)| (self.fingerprint(sample), draft));
+        let matching = all.filter(|(fingerprint, _)| fingerprints.contains(fingerprint));
+        let matching = matching.map(|(fingerprint, draft)| (fingerprint, draft.lock().clone()));
+        let started: Vec<_> = matching.filter(|(_, draft)| draft.last_event > 0).collect();
+        if !started.is_empty() {
+            self.handed_over.store(true, Ordering::Relaxed);
+            self.changed.notify_one();
+        }
+        started
+    }
+
+    /// Adopts the drafts of an earlier step whose versions are recent enough for this one; returns the number of
+    /// samples that adopted one.
+    pub(super) fn adopt_drafts(&self, drafts: Vec<(u64, Draft)>) -> usize {
+        let mut longest: Map<u64, Draft> = Map::default();
+        for (fingerprint, draft) in drafts {
+            let recent = draft
+                .versions
+                .iter()
+                .all(|version| *version >= self.head.min_version);
+            let longer = longest
+                .get(&fingerprint)
+                .is_none_or(|known| known.last_event < draft.last_event);
+            if recent && longer {
+                longest.insert(fingerprint, draft);
+            }
+        }
+        let ledger = self.ledger.lock();
+        let mut adopted = 0;
+        for (index, sample) in self.spec.samples.iter().enumerate() {
+            let Some(draft) = longest.remove(&self.fingerprint(sample)) else {
+                continue;
+            };
+            let mut own = self.drafts[index].lock();
+            if !ledger.has_ended(index as u32) && draft.last_event > own.last_event {
+                *own = draft;
+                self.checkpoints.lock().reset(index as u32);
+                adopted += 1;
+            }
+        }
+        adopted
+    }
+
+    /// The changes to the drafts of samples that have not ended since they were last saved at the platform.
+    pub(super) fn take_deltas(&self, ended: &[bool]) -> Vec<DraftDelta> {
+        let drafts = self.drafts.iter().zip(ended).enumerate();
+        let unfinished = drafts.filter(|(_, (_, ended))| !**ended);
+        let drafts: Vec<_> = unfinished
+            .map(|(index, (draft, _))| (index as u32, draft.lock()))
+            .collect();
+        let drafts = drafts.iter().map(|(index, draft)| (*index, &**draft));
+        self.checkpoints.lock().take_deltas(drafts)
+    }
+
+    pub(super) fn entry(
+        &self,
+        index: u32,
+        outcome: Outcome,
+        draft: Draft,
+        score: Option<Arc<str>>,
+    ) -> Entry {
+        let id = self.spec.samples[index as usize].id.clone();
+        Entry {
+            index,
+            id,
+            outcome,
+            text: draft.text.into(),
+            versions: draft.versions,
+            score,
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/runner/placement.rs
@@ -0,0 +1,213 @@
+//! Places the samples of a step at engines.
+//!
+//! Load pattern: the samples of a step arrive at once, by the hundred or thousand, and hundreds of runs end each
+//! second while other samples wait for a free slot.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::Permit;
+use batch::Sample;
+use kernel::Map;
+use kernel::Millis;
+use place::PendingSample;
+use place::PlacementRequest;
+use place::PlacementRound;
+use poison::Identity;
+use table::Config;
+use table::Route;
+use table::Upstream;
+
+use super::FinishedRun;
+use super::StepRunner;
+use crate::fingerprint;
+use crate::run::Run;
+
+/// Minimum time between a placement that found no free slot and the next one, in milliseconds. Each placement searches
+/// all engines, and hundreds of runs end each second. A slot stays free for half of this time on average, which is a
+/// thousandth of a run of some seconds.
+const MIN_RETRY_INTERVAL: Millis = 8;
+
+/// Result of [`StepRunner::place`].
+pub(super) enum PlaceOutcome {
+    /// All runs that could be started were started.
+    Done,
+    /// There was no free slot a moment ago; the next placement is due after this time.
+    Deferred(Duration),
+}
+
+/// A sample that has to be run, and the engines to avoid.
+pub(super) struct PendingRun {
+    pub(super) sample: PendingSample,
+    pub(super) avoid: Vec<Arc<str>>,
+}
+
+impl StepRunner<'_> {
+    /// Starts as many runs as there are free slots.
+    pub(super) fn place(&mut self) -> PlaceOutcome {
+        let due = self.engines_full_at + MIN_RETRY_INTERVAL;
+        let now = self.app.clock.now();
+        if now < due {
+            return PlaceOutcome::Deferred(Duration::from_millis(due - now));
+        }
+        self.release_quarantined();
+        if self.pending.is_empty() && self.quarantined.is_empty() {
+            return PlaceOutcome::Done;
+        }
+        let Some(route) = self.owned.route(self.app) else {
+            // The route was removed only if there is a configuration; this instance may not have one yet.
+            if self.app.config.load().is_some() {
+                self.fail_pending("route gone");
+            }
+            return PlaceOutcome::Done;
+        };
+        if now > self.owned.opened_at + route.ttl {
+            self.fail_pending("time to live is over");
+            return PlaceOutcome::Done;
+        }
+        // The finished check wakes the loop as soon as there is a confirmation again.
+        let Some(permit) = self.owned.permit(self.app) else {
+            return PlaceOutcome::Done;
+        };
+        let mut rounds = Map::default();
+        while let Some(pending) = self.pending.pop_front() {
+            if self.is_quarantined(&pending) {
+                log::warn!(target: "owner", id = &*self.sample(&pending).id, step = &*self.owned.step;
+                    "sample quarantined: engines crashed while running it");
+                self.quarantined.push(pending);
+                continue;
+            }
+            match self.choose_engine(&route, &pending, &mut rounds) {
+                Some((service, engine)) => self.start_run(&route, service, engine, pending, permit),
+                None => {
+                    self.pending.push_front(pending);
+                    self.engines_full_at = now;
+                    self.probes
+                        .begin(self.app, self.owned, &route, self.pending.len());
+                    break;
+                }
+            }
+        }
+        PlaceOutcome::Done
+    }
+
+    fn sample(&self, pending: &PendingRun) -> &Sample {
+        &self.owned.spec.samples[pending.sample.index as usize]
+    }
+
+    fn identity(&self, pending: &PendingRun) -> Identity {
+        let head = &self.owned.head;
+        fingerprint::sample(&head.host, head.team.as_deref(), self.sample(pending))
+    }
+
+    fn is_quarantined(&self, pending: &PendingRun) -> bool {
+        self.app.crashes.is_blocked(|| self.identity(pending))
+    }
+
+    /// Moves the quarantined samples that may run again back to the pending ones.
+    fn release_quarantined(&mut self) {
+        let all = std::mem::take(&mut self.quarantined);
+        let (quarantined, released) = all
+            .into_iter()
+            .partition(|pending| self.is_quarantined(pending));
+        self.quarantined = quarantined;
+        self.pending.extend::<Vec<_>>(released);
+    }
+
+    /// Chooses an engine and reserves a slot there; engines to avoid are used if no other one has a free slot.
+    fn choose_engine(
+        &self,
+        route: &Route,
+        pending: &PendingRun,
+        rounds: &mut Map<Arc<str>, PlacementRound>,
+    ) -> Option<(Arc<str>, Arc<Upstream>)> {
+        let service = Config::pick_service(route, rand::random())?;
+        let index = pending.sample.index as usize;
+        let sample = &self.owned.spec.samples[index];
+        let draft = self.owned.drafts[index].lock();
+        let memory = self.app.engine_memory(service);
+        let request = PlacementRequest {
+            service,
+            model: Some(&self.owned.head.model),
+            min_version: self.owned.head.min_version,
+            queue_limit: 0,
+            domain: &self.app.settings.domain,
+            cached_on: self
+                .group_engines
+                .get(&pending.sample.group)
+                .map(|engine| &**engine),
+            avoid: &pending.avoid,
+            tokens: memory.run_tokens(sample.prompt, draft.last_event),
+            memory,
+        };
+        let mut avoid = self
+            .app
+            .crashes
+            .upstreams_to_avoid(|| self.identity(pending));
+        avoid.extend_from_slice(&pending.avoid);
+        let fallback = PlacementRequest {
+            avoid: &[],
+            ..request
+        };
+        let preferred = PlacementRequest {
+            avoid: &avoid,
+            ..request
+        };
+        let now = self.app.clock.now();
+        let roster = self.app.upstreams.lock();
+        let mut fleet = self.app.engine_tracker.lock();
+        let round = rounds
+            .entry(service.clone())
+            .or_insert_with(|| PlacementRound::new(&fleet, &roster, &fallback, now));
+        let engine = round
+            .choose(&fleet, &roster, &preferred, now)
+            .or_else(|| round.choose(&fleet, &roster, &fallback, now))?;
+        fleet.run_started(&engine.id, preferred.tokens);
+        Some((service.clone(), engine))
+    }
+
+    fn start_run(
+        &mut self,
+        route: &Route,
+        service: Arc<str>,
+        engine: Arc<Upstream>,
+        pending: PendingRun,
+        permit: Permit,
+    ) {
+        self.group_engines
+            .insert(pending.sample.group.clone(), engine.id.clone());
+        let run = Run {
+            app: self.app.clone(),
+            owned: self.owned.clone(),
+            host: self.owned.head.host.clone(),
+            principal: self.owned.principal(self.app),
+            service,
+            model: self.owned.head.model.clone(),
+            min_version: self.owned.head.min_version,
+            single_version: route.single_version,
+            engine: engine.clone(),
+            permit,
+        };
+        let owned = self.owned.clone();
+        let index = pending.sample.index;
+        log::info!(target: "owner", id = &*self.sample(&pending).id, step = &*owned.step,
+            upstream = &*engine.id, first = owned.drafts[index as usize].lock().last_event,
+            heard_ms = owned.confirmation_age(self.app); "sample begun");
+        let suspect = self
+            .app
+            .crashes
+            .track_suspect(|| self.identity(&pending), &engine.id);
+        self.runs.spawn(async move {
+            let _suspect = suspect;
+            let position = index as usize;
+            let outcome = run
+                .execute(&owned.spec.samples[position], &owned.drafts[position])
+                .await;
+            FinishedRun {
+                index,
+                outcome,
+                engine,
+            }
+        });
+    }
+}
--- a/crates/node/src/peer_server.rs
+++ b/crates/node/src/peer_server.rs
@@ -69,7 +69,7 @@
         }
         PeerRequest::Body { step, sample } => {
             let work = app.running_steps.get(&step);
-            PeerReply::Body(work.map(|work| work.body(&sample)))
+            PeerReply::Body(work.map(|work| work.sample_body(&sample)))
         }
         PeerRequest::Owner(step) => PeerReply::Owner(hint::get(app, &step)),
         PeerRequest::SetOwner { step, owner } => {
@@ -90,7 +90,7 @@
             PeerReply::Acknowledged
         }
         PeerRequest::WindowCounts(window) => {
-            PeerReply::WindowCounts(crate::tally::shares(app, window))
+            PeerReply::WindowCounts(crate::request_counts::window_counts(app, window))
         }
         PeerRequest::Ended { step, rev } => {
             steps::record_end(app, &step, rev);
@@ -98,12 +98,12 @@
         }
         PeerRequest::TakenOver { step, rev } => {
             if let Some(work) = app.running_steps.get(&step) {
-                work.replaced(rev);
+                work.mark_replaced(rev);
             }
             PeerReply::Acknowledged
         }
         PeerRequest::ReachesReportAddress => {
-            PeerReply::ReachesReportAddress(crate::tally::reaches(app).await)
+            PeerReply::ReachesReportAddress(crate::request_counts::can_reach_accounts(app).await)
         }
         // Not relayed any further: two instances that the platform turns away would relay to each other forever.
         PeerRequest::Relay(call) => PeerReply::Relay(app.plat.call_for_peer(&call).await),
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -146,7 +146,7 @@
         tokio::spawn(publish_crashes(app.clone()));
         tokio::spawn(report_calls(app.clone()));
         if app.settings.role == Role::Entry {
-            tokio::spawn(crate::tally::tell(app.clone()));
+            tokio::spawn(crate::request_counts::push_snapshots(app.clone()));
         }
         log::info!(target: "start", instance = &*app.me.instance, start = app.me.start,
             domain = &*app.settings.domain; "started");
@@ -287,7 +287,7 @@
     loop {
         tokio::select! {
             _ = hup.recv() => log::info!(target: "start", "reload signal received"),
-            () = sleep(SETTINGS_CHECK_INTERVAL) => (),
+            () = sleep(SETTINGS_CHECK_INTERVAL) => ()
         }
         let text = match conf::load(&file) {
             Ok(text) => text,
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -17,12 +17,12 @@
 use tokio::time::timeout;
 
 use crate::App;
-use crate::claim;
-use crate::claim::Ended;
 use crate::hint;
 use crate::peer;
 use crate::refusal::Refusal;
 use crate::result_cache::ResultCache;
+use crate::step_head;
+use crate::step_head::EndedStep;
 
 /// Longest time that a caller waits for a write, unless its own time limit is shorter.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(4_000);
@@ -130,7 +130,7 @@
     let Some(item) = app.plat.get(&keys::head(step)).await? else {
         return Ok(None);
     };
-    let head = claim::read(&item)?;
+    let head = step_head::decode_head(&item)?;
     hint::record(app, step.clone(), head.owner.instance.clone());
     let cache = app.result_caches.with_shard(step, |map| {
         let new = || Arc::new(ResultCache::new(step.clone(), &head));
@@ -157,7 +157,7 @@
 
 async fn read_stored_body(app: &Arc<App>, step: &Arc<str>, sample: &Arc<str>) -> Reply {
     let result = match app.running_steps.get(step) {
-        Some(work) => Ok(work.body(sample)),
+        Some(work) => Ok(work.sample_body(sample)),
         None => read_remote_body(app, step, sample).await,
     };
     match result {
@@ -252,7 +252,7 @@
 async fn end_until_settled(app: Arc<App>, step: Arc<str>) -> EndOutcome {
     let started = app.clock.now();
     loop {
-        match claim::end(&app, &step).await {
+        match step_head::end(&app, &step).await {
             Ok(Some(ended)) => {
                 log::info!(target: "steps", id = &*step, instance = &*ended.owner.instance, revision = ended.rev,
                     took_ms = app.clock.now() - started; "step ended");
@@ -273,7 +273,7 @@
     }
 }
 
-async fn notify_owner(app: Arc<App>, step: Arc<str>, ended: Ended) {
+async fn notify_owner(app: Arc<App>, step: Arc<str>, ended: EndedStep) {
     if ended.owner == app.me {
         record_end(&app, &step, ended.rev);
         return;
@@ -290,6 +290,6 @@
 /// Records that a step has ended whose head had this revision.
 pub(crate) fn record_end(app: &App, step: &Arc<str>, rev: i64) {
     if let Some(work) = app.running_steps.get(step) {
-        work.end(app, rev, "told");
+        work.mark_ended(app, rev, "told");
     }
 }
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -24,8 +24,6 @@
 use super::SETTLE_TIMEOUT;
 use super::WRITE_TIMEOUT;
 use crate::App;
-use crate::claim;
-use crate::claim::Tried;
 use crate::control::orphans;
 use crate::dialect::Caller;
 use crate::dialect::StepRequest;
@@ -34,6 +32,8 @@
 use crate::member;
 use crate::owner;
 use crate::refusal::Refusal;
+use crate::step_head;
+use crate::step_head::CreateOutcome;
 use crate::telemetry;
 
 /// Time for which the acceptance of a step from a caller is retried after refusals by the platform, in
@@ -270,17 +270,17 @@
             log::warn!(target: "steps", id = &*id, took_ms = age; "outcome of the write unknown");
             return AcceptOutcome::Unclear;
         }
-        let result = claim::accept(&app, &id, legacy_id.as_deref(), &head, &spec).await;
+        let result = step_head::create(&app, &id, legacy_id.as_deref(), &head, &spec).await;
         let age = app.clock.now() - started;
         match result {
-            Ok(Tried::Open(open)) => {
+            Ok(CreateOutcome::Open(open)) => {
                 log::info!(target: "steps", id = &*id, samples = head.total, work = head.work, least = head.min_version,
                     model = &*head.model, revision = open.rev(), took_ms = age; "step accepted");
                 metrics::counter!(telemetry::STEPS, "outcome" => "accepted").increment(1);
                 owner::begin(&app, &id, head, spec, open);
                 return AcceptOutcome::Stored;
             }
-            Ok(Tried::Known(item)) => match handle_known(&app, &id, &item).await {
+            Ok(CreateOutcome::Exists(item)) => match handle_known(&app, &id, &item).await {
                 Ok(()) => return AcceptOutcome::Stored,
                 Err(error) => {
                     unclear = true;
@@ -288,8 +288,8 @@
                 }
             },
             // Removed between the two calls: no part of it can run.
-            Ok(Tried::Gone) if !unclear => return AcceptOutcome::Refused,
-            Ok(Tried::Gone) => (),
+            Ok(CreateOutcome::Removed) if !unclear => return AcceptOutcome::Refused,
+            Ok(CreateOutcome::Removed) => (),
             Err(error) if error.is_indeterminate() => {
                 unclear = true;
                 log_retry(&id, &error);
@@ -339,7 +339,7 @@
 async fn handle_known(app: &Arc<App>, id: &Arc<str>, item: &plat::Item) -> Result<(), PlatError> {
     // It may have been accepted under its legacy name.
     let id = &keys::step_of_head(&item.key).map_or_else(|| id.clone(), Arc::from);
-    let head = match claim::read(item) {
+    let head = match step_head::decode_head(item) {
         Ok(head) => head,
         Err(error) => {
             let why = error.to_string();
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -27,9 +27,9 @@
 use crate::dialect::Caller;
 use crate::events::Events;
 use crate::events::NextEvent;
+use crate::forwarded_request::ForwardedRequest;
+use crate::forwarded_request::UpstreamSlot;
 use crate::refusal::Refusal;
-use crate::sent::Place;
-use crate::sent::Sent;
 
 /// Time without an event after which the upstream of a stream counts as lost.
 const MAX_EVENT_GAP: Duration = Duration::from_millis(1_500);
@@ -40,7 +40,7 @@
 /// The outcome of one attempt.
 enum AttemptOutcome {
     /// The head of the answer.
-    Stream(Box<Response<Incoming>>, Place),
+    Stream(Box<Response<Incoming>>, UpstreamSlot),
     /// The upstream has not executed the request and never will.
     NotExecuted,
     /// Nothing was sent: upstreams crash under the request, which is blocked for so many milliseconds.
@@ -51,7 +51,7 @@
 
 /// The state of one caller's stream.
 struct Stream {
-    sent: Sent,
+    sent: ForwardedRequest,
     route: Arc<Route>,
     last_event: Option<Arc<str>>,
     tried: Vec<Arc<str>>,
@@ -67,7 +67,7 @@
     principal: Principal,
 ) -> Reply {
     let mut stream = Stream {
-        sent: Sent::new(app, head, caller, body, route.timeout, principal),
+        sent: ForwardedRequest::new(app, head, caller, body, route.timeout, principal),
         route: route.clone(),
         last_event: caller.last_event.clone(),
         tried: Vec::new(),
@@ -75,7 +75,7 @@
     match stream.open(None).await {
         AttemptOutcome::Stream(answer, place) => {
             // The request counts for its team's report once it has started, however long it runs.
-            stream.sent.settle();
+            stream.sent.finish_count();
             stream.answer(*answer, place).await
         }
         AttemptOutcome::NotExecuted => Refusal::NotExecuted.reply(),
@@ -87,9 +87,9 @@
 impl Stream {
     /// Reserves a slot, where the stream may queue inside the upstream as calls do: if it used free slots only, it
     /// would rarely get one beside calls that queue.
-    fn choose(&self) -> Option<Place> {
+    fn choose(&self) -> Option<UpstreamSlot> {
         let service = Config::pick_service(&self.route, rand::random())?;
-        self.sent.choose(service, &self.tried, true)
+        self.sent.reserve_slot(service, &self.tried, true)
     }
 
     /// Opens the stream after an event, trying one upstream after the other.
@@ -103,7 +103,7 @@
         }
         while self.tried.len() < self.route.max_attempts.max(1) as usize {
             let Some(place) = self.choose() else { break };
-            self.tried.push(place.one.id.clone());
+            self.tried.push(place.upstream.id.clone());
             match self.attempt(place, last).await {
                 AttemptOutcome::NotExecuted => (),
                 AttemptOutcome::Unknown if resumable => may_have_run = true,
@@ -119,22 +119,26 @@
         }
     }
 
-    async fn attempt(&self, place: Place, last: Option<&str>) -> AttemptOutcome {
-        let upstream = &place.one;
-        let Some(request) = self.sent.request(upstream, last) else {
+    async fn attempt(&self, place: UpstreamSlot, last: Option<&str>) -> AttemptOutcome {
+        let upstream = &place.upstream;
+        let Some(request) = self.sent.build_request(upstream, last) else {
             return AttemptOutcome::NotExecuted;
         };
-        let number = self.sent.send();
+        let number = self.sent.record_send();
         let outcome = self.send_attempt(request, place).await;
         if matches!(outcome, AttemptOutcome::NotExecuted) {
-            self.sent.unrun(number);
+            self.sent.mark_unexecuted(number);
         }
         outcome
     }
 
-    async fn send_attempt(&self, request: Request<Full<Bytes>>, place: Place) -> AttemptOutcome {
-        let upstream = &place.one;
-        let left = Duration::from_millis(self.sent.left());
+    async fn send_attempt(
+        &self,
+        request: Request<Full<Bytes>>,
+        place: UpstreamSlot,
+    ) -> AttemptOutcome {
+        let upstream = &place.upstream;
+        let left = Duration::from_millis(self.sent.time_left());
         let answer = match self.sent.app.http.send(request, left).await {
             Ok(answer) => answer,
             Err(error) => {
@@ -147,7 +151,7 @@
                 log::info!(target: "stream", id = &*self.sent.id, upstream = &*upstream.id,
                     why = why.as_str(); "attempt failed");
                 if matches!(error, SendError::Broken) {
-                    self.sent.broke(upstream).await;
+                    self.sent.check_crash(upstream).await;
                 }
                 return match error.is_unsent() {
                     true => AttemptOutcome::NotExecuted,
@@ -169,7 +173,7 @@
         }
     }
 
-    async fn answer(self, answer: Response<Incoming>, place: Place) -> Reply {
+    async fn answer(self, answer: Response<Incoming>, place: UpstreamSlot) -> Reply {
         let (head, body) = answer.into_parts();
         if head.status != StatusCode::OK {
             return self.reply_whole(head, body).await;
@@ -196,7 +200,7 @@
         let Ok(bytes) = net::body::read(body, MAX_ANSWER_BYTES).await else {
             return Refusal::OutcomeUnknown.reply();
         };
-        self.sent.answered(head.status);
+        self.sent.record_answer(head.status);
         let mut reply = Response::new(net::body::full(bytes));
         *reply.status_mut() = head.status;
         *reply.headers_mut() = self.sent.app.dialect.reply_headers(&head.headers);
@@ -204,14 +208,14 @@
     }
 
     /// Forwards events until the end; returns whether it was reached.
-    async fn pump(mut self, body: Incoming, place: Place, sender: &Sender) -> bool {
+    async fn pump(mut self, body: Incoming, place: UpstreamSlot, sender: &Sender) -> bool {
         let mut events = Events::new(body);
         let mut place = Some(place);
         let mut last = self.last_event.clone();
         loop {
             let next = tokio::select! {
                 next = timeout(MAX_EVENT_GAP, events.next()) => next.unwrap_or(NextEvent::Broken),
-                () = sender.closed() => return true,
+                () = sender.closed() => return true
             };
             match next {
                 NextEvent::Block(block) => {
@@ -224,12 +228,12 @@
                     }
                 }
                 NextEvent::End => {
-                    self.sent.answered(StatusCode::OK);
+                    self.sent.record_answer(StatusCode::OK);
                     return true;
                 }
                 NextEvent::Broken => {
                     if let Some(place) = place.take() {
-                        self.sent.broke(&place.one).await;
+                        self.sent.check_crash(&place.upstream).await;
                     }
                     if !self.route.resumable {
                         return false;
