--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -32,11 +32,11 @@
 fn make(policy: &'static str, chooser: &'static str, order: &'static str) -> Make {
     Make {
         engines: 4,
-        engine: engine::Make {
+        engine: engine::Settings {
             median: MEDIAN,
             slots: SLOTS,
             speed: SPEED,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         services: 0,
         control: true,
--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -24,10 +24,10 @@
     Make {
         cache,
         engines: engines / 2,
-        engine: engine::Make {
+        engine: engine::Settings {
             slots: 8,
             swap: Duration::from_millis(200),
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         services: 0,
         control: true,
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -42,9 +42,9 @@
 fn make() -> Make {
     Make {
         engines: 3,
-        engine: engine::Make {
+        engine: engine::Settings {
             median: MEDIAN,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         control: true,
         store: Some((1 << 20, 200e6)),
--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -21,9 +21,9 @@
 
 fn make() -> Make {
     Make {
-        engine: engine::Make {
+        engine: engine::Settings {
             median: MEDIAN,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 3s\nstaleness = 1\n")],
         ..Make::default()
--- a/crates/rig/src/make.rs
+++ b/crates/rig/src/make.rs
@@ -14,7 +14,7 @@
     /// Engines in each failure domain.
     pub engines: usize,
     /// How each engine is made.
-    pub engine: engine::Make,
+    pub engine: engine::Settings,
     /// Plain services in each failure domain.
     pub services: usize,
     /// What a plain service works on a call.
@@ -47,7 +47,7 @@
             domains: vec!["nord", "syd"],
             entries: 1,
             engines: 2,
-            engine: engine::Make::default(),
+            engine: engine::Settings::default(),
             services: 2,
             work: Duration::from_millis(4),
             slots: 16,
--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -42,11 +42,11 @@
 /// Samples take half a minute each, and more wait than the engines have places for.
 fn make() -> Make {
     Make {
-        engine: engine::Make {
+        engine: engine::Settings {
             speed: 10.0,
             median: 300,
             slots: 2,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         engines: 1,
         services: 0,
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -25,9 +25,9 @@
 
 fn make() -> Make {
     Make {
-        engine: engine::Make {
+        engine: engine::Settings {
             median: MEDIAN,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         engines: 3,
         services: 0,
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -22,9 +22,9 @@
 
 fn make() -> Make {
     Make {
-        engine: engine::Make {
+        engine: engine::Settings {
             median: MEDIAN,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 20s\n")],
         ..Make::default()
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -39,9 +39,9 @@
 /// Tokens of one chunk.
 const CHUNK: u32 = 8;
 
-/// How an engine is made.
+/// Settings of a stand-in engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Make {
+pub struct Settings {
     /// Tokens a second of one stream.
     pub speed: f64,
     /// Streams at the same time; others wait by priority.
@@ -56,7 +56,7 @@
     pub swap: Duration,
 }
 
-impl Default for Make {
+impl Default for Settings {
     fn default() -> Self {
         Self {
             speed: 400.0,
@@ -72,7 +72,7 @@
 /// A model engine.
 #[derive(Debug)]
 pub struct Engine {
-    make: Make,
+    make: Settings,
     faults: Faults,
     weights: Weights,
     turns: Turns,
@@ -82,7 +82,7 @@
 
 impl Engine {
     /// Makes an engine.
-    pub fn new(make: Make) -> Self {
+    pub fn new(make: Settings) -> Self {
         Self {
             make,
             faults: Faults::default(),
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -8,7 +8,7 @@
 use conf::Section;
 use conf::SettingsErrors;
 
-use crate::engine::Make;
+use crate::engine::Settings;
 
 /// What to serve at one address.
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     /// The platform's key-value service.
     Platform,
     /// A model engine.
-    Engine(Make),
+    Engine(Settings),
     /// A plain service: milliseconds of work a call, and calls at once.
     Service(u64, usize),
     /// A weight store: bytes of a version, and bytes a second.
@@ -66,8 +66,8 @@
 }
 
 fn engine(s: &mut Section) -> Role {
-    let make = Make::default();
-    Role::Engine(Make {
+    let make = Settings::default();
+    Role::Engine(Settings {
         speed: s.get_or("speed", "tokens a second", Rate(make.speed)).0,
         slots: s.get_or("slots", "a number of streams", make.slots),
         median: s.get_or("median", "a number of tokens", make.median),
