--- a/crates/plat/tests/etcd_client.rs
+++ b/crates/plat/tests/etcd_client.rs
@@ -12,19 +12,19 @@
 use plat::TxnOutcome;
 use plat::budget::CallKind;
 use standin::Fault;
-use standin::Host;
 use standin::Platform;
+use standin::Server;
 use yare::parameterized;
 
 struct Fixture {
     platform: Arc<Platform>,
-    host: Host,
+    host: Server,
     client: Client,
 }
 
 async fn fixture() -> Fixture {
     let platform = Arc::new(Platform::default());
-    let host = platform.host(([127, 0, 0, 1], 0).into()).await.unwrap();
+    let host = platform.serve(([127, 0, 0, 1], 0).into()).await.unwrap();
     let client = Client::new(vec![host.addr]);
     Fixture {
         platform,
--- a/crates/plat/tests/single_writer_key.rs
+++ b/crates/plat/tests/single_writer_key.rs
@@ -8,20 +8,20 @@
 use plat::SingleWriterKey;
 use plat::Txn;
 use standin::Fault;
-use standin::Host;
 use standin::Platform;
+use standin::Server;
 
 const KEY: &str = "/snipeway/crashes/n1/1";
 
 struct Fixture {
     platform: Arc<Platform>,
-    host: Host,
+    host: Server,
     client: Client,
 }
 
 async fn fixture() -> Fixture {
     let platform = Arc::new(Platform::default());
-    let host = platform.host(([127, 0, 0, 1], 0).into()).await.unwrap();
+    let host = platform.serve(([127, 0, 0, 1], 0).into()).await.unwrap();
     let client = Client::new(vec![host.addr]);
     Fixture {
         platform,
--- a/crates/rig/src/parts.rs
+++ b/crates/rig/src/parts.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use standin::Engine;
-use standin::Host;
 use standin::Platform;
+use standin::Server;
 use standin::Service;
 use standin::Store;
 
@@ -22,7 +22,7 @@
     /// The stand-in.
     pub part: Arc<T>,
     /// Where it serves, and its faults.
-    pub host: Host,
+    pub host: Server,
 }
 
 /// The stand-ins of a fleet.
@@ -52,7 +52,7 @@
     /// Returns an error when one cannot listen.
     pub async fn start(make: &Make) -> eyre::Result<Self> {
         let platform = Arc::new(Platform::default());
-        let host = platform.host(free()).await?;
+        let host = platform.serve(free()).await?;
         let platform = part("platform", platform, host);
         let mut parts = Self {
             shared: String::new(),
@@ -63,7 +63,7 @@
         };
         if let Some((size, rate)) = make.store {
             let store = Arc::new(Store::new(size, rate));
-            let host = store.host(free()).await?;
+            let host = store.serve(free()).await?;
             parts.store = Some(part("store", store, host));
         }
         parts.head(make)?;
@@ -95,14 +95,14 @@
     async fn domain(&mut self, make: &Make, domain: &str) -> eyre::Result<()> {
         for at in 0..make.engines {
             let engine = Arc::new(Engine::new(make.engine));
-            let host = engine.host(free()).await?;
+            let host = engine.serve(free()).await?;
             let part = part(&format!("engine-{domain}-{at}"), engine, host);
             self.upstream(&part, "fitting", domain, make.engine.slots as usize)?;
             self.engines.push(part);
         }
         for at in 0..make.services {
             let service = Arc::new(Service::new(make.work, make.slots));
-            let host = service.host(free()).await?;
+            let host = service.serve(free()).await?;
             let part = part(&format!("portal-{domain}-{at}"), service, host);
             self.upstream(&part, "portal", domain, make.slots)?;
             self.services.push(part);
@@ -139,7 +139,7 @@
     }
 }
 
-fn part<T>(name: &str, part: Arc<T>, host: Host) -> Part<T> {
+fn part<T>(name: &str, part: Arc<T>, host: Server) -> Part<T> {
     let name = name.to_owned();
     Part { name, part, host }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -29,9 +29,9 @@
 use wire::engine::RUNNING;
 
 use crate::Faults;
-use crate::Host;
+use crate::Server;
 use crate::host::Answer;
-use crate::host::host;
+use crate::host::serve;
 use crate::text;
 use turn::Turns;
 use weights::Weights;
@@ -98,8 +98,8 @@
     /// # Errors
     ///
     /// Returns the error of the bind.
-    pub async fn host(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Host> {
-        host(addr, self.clone()).await
+    pub async fn serve(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Server> {
+        serve(addr, self.clone()).await
     }
 
     /// Tokens that it has generated.
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -29,9 +29,9 @@
 /// Bytes that a stand-in reads of a body.
 const MOST: usize = 16 << 20;
 
-/// A stand-in that serves.
+/// A stand-in that listens on an address.
 #[derive(Debug)]
-pub struct Host {
+pub struct Server {
     /// Where it listens.
     pub addr: SocketAddr,
     /// Its faults.
@@ -39,7 +39,7 @@
     drain: Drain,
 }
 
-impl Host {
+impl Server {
     /// Stops accepting.
     pub fn stop(&self) {
         self.drain.begin();
@@ -64,7 +64,7 @@
 /// # Errors
 ///
 /// Returns the error of the bind.
-pub async fn host<A: Answer>(addr: SocketAddr, app: Arc<A>) -> io::Result<Host> {
+pub async fn serve<A: Answer>(addr: SocketAddr, app: Arc<A>) -> io::Result<Server> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
     let faults = app.faults().clone();
@@ -78,7 +78,7 @@
         }
         ended.gone();
     });
-    Ok(Host {
+    Ok(Server {
         addr,
         faults,
         drain,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -17,7 +17,7 @@
 pub use engine::Engine;
 pub use fault::Fault;
 pub use fault::Faults;
-pub use host::Host;
+pub use host::Server;
 pub use platform::Platform;
 pub use service::Service;
 pub use store::Store;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -22,10 +22,10 @@
 use tokio::sync::watch;
 
 use crate::Faults;
-use crate::Host;
+use crate::Server;
 use crate::host::Answer;
 use crate::host::cut;
-use crate::host::host;
+use crate::host::serve;
 use messages::Grant;
 use messages::Id;
 use messages::Range;
@@ -76,8 +76,8 @@
     /// # Errors
     ///
     /// Returns the error of the bind.
-    pub async fn host(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Host> {
-        host(addr, self.clone()).await
+    pub async fn serve(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Server> {
+        serve(addr, self.clone()).await
     }
 
     /// Forgets the history, so that a watch from an earlier revision is refused.
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use crate::Engine;
-use crate::Host;
 use crate::Platform;
+use crate::Server;
 use crate::Service;
 use crate::Store;
 use crate::settings::Part;
@@ -35,15 +35,15 @@
     Ok(())
 }
 
-async fn host(part: &Part) -> std::io::Result<Host> {
+async fn host(part: &Part) -> std::io::Result<Server> {
     let at = part.listen;
     match part.role {
-        Role::Platform => Arc::new(Platform::default()).host(at).await,
-        Role::Engine(make) => Arc::new(Engine::new(make)).host(at).await,
+        Role::Platform => Arc::new(Platform::default()).serve(at).await,
+        Role::Engine(make) => Arc::new(Engine::new(make)).serve(at).await,
         Role::Service(work, slots) => {
             let work = Duration::from_millis(work);
-            Arc::new(Service::new(work, slots)).host(at).await
+            Arc::new(Service::new(work, slots)).serve(at).await
         }
-        Role::Store(size, rate) => Arc::new(Store::new(size, rate)).host(at).await,
+        Role::Store(size, rate) => Arc::new(Store::new(size, rate)).serve(at).await,
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -23,9 +23,9 @@
 use wire::scorer::ScoreResponse;
 
 use crate::Faults;
-use crate::Host;
+use crate::Server;
 use crate::host::Answer;
-use crate::host::host;
+use crate::host::serve;
 
 /// Path at which the service tells which calls with a key it has run.
 pub const LOG: &str = "/log";
@@ -59,8 +59,8 @@
     /// # Errors
     ///
     /// Returns the error of the bind.
-    pub async fn host(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Host> {
-        host(addr, self.clone()).await
+    pub async fn serve(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Server> {
+        serve(addr, self.clone()).await
     }
 
     /// The keys of the calls that it has run, in order, each as often as it ran.
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -16,9 +16,9 @@
 use tokio::time::Instant;
 
 use crate::Faults;
-use crate::Host;
+use crate::Server;
 use crate::host::Answer;
-use crate::host::host;
+use crate::host::serve;
 
 /// Bytes of one piece of a download.
 const PIECE: usize = 64 << 10;
@@ -50,8 +50,8 @@
     /// # Errors
     ///
     /// Returns the error of the bind.
-    pub async fn host(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Host> {
-        host(addr, self.clone()).await
+    pub async fn serve(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Server> {
+        serve(addr, self.clone()).await
     }
 
     /// Bytes that it has sent.
