--- a/crates/serve/tests/poison.rs
+++ b/crates/serve/tests/poison.rs
@@ -10,7 +10,7 @@
 use rig::contracts;
 use serde_json::json;
 use standin::Faults;
-use standin::fault::FATAL;
+use standin::fault::FATAL_MARKER;
 use wire::Problem;
 use wire::caller::Batch;
 use wire::caller::OpenedStep;
@@ -72,11 +72,11 @@
     block(async {
         let mut rig = fixture("").await;
 
-        let first = problem(update(&rig, 0, FATAL)).await;
+        let first = problem(update(&rig, 0, FATAL_MARKER)).await;
         tokio::time::sleep(HEARD).await;
-        let again = problem(update(&rig, 0, FATAL)).await;
+        let again = problem(update(&rig, 0, FATAL_MARKER)).await;
         let known = ended(services(&rig));
-        let there = problem(update(&rig, 3, FATAL)).await;
+        let there = problem(update(&rig, 3, FATAL_MARKER)).await;
         let other = update(&rig, 3, "hello").send().await.unwrap();
         for at in 0..4 {
             rig.kill(at);
@@ -84,7 +84,7 @@
         }
         rig.reach(1).await.unwrap();
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let anew = problem(update(&rig, 1, FATAL)).await;
+        let anew = problem(update(&rig, 1, FATAL_MARKER)).await;
 
         assert!(known <= MOST, "{known} upstreams ended");
         assert_eq!(first.ran, route::Ran::Unknown);
@@ -108,7 +108,7 @@
         let rig = fixture("").await;
         let order = |at: usize| {
             let order = Asked::order(rig.addrs()[0], "aarhus", &format!("key-{at}"));
-            order.body(FATAL)
+            order.body(FATAL_MARKER)
         };
 
         let mut kinds = Vec::new();
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-/// The word that ends a stand-in with [`Fault::fatal`].
-pub const FATAL: &str = "fatal";
+/// Marker in a request body that makes a stand-in with [`Fault::fatal`] crash.
+pub const FATAL_MARKER: &str = "fatal";
 
 /// What goes wrong at a stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -38,7 +38,7 @@
     pub shuffle: bool,
     /// It says that it is leaving.
     pub leaving: bool,
-    /// It ends as a process does when a body that it reads holds the word [`FATAL`].
+    /// It ends as a process does when a body that it reads holds the word [`FATAL_MARKER`].
     pub fatal: bool,
 }
 
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -21,7 +21,7 @@
 
 use crate::Fault;
 use crate::Faults;
-use crate::fault::FATAL;
+use crate::fault::FATAL_MARKER;
 
 /// Path at which the faults of a stand-in are read and replaced.
 pub const FAULT: &str = "/fault";
@@ -112,7 +112,7 @@
     let faults = app.faults().clone();
     faults.delay().await;
     let fault = faults.get();
-    if fault.fatal && holds(&bytes, FATAL) {
+    if fault.fatal && holds(&bytes, FATAL_MARKER) {
         faults.end().await;
         return cut();
     }
