--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -253,7 +253,7 @@
         };
         let seed = u64::from(sample.index);
         let tokens = text::length(prompt, seed, self.median, self.tokens);
-        sample.tokens == tokens && sample.text == text::whole(prompt, seed, tokens)
+        sample.tokens == tokens && sample.text == text::sample(prompt, seed, tokens)
     }
 }
 
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -133,7 +133,7 @@
             let tokens = text::length(&prompt, seed, MEDIAN, TOKENS);
             assert_eq!(
                 sample.text,
-                text::whole(&prompt, seed, tokens),
+                text::sample(&prompt, seed, tokens),
                 "whole and its own"
             );
             assert_eq!(sample.spans.first().map(|s| s.from), Some(0));
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -39,7 +39,7 @@
 }
 
 fn right(prompt: &str) -> String {
-    text::whole(prompt, 7, text::length(prompt, 7, MEDIAN, 400))
+    text::sample(prompt, 7, text::length(prompt, 7, MEDIAN, 400))
 }
 
 fn set(rig: &Rig, fault: Fault) {
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -62,7 +62,7 @@
     format!("{:03x} ", hash((prompt, seed, at)) & 0xfff)
 }
 
-/// The whole text of a sample.
-pub fn whole(prompt: &str, seed: u64, tokens: u32) -> String {
+/// Returns the complete text of a sample of `tokens` tokens.
+pub fn sample(prompt: &str, seed: u64, tokens: u32) -> String {
     (0..tokens).map(|at| token(prompt, seed, at)).collect()
 }
