--- a/crates/rig/src/parts.rs
+++ b/crates/rig/src/parts.rs
@@ -127,7 +127,11 @@
 
     /// Orders that ran more than once, by the services' own logs.
     pub fn twice(&self) -> Vec<String> {
-        let mut keys: Vec<_> = self.services.iter().flat_map(|s| s.part.log()).collect();
+        let mut keys: Vec<_> = self
+            .services
+            .iter()
+            .flat_map(|s| s.part.executed_keys())
+            .collect();
         keys.sort_unstable();
         let doubled = keys.windows(2).filter(|pair| pair[0] == pair[1]);
         doubled.map(|pair| pair[0].clone()).collect()
@@ -135,7 +139,10 @@
 
     /// The keys of every order that ran.
     pub fn ran(&self) -> Vec<String> {
-        self.services.iter().flat_map(|s| s.part.log()).collect()
+        self.services
+            .iter()
+            .flat_map(|s| s.part.executed_keys())
+            .collect()
     }
 }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -63,8 +63,8 @@
         serve(addr, self.clone()).await
     }
 
-    /// The keys of the calls that it has run, in order, each as often as it ran.
-    pub fn log(&self) -> Vec<String> {
+    /// Returns the idempotency keys of the executed calls, in order of execution; a key occurs once per execution.
+    pub fn executed_keys(&self) -> Vec<String> {
         self.log.lock().clone()
     }
 
@@ -109,7 +109,7 @@
 
     async fn answer(self: Arc<Self>, call: Call, bytes: Bytes) -> Reply {
         if call.uri.path() == LOG {
-            return body::json(StatusCode::OK, &self.log());
+            return body::json(StatusCode::OK, &self.executed_keys());
         }
         let running = self.running.fetch_add(1, Ordering::Relaxed) + 1;
         let guard = Leave(&self.running);
