--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -76,7 +76,7 @@
             rig.parts
                 .store
                 .as_ref()
-                .map_or(0, |store| store.part.sent())
+                .map_or(0, |store| store.part.bytes_sent())
         };
         let before = sent();
         let mut worst = Duration::ZERO;
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -83,7 +83,7 @@
 
         wait_for_version(&rig, 2).await;
         let store = rig.parts.store.as_ref().unwrap();
-        assert_eq!(store.part.sent(), 6 * 100_000);
+        assert_eq!(store.part.bytes_sent(), 6 * 100_000);
     });
 }
 
@@ -261,7 +261,7 @@
         wait_for_version(&rig, 2).await;
         let store = rig.parts.store.as_ref().unwrap();
         assert_eq!(
-            store.part.sent(),
+            store.part.bytes_sent(),
             2 * 100_000,
             "one download per failure domain"
         );
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -54,8 +54,8 @@
         serve(addr, self.clone()).await
     }
 
-    /// Bytes that it has sent.
-    pub fn sent(&self) -> u64 {
+    /// Returns the number of bytes sent.
+    pub fn bytes_sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
