--- a/crates/rig/src/parts.rs
+++ b/crates/rig/src/parts.rs
@@ -8,7 +8,7 @@
 use standin::Platform;
 use standin::Server;
 use standin::Service;
-use standin::Store;
+use standin::WeightStore;
 
 use crate::Make;
 
@@ -34,7 +34,7 @@
     /// The plain services.
     pub services: Vec<Part<Service>>,
     /// The weight store.
-    pub store: Option<Part<Store>>,
+    pub store: Option<Part<WeightStore>>,
     /// Settings that every instance shares.
     pub shared: String,
 }
@@ -62,7 +62,7 @@
             store: None,
         };
         if let Some((size, rate)) = make.store {
-            let store = Arc::new(Store::new(size, rate));
+            let store = Arc::new(WeightStore::new(size, rate));
             let host = store.serve(free()).await?;
             parts.store = Some(part("store", store, host));
         }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -20,4 +20,4 @@
 pub use host::Server;
 pub use platform::Platform;
 pub use service::Service;
-pub use store::Store;
+pub use store::WeightStore;
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -6,7 +6,7 @@
 use crate::Platform;
 use crate::Server;
 use crate::Service;
-use crate::Store;
+use crate::WeightStore;
 use crate::settings::Part;
 use crate::settings::Role;
 use args::ParsedArgs;
@@ -44,6 +44,6 @@
             let work = Duration::from_millis(work);
             Arc::new(Service::new(work, slots)).serve(at).await
         }
-        Role::Store(size, rate) => Arc::new(Store::new(size, rate)).serve(at).await,
+        Role::Store(size, rate) => Arc::new(WeightStore::new(size, rate)).serve(at).await,
     }
 }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -23,9 +23,9 @@
 /// Bytes of one piece of a download.
 const PIECE: usize = 64 << 10;
 
-/// A weight store that sends at most `rate` bytes a second over all downloads.
+/// A weight store whose downloads share a bandwidth of `rate` bytes per second.
 #[derive(Debug)]
-pub struct Store {
+pub struct WeightStore {
     faults: Faults,
     size: usize,
     rate: f64,
@@ -33,7 +33,7 @@
     sent: AtomicU64,
 }
 
-impl Store {
+impl WeightStore {
     /// Makes a store whose versions have `size` bytes each.
     pub fn new(size: usize, rate: f64) -> Self {
         Self {
@@ -83,7 +83,7 @@
     }
 }
 
-impl Answer for Store {
+impl Answer for WeightStore {
     fn faults(&self) -> &Faults {
         &self.faults
     }
