--- a/crates/standin/src/cli.rs
+++ b/crates/standin/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line.
+//! Command-line options.
 
 use args::CliSpec;
 use args::Opt;
 
-/// The command line of the program.
+/// The command line of `snipeway-standin`.
 pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-standin",
     about: "Serves stand-ins for the platform, engines, services and stores",
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: streams of chunks at a realistic pace, priorities, orders, load reports.
+//! A model engine: generates streams of chunks at a realistic rate, schedules them by priority, carries out load orders
+//! and reports its load.
 
 mod turn;
 mod weights;
@@ -30,29 +31,29 @@
 
 use crate::Faults;
 use crate::Server;
-use crate::host::Answer;
+use crate::host::Handler;
 use crate::host::serve;
 use crate::text;
-use turn::Turns;
+use turn::SlotQueue;
 use weights::Weights;
 
-/// Tokens of one chunk.
-const CHUNK: u32 = 8;
+/// Tokens per chunk; the last chunk of a stream may have fewer.
+const CHUNK_TOKENS: u32 = 8;
 
 /// Settings of a stand-in engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Tokens a second of one stream.
+    /// Generation rate of one stream, in tokens per second.
     pub speed: f64,
-    /// Streams at the same time; others wait by priority.
+    /// Maximum number of concurrent streams; others wait in order of priority.
     pub slots: u32,
     /// Median length of a sample in tokens.
     pub median: u32,
-    /// The weight version at the start.
+    /// Weight version at startup.
     pub version: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing token are rejected.
     pub fencing: bool,
-    /// Time of a swap, on top of the download.
+    /// Duration of a weight swap, excluding the download.
     pub swap: Duration,
 }
 
@@ -72,59 +73,60 @@
 /// A model engine.
 #[derive(Debug)]
 pub struct Engine {
-    make: Settings,
+    settings: Settings,
     faults: Faults,
     weights: Weights,
-    turns: Turns,
+    slots: SlotQueue,
+    /// Streams that are running or waiting for a slot.
     running: AtomicU32,
     tokens: AtomicU64,
 }
 
 impl Engine {
-    /// Makes an engine.
-    pub fn new(make: Settings) -> Self {
+    /// Creates an engine.
+    pub fn new(settings: Settings) -> Self {
         Self {
-            make,
+            settings,
             faults: Faults::default(),
-            weights: Weights::new(make.version, make.fencing, make.swap),
-            turns: Turns::new(make.slots),
+            weights: Weights::new(settings.version, settings.fencing, settings.swap),
+            slots: SlotQueue::new(settings.slots),
             running: AtomicU32::new(0),
             tokens: AtomicU64::new(0),
         }
     }
 
-    /// Serves at an address.
+    /// Serves the engine at an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Returns the error of the bind.
+    /// Returns an error if the address cannot be bound.
     pub async fn serve(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Server> {
         serve(addr, self.clone()).await
     }
 
-    /// Tokens that it has generated.
+    /// Returns the number of tokens generated.
     pub fn tokens(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed)
     }
 
-    /// The version of its next token.
+    /// Returns the weight version that generates the next token.
     pub fn version(&self) -> u64 {
         self.weights.version()
     }
 
-    /// Orders that it took, as pairs of fencing number and version.
+    /// Returns the accepted load orders, as pairs of fencing token and version.
     pub fn orders(&self) -> Vec<(i64, u64)> {
         self.weights.orders()
     }
 
     fn load(&self) -> Reply {
-        let load = LoadReport {
+        let report = LoadReport {
             running: self.running.load(Ordering::Relaxed),
-            slots: self.make.slots,
-            stated: self.weights.stated(),
+            slots: self.settings.slots,
+            stated: self.weights.state(),
             leaving: self.faults.get().leaving,
         };
-        body::json(StatusCode::OK, &load)
+        body::json(StatusCode::OK, &report)
     }
 
     fn order(self: &Arc<Self>, order: LoadOrder) -> Reply {
@@ -146,60 +148,69 @@
         });
         let mut reply = Reply::new(stream);
         let headers = reply.headers_mut();
-        let kind = HeaderValue::from_static("text/event-stream");
-        headers.insert(http::header::CONTENT_TYPE, kind);
+        let content_type = HeaderValue::from_static("text/event-stream");
+        headers.insert(http::header::CONTENT_TYPE, content_type);
         headers.insert(RUNNING, HeaderValue::from(running));
         reply
     }
 
     async fn run(&self, request: &GenerateRequest, sender: &body::Sender) {
-        let turn = tokio::select! {
-            turn = self.turns.take(request.priority) => turn,
+        let slot = tokio::select! {
+            slot = self.slots.acquire(request.priority) => slot,
             () = sender.closed() => return,
         };
-        if let Err(broken) = self.chunks(request, sender).await {
-            // The receiver may be gone, which is what this tells it anyway.
-            let _ = sender.send(Err(broken)).await;
+        if let Err(error) = self.send_chunks(request, sender).await {
+            // Fails only if the client has already closed the connection.
+            let _ = sender.send(Err(error)).await;
         }
-        drop(turn);
+        drop(slot);
     }
 
-    async fn chunks(&self, request: &GenerateRequest, sender: &body::Sender) -> io::Result<()> {
-        let cut = || io::Error::new(io::ErrorKind::ConnectionAborted, "cut");
+    async fn send_chunks(
+        &self,
+        request: &GenerateRequest,
+        sender: &body::Sender,
+    ) -> io::Result<()> {
+        let aborted = || io::Error::new(io::ErrorKind::ConnectionAborted, "cut");
         let seed = request.seed.unwrap_or(0);
-        let total = text::length(&request.prompt, seed, self.make.median, request.max_tokens);
+        let total = text::length(
+            &request.prompt,
+            seed,
+            self.settings.median,
+            request.max_tokens,
+        );
         let epoch = self.weights.epoch();
         let mut held: Option<Bytes> = None;
-        let mut at = request.offset;
+        let mut position = request.offset;
         let mut sent = 0;
         loop {
             let fault = self.faults.get();
-            let count = CHUNK.min(total.saturating_sub(at));
-            let span = f64::from(count) / self.make.speed * fault.factor();
-            tokio::time::sleep(Duration::from_secs_f64(span)).await;
-            let over = at + count >= total;
+            let count = CHUNK_TOKENS.min(total.saturating_sub(position));
+            let seconds = f64::from(count) / self.settings.speed * fault.slowdown();
+            tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
+            let is_last = position + count >= total;
             if fault.down || self.weights.epoch() != epoch || fault.cut > 0 && sent >= fault.cut {
-                return Err(cut());
+                return Err(aborted());
             }
-            let event = self.chunk(request, seed, at, count, over);
+            let event = self.chunk(request, seed, position, count, is_last);
             self.tokens.fetch_add(u64::from(count), Ordering::Relaxed);
-            at += count;
+            position += count;
             sent += 1;
-            // Shuffled: each chunk is held until the next has overtaken it, then sent twice.
-            let first = match (fault.shuffle && !over, held.take()) {
+            // With `shuffle`, every other chunk is held back and sent twice after the chunk that follows it.
+            let events = match (fault.shuffle && !is_last, held.take()) {
                 (true, None) => {
                     held = Some(event);
                     continue;
                 }
-                (_, Some(before)) => vec![event, before.clone(), before],
+                (_, Some(previous)) => vec![event, previous.clone(), previous],
                 (_, None) => vec![event],
             };
-            for event in first {
-                sender.send(Ok(event)).await.map_err(|_| cut())?;
+            for event in events {
+                sender.send(Ok(event)).await.map_err(|_| aborted())?;
             }
-            if over {
+            if is_last {
                 let done = events::write(events::DONE);
-                return sender.send(Ok(done)).await.map_err(|_| cut());
+                return sender.send(Ok(done)).await.map_err(|_| aborted());
             }
         }
     }
@@ -208,21 +219,21 @@
         &self,
         request: &GenerateRequest,
         seed: u64,
-        at: u32,
+        position: u32,
         count: u32,
-        over: bool,
+        is_last: bool,
     ) -> Bytes {
-        let tokens = at..at + count;
+        let indices = position..position + count;
         let chunk = Chunk {
-            offset: at,
+            offset: position,
             tokens: count,
-            text: tokens
-                .map(|t| text::token(&request.prompt, seed, t))
+            text: indices
+                .map(|index| text::token(&request.prompt, seed, index))
                 .collect(),
             version: self.weights.version(),
-            finish: over.then(|| {
-                let full = at + count >= request.max_tokens;
-                if full { "length" } else { "stop" }.to_owned()
+            finish: is_last.then(|| {
+                let is_full = position + count >= request.max_tokens;
+                if is_full { "length" } else { "stop" }.to_owned()
             }),
         };
         let data = serde_json::to_string(&chunk).unwrap_or_default();
@@ -230,22 +241,22 @@
     }
 }
 
-fn with<T: serde::de::DeserializeOwned>(bytes: &[u8], f: impl FnOnce(T) -> Reply) -> Reply {
+fn with_json<T: serde::de::DeserializeOwned>(bytes: &[u8], f: impl FnOnce(T) -> Reply) -> Reply {
     match serde_json::from_slice(bytes) {
         Ok(request) => f(request),
         Err(error) => body::reply(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
     }
 }
 
-impl Answer for Engine {
+impl Handler for Engine {
     fn faults(&self) -> &Faults {
         &self.faults
     }
 
-    async fn answer(self: Arc<Self>, call: Call, bytes: Bytes) -> Reply {
+    async fn handle(self: Arc<Self>, call: Call, bytes: Bytes) -> Reply {
         match call.uri.path() {
-            GENERATE => with(&bytes, |request| self.generate(request)),
-            ORDER => with(&bytes, |order| self.order(order)),
+            GENERATE => with_json(&bytes, |request| self.generate(request)),
+            ORDER => with_json(&bytes, |order| self.order(order)),
             LOAD => self.load(),
             _ => body::reply(StatusCode::NOT_FOUND, "text/plain", "no such path"),
         }
--- a/crates/standin/src/engine/turn.rs
+++ b/crates/standin/src/engine/turn.rs
@@ -1,4 +1,4 @@
-//! Slots that go to the waiting stream with the highest priority.
+//! Slots of an engine, which are assigned to the waiting stream with the highest priority.
 
 use std::collections::BTreeMap;
 
@@ -6,67 +6,67 @@
 use tokio::sync::oneshot;
 
 #[derive(Debug)]
-struct Room {
+struct QueueState {
     free: u32,
-    next: u64,
-    /// Waiting streams by priority, highest first, then by arrival.
+    next_ticket: u64,
+    /// Waiting streams by inverted priority, so that the highest comes first, then by order of arrival.
     waiting: BTreeMap<(u8, u64), oneshot::Sender<()>>,
 }
 
-/// The slots of an engine.
+/// The slots of an engine and the queue of the streams that wait for one.
 #[derive(Debug)]
-pub(crate) struct Turns {
-    room: Mutex<Room>,
+pub(crate) struct SlotQueue {
+    state: Mutex<QueueState>,
 }
 
-/// One slot; dropping it passes it on.
+/// A slot in use; dropping it assigns the slot to the next waiting stream.
 #[derive(Debug)]
-pub(crate) struct Turn<'a>(&'a Turns);
+pub(crate) struct SlotGuard<'a>(&'a SlotQueue);
 
-impl Turns {
+impl SlotQueue {
     pub(crate) fn new(slots: u32) -> Self {
-        let room = Room {
+        let state = QueueState {
             free: slots,
-            next: 0,
+            next_ticket: 0,
             waiting: BTreeMap::new(),
         };
-        let room = Mutex::new(room);
-        Self { room }
+        let state = Mutex::new(state);
+        Self { state }
     }
 
     /// Waits for a slot.
-    pub(crate) async fn take(&self, priority: u8) -> Turn<'_> {
+    pub(crate) async fn acquire(&self, priority: u8) -> SlotGuard<'_> {
         let receiver = {
-            let mut room = self.room.lock();
-            if room.free > 0 {
-                room.free -= 1;
-                return Turn(self);
+            let mut state = self.state.lock();
+            if state.free > 0 {
+                state.free -= 1;
+                return SlotGuard(self);
             }
             let (sender, receiver) = oneshot::channel();
-            let next = room.next;
-            room.next += 1;
-            room.waiting.insert((u8::MAX - priority, next), sender);
+            let ticket = state.next_ticket;
+            state.next_ticket += 1;
+            state.waiting.insert((u8::MAX - priority, ticket), sender);
             receiver
         };
-        // The sender is kept until it sends, so waiting cannot fail. A stream that stops waiting
-        // drops the receiver, and the slot goes to the next one.
+        // Receiving cannot fail, since the sender is kept until it sends. A stream that stops waiting drops its
+        // receiver; sending then fails, and the slot goes to the next stream.
         let _ = receiver.await;
-        Turn(self)
+        SlotGuard(self)
     }
 
-    fn pass(&self) {
-        let mut room = self.room.lock();
-        while let Some((_, sender)) = room.waiting.pop_first() {
+    fn release(&self) {
+        let mut state = self.state.lock();
+        while let Some((_, sender)) = state.waiting.pop_first() {
             if sender.send(()).is_ok() {
                 return;
             }
         }
-        room.free += 1;
+        state.free += 1;
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        self.0.pass();
+        self.0.release();
     }
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that can be switched on while a stand-in runs.
+//! Faults that can be injected into a running stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,87 +11,89 @@
 /// Marker in a request body that makes a stand-in with [`Fault::fatal`] crash.
 pub const FATAL_MARKER: &str = "fatal";
 
-/// What goes wrong at a stand-in.
+/// The faults that are active at a stand-in; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// It closes every connection without an answer, and before it does anything.
+    /// Closes every connection without processing the request or sending a response. Streams of engines and watches of
+    /// the platform are aborted.
     pub down: bool,
-    /// It does what it is asked, then closes the connection without an answer.
+    /// Processes each request, then closes the connection without a response.
     pub mute: bool,
-    /// The platform: so many transactions are carried out and left without an answer.
+    /// Platform: number of transactions that are applied but get no response; counts down to 0.
     pub mute_writes: u32,
-    /// The platform: watches say nothing while nothing changes.
+    /// Platform: watches send no progress messages while nothing changes.
     pub quiet: bool,
-    /// It turns every call away with status 429.
+    /// Rejects every request with status 429.
     pub limited: bool,
-    /// Milliseconds that each answer waits.
+    /// Delay before each request is processed, in milliseconds.
     pub delay: u64,
-    /// Factor by which it is slower; 0 counts as 1.
+    /// Factor by which processing is slower; 0 counts as 1.
     pub slow: f64,
-    /// Engines: streams are cut after so many chunks; 0 for never.
+    /// Engines: number of chunks after which a stream is aborted; 0 for never.
     pub cut: u32,
-    /// Engines: the next swap fails partway, so that two versions are stated.
+    /// Engines: the next weight swap stops halfway, so that the engine reports two versions.
     pub mixed: bool,
-    /// Engines: chunks come doubled and in pairs the wrong way round.
+    /// Engines: chunks are duplicated, and neighboring chunks are swapped.
     pub shuffle: bool,
-    /// It says that it is leaving.
+    /// Announces that the stand-in is shutting down.
     pub leaving: bool,
-    /// It ends as a process does when a body that it reads holds the word [`FATAL_MARKER`].
+    /// Crashes on a request whose body contains [`FATAL_MARKER`].
     pub fatal: bool,
 }
 
 impl Fault {
-    /// The factor by which it is slower.
-    pub fn factor(&self) -> f64 {
+    /// The factor by which processing is slower.
+    pub fn slowdown(&self) -> f64 {
         if self.slow > 0.0 { self.slow } else { 1.0 }
     }
 }
 
-/// The faults of one stand-in, shared with those who switch them.
+/// Shared handle to the faults of one stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    now: Arc<Mutex<Fault>>,
-    ended: Arc<Notify>,
-    gone: Arc<Notify>,
+    current: Arc<Mutex<Fault>>,
+    crash_requested: Arc<Notify>,
+    stopped: Arc<Notify>,
 }
 
 impl Faults {
-    /// The faults now.
+    /// Returns the current faults.
     pub fn get(&self) -> Fault {
-        *self.now.lock()
+        *self.current.lock()
     }
 
     /// Replaces the faults.
     pub fn set(&self, fault: Fault) {
-        *self.now.lock() = fault;
+        *self.current.lock() = fault;
     }
 
-    /// Changes the faults.
+    /// Modifies the faults in place.
     pub fn change(&self, f: impl FnOnce(&mut Fault)) {
-        f(&mut self.now.lock());
+        f(&mut self.current.lock());
     }
 
-    /// Ends the stand-in as a process does: whoever is connected is cut off, and nobody listens any more.
-    pub async fn end(&self) {
+    /// Stops the stand-in as a crash would: its connections are closed and its listening socket is closed. Returns
+    /// once it has stopped.
+    pub async fn crash(&self) {
         self.change(|fault| fault.down = true);
-        self.ended.notify_one();
-        self.gone.notified().await;
+        self.crash_requested.notify_one();
+        self.stopped.notified().await;
     }
 
-    /// Waits until the stand-in is to end.
-    pub(crate) async fn ended(&self) {
-        self.ended.notified().await;
+    /// Waits until a crash is requested.
+    pub(crate) async fn crash_requested(&self) {
+        self.crash_requested.notified().await;
     }
 
-    /// Notes that nobody listens any more.
-    pub(crate) fn gone(&self) {
-        self.gone.notify_waiters();
-        self.gone.notify_one();
+    /// Records that the server has stopped.
+    pub(crate) fn mark_stopped(&self) {
+        self.stopped.notify_waiters();
+        self.stopped.notify_one();
     }
 
-    /// Waits for the delay that is switched on.
+    /// Waits for the configured delay.
     pub async fn delay(&self) {
         let delay = self.get().delay;
         if delay > 0 {
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,4 +1,4 @@
-//! Serving a stand-in on a loopback port.
+//! HTTP server of a stand-in, which applies the faults that all stand-ins have in common.
 
 use std::future::Future;
 use std::io;
@@ -23,16 +23,16 @@
 use crate::Faults;
 use crate::fault::FATAL_MARKER;
 
-/// Path at which the faults of a stand-in are read and replaced.
-pub const FAULT: &str = "/fault";
+/// Path of a stand-in's faults: GET reads them, any other method replaces them by the [`Fault`] in its JSON body.
+pub const FAULT_PATH: &str = "/fault";
 
-/// Bytes that a stand-in reads of a body.
-const MOST: usize = 16 << 20;
+/// Maximum length of a request body.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// A stand-in that listens on an address.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     /// Its faults.
     pub faults: Faults,
@@ -40,43 +40,43 @@
 }
 
 impl Server {
-    /// Stops accepting.
+    /// Stops accepting connections; running requests are completed.
     pub fn stop(&self) {
         self.drain.begin();
     }
 }
 
-/// What a stand-in does with a call whose body has been read.
-pub trait Answer: Send + Sync + 'static {
-    /// The switchable faults.
+/// A stand-in's handler of requests.
+pub trait Handler: Send + Sync + 'static {
+    /// The faults that can be injected.
     fn faults(&self) -> &Faults;
 
-    /// Answers a call.
-    fn answer(
+    /// Handles a request whose body has been read into `bytes`.
+    fn handle(
         self: Arc<Self>,
         head: Call,
         bytes: bytes::Bytes,
     ) -> impl Future<Output = Reply> + Send;
 }
 
-/// Serves a stand-in at an address; port 0 takes a free one.
+/// Serves a stand-in at an address; port 0 selects a free port.
 ///
 /// # Errors
 ///
-/// Returns the error of the bind.
-pub async fn serve<A: Answer>(addr: SocketAddr, app: Arc<A>) -> io::Result<Server> {
+/// Returns an error if the address cannot be bound.
+pub async fn serve<H: Handler>(addr: SocketAddr, handler: Arc<H>) -> io::Result<Server> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
-    let faults = app.faults().clone();
+    let faults = handler.faults().clone();
     let drain = Drain::default();
-    let server = net::server::serve(listener, router(&app), Limits::default(), drain.clone());
-    let ended = faults.clone();
+    let server = net::server::serve(listener, router(&handler), Limits::default(), drain.clone());
+    let server_faults = faults.clone();
     tokio::spawn(async move {
         tokio::select! {
             _ = server => (),
-            () = ended.ended() => (),
+            () = server_faults.crash_requested() => (),
         }
-        ended.gone();
+        server_faults.mark_stopped();
     });
     Ok(Server {
         addr,
@@ -85,7 +85,7 @@
     })
 }
 
-fn router<A: Answer>(app: &Arc<A>) -> Router {
+fn router<H: Handler>(handler: &Arc<H>) -> Router {
     let methods = vec![
         Method::GET,
         Method::HEAD,
@@ -95,29 +95,29 @@
         Method::DELETE,
     ];
     build_simple_router(|route| {
-        let glue = || Glue::new(app, call::<A>);
+        let glue = || Glue::new(handler, handle_call::<H>);
         route.request(methods.clone(), "/").to_new_handler(glue());
         route.request(methods, "/*").to_new_handler(glue());
     })
 }
 
-async fn call<A: Answer>(app: Arc<A>, mut call: Call) -> Reply {
-    let taken = std::mem::replace(&mut call.body, body::full(""));
-    let Ok(bytes) = body::read(taken, MOST).await else {
+async fn handle_call<H: Handler>(handler: Arc<H>, mut call: Call) -> Reply {
+    let body = std::mem::replace(&mut call.body, body::full(""));
+    let Ok(bytes) = body::read(body, MAX_BODY_BYTES).await else {
         return body::reply(StatusCode::BAD_REQUEST, "text/plain", "bad body");
     };
-    if call.uri.path() == FAULT {
-        return fault(app.faults(), &call, &bytes);
+    if call.uri.path() == FAULT_PATH {
+        return handle_fault(handler.faults(), &call, &bytes);
     }
-    let faults = app.faults().clone();
+    let faults = handler.faults().clone();
     faults.delay().await;
     let fault = faults.get();
-    if fault.fatal && holds(&bytes, FATAL_MARKER) {
-        faults.end().await;
-        return cut();
+    if fault.fatal && contains(&bytes, FATAL_MARKER) {
+        faults.crash().await;
+        return aborted_reply();
     }
     if fault.down {
-        return cut();
+        return aborted_reply();
     }
     if fault.limited {
         return body::reply(
@@ -126,17 +126,17 @@
             "too many calls",
         );
     }
-    let reply = app.answer(call, bytes).await;
-    if fault.mute { cut() } else { reply }
+    let reply = handler.handle(call, bytes).await;
+    if fault.mute { aborted_reply() } else { reply }
 }
 
-fn holds(bytes: &[u8], word: &str) -> bool {
+fn contains(bytes: &[u8], marker: &str) -> bool {
     bytes
-        .windows(word.len())
-        .any(|part| part == word.as_bytes())
+        .windows(marker.len())
+        .any(|window| window == marker.as_bytes())
 }
 
-fn fault(faults: &Faults, call: &Call, bytes: &[u8]) -> Reply {
+fn handle_fault(faults: &Faults, call: &Call, bytes: &[u8]) -> Reply {
     if call.method == Method::GET {
         return body::json(StatusCode::OK, &faults.get());
     }
@@ -149,12 +149,13 @@
     }
 }
 
-/// An answer that breaks the connection before its first byte of body is whole.
-pub fn cut() -> Reply {
+/// Returns a reply whose body fails at once, so that the connection is closed before the first byte of the body is
+/// sent.
+pub fn aborted_reply() -> Reply {
     let (sender, stream) = body::stream();
-    let broken = io::Error::new(io::ErrorKind::ConnectionAborted, "cut");
-    // The receiver is there: it is part of the reply that is returned.
-    let _ = sender.try_send(Err(broken));
+    let error = io::Error::new(io::ErrorKind::ConnectionAborted, "cut");
+    // Sending cannot fail: the receiver is part of the reply.
+    let _ = sender.try_send(Err(error));
     let mut reply = Reply::new(stream);
     *reply.status_mut() = StatusCode::OK;
     reply
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small fakes of the systems that snipeway meets, each over its published protocol, with faults
-//! to switch on: the platform's key-value service, model engines, plain services, weight stores.
+//! Simplified implementations of the systems that snipeway communicates with: the platform's key-value service, model
+//! engines, plain services and weight stores. Each speaks the published protocol of its system and can have faults
+//! injected.
 //!
-//! They serve the tests, the demo and the measurements; none is part of a deployment.
+//! They are used by the tests, the demo and the benchmarks; none is part of a deployment.
 
 pub mod cli;
 pub mod engine;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `snipeway-standin`: stand-ins for the systems around snipeway, as one process.
+//! `snipeway-standin`: serves stand-ins for the systems around snipeway in one process.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/platform/messages.rs
+++ b/crates/standin/src/platform/messages.rs
@@ -1,5 +1,5 @@
-//! The messages of the protocol, written anew from its publication: the stand-in must not share
-//! the client's reading of it.
+//! Messages of the etcd protocol, written from its specification and independently of the client, so that an error in
+//! the client's messages does not go unnoticed.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -9,7 +9,7 @@
 use serde::Serializer;
 use serde::de::Error;
 
-/// Base64 of bytes.
+/// Bytes, serialized as a Base64 string.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Blob(pub(crate) Vec<u8>);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A 64-bit integer as a decimal string.
+/// A 64-bit integer, serialized as a decimal string.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Long(pub(crate) i64);
 
@@ -64,7 +64,7 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(crate) struct Range {
+pub(crate) struct RangeRequest {
     pub(crate) key: Blob,
     #[serde(default)]
     pub(crate) range_end: Option<Blob>,
@@ -74,7 +74,7 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(crate) struct Put {
+pub(crate) struct PutRequest {
     pub(crate) key: Blob,
     #[serde(default)]
     pub(crate) value: Blob,
@@ -87,9 +87,9 @@
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub(crate) struct Op {
     #[serde(default)]
-    pub(crate) request_put: Option<Put>,
+    pub(crate) request_put: Option<PutRequest>,
     #[serde(default)]
-    pub(crate) request_delete_range: Option<Range>,
+    pub(crate) request_delete_range: Option<RangeRequest>,
 }
 
 #[derive(Debug)]
@@ -106,7 +106,7 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(crate) struct Txn {
+pub(crate) struct TxnRequest {
     #[serde(default)]
     pub(crate) compare: Vec<Compare>,
     #[serde(default)]
@@ -117,21 +117,21 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(crate) struct Grant {
+pub(crate) struct GrantRequest {
     #[serde(rename = "TTL")]
     pub(crate) ttl: Long,
 }
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(crate) struct Id {
+pub(crate) struct LeaseRequest {
     #[serde(rename = "ID")]
     pub(crate) id: Long,
 }
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(crate) struct Create {
+pub(crate) struct WatchCreateRequest {
     pub(crate) key: Blob,
     #[serde(default)]
     pub(crate) range_end: Blob,
@@ -141,12 +141,12 @@
 
 #[derive(Debug)]
 #[derive(Deserialize)]
-pub(crate) struct Watch {
-    pub(crate) create_request: Create,
+pub(crate) struct WatchRequest {
+    pub(crate) create_request: WatchCreateRequest,
 }
 
-/// The key after the last with a prefix.
-pub(crate) fn end(prefix: &[u8]) -> Vec<u8> {
+/// Returns the end of the range of keys with a prefix, exclusive.
+pub(crate) fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     if let Some(last) = end.last_mut() {
         *last += 1;
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The store behind the protocol.
+//! Revisioned keys, leases and the history of changes, in memory.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,32 +8,34 @@
 
 use super::messages::Blob;
 use super::messages::Compare;
-use super::messages::Create;
 use super::messages::Event;
 use super::messages::KeyValue;
 use super::messages::Long;
 use super::messages::Op;
-use super::messages::Put;
-use super::messages::Range;
-use super::messages::Txn;
+use super::messages::PutRequest;
+use super::messages::RangeRequest;
+use super::messages::TxnRequest;
+use super::messages::WatchCreateRequest;
 
 #[derive(Debug)]
 struct Lease {
     ttl: i64,
-    ends: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Store {
+pub(crate) struct KeyValueStore {
     revision: i64,
+    /// The lowest revision whose events are kept; 0 without a compaction.
     compacted: i64,
-    next: i64,
+    last_lease_id: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
     leases: BTreeMap<i64, Lease>,
+    /// Events with their revisions, in order of revision.
     history: Vec<(i64, Event)>,
 }
 
-impl Store {
+impl KeyValueStore {
     pub(crate) fn revision(&self) -> i64 {
         self.revision
     }
@@ -47,28 +49,30 @@
         self.history.clear();
     }
 
+    /// Iterates over the keys from `from` to `to`, which is exclusive.
     pub(crate) fn scan(&self, from: &[u8], to: &[u8]) -> impl Iterator<Item = &KeyValue> + use<'_> {
-        let empty = to <= from;
+        let is_empty = to <= from;
         let range = self.keys.range(from.to_vec()..);
         let to = to.to_vec();
         range
-            .take_while(move |(key, _)| !empty && **key < to)
+            .take_while(move |(key, _)| !is_empty && **key < to)
             .map(|(_, kv)| kv)
     }
 
-    pub(crate) fn range(&self, range: &Range) -> Vec<KeyValue> {
-        let Some(end) = &range.range_end else {
-            return self.keys.get(&range.key.0).cloned().into_iter().collect();
+    pub(crate) fn range(&self, request: &RangeRequest) -> Vec<KeyValue> {
+        let Some(end) = &request.range_end else {
+            return self.keys.get(&request.key.0).cloned().into_iter().collect();
         };
-        let most = match range.limit.0 {
+        let max_items = match request.limit.0 {
             0 => usize::MAX,
             limit => limit as usize,
         };
-        let found = self.scan(&range.key.0, &end.0);
-        found.take(most).cloned().collect()
+        let items = self.scan(&request.key.0, &end.0);
+        items.take(max_items).cloned().collect()
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    /// Returns whether a comparison is true. Only EQUAL of CREATE or MOD is supported; any other comparison is false.
+    fn is_met(&self, compare: &Compare) -> bool {
         let kv = self.keys.get(&compare.key.0);
         let created = kv.map_or(0, |kv| kv.create_revision.0);
         let modified = kv.map_or(0, |kv| kv.mod_revision.0);
@@ -79,11 +83,12 @@
         }
     }
 
-    pub(crate) fn txn(&mut self, txn: &Txn) -> bool {
-        let succeeded = txn.compare.iter().all(|compare| self.holds(compare));
+    /// Applies a transaction and returns whether its comparisons were true.
+    pub(crate) fn txn(&mut self, request: &TxnRequest) -> bool {
+        let succeeded = request.compare.iter().all(|compare| self.is_met(compare));
         let ops = match succeeded {
-            true => &txn.success,
-            false => &txn.failure,
+            true => &request.success,
+            false => &request.failure,
         };
         if !ops.is_empty() {
             self.revision += 1;
@@ -95,30 +100,30 @@
     }
 
     fn apply(&mut self, op: &Op) {
-        if let Some(put) = &op.request_put {
-            self.put(put);
+        if let Some(request) = &op.request_put {
+            self.put(request);
         }
-        if let Some(range) = &op.request_delete_range {
-            let keys: Vec<_> = self.range(range).into_iter().map(|kv| kv.key).collect();
+        if let Some(request) = &op.request_delete_range {
+            let keys: Vec<_> = self.range(request).into_iter().map(|kv| kv.key).collect();
             for key in keys {
                 self.delete(key);
             }
         }
     }
 
-    fn put(&mut self, put: &Put) {
-        let before = self.keys.get(&put.key.0);
-        let created = before.map_or(self.revision, |kv| kv.create_revision.0);
-        let version = before.map_or(0, |kv| kv.version.0) + 1;
+    fn put(&mut self, request: &PutRequest) {
+        let previous = self.keys.get(&request.key.0);
+        let created = previous.map_or(self.revision, |kv| kv.create_revision.0);
+        let version = previous.map_or(0, |kv| kv.version.0) + 1;
         let kv = KeyValue {
-            key: put.key.clone(),
-            value: put.value.clone(),
+            key: request.key.clone(),
+            value: request.value.clone(),
             create_revision: Long(created),
             mod_revision: Long(self.revision),
             version: Long(version),
-            lease: put.lease,
+            lease: request.lease,
         };
-        self.keys.insert(put.key.0.clone(), kv.clone());
+        self.keys.insert(request.key.0.clone(), kv.clone());
         let kind = None;
         self.history.push((self.revision, Event { kind, kv }));
     }
@@ -136,39 +141,52 @@
         self.history.push((self.revision, Event { kind, kv }));
     }
 
-    pub(crate) fn since(&self, from: i64, create: &Create) -> Result<Vec<Event>, i64> {
+    /// Returns the events of a watch from a revision on; 0 stands for all that are kept.
+    ///
+    /// # Errors
+    ///
+    /// Returns the lowest revision that is available if the requested one has been compacted.
+    pub(crate) fn events_since(
+        &self,
+        from: i64,
+        request: &WatchCreateRequest,
+    ) -> Result<Vec<Event>, i64> {
         if from > 0 && from < self.compacted {
             return Err(self.compacted);
         }
-        let inside = |key: &[u8]| key >= &*create.key.0 && key < &*create.range_end.0;
+        let is_in_range = |key: &[u8]| key >= &*request.key.0 && key < &*request.range_end.0;
         let events = self
             .history
             .iter()
-            .filter(|(rev, event)| *rev >= from && inside(&event.kv.key.0));
+            .filter(|(rev, event)| *rev >= from && is_in_range(&event.kv.key.0));
         Ok(events.map(|(_, event)| event.clone()).collect())
     }
 
+    /// Grants a lease of `ttl` seconds and returns its id.
     pub(crate) fn grant(&mut self, ttl: i64) -> i64 {
-        self.next += 1;
-        let ends = Instant::now() + Duration::from_secs(ttl.max(0) as u64);
-        self.leases.insert(self.next, Lease { ttl, ends });
-        self.next
+        self.last_lease_id += 1;
+        let expires_at = Instant::now() + Duration::from_secs(ttl.max(0) as u64);
+        self.leases
+            .insert(self.last_lease_id, Lease { ttl, expires_at });
+        self.last_lease_id
     }
 
+    /// Renews a lease and returns its duration in seconds; 0 if it does not exist.
     pub(crate) fn renew(&mut self, id: i64) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
         };
-        lease.ends = Instant::now() + Duration::from_secs(lease.ttl.max(0) as u64);
+        lease.expires_at = Instant::now() + Duration::from_secs(lease.ttl.max(0) as u64);
         lease.ttl
     }
 
+    /// Ends a lease and deletes its keys in one revision.
     pub(crate) fn revoke(&mut self, id: i64) {
         if self.leases.remove(&id).is_none() {
             return;
         }
-        let of_lease = self.keys.values().filter(|kv| kv.lease.0 == id);
-        let keys: Vec<_> = of_lease.map(|kv| kv.key.clone()).collect();
+        let attached = self.keys.values().filter(|kv| kv.lease.0 == id);
+        let keys: Vec<_> = attached.map(|kv| kv.key.clone()).collect();
         if !keys.is_empty() {
             self.revision += 1;
         }
@@ -177,10 +195,14 @@
         }
     }
 
+    /// Revokes all leases that have expired.
     pub(crate) fn expire(&mut self) {
         let now = Instant::now();
-        let over = self.leases.iter().filter(|(_, lease)| lease.ends <= now);
-        let ids: Vec<_> = over.map(|(id, _)| *id).collect();
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now);
+        let ids: Vec<_> = expired.map(|(id, _)| *id).collect();
         for id in ids {
             self.revoke(id);
         }
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -1,4 +1,4 @@
-//! Serves every part of the settings until told to stop.
+//! Serves all stand-ins of the settings until the process is interrupted.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 use crate::Server;
 use crate::Service;
 use crate::WeightStore;
-use crate::settings::Part;
 use crate::settings::Role;
+use crate::settings::StandIn;
 use args::ParsedArgs;
 use eyre::WrapErr;
 use std::time::Duration;
@@ -17,33 +17,33 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the settings are wrong or an address is taken.
+/// Returns an error if the settings are invalid or an address cannot be bound.
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let file: String = parsed.require("config", "a file")?;
-    let parts = crate::settings::read(&file, &conf::load(&file)?)?;
+    let stand_ins = crate::settings::read(&file, &conf::load(&file)?)?;
     logs::init(&logs::Settings::default())?;
-    args::program::block_on(serve(parts))
+    args::program::block_on(serve(stand_ins))
 }
 
-async fn serve(parts: Vec<Part>) -> eyre::Result<()> {
-    for part in parts {
-        let host = host(&part).await;
-        let host = host.wrap_err_with(|| format!("could not serve {}", part.name))?;
-        log::info!(name = part.name.as_str(), addr:% = host.addr; "serving");
+async fn serve(stand_ins: Vec<StandIn>) -> eyre::Result<()> {
+    for stand_in in stand_ins {
+        let server = start(&stand_in).await;
+        let server = server.wrap_err_with(|| format!("could not serve {}", stand_in.name))?;
+        log::info!(name = stand_in.name.as_str(), addr:% = server.addr; "serving");
     }
     tokio::signal::ctrl_c().await?;
     Ok(())
 }
 
-async fn host(part: &Part) -> std::io::Result<Server> {
-    let at = part.listen;
-    match part.role {
-        Role::Platform => Arc::new(Platform::default()).serve(at).await,
-        Role::Engine(make) => Arc::new(Engine::new(make)).serve(at).await,
+async fn start(stand_in: &StandIn) -> std::io::Result<Server> {
+    let addr = stand_in.listen;
+    match stand_in.role {
+        Role::Platform => Arc::new(Platform::default()).serve(addr).await,
+        Role::Engine(settings) => Arc::new(Engine::new(settings)).serve(addr).await,
         Role::Service(work, slots) => {
             let work = Duration::from_millis(work);
-            Arc::new(Service::new(work, slots)).serve(at).await
+            Arc::new(Service::new(work, slots)).serve(addr).await
         }
-        Role::Store(size, rate) => Arc::new(WeightStore::new(size, rate)).serve(at).await,
+        Role::Store(size, rate) => Arc::new(WeightStore::new(size, rate)).serve(addr).await,
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: a lookup, and calls that may not be repeated.
+//! A plain service: lookups, calls with an idempotency key, and scoring.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,11 +24,11 @@
 
 use crate::Faults;
 use crate::Server;
-use crate::host::Answer;
+use crate::host::Handler;
 use crate::host::serve;
 
-/// Path at which the service tells which calls with a key it has run.
-pub const LOG: &str = "/log";
+/// Path that returns [`Service::executed_keys`] as a JSON array.
+pub const LOG_PATH: &str = "/log";
 
 /// A plain service.
 #[derive(Debug)]
@@ -36,13 +36,14 @@
     faults: Faults,
     work: Duration,
     slots: Semaphore,
+    /// Calls that are being processed or waiting for a slot.
     running: AtomicU32,
     served: AtomicU64,
-    log: Mutex<Vec<String>>,
+    executed: Mutex<Vec<String>>,
 }
 
 impl Service {
-    /// Makes a service that works `work` on each call, and on at most `slots` at once.
+    /// Creates a service that takes `work` to process a call and processes at most `slots` calls concurrently.
     pub fn new(work: Duration, slots: usize) -> Self {
         Self {
             faults: Faults::default(),
@@ -50,38 +51,39 @@
             slots: Semaphore::new(slots),
             running: AtomicU32::new(0),
             served: AtomicU64::new(0),
-            log: Mutex::default(),
+            executed: Mutex::default(),
         }
     }
 
-    /// Serves at an address.
+    /// Serves the service at an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Returns the error of the bind.
+    /// Returns an error if the address cannot be bound.
     pub async fn serve(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Server> {
         serve(addr, self.clone()).await
     }
 
-    /// Returns the idempotency keys of the executed calls, in order of execution; a key occurs once per execution.
+    /// Returns the idempotency keys of the executed calls, in order of execution; a key occurs once per execution. GET
+    /// calls are not included.
     pub fn executed_keys(&self) -> Vec<String> {
-        self.log.lock().clone()
+        self.executed.lock().clone()
     }
 
-    /// Calls that it has run.
+    /// Returns the number of calls that have been processed.
     pub fn served(&self) -> u64 {
         self.served.load(Ordering::Relaxed)
     }
 
     async fn run(&self, call: Call, bytes: Bytes) -> Reply {
         let key = call.header("idempotency-key").map(str::to_owned);
-        // A call takes effect when the work on it begins; whoever goes away then is too late.
+        // A call takes effect when its processing starts; it is not undone if the caller closes the connection later.
         if let Some(key) = &key
             && call.method != Method::GET
         {
-            self.log.lock().push(key.clone());
+            self.executed.lock().push(key.clone());
         }
-        let factor = self.faults.get().factor();
+        let factor = self.faults.get().slowdown();
         tokio::time::sleep(self.work.mul_f64(factor)).await;
         let count = self.served.fetch_add(1, Ordering::Relaxed) + 1;
         if call.uri.path() == SCORE {
@@ -91,28 +93,28 @@
             Method::POST => StatusCode::CREATED,
             _ => StatusCode::OK,
         };
-        let answer = json!({
+        let response = json!({
             "path": call.uri.path(),
             "echo": call.uri.query(),
             "key": key,
             "bytes": bytes.len(),
             "count": count,
         });
-        body::json(status, &answer)
+        body::json(status, &response)
     }
 }
 
-impl Answer for Service {
+impl Handler for Service {
     fn faults(&self) -> &Faults {
         &self.faults
     }
 
-    async fn answer(self: Arc<Self>, call: Call, bytes: Bytes) -> Reply {
-        if call.uri.path() == LOG {
+    async fn handle(self: Arc<Self>, call: Call, bytes: Bytes) -> Reply {
+        if call.uri.path() == LOG_PATH {
             return body::json(StatusCode::OK, &self.executed_keys());
         }
         let running = self.running.fetch_add(1, Ordering::Relaxed) + 1;
-        let guard = Leave(&self.running);
+        let guard = RunningGuard(&self.running);
         let slot = self.slots.acquire().await;
         let mut reply = self.run(call, bytes).await;
         drop(slot);
@@ -126,21 +128,21 @@
     }
 }
 
-/// Scores a sample by the length of its text.
+/// Scores a sample by the length of its text in bytes.
 fn score(bytes: &[u8]) -> Reply {
     match serde_json::from_slice::<ScoreRequest>(bytes) {
-        Ok(asked) => {
-            let score = asked.text.len() as f64;
+        Ok(request) => {
+            let score = request.text.len() as f64;
             body::json(StatusCode::OK, &ScoreResponse { score })
         }
         Err(error) => body::reply(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
     }
 }
 
-/// Counts a call out, also when its caller goes away.
-struct Leave<'a>(&'a AtomicU32);
+/// Decrements the number of running calls when dropped, also if the caller closes the connection.
+struct RunningGuard<'a>(&'a AtomicU32);
 
-impl Drop for Leave<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! A rate-limited weight store.
+//! A weight store with limited bandwidth.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 
 use crate::Faults;
 use crate::Server;
-use crate::host::Answer;
+use crate::host::Handler;
 use crate::host::serve;
 
-/// Bytes of one piece of a download.
-const PIECE: usize = 64 << 10;
+/// Maximum bytes sent at a time.
+const CHUNK_BYTES: usize = 64 << 10;
 
 /// A weight store whose downloads share a bandwidth of `rate` bytes per second.
 #[derive(Debug)]
@@ -29,27 +29,28 @@
     faults: Faults,
     size: usize,
     rate: f64,
-    due: Mutex<Option<Instant>>,
+    /// Time until which the bandwidth is reserved.
+    reserved_until: Mutex<Option<Instant>>,
     sent: AtomicU64,
 }
 
 impl WeightStore {
-    /// Makes a store whose versions have `size` bytes each.
+    /// Creates a store whose versions have `size` bytes each; `rate` is at least 1.
     pub fn new(size: usize, rate: f64) -> Self {
         Self {
             faults: Faults::default(),
             size,
             rate: rate.max(1.0),
-            due: Mutex::default(),
+            reserved_until: Mutex::default(),
             sent: AtomicU64::new(0),
         }
     }
 
-    /// Serves at an address.
+    /// Serves the store at an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Returns the error of the bind.
+    /// Returns an error if the address cannot be bound.
     pub async fn serve(self: &Arc<Self>, addr: SocketAddr) -> io::Result<Server> {
         serve(addr, self.clone()).await
     }
@@ -59,36 +60,36 @@
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// When the next piece of `bytes` may go.
-    fn turn(&self, bytes: usize) -> Instant {
+    /// Reserves bandwidth for a chunk and returns the time at which it may be sent.
+    fn reserve(&self, bytes: usize) -> Instant {
         let now = Instant::now();
-        let mut due = self.due.lock();
-        let start = due.unwrap_or(now).max(now);
+        let mut reserved_until = self.reserved_until.lock();
+        let start = reserved_until.unwrap_or(now).max(now);
         let end = start + Duration::from_secs_f64(bytes as f64 / self.rate);
-        *due = Some(end);
+        *reserved_until = Some(end);
         end
     }
 
     async fn send(self: Arc<Self>, sender: body::Sender) {
-        let mut left = self.size;
-        while left > 0 {
-            let bytes = left.min(PIECE);
-            tokio::time::sleep_until(self.turn(bytes)).await;
+        let mut remaining = self.size;
+        while remaining > 0 {
+            let bytes = remaining.min(CHUNK_BYTES);
+            tokio::time::sleep_until(self.reserve(bytes)).await;
             if sender.send(Ok(Bytes::from(vec![0; bytes]))).await.is_err() {
                 return;
             }
             self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
-            left -= bytes;
+            remaining -= bytes;
         }
     }
 }
 
-impl Answer for WeightStore {
+impl Handler for WeightStore {
     fn faults(&self) -> &Faults {
         &self.faults
     }
 
-    async fn answer(self: Arc<Self>, call: Call, _: Bytes) -> Reply {
+    async fn handle(self: Arc<Self>, call: Call, _: Bytes) -> Reply {
         if !call.uri.path().starts_with("/weights/") {
             return body::reply(StatusCode::NOT_FOUND, "text/plain", "no such path");
         }
