--- a/crates/bench/src/board.rs
+++ b/crates/bench/src/board.rs
@@ -1,4 +1,4 @@
-//! What it costs to tell other instances of the list of upstreams, by its length.
+//! Cost of replicating the list of upstreams to another instance, by its length.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -9,18 +9,18 @@
 use spread::Replica;
 use spread::SyncState;
 
-/// Bytes of an entry.
-const VALUE: usize = 220;
+/// Size of the value of an entry.
+const VALUE_BYTES: usize = 220;
 
-/// Answers that are timed together.
-const TIMES: u32 = 200;
+/// Number of updates that are timed together.
+const ITERATIONS: u32 = 200;
 
 fn listing(entries: usize) -> Listing {
-    let item = |at: usize| Item {
-        key: format!("servers/i-{at:012x}"),
-        value: vec![0; VALUE],
-        // The revisions of a list say nothing of the order of its keys.
-        rev: (at * 7_919 % entries) as i64 + 1,
+    let item = |index: usize| Item {
+        key: format!("servers/i-{index:012x}"),
+        value: vec![0; VALUE_BYTES],
+        // Revisions in a real list do not follow the order of the keys.
+        rev: (index * 7_919 % entries) as i64 + 1,
     };
     Listing {
         items: (0..entries).map(item).collect(),
@@ -28,53 +28,53 @@
     }
 }
 
-/// Tells a follower that knows nothing the whole list; gives the parts.
-fn tell(board: &Replica) -> usize {
+/// Sends the whole list to an empty follower and returns the number of parts.
+fn sync_empty_follower(replica: &Replica) -> usize {
     let mut follower = Replica::default();
     let mut parts = 0;
-    while follower.rev() < board.rev() {
-        let news = board.update_since(follower.sync_state(0), 0);
-        follower.merge(&news, 0);
+    while follower.rev() < replica.rev() {
+        let update = replica.update_since(follower.sync_state(0), 0);
+        follower.merge(&update, 0);
         parts += 1;
     }
     parts
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) fn run() {
     let mut table = Table::default();
     for entries in [1_000, 10_000, 20_000, 50_000] {
-        let mut board = Replica::default();
-        board.apply_read(listing(entries), 1, 0);
-        let have = SyncState {
+        let mut replica = Replica::default();
+        replica.apply_read(listing(entries), 1, 0);
+        let sync_state = SyncState {
             rev: entries as i64 - 1,
             edition: 1,
             ..SyncState::default()
         };
-        let begun = Instant::now();
-        for _ in 0..TIMES {
-            black_box(board.update_since(black_box(have), 0));
+        let start = Instant::now();
+        for _ in 0..ITERATIONS {
+            black_box(replica.update_since(black_box(sync_state), 0));
         }
-        let each = begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES);
+        let update_us = start.elapsed().as_secs_f64() * 1e6 / f64::from(ITERATIONS);
         table.row(
-            format!("{entries} entries: us to tell one that has changed"),
-            format!("{each:.1}"),
+            format!("{entries} entries: us to compute an update of one changed entry"),
+            format!("{update_us:.1}"),
         );
-        let begun = Instant::now();
-        let parts = black_box(tell(&board));
-        let all = begun.elapsed().as_secs_f64() * 1e3;
+        let start = Instant::now();
+        let parts = black_box(sync_empty_follower(&replica));
+        let sync_ms = start.elapsed().as_secs_f64() * 1e3;
         table.row(
             format!(
-                "{entries} entries: ms to tell all, in {parts} parts, with what the follower does"
+                "{entries} entries: ms to send the whole list in {parts} parts, including the follower's merge"
             ),
-            format!("{all:.1}"),
+            format!("{sync_ms:.1}"),
         );
-        let begun = Instant::now();
-        board.apply_read(listing(entries), 2, 0);
-        let read = begun.elapsed().as_secs_f64() * 1e3;
+        let start = Instant::now();
+        replica.apply_read(listing(entries), 2, 0);
+        let read_ms = start.elapsed().as_secs_f64() * 1e3;
         table.row(
-            format!("{entries} entries: ms to take in a read that brings nothing"),
-            format!("{read:.1}"),
+            format!("{entries} entries: ms to apply a read without changes"),
+            format!("{read_ms:.1}"),
         );
     }
     print!("{table}");
--- a/crates/bench/src/cli.rs
+++ b/crates/bench/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options.
 
 use args::CliSpec;
 use args::Cmd;
@@ -15,43 +15,43 @@
     }
 }
 
-/// The command line of the program.
+/// The command line of `snipeway-bench`.
 pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-bench",
-    about: "Measures what is promised, against stand-ins",
-    description: "Build with --release. Each command takes up to a minute and prints a table; the \
-                  baseline is measured in the same run.",
+    about: "Runs benchmarks against stand-ins",
+    description: "Build with --release. Each command takes up to a minute and prints a table; \
+                  baselines are measured in the same run.",
     opts: &[],
     cmds: &[
         cmd(
             "surge",
-            "Lookups of one customer while another surges to 10 times its contract",
+            "Latency of one customer's lookups while another sends 10 times its contracted rate",
             &[],
         ),
         cmd("goodput", "Goodput at 0.5, 1, 2 and 5 times capacity", &[]),
         cmd(
             "slow",
-            "Lookups with one upstream of four slow or dead",
+            "Latency of lookups if one of four upstreams is slow or down",
             &[],
         ),
         cmd(
             "overhead",
-            "What an entry adds to a call in time and processor time",
+            "Latency and processor time that an entry adds to a call",
             &[],
         ),
         cmd(
             "journal",
-            "Writes to the platform at 10, 100 and 1,000 orders a second",
+            "Platform writes at 10, 100 and 1,000 orders per second",
             &[],
         ),
         cmd(
             "limits",
-            "A contract's rate over 8 entries with an uneven balancer",
+            "Compliance with a contract's rate over 8 unevenly loaded entries",
             &[],
         ),
         cmd(
             "trainer",
-            "Idle time and staleness of a trainer",
+            "Idle time of a trainer and staleness of its samples",
             &[Opt {
                 long: "fault",
                 value: Some("FAULT"),
@@ -60,32 +60,32 @@
         ),
         cmd(
             "weights",
-            "Time from an announcement until 10, 100 and 600 engines have it",
+            "Time until 10, 100 and 600 engines have an announced weight version",
             &[],
         ),
         cmd(
             "place",
-            "Time of choosing an engine for one sample, by the number of engines",
+            "Time to choose an engine for a sample, by the number of engines",
             &[],
         ),
         cmd(
             "swap",
-            "Time of the leader's choice of loads, by the number of engines",
+            "Time to schedule weight loads, by the number of engines",
             &[],
         ),
         cmd(
             "board",
-            "Time of telling another instance of the list of upstreams, by its length",
+            "Time to replicate the list of upstreams, by its length",
             &[],
         ),
         cmd(
             "fleet",
-            "How news spreads at 100 to 5,000 instances, in simulated time",
+            "Propagation of changes among 100 to 5,000 instances, in simulated time",
             &[],
         ),
         cmd(
             "spread",
-            "Time until a contract is in force on 9 entries",
+            "Time until a changed contract is in force on 9 entries",
             &[],
         ),
     ],
--- a/crates/bench/src/cpu.rs
+++ b/crates/bench/src/cpu.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-/// Clock ticks a second, as the kernel reports processor time everywhere that this runs.
-const TICKS: f64 = 100.0;
+/// Unit of processor times in `/proc`: Linux reports them in 1/100 s on all supported machines.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Processor time that this process has used.
-pub(crate) fn used() -> Duration {
+/// Returns the user and system time that this process has used; zero if it cannot be read.
+pub(crate) fn process_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The name in parentheses may hold blanks; the fields after it do not.
+    // The program's name, in parentheses, may contain spaces; the fields after it do not.
     let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let ticks: u64 = fields
         .split_whitespace()
@@ -16,5 +16,5 @@
         .take(2)
         .filter_map(|field| field.parse::<u64>().ok())
         .sum();
-    Duration::from_secs_f64(ticks as f64 / TICKS)
+    Duration::from_secs_f64(ticks as f64 / TICKS_PER_SECOND)
 }
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! How news spreads, by the number of instances and upstreams, in simulated time.
+//! Propagation of changes of the list of upstreams, by the number of instances and upstreams, in simulated time.
 
 use std::time::Instant;
 
@@ -7,27 +7,27 @@
 use sim::Size;
 use sim::play::Times;
 
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: usize = 5;
 
-/// Upstreams for each instance.
-const EACH: usize = 10;
+/// Upstreams per instance.
+const UPSTREAMS_PER_INSTANCE: usize = 10;
 
-/// Longest time that a part of a play takes, in milliseconds.
-const MOST: u64 = 60_000;
+/// Maximum simulated time to wait for a change to reach all instances, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
 
-/// Time over which what is sent at rest is counted, in milliseconds.
-const REST: u64 = 10_000;
+/// Simulated time over which the traffic in steady state is measured, in milliseconds.
+const STEADY_STATE_MS: u64 = 10_000;
 
-/// Upstreams that change in a second at rest.
-const CHANGES: usize = 20;
+/// Upstreams that change per second in steady state.
+const CHANGES_PER_SECOND: usize = 20;
 
-/// Part of all instances that is killed at once.
-const KILLED: f64 = 0.55;
+/// Share of the instances that fail at the same time.
+const FAILED_SHARE: f64 = 0.55;
 
-fn write(times: Option<Times>) -> String {
+fn format_times(times: Option<Times>) -> String {
     let Some(times) = times else {
-        return format!("not within {MOST}");
+        return format!("not within {MAX_WAIT_MS}");
     };
     format!("{} / {} / {}", times.first, times.middle, times.last)
 }
@@ -36,72 +36,84 @@
     let size = Size {
         instances,
         domains: DOMAINS,
-        upstreams: instances * EACH,
+        upstreams: instances * UPSTREAMS_PER_INSTANCE,
     };
-    let mut row = |what: &str, value: String| table.row(format!("{instances}: {what}"), value);
-    let began = Instant::now();
-    let mut play = Play::start(size, seed);
-    let started = play.until(size.upstreams as i64, MOST);
-    row("all know all after a start, ms", write(started));
+    let mut row = |name: &str, value: String| table.row(format!("{instances}: {name}"), value);
+    let start = Instant::now();
+    let mut simulation = Play::start(size, seed);
+    let startup_times = simulation.until(size.upstreams as i64, MAX_WAIT_MS);
+    row(
+        "whole list on all instances after a start, ms",
+        format_times(startup_times),
+    );
     row(
         "reads of the list until then",
-        play.counts.reads.to_string(),
+        simulation.counts.reads.to_string(),
     );
-    let carried = play.counts.carried as f64 / 1e6;
+    let megabytes = simulation.counts.carried as f64 / 1e6;
     row(
         "MB on the platform's link until then",
-        format!("{carried:.1}"),
+        format!("{megabytes:.1}"),
     );
-    play.run(REST);
-    let before: Vec<_> = play
+    simulation.run(STEADY_STATE_MS);
+    let before: Vec<_> = simulation
         .nodes
         .iter()
         .map(|node| (node.sent, node.messages))
         .collect();
-    for _ in 0..REST / 1_000 {
-        play.change(CHANGES);
-        play.run(1_000);
+    for _ in 0..STEADY_STATE_MS / 1_000 {
+        simulation.change(CHANGES_PER_SECOND);
+        simulation.run(1_000);
     }
-    let seconds = REST as f64 / 1e3;
-    let sent = play.nodes.iter().zip(&before);
+    let seconds = STEADY_STATE_MS as f64 / 1e3;
+    let sent = simulation.nodes.iter().zip(&before);
     let mut sent: Vec<_> = sent.map(|(node, (sent, _))| node.sent - sent).collect();
     sent.sort_unstable();
-    let at = |part: usize| {
-        sent.get(part)
+    let kilobytes_per_second = |rank: usize| {
+        sent.get(rank)
             .map_or(0.0, |sent| *sent as f64 / 1e3 / seconds)
     };
-    let (middle, most) = (at(sent.len() / 2), at(sent.len().saturating_sub(1)));
+    let (median, max) = (
+        kilobytes_per_second(sent.len() / 2),
+        kilobytes_per_second(sent.len().saturating_sub(1)),
+    );
+    row(
+        "KB per second sent by an instance in steady state, median / max",
+        format!("{median:.1} / {max:.1}"),
+    );
+    let rev = simulation.change(1);
+    row(
+        "propagation of a change, ms",
+        format_times(simulation.until(rev, MAX_WAIT_MS)),
+    );
+    simulation.kill(simulation.reader());
+    let rev = simulation.change(1);
     row(
-        "KB a second at rest, middle / most",
-        format!("{middle:.1} / {most:.1}"),
+        "propagation of a change as the reader fails, ms",
+        format_times(simulation.until(rev, MAX_WAIT_MS)),
     );
-    let rev = play.change(1);
-    row("a change, ms", write(play.until(rev, MOST)));
-    play.kill(play.reader());
-    let rev = play.change(1);
+    let count = (simulation.nodes.len() as f64 * FAILED_SHARE) as usize;
+    (0..count).for_each(|index| simulation.kill(index * 7 % simulation.nodes.len()));
+    let rev = simulation.change(1);
     row(
-        "a change as the reader is lost, ms",
-        write(play.until(rev, MOST)),
+        "propagation of a change as over half of the instances fail, ms",
+        format_times(simulation.until(rev, MAX_WAIT_MS)),
     );
-    let count = (play.nodes.len() as f64 * KILLED) as usize;
-    (0..count).for_each(|at| play.kill(at * 7 % play.nodes.len()));
-    let rev = play.change(1);
+    let max_entries = simulation.nodes.iter().map(|node| node.board.len()).max();
     row(
-        "a change as over half are lost, ms",
-        write(play.until(rev, MOST)),
+        "max entries held by an instance",
+        max_entries.unwrap_or_default().to_string(),
     );
-    let held = play.nodes.iter().map(|node| node.board.len()).max();
-    row("most entries held", held.unwrap_or_default().to_string());
     row(
-        "s of this machine",
-        format!("{:.1}", began.elapsed().as_secs_f64()),
+        "real time of the simulation, s",
+        format!("{:.1}", start.elapsed().as_secs_f64()),
     );
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) fn run() {
     for instances in [100, 300, 1_000, 2_000, 5_000] {
-        // Larger ones take minutes.
+        // Printed one by one, since the larger fleets take minutes.
         let mut table = Table::default();
         measure(&mut table, instances, 1);
         print!("{table}");
--- a/crates/bench/src/goodput.rs
+++ b/crates/bench/src/goodput.rs
@@ -1,4 +1,4 @@
-//! Goodput as the offered load passes capacity.
+//! Goodput at offered loads below and above capacity.
 
 use std::time::Duration;
 
@@ -8,58 +8,61 @@
 use rig::Rig;
 use rig::contracts;
 
-/// Four services that work 20 ms on at most 4 calls each.
-const CAPACITY: f64 = 800.0;
+/// Capacity in calls per second: four services that process up to 4 calls concurrently, in 20 ms each.
+const CAPACITY_PER_SECOND: f64 = 800.0;
 
-/// How long each part runs.
-const SPAN: Duration = Duration::from_secs(5);
+/// Duration of each run.
+const RUN_DURATION: Duration = Duration::from_secs(5);
 
-/// The deadline of a call in milliseconds.
-const TIMEOUT: u64 = 500;
+/// Deadline of a call in milliseconds.
+const TIMEOUT_MS: u64 = 500;
 
-fn make(order: &'static str) -> Make {
-    let free = "rate = 100000\nburst = 100000\nconcurrency = 100000\n";
+fn rig_settings(order: &'static str) -> Make {
+    let unlimited = "rate = 100000\nburst = 100000\nconcurrency = 100000\n";
     Make {
         engines: 0,
         work: Duration::from_millis(20),
         slots: 4,
         order,
-        contracts: vec![contracts::text("one", free)],
+        contracts: vec![contracts::text("one", unlimited)],
         ..Make::default()
     }
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
     let mut table = Table::default();
     let mut peak = 0.0_f64;
     for factor in [0.5, 1.0, 2.0, 5.0] {
-        let rig = Rig::start(&make("fair")).await?;
+        let rig = Rig::start(&rig_settings("fair")).await?;
         let callers = Callers {
             entries: rig.addrs(),
             token: contracts::token("one"),
             path: "/v1/services/portal/size/{n}".into(),
-            rate: factor * CAPACITY,
-            span: SPAN,
+            rate: factor * CAPACITY_PER_SECOND,
+            span: RUN_DURATION,
             once: false,
-            timeout: TIMEOUT,
+            timeout: TIMEOUT_MS,
             seed: 5,
         };
-        let seen = callers.run().await;
-        let good = seen.whole as f64 / SPAN.as_secs_f64();
-        peak = peak.max(good);
+        let result = callers.run().await;
+        let goodput = result.whole as f64 / RUN_DURATION.as_secs_f64();
+        peak = peak.max(goodput);
         let name = format!("{factor} times capacity");
         table.row(
-            format!("{name}: whole answers a second"),
-            format!("{good:.0}"),
+            format!("{name}: complete responses per second"),
+            format!("{goodput:.0}"),
         );
         table.row(
-            format!("{name}: part of the peak so far"),
-            format!("{:.2}", good / peak),
+            format!("{name}: share of the peak so far"),
+            format!("{:.2}", goodput / peak),
+        );
+        table.latency(&format!("{name}: latency"), &result.micros);
+        table.row(format!("{name}: rejected, not executed"), result.not_run);
+        table.row(
+            format!("{name}: rejected or no response, execution unknown"),
+            result.unknown,
         );
-        table.latency(&format!("{name}: latency"), &seen.micros);
-        table.row(format!("{name}: refused, not run"), seen.not_run);
-        table.row(format!("{name}: refused, unknown"), seen.unknown);
         rig.leave().await?;
     }
     args::output::write(format_args!("{table}"));
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -1,4 +1,4 @@
-//! Writes to the platform at several rates of orders.
+//! Platform writes of the journal, by the rate of orders.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use rig::Rig;
 use rig::contracts;
 
-/// How long each part runs.
-const SPAN: Duration = Duration::from_secs(8);
+/// Duration of each run.
+const RUN_DURATION: Duration = Duration::from_secs(8);
 
-fn make() -> Make {
+fn rig_settings() -> Make {
     Make {
         engines: 0,
         services: 4,
@@ -27,43 +27,43 @@
     }
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
     let mut table = Table::default();
     table.row("entries", 8);
     table.row("shards of the journal", 16);
     for rate in [10.0, 100.0, 1_000.0] {
-        let rig = Rig::start(&make()).await?;
+        let rig = Rig::start(&rig_settings()).await?;
         let platform = rig.parts.platform.part.clone();
-        let calls = || platform.calls.txn.load(Ordering::Relaxed);
-        let before = calls();
+        let transactions = || platform.calls.txn.load(Ordering::Relaxed);
+        let before = transactions();
         let callers = Callers {
             entries: rig.addrs(),
             token: contracts::token("one"),
             path: "/v1/services/portal/orders".into(),
             rate,
-            span: SPAN,
+            span: RUN_DURATION,
             once: true,
             timeout: 3_000,
             seed: 9,
         };
-        let seen = callers.run().await;
-        let writes = (calls() - before) as f64 / SPAN.as_secs_f64();
-        let name = format!("{rate} orders a second");
+        let result = callers.run().await;
+        let write_rate = (transactions() - before) as f64 / RUN_DURATION.as_secs_f64();
+        let name = format!("{rate} orders per second");
         table.row(
-            format!("{name}: platform writes a second"),
-            format!("{writes:.1}"),
+            format!("{name}: platform writes per second"),
+            format!("{write_rate:.1}"),
         );
         table.row(
-            format!("{name}: writes an order"),
-            format!("{:.2}", writes / rate),
+            format!("{name}: platform writes per order"),
+            format!("{:.2}", write_rate / rate),
         );
         table.row(
-            format!("{name}: whole of sent"),
-            format!("{} of {}", seen.whole, seen.sent),
+            format!("{name}: completed of sent"),
+            format!("{} of {}", result.whole, result.sent),
         );
-        table.latency(&name, &seen.micros);
-        table.row(format!("{name}: ran twice"), rig.parts.twice().len());
+        table.latency(&name, &result.micros);
+        table.row(format!("{name}: executed twice"), rig.parts.twice().len());
         rig.leave().await?;
     }
     args::output::write(format_args!("{table}"));
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,7 +1,7 @@
-//! `snipeway-bench`: the measurements, a command each, against stand-ins in the same process.
+//! `snipeway-bench`: benchmarks against stand-ins in the same process, one per command.
 //!
-//! Each command measures a baseline beside what it is about, in one run, since machines are
-//! noisy. The figures in docs/MEASUREMENTS.md come from here.
+//! A command that compares with a baseline measures both in the same run, since absolute figures differ between
+//! machines and runs. The figures in docs/MEASUREMENTS.md come from here.
 
 mod board;
 pub mod cli;
@@ -21,11 +21,11 @@
 
 use args::ParsedArgs;
 
-/// Runs one measurement.
+/// Runs the benchmark of the given command.
 ///
 /// # Errors
 ///
-/// Returns an error when a fleet cannot start.
+/// Returns an error if the stand-ins or entries cannot be started or a benchmark fails.
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     args::program::block_on(async move {
         match parsed.cmd {
--- a/crates/bench/src/limits.rs
+++ b/crates/bench/src/limits.rs
@@ -1,4 +1,4 @@
-//! Whether a contract's rate holds over 8 entries when the balancer is uneven.
+//! Compliance with a contract's rate over 8 entries if the load balancer distributes calls unevenly.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use rig::Rig;
 use rig::contracts;
 
-/// Contracted calls a second.
-const RATE: f64 = 200.0;
+/// Contracted calls per second.
+const CONTRACT_RATE: f64 = 200.0;
 
-/// Offered calls a second.
-const OFFERED: f64 = 600.0;
+/// Offered calls per second.
+const OFFERED_RATE: f64 = 600.0;
 
-/// How long each part runs; the first seconds go into learning who is asked how much.
-const SPAN: Duration = Duration::from_secs(15);
+/// Duration of each run. It includes the first seconds, in which the entries learn how the calls are distributed.
+const RUN_DURATION: Duration = Duration::from_secs(15);
 
-fn make() -> Make {
+fn rig_settings() -> Make {
     Make {
         entries: 4,
         engines: 0,
@@ -28,37 +28,37 @@
     }
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
     let mut table = Table::default();
     table.row("entries", 8);
-    table.row("contracted calls a second", RATE);
-    table.row("offered calls a second", OFFERED);
-    for (name, used) in [
+    table.row("contracted calls per second", CONTRACT_RATE);
+    table.row("offered calls per second", OFFERED_RATE);
+    for (name, used_entries) in [
         ("all entries", 8),
         ("3 of 8 entries", 3),
         ("1 of 8 entries", 1),
     ] {
-        let rig = Rig::start(&make()).await?;
+        let rig = Rig::start(&rig_settings()).await?;
         let callers = Callers {
-            entries: rig.addrs().into_iter().take(used).collect(),
+            entries: rig.addrs().into_iter().take(used_entries).collect(),
             token: contracts::token("one"),
             path: "/v1/services/portal/size/{n}".into(),
-            rate: OFFERED,
-            span: SPAN,
+            rate: OFFERED_RATE,
+            span: RUN_DURATION,
             once: false,
             timeout: 2_000,
             seed: 4,
         };
-        let seen = callers.run().await;
-        let rate = seen.whole as f64 / SPAN.as_secs_f64();
+        let result = callers.run().await;
+        let rate = result.whole as f64 / RUN_DURATION.as_secs_f64();
         table.row(
-            format!("{name}: whole answers a second"),
+            format!("{name}: complete responses per second"),
             format!("{rate:.0}"),
         );
         table.row(
-            format!("{name}: of the contract"),
-            format!("{:.2}", rate / RATE),
+            format!("{name}: ratio to the contracted rate"),
+            format!("{:.2}", rate / CONTRACT_RATE),
         );
         rig.leave().await?;
     }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `snipeway-bench`: the measurements, a command each.
+//! Entry point of `snipeway-bench`.
 
 use std::process::ExitCode;
 
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,4 +1,4 @@
-//! What an entry adds to a call in time and processor time.
+//! Latency and processor time that an entry adds to a call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,69 +16,69 @@
 
 use crate::cpu;
 
-/// Calls of each part.
-const CALLS: u32 = 20_000;
+/// Number of measured calls.
+const MEASURED_CALLS: u32 = 20_000;
 
-/// Calls at the same time.
-const WIDTH: u32 = 4;
+/// Number of concurrent calls.
+const CONCURRENCY: u32 = 4;
 
-/// Calls before the measurement.
-const WARM: u32 = 500;
+/// Number of calls before the measurement starts.
+const WARMUP_CALLS: u32 = 500;
 
-struct Part {
+struct Measurement {
     micros: Histogram<u64>,
     cpu: Duration,
 }
 
-async fn part(to: SocketAddr, path: &'static str) -> Part {
-    calls(to, path, WARM).await;
-    let before = cpu::used();
-    let micros = calls(to, path, CALLS).await;
-    let cpu = cpu::used() - before;
-    Part { micros, cpu }
+async fn measure(addr: SocketAddr, path: &'static str) -> Measurement {
+    send_calls(addr, path, WARMUP_CALLS).await;
+    let before = cpu::process_time();
+    let micros = send_calls(addr, path, MEASURED_CALLS).await;
+    let cpu = cpu::process_time() - before;
+    Measurement { micros, cpu }
 }
 
-async fn calls(to: SocketAddr, path: &'static str, count: u32) -> Histogram<u64> {
-    let http = net::Client::new();
-    let run = |_| {
-        let http = http.clone();
+async fn send_calls(addr: SocketAddr, path: &'static str, count: u32) -> Histogram<u64> {
+    let client = net::Client::new();
+    let spawn_sender = |_| {
+        let client = client.clone();
         tokio::spawn(async move {
             let mut micros = histogram();
-            for _ in 0..count / WIDTH {
+            for _ in 0..count / CONCURRENCY {
                 let start = Instant::now();
-                call(&http, to, path).await;
-                // The histogram grows by itself, so a value is never out of its range.
+                send_call(&client, addr, path).await;
+                // Cannot fail: the histogram resizes itself.
                 let _ = micros.record(start.elapsed().as_micros() as u64);
             }
             micros
         })
     };
-    let runs: Vec<_> = (0..WIDTH).map(run).collect();
+    let senders: Vec<_> = (0..CONCURRENCY).map(spawn_sender).collect();
     let mut all = histogram();
-    for run in runs {
-        if let Ok(micros) = run.await {
+    for sender in senders {
+        if let Ok(micros) = sender.await {
             let _ = all.add(micros);
         }
     }
     all
 }
 
-async fn call(http: &net::Client, to: SocketAddr, path: &str) {
-    let request = Request::get(net::client::uri(to, path))
+async fn send_call(client: &net::Client, addr: SocketAddr, path: &str) {
+    let request = Request::get(net::client::uri(addr, path))
         .header(
             "authorization",
             format!("Bearer {}", contracts::token("one")),
         )
         .body(Full::new(Bytes::new()));
     if let Ok(request) = request {
-        // A failed call shows in the latency.
-        let _ = http.fetch(request, Duration::from_secs(5), 1 << 20).await;
+        // A failed call is not reported but changes the latency.
+        let _ = client.fetch(request, Duration::from_secs(5), 1 << 20).await;
     }
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
-    let make = Make {
+    let settings = Make {
         domains: vec!["nord"],
         engines: 0,
         services: 1,
@@ -87,22 +87,23 @@
         contracts: vec![contracts::text("one", "rate = 1000000\nburst = 100000\n")],
         ..Make::default()
     };
-    let rig = Rig::start(&make).await?;
-    let straight = part(rig.parts.services[0].host.addr, "/size/1").await;
-    let entry = part(rig.addrs()[0], "/v1/services/portal/size/1").await;
+    let rig = Rig::start(&settings).await?;
+    let direct = measure(rig.parts.services[0].host.addr, "/size/1").await;
+    let entry = measure(rig.addrs()[0], "/v1/services/portal/size/1").await;
     let mut table = Table::default();
-    table.latency("straight", &straight.micros);
+    table.latency("straight", &direct.micros);
     table.latency("through an entry", &entry.micros);
-    let p50 = |part: &Part| part.micros.value_at_quantile(0.5) as i64;
-    table.row("added at p50 [us]", p50(&entry) - p50(&straight));
-    let added = (entry.cpu.saturating_sub(straight.cpu)).as_secs_f64() / f64::from(CALLS);
+    let p50 = |measurement: &Measurement| measurement.micros.value_at_quantile(0.5) as i64;
+    table.row("added at p50 [us]", p50(&entry) - p50(&direct));
+    let added_seconds =
+        (entry.cpu.saturating_sub(direct.cpu)).as_secs_f64() / f64::from(MEASURED_CALLS);
     table.row(
-        "added processor time a call [us]",
-        format!("{:.0}", added * 1e6),
+        "added processor time per call [us]",
+        format!("{:.0}", added_seconds * 1e6),
     );
     table.row(
-        "calls a second and core, by that",
-        format!("{:.0}", 1.0 / added.max(1e-9)),
+        "calls per second and core at that processor time",
+        format!("{:.0}", 1.0 / added_seconds.max(1e-9)),
     );
     args::output::write(format_args!("{table}"));
     rig.leave().await
--- a/crates/bench/src/place.rs
+++ b/crates/bench/src/place.rs
@@ -1,4 +1,4 @@
-//! What choosing an engine for one sample costs, by the number of engines.
+//! Cost of choosing an engine for a sample, by the number of engines.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 use table::Upstream;
 use table::UpstreamList;
 
-/// Choices that are timed together.
-const TIMES: u32 = 400;
+/// Number of operations that are timed together.
+const ITERATIONS: u32 = 400;
 
-/// Places of an engine.
+/// Slots per engine.
 const SLOTS: u32 = 6;
 
-/// A time at which everything is known.
+/// Time at which the list of engines is updated and the engines are chosen.
 const NOW: Millis = 10_000;
 
-fn listed(at: usize) -> Upstream {
-    let name: Arc<str> = format!("i-{at:010x}").into();
+fn engine(index: usize) -> Upstream {
+    let name: Arc<str> = format!("i-{index:010x}").into();
     Upstream {
         id: name.clone(),
         incarnation: Incarnation {
@@ -34,33 +34,34 @@
         },
         service: "fit".into(),
         addr: ([127, 0, 0, 1], 1).into(),
-        domain: ["nord", "syd"][at % 2].into(),
+        domain: ["nord", "syd"][index % 2].into(),
         slots: SLOTS,
         leaving: false,
         spot: false,
-        weights: vec![("large".into(), 7), ("small".into(), 3 + at as u64 % 2)],
+        weights: vec![("large".into(), 7), ("small".into(), 3 + index as u64 % 2)],
     }
 }
 
-/// Engines all of whose places are taken but one in `free`.
-fn fleet(engines: usize, free: usize) -> (UpstreamList, EngineTracker) {
-    let all: Vec<_> = (0..engines).map(listed).collect();
-    let mut fleet = EngineTracker::default();
-    for (at, one) in all.iter().enumerate() {
-        let taken = match at % free {
+/// Returns engines whose slots are all in use, except for one slot of every `free_interval`-th engine, starting with
+/// the first.
+fn busy_engines(engines: usize, free_interval: usize) -> (UpstreamList, EngineTracker) {
+    let all: Vec<_> = (0..engines).map(engine).collect();
+    let mut tracker = EngineTracker::default();
+    for (index, upstream) in all.iter().enumerate() {
+        let used_slots = match index % free_interval {
             0 => SLOTS - 1,
             _ => SLOTS,
         };
-        (0..taken).for_each(|_| fleet.run_started(&one.id, 100));
-        fleet.event_received(&one.id, 30.0 + (at % 17) as f64);
-        fleet.version_seen(&one.id, &"small".into(), 4);
+        (0..used_slots).for_each(|_| tracker.run_started(&upstream.id, 100));
+        tracker.event_received(&upstream.id, 30.0 + (index % 17) as f64);
+        tracker.version_seen(&upstream.id, &"small".into(), 4);
     }
-    let mut roster = UpstreamList::default();
-    roster.update(all, NOW);
-    (roster, fleet)
+    let mut upstreams = UpstreamList::default();
+    upstreams.update(all, NOW);
+    (upstreams, tracker)
 }
 
-fn want() -> PlacementRequest<'static> {
+fn placement_request() -> PlacementRequest<'static> {
     PlacementRequest {
         service: "fit",
         model: Some("small"),
@@ -74,72 +75,86 @@
     }
 }
 
-/// Microseconds of one choice among many at the same moment.
-fn together(engines: usize) -> f64 {
-    let (roster, mut fleet) = fleet(engines, 1);
-    let want = want();
-    let begun = Instant::now();
-    let mut round = PlacementRound::new(&fleet, &roster, &want, NOW);
+/// Returns the time per choice, in microseconds, if all free slots are assigned in one round.
+fn round_choice_us(engines: usize) -> f64 {
+    let (upstreams, mut tracker) = busy_engines(engines, 1);
+    let request = placement_request();
+    let start = Instant::now();
+    let mut round = PlacementRound::new(&tracker, &upstreams, &request, NOW);
     let mut chosen = 0;
-    while let Some(one) = round.choose(&fleet, &roster, &want, NOW) {
-        fleet.run_started(&one.id, want.tokens);
+    while let Some(upstream) = round.choose(&tracker, &upstreams, &request, NOW) {
+        tracker.run_started(&upstream.id, request.tokens);
         chosen += 1;
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(chosen)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(chosen)
 }
 
-/// Microseconds of one choice.
-fn choice(engines: usize, free: usize) -> f64 {
-    let (roster, fleet) = fleet(engines, free);
-    let want = want();
-    let begun = Instant::now();
-    for _ in 0..TIMES {
-        black_box(fleet.choose(black_box(&roster), &want, NOW));
+/// Returns the time of a single choice, in microseconds.
+fn single_choice_us(engines: usize, free_interval: usize) -> f64 {
+    let (upstreams, tracker) = busy_engines(engines, free_interval);
+    let request = placement_request();
+    let start = Instant::now();
+    for _ in 0..ITERATIONS {
+        black_box(tracker.choose(black_box(&upstreams), &request, NOW));
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ITERATIONS)
 }
 
-/// Microseconds of looking for a better engine than a slow one.
-fn better(engines: usize) -> f64 {
-    let (roster, mut fleet) = fleet(engines, 10);
-    let here = listed(0).id;
-    fleet.event_received(&here, 400.0);
-    let want = want();
-    let begun = Instant::now();
-    for at in 0..u64::from(TIMES) {
-        black_box(fleet.choose_better(black_box(&roster), &want, &here, 40, NOW + at));
+/// Returns the time to look for a better engine than a slow one, in microseconds.
+fn better_choice_us(engines: usize) -> f64 {
+    let (upstreams, mut tracker) = busy_engines(engines, 10);
+    let current = engine(0).id;
+    tracker.event_received(&current, 400.0);
+    let request = placement_request();
+    let start = Instant::now();
+    for elapsed in 0..u64::from(ITERATIONS) {
+        black_box(tracker.choose_better(
+            black_box(&upstreams),
+            &request,
+            &current,
+            40,
+            NOW + elapsed,
+        ));
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ITERATIONS)
 }
 
-/// Microseconds of taking in a list of which nothing has changed.
-fn list(engines: usize) -> f64 {
-    let all: Vec<_> = (0..engines).map(|at| Arc::new(listed(at))).collect();
-    let mut roster = UpstreamList::default();
-    roster.update_shared(all.iter().cloned(), NOW);
-    let begun = Instant::now();
-    for _ in 0..TIMES {
-        black_box(roster.update_shared(all.iter().cloned(), NOW));
+/// Returns the time to update the list of engines without changes, in microseconds.
+fn unchanged_update_us(engines: usize) -> f64 {
+    let all: Vec<_> = (0..engines).map(|index| Arc::new(engine(index))).collect();
+    let mut upstreams = UpstreamList::default();
+    upstreams.update_shared(all.iter().cloned(), NOW);
+    let start = Instant::now();
+    for _ in 0..ITERATIONS {
+        black_box(upstreams.update_shared(all.iter().cloned(), NOW));
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ITERATIONS)
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) fn run() {
     let mut table = Table::default();
     for engines in [62, 600, 3_000, 10_000] {
-        for (name, free) in [("one place in ten", 10), ("no place", usize::MAX)] {
-            let row = format!("{engines} engines, {name} free: us a choice");
-            table.row(row, format!("{:.1}", choice(engines, free)));
+        for (name, free_interval) in [
+            ("one slot on every tenth engine", 10),
+            ("one slot on one engine", usize::MAX),
+        ] {
+            let row = format!("{engines} engines, {name} free: us per choice");
+            table.row(
+                row,
+                format!("{:.1}", single_choice_us(engines, free_interval)),
+            );
         }
-        let row = format!("{engines} engines, a place at each, all taken together: us a choice");
-        table.row(row, format!("{:.1}", together(engines)));
-        let row = format!("{engines} engines: us of a look for a better one");
-        table.row(row, format!("{:.1}", better(engines)));
+        let row = format!(
+            "{engines} engines, one slot on each free, all assigned in one round: us per choice"
+        );
+        table.row(row, format!("{:.1}", round_choice_us(engines)));
+        let row = format!("{engines} engines: us per search for a better engine");
+        table.row(row, format!("{:.1}", better_choice_us(engines)));
     }
     for engines in [62, 600, 3_000, 10_000] {
-        let row = format!("{engines} engines, nothing new: us a list");
-        table.row(row, format!("{:.0}", list(engines)));
+        let row = format!("{engines} engines, none changed: us per update of the list");
+        table.row(row, format!("{:.0}", unchanged_update_us(engines)));
     }
     print!("{table}");
 }
--- a/crates/bench/src/slow.rs
+++ b/crates/bench/src/slow.rs
@@ -1,4 +1,4 @@
-//! Lookups with one upstream of four slow or dead.
+//! Latency of lookups if one of four upstreams is slow or down.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use rig::contracts;
 use standin::Fault;
 
-/// How long each part runs.
-const SPAN: Duration = Duration::from_secs(6);
+/// Duration of each run.
+const RUN_DURATION: Duration = Duration::from_secs(6);
 
-fn make(chooser: &'static str) -> Make {
+fn rig_settings(chooser: &'static str) -> Make {
     Make {
         engines: 0,
         work: Duration::from_millis(5),
@@ -23,54 +23,54 @@
     }
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
     let mut table = Table::default();
     for chooser in ["scored", "round"] {
-        let mut healthy = 0.0;
+        let mut healthy_p99 = 0.0;
         for (name, fault) in [
             ("healthy", Fault::default()),
             (
-                "one slow 20 times",
+                "one 20 times slower",
                 Fault {
                     slow: 20.0,
                     ..Fault::default()
                 },
             ),
             (
-                "one dead",
+                "one down",
                 Fault {
                     down: true,
                     ..Fault::default()
                 },
             ),
         ] {
-            let rig = Rig::start(&make(chooser)).await?;
+            let rig = Rig::start(&rig_settings(chooser)).await?;
             rig.parts.services[0].host.faults.set(fault);
             let callers = Callers {
                 entries: rig.addrs(),
                 token: contracts::token("one"),
                 path: "/v1/services/portal/size/{n}".into(),
                 rate: 300.0,
-                span: SPAN,
+                span: RUN_DURATION,
                 once: false,
                 timeout: 2_000,
                 seed: 3,
             };
-            let seen = callers.run().await;
-            let p99 = seen.micros.value_at_quantile(0.99) as f64;
-            if healthy == 0.0 {
-                healthy = p99;
+            let result = callers.run().await;
+            let p99 = result.micros.value_at_quantile(0.99) as f64;
+            if healthy_p99 == 0.0 {
+                healthy_p99 = p99;
             }
             let name = format!("{chooser}, {name}");
-            table.latency(&name, &seen.micros);
+            table.latency(&name, &result.micros);
             table.row(
-                format!("{name}: p99 to healthy"),
-                format!("{:.2}", p99 / healthy),
+                format!("{name}: ratio to the p99 with all healthy"),
+                format!("{:.2}", p99 / healthy_p99),
             );
             table.row(
-                format!("{name}: whole of sent"),
-                format!("{} of {}", seen.whole, seen.sent),
+                format!("{name}: completed of sent"),
+                format!("{} of {}", result.whole, result.sent),
             );
             rig.leave().await?;
         }
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -1,4 +1,4 @@
-//! Time until a contract is in force on 9 entries.
+//! Time until a changed contract is in force on 9 entries.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,10 +9,10 @@
 use rig::Rig;
 use rig::contracts;
 
-/// Changes of each part.
+/// Number of measured changes.
 const CHANGES: u32 = 20;
 
-fn make() -> Make {
+fn rig_settings() -> Make {
     Make {
         domains: vec!["nord", "midt", "syd"],
         entries: 3,
@@ -23,39 +23,41 @@
     }
 }
 
-async fn change(rig: &Rig, rate: u32) -> eyre::Result<Duration> {
+/// Changes the contract's rate and returns the time until all entries have it.
+async fn change_rate(rig: &Rig, rate: u32) -> eyre::Result<Duration> {
     let start = Instant::now();
     let text = contracts::text("one", &format!("rate = {rate}\n"));
     rig.apply(&[text]).await?;
     Ok(start.elapsed())
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
     let mut table = Table::default();
-    let mut rig = Rig::start(&make()).await?;
+    let mut rig = Rig::start(&rig_settings()).await?;
     let mut millis = histogram();
-    for turn in 0..CHANGES {
-        let took = change(&rig, 1_000 + turn).await?;
-        // The histogram grows by itself, so a value is never out of its range.
-        let _ = millis.record(took.as_millis() as u64);
+    for index in 0..CHANGES {
+        let elapsed = change_rate(&rig, 1_000 + index).await?;
+        // Cannot fail: the histogram resizes itself.
+        let _ = millis.record(elapsed.as_millis() as u64);
     }
     table.row(
         "9 entries, platform up: p50 [ms]",
         millis.value_at_quantile(0.5),
     );
     table.row("9 entries, platform up: max [ms]", millis.max());
-    let took = outage(&mut rig).await?;
+    let elapsed = change_during_outage(&mut rig).await?;
     table.row(
-        "platform down right after the first entry has it: all [ms]",
-        took.as_millis(),
+        "9 entries, platform down once the first entry has the change: all [ms]",
+        elapsed.as_millis(),
     );
     args::output::write(format_args!("{table}"));
     rig.leave().await
 }
 
-/// The platform goes away as soon as one entry has the change; the others learn it from peers.
-async fn outage(rig: &mut Rig) -> eyre::Result<Duration> {
+/// Changes the contract and makes the platform unavailable as soon as one entry has the change, so that the other
+/// entries receive it from their peers. Returns the time until all entries have it.
+async fn change_during_outage(rig: &mut Rig) -> eyre::Result<Duration> {
     let faults = rig.parts.platform.host.faults.clone();
     let start = Instant::now();
     let contract = contract::ini::parse("bench", &contracts::text("one", "rate = 7\n"))?;
@@ -68,7 +70,7 @@
     }
     faults.change(|fault| fault.down = true);
     rig.reach(rev).await?;
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     faults.change(|fault| fault.down = false);
-    Ok(took)
+    Ok(elapsed)
 }
--- a/crates/bench/src/surge.rs
+++ b/crates/bench/src/surge.rs
@@ -1,4 +1,4 @@
-//! Lookups of one customer while another surges to 10 times its contract.
+//! Latency of one customer's lookups while another customer sends 10 times its contracted rate.
 
 use std::time::Duration;
 
@@ -9,19 +9,20 @@
 use rig::Rig;
 use rig::contracts;
 
-/// Lookups a second of the calm customer.
-const CALM: f64 = 100.0;
+/// Lookups per second of the customer within its contract.
+const CALM_RATE: f64 = 100.0;
 
-/// Contracted calls a second of the customer that surges.
-const CONTRACT: f64 = 200.0;
+/// Contracted calls per second of the customer that exceeds its contract.
+const CONTRACT_RATE: f64 = 200.0;
 
-/// How long each part runs.
-const SPAN: Duration = Duration::from_secs(6);
+/// Duration of each run.
+const RUN_DURATION: Duration = Duration::from_secs(6);
 
-/// Four services that work 20 ms on at most 4 calls each: 800 calls a second.
-fn make(order: &'static str, chooser: &'static str, limited: bool) -> Make {
-    let surge = match limited {
-        true => format!("rate = {CONTRACT}\nburst = 40\n"),
+/// Settings of a fleet with a capacity of 800 calls per second: four services that process up to 4 calls concurrently,
+/// in 20 ms each.
+fn rig_settings(order: &'static str, chooser: &'static str, limited: bool) -> Make {
+    let surge_contract = match limited {
+        true => format!("rate = {CONTRACT_RATE}\nburst = 40\n"),
         false => "rate = 100000\nburst = 100000\nconcurrency = 100000\n".into(),
     };
     Make {
@@ -32,7 +33,7 @@
         chooser,
         contracts: vec![
             contracts::text("calm", ""),
-            contracts::text("surge", &surge),
+            contracts::text("surge", &surge_contract),
         ],
         ..Make::default()
     }
@@ -44,62 +45,63 @@
         token: contracts::token(customer),
         path: "/v1/services/portal/size/{n}".into(),
         rate,
-        span: SPAN,
+        span: RUN_DURATION,
         once: false,
         timeout: 2_000,
         seed: 11,
     }
 }
 
-async fn part(make: &Make, surge: f64) -> eyre::Result<(Seen, Seen)> {
-    let rig = Rig::start(make).await?;
-    let calm = callers(&rig, "calm", CALM);
-    let other = callers(&rig, "surge", surge);
-    let seen = tokio::join!(calm.run(), other.run());
+/// Runs both customers and returns the results of the calm one and of the surging one.
+async fn measure(settings: &Make, surge_rate: f64) -> eyre::Result<(Seen, Seen)> {
+    let rig = Rig::start(settings).await?;
+    let calm = callers(&rig, "calm", CALM_RATE);
+    let surge = callers(&rig, "surge", surge_rate);
+    let results = tokio::join!(calm.run(), surge.run());
     rig.leave().await?;
-    Ok(seen)
+    Ok(results)
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
     let mut table = Table::default();
-    let parts = [
-        ("quiet", make("fair", "scored", true), CONTRACT),
+    let cases = [
+        ("quiet", rig_settings("fair", "scored", true), CONTRACT_RATE),
         (
             "surge, limits and fair queue",
-            make("fair", "scored", true),
-            10.0 * CONTRACT,
+            rig_settings("fair", "scored", true),
+            10.0 * CONTRACT_RATE,
         ),
         (
             "surge, fair queue only",
-            make("fair", "scored", false),
-            10.0 * CONTRACT,
+            rig_settings("fair", "scored", false),
+            10.0 * CONTRACT_RATE,
         ),
         (
             "surge, baseline (fifo, least, no limits)",
-            make("fifo", "least", false),
-            10.0 * CONTRACT,
+            rig_settings("fifo", "least", false),
+            10.0 * CONTRACT_RATE,
         ),
     ];
-    let mut quiet = 0.0;
-    for (name, make, rate) in parts {
-        let (calm, other) = part(&make, rate).await?;
+    let mut quiet_p99 = 0.0;
+    for (name, settings, surge_rate) in cases {
+        let (calm, surge) = measure(&settings, surge_rate).await?;
         let p99 = calm.micros.value_at_quantile(0.99) as f64;
-        if quiet == 0.0 {
-            quiet = p99;
+        if quiet_p99 == 0.0 {
+            quiet_p99 = p99;
         }
         table.latency(&format!("{name}: calm"), &calm.micros);
         table.row(
-            format!("{name}: calm p99 to quiet p99"),
-            format!("{:.2}", p99 / quiet),
+            format!("{name}: calm, ratio to the quiet p99"),
+            format!("{:.2}", p99 / quiet_p99),
         );
         table.row(
-            format!("{name}: calm whole of sent"),
+            format!("{name}: calm, completed of sent"),
             format!("{} of {}", calm.whole, calm.sent),
         );
         table.row(
-            format!("{name}: surge whole of sent"),
-            format!("{} of {}", other.whole, other.sent),
+            format!("{name}: surge, completed of sent"),
+            format!("{} of {}", surge.whole, surge.sent),
         );
     }
     args::output::write(format_args!("{table}"));
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -1,4 +1,5 @@
-//! Idle time and staleness of a trainer, policy and baseline in one run with the same lengths.
+//! Idle time of a trainer and staleness of its samples, for the policy and a baseline. Both are measured in one run with
+//! the same sample lengths.
 
 use std::time::Duration;
 
@@ -14,28 +15,28 @@
 use standin::Fault;
 use standin::engine;
 
-/// Median length of a sample in tokens.
-const MEDIAN: u32 = 60;
+/// Median length of a sample.
+const MEDIAN_TOKENS: u32 = 60;
 
-/// Streams of one engine at the same time.
+/// Concurrent streams per engine.
 const SLOTS: u32 = 8;
 
-/// Tokens a second of one stream.
-const SPEED: f64 = 400.0;
+/// Generation rate of one stream.
+const TOKENS_PER_SECOND: f64 = 400.0;
 
-/// When the fault comes.
-const AFTER: Duration = Duration::from_millis(1_500);
+/// Time from the start of the trainer until the fault is injected.
+const FAULT_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How long the platform is away.
-const AWAY: Duration = Duration::from_secs(5);
+/// Duration of the platform's outage.
+const OUTAGE_DURATION: Duration = Duration::from_secs(5);
 
-fn make(policy: &'static str, chooser: &'static str, order: &'static str) -> Make {
+fn rig_settings(policy: &'static str, chooser: &'static str, order: &'static str) -> Make {
     Make {
         engines: 4,
         engine: engine::Settings {
-            median: MEDIAN,
+            median: MEDIAN_TOKENS,
             slots: SLOTS,
-            speed: SPEED,
+            speed: TOKENS_PER_SECOND,
             ..engine::Settings::default()
         },
         services: 0,
@@ -55,7 +56,7 @@
         token: contracts::token("staff"),
         model: "fitting"
             .parse()
-            .unwrap_or_else(|_| unreachable!("a good name")),
+            .unwrap_or_else(|_| unreachable!("the model name is valid")),
         groups: 96,
         samples: 8,
         tokens: 2_000,
@@ -63,15 +64,15 @@
         train: Duration::from_millis(1_500),
         version: 1,
         label: "bench".into(),
-        median: MEDIAN,
+        median: MEDIAN_TOKENS,
     }
 }
 
-async fn part(make: &Make, fault: &str) -> eyre::Result<Seen> {
-    let mut rig = Rig::start(make).await?;
+async fn measure(settings: &Make, fault: &str) -> eyre::Result<Seen> {
+    let mut rig = Rig::start(settings).await?;
     let trainer = trainer(&rig);
-    let run = tokio::spawn(async move { trainer.run().await });
-    tokio::time::sleep(AFTER).await;
+    let task = tokio::spawn(async move { trainer.run().await });
+    tokio::time::sleep(FAULT_DELAY).await;
     match fault {
         "none" => (),
         "engine" => rig.parts.engines[0].host.faults.set(Fault {
@@ -86,43 +87,49 @@
         "platform" => {
             let faults = rig.parts.platform.host.faults.clone();
             faults.change(|fault| fault.down = true);
-            tokio::time::sleep(AWAY).await;
+            tokio::time::sleep(OUTAGE_DURATION).await;
             faults.change(|fault| fault.down = false);
         }
         other => bail!("unknown fault {other:?}"),
     }
-    let seen = run.await?;
+    let result = task.await?;
     rig.leave().await?;
-    Ok(seen)
+    Ok(result)
 }
 
-/// Seconds that the engines need at least for a step: for its tokens with every stream in use,
-/// and for its longest sample.
-fn bound(seen: &Seen) -> f64 {
+/// Returns the minimum time that the 8 engines need for a step, in seconds: the time for its tokens if all streams are
+/// in use, or for its longest sample if that takes longer.
+fn min_step_seconds(result: &Seen) -> f64 {
     let streams = f64::from(SLOTS) * 8.0;
-    let tokens = seen.tokens as f64 / f64::from(seen.steps.max(1));
-    let longest = seen.longest as f64 / f64::from(seen.steps.max(1));
-    (tokens / (SPEED * streams)).max(longest / SPEED)
+    let tokens = result.tokens as f64 / f64::from(result.steps.max(1));
+    let longest = result.longest as f64 / f64::from(result.steps.max(1));
+    (tokens / (TOKENS_PER_SECOND * streams)).max(longest / TOKENS_PER_SECOND)
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run(parsed: &ParsedArgs) -> eyre::Result<()> {
     let fault = parsed.value("fault").unwrap_or("none");
     let mut table = Table::default();
-    let policy = part(&make("longest", "scored", "fair"), fault).await?;
-    let baseline = part(&make("inorder", "least", "fifo"), fault).await?;
-    for (name, seen) in [("policy", &policy), ("baseline", &baseline)] {
-        trainer_rows(&mut table, name, seen);
-        let step = seen.whole.value_at_quantile(0.5) as f64 / 1_000.0;
+    let policy = measure(&rig_settings("longest", "scored", "fair"), fault).await?;
+    let baseline = measure(&rig_settings("inorder", "least", "fifo"), fault).await?;
+    for (name, result) in [("policy", &policy), ("baseline", &baseline)] {
+        trainer_rows(&mut table, name, result);
+        let step_seconds = result.whole.value_at_quantile(0.5) as f64 / 1_000.0;
         table.row(
-            format!("{name} step to the engines' bound"),
-            format!("{:.2}", step / bound(seen)),
+            format!("{name}: ratio of the step time to the engines' minimum"),
+            format!("{:.2}", step_seconds / min_step_seconds(result)),
         );
     }
-    let idle = policy.idle.as_secs_f64() / baseline.idle.as_secs_f64();
-    table.row("idle, policy to baseline", format!("{idle:.2}"));
-    let stale = policy.staleness.mean() / baseline.staleness.mean().max(1e-9);
-    table.row("mean staleness, policy to baseline", format!("{stale:.2}"));
+    let idle_ratio = policy.idle.as_secs_f64() / baseline.idle.as_secs_f64();
+    table.row(
+        "idle time, ratio of policy to baseline",
+        format!("{idle_ratio:.2}"),
+    );
+    let staleness_ratio = policy.staleness.mean() / baseline.staleness.mean().max(1e-9);
+    table.row(
+        "mean staleness, ratio of policy to baseline",
+        format!("{staleness_ratio:.2}"),
+    );
     args::output::write(format_args!("{table}"));
     if policy.broken() > 0 {
         bail!("{} samples broke a promise", policy.broken());
--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -1,4 +1,4 @@
-//! Time from an announcement until every engine has it.
+//! Time from the announcement of a weight version until all engines have loaded it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,16 +11,16 @@
 use serde_json::json;
 use standin::engine;
 
-/// Bytes of a version in this measurement.
-const SIZE: usize = 200_000;
+/// Size of a weight version.
+const VERSION_BYTES: usize = 200_000;
 
-/// Bytes a second of the store.
-const RATE: f64 = 20e6;
+/// Bandwidth of the weight store.
+const STORE_BYTES_PER_SECOND: f64 = 20e6;
 
-/// Longest time that is waited.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Maximum time to wait until all engines have a version.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn make(engines: usize, cache: bool) -> Make {
+fn rig_settings(engines: usize, cache: bool) -> Make {
     Make {
         cache,
         engines: engines / 2,
@@ -31,73 +31,81 @@
         },
         services: 0,
         control: true,
-        store: Some((SIZE, RATE)),
+        store: Some((VERSION_BYTES, STORE_BYTES_PER_SECOND)),
         contracts: vec![contracts::text("staff", "")],
         poll: "5s",
         ..Make::default()
     }
 }
 
+/// Announces a version; repeats the request until it succeeds.
 async fn announce(rig: &Rig, version: u64) -> eyre::Result<()> {
     let path = "/v1/weights/fitting";
     let body = json!({ "version": version });
     loop {
-        let asked = Asked::json(rig.addrs()[0], "staff", path, &body);
-        if asked.send().await?.status.is_success() {
+        let request = Asked::json(rig.addrs()[0], "staff", path, &body);
+        if request.send().await?.status.is_success() {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-async fn reach(rig: &Rig, version: u64) -> Duration {
+/// Waits until all engines have a version or the timeout has passed, and returns the time that it took.
+async fn wait_for_version(rig: &Rig, version: u64) -> Duration {
     let start = Instant::now();
-    let has = |e: &rig::parts::Part<standin::Engine>| e.part.version() == version;
-    while !rig.parts.engines.iter().all(has) && start.elapsed() < LIMIT {
+    let has_version = |engine: &rig::parts::Part<standin::Engine>| engine.part.version() == version;
+    while !rig.parts.engines.iter().all(has_version) && start.elapsed() < LOAD_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     start.elapsed()
 }
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
     let mut table = Table::default();
-    table.row("bytes of a version", SIZE);
-    table.row("bytes a second of the store", format!("{RATE:.0}"));
+    table.row("bytes per version", VERSION_BYTES);
+    table.row(
+        "bytes per second of the store",
+        format!("{STORE_BYTES_PER_SECOND:.0}"),
+    );
     for (engines, cache) in [10, 100, 600]
         .into_iter()
-        .flat_map(|n| [(n, true), (n, false)])
+        .flat_map(|engines| [(engines, true), (engines, false)])
     {
-        let rig = Rig::start(&make(engines, cache)).await?;
-        // The first announcement waits for the leases to be taken.
+        let rig = Rig::start(&rig_settings(engines, cache)).await?;
+        // The first announcement is not measured, since it waits until the control instances hold their leases.
         announce(&rig, 2).await?;
-        reach(&rig, 2).await;
-        let sent = || {
+        wait_for_version(&rig, 2).await;
+        let bytes_sent = || {
             rig.parts
                 .store
                 .as_ref()
                 .map_or(0, |store| store.part.bytes_sent())
         };
-        let before = sent();
-        let mut worst = Duration::ZERO;
+        let before = bytes_sent();
+        let mut longest = Duration::ZERO;
         for version in 3..6 {
             let start = Instant::now();
             announce(&rig, version).await?;
-            reach(&rig, version).await;
-            worst = worst.max(start.elapsed());
+            wait_for_version(&rig, version).await;
+            longest = longest.max(start.elapsed());
         }
-        let how = if cache {
+        let source = if cache {
             "with caches"
         } else {
-            "straight from the store"
+            "directly from the store"
         };
-        let name = format!("{engines} engines, {how}");
+        let name = format!("{engines} engines, {source}");
         table.row(
-            format!("{name}: announcement until all, worst of 3 [ms]"),
-            worst.as_millis(),
+            format!("{name}: announcement until loaded by all, longest of 3 [ms]"),
+            longest.as_millis(),
+        );
+        let bytes_per_version = (bytes_sent() - before) / 3;
+        table.row(
+            format!("{name}: bytes from the store per version"),
+            bytes_per_version,
         );
-        let bytes = (sent() - before) / 3;
-        table.row(format!("{name}: bytes from the store a version"), bytes);
         rig.leave().await?;
     }
     args::output::write(format_args!("{table}"));
