--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -3,7 +3,6 @@
 //! A command that compares with a baseline measures both in the same run, since absolute figures differ between
 //! machines and runs. The figures in docs/MEASUREMENTS.md come from here.
 
-mod board;
 pub mod cli;
 mod cpu;
 mod fleet;
@@ -12,10 +11,11 @@
 mod limits;
 mod overhead;
 mod place;
+mod replica;
+mod scheduler;
 mod slow;
 mod spread;
 mod surge;
-mod swap;
 mod trainer;
 mod weights;
 
@@ -41,7 +41,7 @@
                 Ok(())
             }
             "board" => {
-                board::run();
+                replica::run();
                 Ok(())
             }
             "fleet" => {
@@ -49,7 +49,7 @@
                 Ok(())
             }
             "swap" => {
-                swap::run();
+                scheduler::run();
                 Ok(())
             }
             "weights" => weights::run().await,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,7 +1,7 @@
 //! A model engine: generates streams of chunks at a realistic rate, schedules them by priority, carries out load orders
 //! and reports its load.
 
-mod turn;
+mod slots;
 mod weights;
 
 use std::io;
@@ -31,10 +31,10 @@
 
 use crate::Faults;
 use crate::Server;
-use crate::host::Handler;
-use crate::host::serve;
+use crate::server::Handler;
+use crate::server::serve;
 use crate::text;
-use turn::SlotQueue;
+use slots::SlotQueue;
 use weights::Weights;
 
 /// Tokens per chunk; the last chunk of a stream may have fewer.
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -7,18 +7,18 @@
 pub mod cli;
 pub mod engine;
 pub mod fault;
-pub mod host;
 pub mod platform;
 pub mod run;
+pub mod server;
 pub mod service;
 pub mod settings;
-pub mod store;
 pub mod text;
+pub mod weight_store;
 
 pub use engine::Engine;
 pub use fault::Fault;
 pub use fault::Faults;
-pub use host::Server;
 pub use platform::Platform;
+pub use server::Server;
 pub use service::Service;
-pub use store::WeightStore;
+pub use weight_store::WeightStore;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -23,9 +23,9 @@
 
 use crate::Faults;
 use crate::Server;
-use crate::host::Handler;
-use crate::host::aborted_reply;
-use crate::host::serve;
+use crate::server::Handler;
+use crate::server::aborted_reply;
+use crate::server::serve;
 use messages::GrantRequest;
 use messages::LeaseRequest;
 use messages::RangeRequest;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -24,8 +24,8 @@
 
 use crate::Faults;
 use crate::Server;
-use crate::host::Handler;
-use crate::host::serve;
+use crate::server::Handler;
+use crate::server::serve;
 
 /// Path that returns [`Service::executed_keys`] as a JSON array.
 pub const LOG_PATH: &str = "/log";
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/weight_store.rs
@@ -17,8 +17,8 @@
 
 use crate::Faults;
 use crate::Server;
-use crate::host::Handler;
-use crate::host::serve;
+use crate::server::Handler;
+use crate::server::serve;
 
 /// Maximum bytes sent at a time.
 const CHUNK_BYTES: usize = 64 << 10;
