--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -22,9 +22,9 @@
 
 fn options() -> Make {
     Make {
-        engine: engine::Make {
+        engine: engine::Settings {
             median: MEDIAN_TOKENS,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 3s\nstaleness = 1\n")],
         ..Make::default()
--- a/crates/rig/src/parts.rs
+++ b/crates/rig/src/parts.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 use standin::Engine;
-use standin::Host;
 use standin::Platform;
+use standin::Server;
 use standin::Service;
-use standin::Store;
+use standin::WeightStore;
 
 use crate::Make;
 
@@ -22,7 +22,7 @@
     /// The stand-in.
     pub part: Arc<T>,
     /// Where it serves, and its faults.
-    pub host: Host,
+    pub host: Server,
 }
 
 /// The stand-ins of a fleet.
@@ -34,7 +34,7 @@
     /// The plain services.
     pub services: Vec<Part<Service>>,
     /// The weight store.
-    pub store: Option<Part<Store>>,
+    pub store: Option<Part<WeightStore>>,
     /// Settings that every instance shares.
     pub shared: String,
 }
@@ -52,7 +52,7 @@
     /// Returns an error when one cannot listen.
     pub async fn start(make: &Make) -> eyre::Result<Self> {
         let platform = Arc::new(Platform::default());
-        let host = platform.host(free()).await?;
+        let host = platform.serve(free()).await?;
         let platform = part("platform", platform, host);
         let mut parts = Self {
             shared: String::new(),
@@ -62,8 +62,8 @@
             store: None,
         };
         if let Some((size, rate)) = make.store {
-            let store = Arc::new(Store::new(size, rate));
-            let host = store.host(free()).await?;
+            let store = Arc::new(WeightStore::new(size, rate));
+            let host = store.serve(free()).await?;
             parts.store = Some(part("store", store, host));
         }
         parts.head(make)?;
@@ -95,14 +95,14 @@
     async fn domain(&mut self, make: &Make, domain: &str) -> eyre::Result<()> {
         for at in 0..make.engines {
             let engine = Arc::new(Engine::new(make.engine));
-            let host = engine.host(free()).await?;
+            let host = engine.serve(free()).await?;
             let part = part(&format!("engine-{domain}-{at}"), engine, host);
             self.upstream(&part, "fitting", domain, make.engine.slots as usize)?;
             self.engines.push(part);
         }
         for at in 0..make.services {
             let service = Arc::new(Service::new(make.work, make.slots));
-            let host = service.host(free()).await?;
+            let host = service.serve(free()).await?;
             let part = part(&format!("portal-{domain}-{at}"), service, host);
             self.upstream(&part, "portal", domain, make.slots)?;
             self.services.push(part);
@@ -127,7 +127,11 @@
 
     /// Orders that ran more than once, by the services' own logs.
     pub fn twice(&self) -> Vec<String> {
-        let mut keys: Vec<_> = self.services.iter().flat_map(|s| s.part.log()).collect();
+        let mut keys: Vec<_> = self
+            .services
+            .iter()
+            .flat_map(|s| s.part.executed_keys())
+            .collect();
         keys.sort_unstable();
         let doubled = keys.windows(2).filter(|pair| pair[0] == pair[1]);
         doubled.map(|pair| pair[0].clone()).collect()
@@ -135,11 +139,14 @@
 
     /// The keys of every order that ran.
     pub fn ran(&self) -> Vec<String> {
-        self.services.iter().flat_map(|s| s.part.log()).collect()
+        self.services
+            .iter()
+            .flat_map(|s| s.part.executed_keys())
+            .collect()
     }
 }
 
-fn part<T>(name: &str, part: Arc<T>, host: Host) -> Part<T> {
+fn part<T>(name: &str, part: Arc<T>, host: Server) -> Part<T> {
     let name = name.to_owned();
     Part { name, part, host }
 }
--- a/crates/serve/tests/completions.rs
+++ b/crates/serve/tests/completions.rs
@@ -23,9 +23,9 @@
 
 fn make() -> Make {
     Make {
-        engine: engine::Make {
+        engine: engine::Settings {
             median: MEDIAN_TOKENS,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 20s\n")],
         ..Make::default()
@@ -34,14 +34,14 @@
 
 fn completion(rig: &Rig, prompt: &str, stream: bool) -> Asked {
     let body = json!({
-        "model": "fitting", "prompt": prompt, "max_tokens": 400, "seed": 7, "stream": stream,
+        "model": "fitting", "prompt": prompt, "max_tokens": 400, "seed": 7, "stream": stream
     });
     Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body)
 }
 
 /// Returns the complete answer to a prompt.
 fn expected_text(prompt: &str) -> String {
-    text::whole(prompt, 7, text::length(prompt, 7, MEDIAN_TOKENS, 400))
+    text::sample(prompt, 7, text::length(prompt, 7, MEDIAN_TOKENS, 400))
 }
 
 /// Sets the faults of all engines.
--- a/crates/serve/tests/quarantine.rs
+++ b/crates/serve/tests/quarantine.rs
@@ -10,7 +10,7 @@
 use rig::contracts;
 use serde_json::json;
 use standin::Faults;
-use standin::fault::FATAL;
+use standin::fault::FATAL_MARKER;
 use wire::Problem;
 use wire::caller::Batch;
 use wire::caller::OpenedStep;
@@ -75,11 +75,11 @@
     block(async {
         let mut rig = start_rig("").await;
 
-        let first = send_for_problem(update(&rig, 0, FATAL)).await;
+        let first = send_for_problem(update(&rig, 0, FATAL_MARKER)).await;
         tokio::time::sleep(GOSSIP_DELAY).await;
-        let repeated = send_for_problem(update(&rig, 0, FATAL)).await;
+        let repeated = send_for_problem(update(&rig, 0, FATAL_MARKER)).await;
         let crashed = crash_count(services(&rig));
-        let other_entry = send_for_problem(update(&rig, 3, FATAL)).await;
+        let other_entry = send_for_problem(update(&rig, 3, FATAL_MARKER)).await;
         let harmless = update(&rig, 3, "hello").send().await.unwrap();
         for entry in 0..4 {
             rig.kill(entry);
@@ -87,7 +87,7 @@
         }
         rig.reach(1).await.unwrap();
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let after_restart = send_for_problem(update(&rig, 1, FATAL)).await;
+        let after_restart = send_for_problem(update(&rig, 1, FATAL_MARKER)).await;
 
         assert!(crashed <= MAX_CRASHES, "{crashed} upstreams crashed");
         assert_eq!(first.ran, route::Ran::Unknown);
@@ -111,7 +111,7 @@
         let rig = start_rig("").await;
         let order = |number: usize| {
             let order = Asked::order(rig.addrs()[0], "aarhus", &format!("key-{number}"));
-            order.body(FATAL)
+            order.body(FATAL_MARKER)
         };
 
         let mut kinds = Vec::new();
@@ -134,7 +134,7 @@
         let rig = start_rig("deadline = 20s\n").await;
         let body = json!({
             "model": "fitting", "prompt": "a fatal case", "max_tokens": 40, "seed": 7,
-            "stream": stream,
+            "stream": stream
         });
 
         for _ in 0..4 {
@@ -159,7 +159,7 @@
         let rig = start_rig("staleness = 1\n").await;
         let open = json!({
             "model": "fitting", "groups": ["case 0", "a fatal case", "case 2"], "samples": 1,
-            "max_tokens": 40, "version": 1,
+            "max_tokens": 40, "version": 1
         });
         let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
         let opened: OpenedStep = opened.send().await.unwrap().json().unwrap();
@@ -196,7 +196,7 @@
         }
         let open = json!({
             "model": "fitting", "groups": ["a fatal case", "case 1"], "samples": 1,
-            "max_tokens": 40, "version": 1,
+            "max_tokens": 40, "version": 1
         });
 
         let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
--- a/crates/serve/tests/step_end.rs
+++ b/crates/serve/tests/step_end.rs
@@ -42,11 +42,11 @@
 /// Samples take half a minute each, and there are more than the engines have slots.
 fn make() -> Make {
     Make {
-        engine: engine::Make {
+        engine: engine::Settings {
             speed: 10.0,
             median: 300,
             slots: 2,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         engines: 1,
         services: 0,
@@ -62,7 +62,7 @@
 async fn open(to: SocketAddr) -> String {
     let prompts: Vec<_> = (0..8).map(|g| format!("case {g}")).collect();
     let open = json!({
-        "model": "fitting", "groups": prompts, "samples": 2, "max_tokens": 300, "version": 1,
+        "model": "fitting", "groups": prompts, "samples": 2, "max_tokens": 300, "version": 1
     });
     let answer = Asked::json(to, "staff", "/v1/steps", &open).send().await;
     let opened: OpenedStep = answer.unwrap().json().unwrap();
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -29,9 +29,9 @@
 
 fn make() -> Make {
     Make {
-        engine: engine::Make {
+        engine: engine::Settings {
             median: MEDIAN_TOKENS,
-            ..engine::Make::default()
+            ..engine::Settings::default()
         },
         engines: 3,
         services: 0,
@@ -63,7 +63,7 @@
         let prompts: Vec<_> = (0..groups).map(|g| format!("case {g}")).collect();
         let open = json!({
             "model": "fitting", "groups": prompts, "samples": samples, "max_tokens": MAX_TOKENS,
-            "version": 1,
+            "version": 1
         });
         let answer = Asked::json(entries[0], "staff", "/v1/steps", &open)
             .send()
@@ -85,7 +85,7 @@
     fn pull_request(&self, limit: usize) -> Asked {
         let path = format!("/v1/steps/{}/pull", self.step);
         let pull = json!({
-            "version": self.version, "cursor": self.cursor, "limit": limit, "wait_ms": 500,
+            "version": self.version, "cursor": self.cursor, "limit": limit, "wait_ms": 500
         });
         Asked::json(
             self.entries[self.next_entry % self.entries.len()],
@@ -143,7 +143,7 @@
             let tokens = text::length(&prompt, seed, MEDIAN_TOKENS, MAX_TOKENS);
             assert_eq!(
                 sample.text,
-                text::whole(&prompt, seed, tokens),
+                text::sample(&prompt, seed, tokens),
                 "complete text for its prompt"
             );
             assert_eq!(sample.spans.first().map(|s| s.from), Some(0));
@@ -344,7 +344,7 @@
             .map(|g| format!("{g}{}", "x".repeat(400_000)))
             .collect();
         let open = json!({
-            "model": "fitting", "groups": prompts, "samples": 1, "max_tokens": 16, "version": 1,
+            "model": "fitting", "groups": prompts, "samples": 1, "max_tokens": 16, "version": 1
         });
         let opened = Asked::json(rig.addrs()[0], "staff", "/v1/steps", &open)
             .send()
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,23 +1,24 @@
-//! Small fakes of the systems that snipeway meets, each over its published protocol, with faults
-//! to switch on: the platform's key-value service, model engines, plain services, weight stores.
+//! Simplified implementations of the systems that snipeway communicates with: the platform's key-value service, model
+//! engines, plain services and weight stores. Each speaks the published protocol of its system and can have faults
+//! injected.
 //!
-//! They serve the tests, the demo and the measurements; none is part of a deployment.
+//! They are used by the tests, the demo and the benchmarks; none is part of a deployment.
 
 pub mod cli;
 pub mod engine;
 pub mod fault;
-pub mod host;
 pub mod platform;
 pub mod run;
+pub mod server;
 pub mod service;
 pub mod settings;
-pub mod store;
 pub mod text;
+pub mod weight_store;
 
 pub use engine::Engine;
 pub use fault::Fault;
 pub use fault::Faults;
-pub use host::Host;
 pub use platform::Platform;
+pub use server::Server;
 pub use service::Service;
-pub use store::Store;
+pub use weight_store::WeightStore;
