--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -1,4 +1,4 @@
-//! What happens to an instance, and what it does.
+//! Handlers of the events of an instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,254 +14,289 @@
 use spread::timing;
 
 use crate::Play;
-use crate::event::Question;
-use crate::event::What;
+use crate::event::EventKind;
+use crate::event::Poll;
 use crate::node;
-use crate::world::MS;
+use crate::world::MICROS_PER_MS;
 
-/// Time that entering takes after a start, in milliseconds.
-const ENTER: u64 = 30;
+/// Time that an instance takes to join after its start, in milliseconds; its first read of the members follows.
+const JOIN_DELAY_MS: u64 = 30;
 
-/// Looks at who has entered after a start, as long as nobody tells it.
-const LOOKS: u32 = 5;
+/// Most reads of the members after a start; they stop once an update has brought the members.
+const MAX_STARTUP_READS: u32 = 5;
 
-/// Bytes of an instance's entry on the platform's link.
-const MEMBER: u64 = 200;
+/// Bytes of a member's entry on the platform's link.
+const MEMBER_BYTES: u64 = 200;
 
-/// Time after a start of a look at who has entered, in milliseconds: the pause doubles from look to look.
-fn look(number: u32) -> u64 {
-    ENTER + timing::FIRST_MEMBER_POLL * ((1 << number) - 1)
+/// Returns the time from a start to read `number` of the members, in milliseconds: the pause doubles with each read.
+fn member_read_delay(number: u32) -> u64 {
+    JOIN_DELAY_MS + timing::FIRST_MEMBER_POLL * ((1 << number) - 1)
 }
 
 impl Play {
-    pub(crate) fn happen(&mut self, at: usize, what: What) {
-        if matches!(what, What::Start) {
-            self.begin(at);
+    /// Handles an event of the instance at `index`; an instance that does not run ignores all but its start.
+    pub(crate) fn handle(&mut self, index: usize, kind: EventKind) {
+        if matches!(kind, EventKind::Start) {
+            self.start_node(index);
         }
-        if !self.nodes[at].alive {
+        if !self.nodes[index].alive {
             return;
         }
-        match what {
-            What::Start => (),
-            What::Meet => self.meet(at),
-            What::Round => self.round(at),
-            What::Question(question) => self.question(at, question),
-            What::Over(number) => self.over(at, number),
-            What::Answer(number, answer) => self.answer(at, number, *answer),
-            What::Silence(number) => self.answer(at, number, Err(PollFailure::NoReply)),
-            What::Read => self.read(at),
+        match kind {
+            EventKind::Start => (),
+            EventKind::ReadMembers => self.read_members(index),
+            EventKind::BeginRound => self.begin_round(index),
+            EventKind::Poll(poll) => self.on_poll(index, poll),
+            EventKind::WaitExpired(number) => self.on_wait_expired(index, number),
+            EventKind::Reply(number, reply) => self.on_reply(index, number, *reply),
+            EventKind::Timeout(number) => self.on_reply(index, number, Err(PollFailure::NoReply)),
+            EventKind::ReadDone => self.on_read_done(index),
         }
     }
 
-    fn begin(&mut self, at: usize) {
-        self.nodes[at].alive = true;
-        for number in 0..LOOKS {
-            self.queue.add(self.now + look(number) * MS, at, What::Meet);
+    fn start_node(&mut self, index: usize) {
+        self.nodes[index].alive = true;
+        for number in 0..MAX_STARTUP_READS {
+            self.queue.add(
+                self.now + member_read_delay(number) * MICROS_PER_MS,
+                index,
+                EventKind::ReadMembers,
+            );
         }
-        let first = self.now + (ENTER + timing::STARTUP_SETTLE) * MS;
-        self.queue.add(first, at, What::Round);
+        let first = self.now + (JOIN_DELAY_MS + timing::STARTUP_SETTLE) * MICROS_PER_MS;
+        self.queue.add(first, index, EventKind::BeginRound);
     }
 
-    /// Reads the entries of some instances.
-    fn meet(&mut self, at: usize) {
-        if self.nodes[at].board.membership().is_some() {
+    /// Reads the members from the platform: all of them if they fit on one page, else the first page by name and
+    /// the page that follows the instance's own name.
+    fn read_members(&mut self, index: usize) {
+        if self.nodes[index].board.membership().is_some() {
             return;
         }
-        let entered = |one: &&Member| {
-            let node = self.at.get(&one.addr).and_then(|at| self.nodes.get(*at));
+        let is_alive = |member: &&Member| {
+            let node = self
+                .indexes
+                .get(&member.addr)
+                .and_then(|index| self.nodes.get(*index));
             node.is_none_or(|node| node.alive)
         };
-        let me = &self.nodes[at].member.owner.instance;
-        let all = self.keys.iter().filter(entered);
-        let count = all.clone().count();
-        let behind = all.clone().filter(|one| one.owner.instance > *me);
-        let page = self.world.page;
-        let some = match count > page {
-            true => all.take(page).chain(behind.take(page)).cloned().collect(),
-            false => all.cloned().collect::<Arc<[Member]>>(),
+        let me = &self.nodes[index].member.owner.instance;
+        let alive = self.by_name.iter().filter(is_alive);
+        let count = alive.clone().count();
+        let after_me = alive.clone().filter(|member| member.owner.instance > *me);
+        let page_size = self.params.page_size;
+        let listed = match count > page_size {
+            true => alive
+                .take(page_size)
+                .chain(after_me.take(page_size))
+                .cloned()
+                .collect(),
+            false => alive.cloned().collect::<Arc<[Member]>>(),
         };
-        self.carry(some.len() as u64 * MEMBER);
-        match count > page {
-            true => self.nodes[at].met_some(some),
-            false => self.nodes[at].met(some),
+        self.transfer(listed.len() as u64 * MEMBER_BYTES);
+        match count > page_size {
+            true => self.nodes[index].set_partial_members(listed),
+            false => self.nodes[index].set_members(listed),
         }
     }
 
-    /// Has the platform's link carry something; gives when it has, in microseconds.
-    fn carry(&mut self, bytes: u64) -> u64 {
+    /// Sends `bytes` over the platform's link and returns when they have arrived, in microseconds.
+    fn transfer(&mut self, bytes: u64) -> u64 {
         self.counts.carried += bytes;
-        self.link = self.link.max(self.now) + bytes * 1_000 / self.world.store;
-        self.link
+        self.link_free = self.link_free.max(self.now) + bytes * 1_000 / self.params.platform_rate;
+        self.link_free
     }
 
-    fn round(&mut self, at: usize) {
+    fn begin_round(&mut self, index: usize) {
         let now = self.now();
-        let dice = self.rng.random();
-        let node = &mut self.nodes[at];
-        node.begun = self.now;
-        let view = node.view(dice);
-        let next = node.follower.begin_round(&view, now);
-        self.act(at, next);
+        let random_value = self.rng.random();
+        let node = &mut self.nodes[index];
+        node.round_start = self.now;
+        let view = node.view(random_value);
+        let action = node.follower.begin_round(&view, now);
+        self.perform(index, action);
     }
 
-    fn act(&mut self, at: usize, next: Action) {
-        match next {
-            Action::Poll(addr, wait) => self.ask(at, addr, wait),
-            Action::Read => self.begin_read(at),
+    fn perform(&mut self, index: usize, action: Action) {
+        match action {
+            Action::Poll(addr, wait) => self.send_poll(index, addr, wait),
+            Action::Read => self.start_read(index),
             Action::Pause => {
-                let begun = self.nodes[at].begun;
-                let next = (begun + timing::READ_INTERVAL * MS).max(self.now);
-                self.queue.add(next, at, What::Round);
+                let round_start = self.nodes[index].round_start;
+                let next = (round_start + timing::READ_INTERVAL * MICROS_PER_MS).max(self.now);
+                self.queue.add(next, index, EventKind::BeginRound);
             }
         }
     }
 
-    fn ask(&mut self, at: usize, addr: SocketAddr, wait: Millis) {
-        let (now, world) = (self.now(), self.world);
-        let node = &mut self.nodes[at];
-        node.asked += 1;
-        let number = node.asked;
+    fn send_poll(&mut self, index: usize, addr: SocketAddr, wait: Millis) {
+        let (now, params) = (self.now(), self.params);
+        let node = &mut self.nodes[index];
+        node.last_poll += 1;
+        let number = node.last_poll;
         let slack = timing::reply_slack(&node.board);
-        let question = Question {
-            from: at,
+        let poll = Poll {
+            from: index,
             number,
-            have: node.board.sync_state(now),
-            asked: now,
+            state: node.board.sync_state(now),
+            sent_at: now,
             wait,
         };
-        let sent = node.send(&world, self.now, 0);
-        let silence = self.now + (wait + slack) * MS;
-        self.queue.add(silence, at, What::Silence(number));
-        if let Some(to) = self.at.get(&addr) {
+        let sent = node.send(&params, self.now, 0);
+        let deadline = self.now + (wait + slack) * MICROS_PER_MS;
+        self.queue.add(deadline, index, EventKind::Timeout(number));
+        if let Some(to) = self.indexes.get(&addr) {
             self.queue
-                .add(sent + world.hop, *to, What::Question(question));
+                .add(sent + params.hop, *to, EventKind::Poll(poll));
         }
     }
 
-    fn question(&mut self, at: usize, question: Question) {
-        if self.tell(at, question) {
+    /// Replies to a poll at once if there is an update for it, else holds it until there is one or its wait is over.
+    fn on_poll(&mut self, index: usize, poll: Poll) {
+        if self.try_reply(index, poll) {
             return;
         }
-        self.nodes[at].waiting.push(question);
-        let over = self.now + question.wait * MS;
-        self.queue.add(over, at, What::Over(question.number));
+        self.nodes[index].pending.push(poll);
+        let expiry = self.now + poll.wait * MICROS_PER_MS;
+        self.queue
+            .add(expiry, index, EventKind::WaitExpired(poll.number));
     }
 
-    /// Answers a question if there is something to tell.
-    fn tell(&mut self, at: usize, question: Question) -> bool {
+    /// Replies to a poll if there is an update for it, and returns whether there was one.
+    fn try_reply(&mut self, index: usize, poll: Poll) -> bool {
         let now = self.now();
-        let mut have = question.have;
-        have.age = have.age.map(|age| age + (now - question.asked));
-        let node = &self.nodes[at];
-        if !node.board.has_more(have, now) {
+        let mut state = poll.state;
+        state.age = state.age.map(|age| age + (now - poll.sent_at));
+        let node = &self.nodes[index];
+        if !node.board.has_more(state, now) {
             return false;
         }
-        let news = node.board.update_since(have, now);
-        self.reply(at, question, Ok(news));
+        let update = node.board.update_since(state, now);
+        self.send_reply(index, poll, Ok(update));
         true
     }
 
-    fn reply(&mut self, at: usize, question: Question, answer: Result<Update, PollFailure>) {
-        let bytes = answer.as_ref().map_or(0, node::bytes);
-        let (world, now) = (self.world, self.now);
-        let left = self.nodes[at].send(&world, now, bytes) + world.hop;
-        let entries = answer.as_ref().map_or(0, |news| news.items.len());
-        let done = self.nodes[question.from].work(&world, left, entries);
-        let what = What::Answer(question.number, Box::new(answer));
-        self.queue.add(done, question.from, what);
+    fn send_reply(&mut self, index: usize, poll: Poll, reply: Result<Update, PollFailure>) {
+        let bytes = reply.as_ref().map_or(0, node::update_bytes);
+        let (params, now) = (self.params, self.now);
+        let arrival = self.nodes[index].send(&params, now, bytes) + params.hop;
+        let entries = reply.as_ref().map_or(0, |update| update.items.len());
+        let done = self.nodes[poll.from].process(&params, arrival, entries);
+        let kind = EventKind::Reply(poll.number, Box::new(reply));
+        self.queue.add(done, poll.from, kind);
     }
 
-    fn over(&mut self, at: usize, number: u64) {
-        let waiting = &mut self.nodes[at].waiting;
-        let Some(found) = waiting.iter().position(|one| one.number == number) else {
+    /// Replies with a failure to a poll that is still held when its wait is over.
+    fn on_wait_expired(&mut self, index: usize, number: u64) {
+        let pending = &mut self.nodes[index].pending;
+        let Some(found) = pending.iter().position(|poll| poll.number == number) else {
             return;
         };
-        let question = waiting.swap_remove(found);
-        let lack = match self.nodes[at].served {
+        let poll = pending.swap_remove(found);
+        let failure = match self.nodes[index].served {
             true => PollFailure::NoUpdate,
             false => PollFailure::PlatformUnreachable,
         };
-        self.reply(at, question, Err(lack));
+        self.send_reply(index, poll, Err(failure));
     }
 
-    fn answer(&mut self, at: usize, number: u64, answer: Result<Update, PollFailure>) {
-        if self.nodes[at].asked != number {
+    /// Handles the reply to the latest poll, or its timeout; a reply to an earlier poll is ignored.
+    fn on_reply(&mut self, index: usize, number: u64, reply: Result<Update, PollFailure>) {
+        if self.nodes[index].last_poll != number {
             return;
         }
         let now = self.now();
-        let dice = self.rng.random();
-        let node = &mut self.nodes[at];
-        node.asked += 1;
-        match answer {
-            Ok(news) => {
-                node.board.merge(&news, now);
+        let random_value = self.rng.random();
+        let node = &mut self.nodes[index];
+        node.last_poll += 1;
+        match reply {
+            Ok(update) => {
+                node.board.merge(&update, now);
                 node.follower.update_received();
-                self.changed(at);
-                self.round(at);
+                self.replica_changed(index);
+                self.begin_round(index);
             }
-            Err(lack) => {
-                let view = node.view(dice);
-                let next = node.follower.poll_failed(&view, lack, now);
-                self.act(at, next);
+            Err(failure) => {
+                let view = node.view(random_value);
+                let action = node.follower.poll_failed(&view, failure, now);
+                self.perform(index, action);
             }
         }
     }
 
-    /// Tells whoever waits, and takes in who has entered.
-    fn changed(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
-        let roll = node.board.membership().map(|roll| roll.members.clone());
-        if let Some(members) = roll.filter(|members| !Arc::ptr_eq(members, &node.members)) {
-            node.met(members);
+    /// Takes over the members if they changed, and replies to the held polls that now have an update.
+    fn replica_changed(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
+        let members = node
+            .board
+            .membership()
+            .map(|membership| membership.members.clone());
+        if let Some(members) = members.filter(|members| !Arc::ptr_eq(members, &node.members)) {
+            node.set_members(members);
         }
-        for question in std::mem::take(&mut self.nodes[at].waiting) {
-            if !self.tell(at, question) {
-                self.nodes[at].waiting.push(question);
+        for poll in std::mem::take(&mut self.nodes[index].pending) {
+            if !self.try_reply(index, poll) {
+                self.nodes[index].pending.push(poll);
             }
         }
     }
 
-    fn begin_read(&mut self, at: usize) {
-        if !self.nodes[at].served {
-            let next = (self.nodes[at].begun + timing::READ_INTERVAL * MS)
-                .max(self.now + timing::MIN_READ_PAUSE * MS);
-            self.queue.add(next, at, What::Round);
+    /// Starts a read of the platform's list. The time that it takes is the longer of the waits for its pages and
+    /// the transfer over the platform's link.
+    fn start_read(&mut self, index: usize) {
+        if !self.nodes[index].served {
+            let next = (self.nodes[index].round_start + timing::READ_INTERVAL * MICROS_PER_MS)
+                .max(self.now + timing::MIN_READ_PAUSE * MICROS_PER_MS);
+            self.queue.add(next, index, EventKind::BeginRound);
             return;
         }
-        let known = self.nodes[at].board.len();
-        let pages = self.store.read().items.len().div_ceil(self.world.page);
-        let turns = if known == 0 {
+        let known = self.nodes[index].board.len();
+        let pages = self
+            .upstreams
+            .read()
+            .items
+            .len()
+            .div_ceil(self.params.page_size);
+        // Without any entries the key ranges are unknown, so the pages are read one after the other.
+        let rounds = if known == 0 {
             pages
         } else {
             pages.div_ceil(paged_list::MAX_CONCURRENT_READS)
         };
-        let waits = turns as u64 * (self.world.call + 2 * self.world.hop);
-        let entries = pages * self.world.page;
-        let carried = self.carry((entries * read_budget::ENTRY_BYTES) as u64);
+        let waits = rounds as u64 * (self.params.platform_latency + 2 * self.params.hop);
+        let entries = pages * self.params.page_size;
+        let transferred = self.transfer((entries * read_budget::ENTRY_BYTES) as u64);
         self.counts.reads += 1;
-        self.queue
-            .add(carried.max(self.now + waits), at, What::Read);
+        self.queue.add(
+            transferred.max(self.now + waits),
+            index,
+            EventKind::ReadDone,
+        );
     }
 
-    fn read(&mut self, at: usize) {
+    fn on_read_done(&mut self, index: usize) {
         let now = self.now();
-        self.reads[at] += 1;
-        let alive = |one: &&Member| {
-            let node = self.at.get(&one.addr).and_then(|at| self.nodes.get(*at));
+        self.reads[index] += 1;
+        let is_alive = |member: &&Member| {
+            let node = self
+                .indexes
+                .get(&member.addr)
+                .and_then(|index| self.nodes.get(*index));
             node.is_none_or(|node| node.alive)
         };
-        if self.reads[at] % timing::READS_PER_MEMBER_READ == 1 {
-            let members: Vec<_> = self.all.iter().filter(alive).cloned().collect();
-            self.carry(members.len() as u64 * MEMBER);
-            self.nodes[at].board.set_members(members, now);
+        if self.reads[index] % timing::READS_PER_MEMBER_READ == 1 {
+            let members: Vec<_> = self.members.iter().filter(is_alive).cloned().collect();
+            self.transfer(members.len() as u64 * MEMBER_BYTES);
+            self.nodes[index].board.set_members(members, now);
         }
-        let begun = self.nodes[at].begun / MS;
-        let node = &mut self.nodes[at];
+        let round_start = self.nodes[index].round_start / MICROS_PER_MS;
+        let node = &mut self.nodes[index];
         node.board
-            .apply_read(self.store.read(), self.rng.random(), now);
-        node.follower.read_took(now - begun);
-        self.changed(at);
-        let next = (begun + timing::READ_INTERVAL).max(now + timing::MIN_READ_PAUSE);
-        self.queue.add(next * MS, at, What::Round);
+            .apply_read(self.upstreams.read(), self.rng.random(), now);
+        node.follower.read_took(now - round_start);
+        self.replica_changed(index);
+        let next = (round_start + timing::READ_INTERVAL).max(now + timing::MIN_READ_PAUSE);
+        self.queue
+            .add(next * MICROS_PER_MS, index, EventKind::BeginRound);
     }
 }
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens, in the order of time.
+//! The events of a simulation and the queue that orders them by time.
 
 use std::cmp::Ordering;
 use std::cmp::Reverse;
@@ -9,58 +9,58 @@
 use spread::SyncState;
 use spread::Update;
 
-/// Something that happens to an instance.
+/// What an instance does or receives at an event.
 #[derive(Clone, Debug)]
-pub enum What {
-    /// It starts.
+pub enum EventKind {
+    /// The instance starts.
     Start,
-    /// It looks who has entered.
-    Meet,
-    /// It begins a round.
-    Round,
-    /// A question reaches it.
-    Question(Question),
-    /// The time is over for which a question may wait.
-    Over(u64),
-    /// An answer reaches it.
-    Answer(u64, Box<Result<Update, PollFailure>>),
-    /// No answer has come in time.
-    Silence(u64),
-    /// A read of the platform has ended.
-    Read,
+    /// The instance reads the members from the platform, during startup.
+    ReadMembers,
+    /// The instance begins a round of its follower.
+    BeginRound,
+    /// A poll arrives.
+    Poll(Poll),
+    /// The poll of this number has waited for as long as it may.
+    WaitExpired(u64),
+    /// The reply to the poll of this number arrives.
+    Reply(u64, Box<Result<Update, PollFailure>>),
+    /// The poll of this number has had no reply in time.
+    Timeout(u64),
+    /// A read of the platform's list is done.
+    ReadDone,
 }
 
-/// A question for news.
+/// A poll for updates.
 #[derive(Clone, Copy, Debug)]
-pub struct Question {
-    /// Who asks.
+pub struct Poll {
+    /// Index of the polling instance.
     pub from: usize,
-    /// The question's number.
+    /// Number of the poll, unique for the polling instance.
     pub number: u64,
-    /// What it has.
-    pub have: SyncState,
-    /// When it was asked, in milliseconds.
-    pub asked: Millis,
-    /// How long it may wait, in milliseconds.
+    /// State of the polling instance's replica when it sent the poll.
+    pub state: SyncState,
+    /// Time of sending, in milliseconds.
+    pub sent_at: Millis,
+    /// How long the polled instance may hold the poll, in milliseconds.
     pub wait: Millis,
 }
 
-/// Something that happens at a time, in microseconds.
+/// An event at one instance.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// When.
-    pub at: u64,
-    /// Which of those at the same time.
-    order: u64,
-    /// To whom.
+    /// Simulated time, in microseconds.
+    pub time: u64,
+    /// Order among events of the same time: first added, first handled.
+    sequence: u64,
+    /// Index of the instance.
     pub node: usize,
-    /// What.
-    pub what: What,
+    /// What the instance does or receives.
+    pub kind: EventKind,
 }
 
 impl Ord for Event {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.time, self.sequence).cmp(&(other.time, other.sequence))
     }
 }
 
@@ -78,30 +78,30 @@
 
 impl Eq for Event {}
 
-/// What is to happen.
+/// The pending events, earliest first.
 #[derive(Debug, Default)]
 pub struct Queue {
     events: BinaryHeap<Reverse<Event>>,
-    order: u64,
+    sequence: u64,
 }
 
 impl Queue {
-    /// Adds something that happens at a time, in microseconds.
-    pub fn add(&mut self, at: u64, node: usize, what: What) {
-        self.order += 1;
-        let order = self.order;
+    /// Adds an event at `time`, in microseconds.
+    pub fn add(&mut self, time: u64, node: usize, kind: EventKind) {
+        self.sequence += 1;
+        let sequence = self.sequence;
         self.events.push(Reverse(Event {
-            at,
-            order,
+            time,
+            sequence,
             node,
-            what,
+            kind,
         }));
     }
 
-    /// What happens next, unless that is later than `end`.
+    /// Removes and returns the earliest event, unless it is later than `end`, in microseconds.
     pub fn next(&mut self, end: u64) -> Option<Event> {
         let Reverse(first) = self.events.peek()?;
-        if first.at > end {
+        if first.time > end {
             return None;
         }
         self.events.pop().map(|Reverse(event)| event)
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,7 +1,8 @@
-//! How news spreads among hundreds of instances, in simulated time.
+//! Simulates, in simulated time, how configuration spreads among hundreds of instances.
 //!
-//! The decisions are those of the product: whom an instance follows and asks, what it is told, when it reads the
-//! platform. Links, the platform and the processor of instances are a [`world`] of a few figures.
+//! The decisions are made by the product's code: which instance another one follows and polls, what a reply holds,
+//! and when an instance reads the platform. Links, the platform and the CPUs of the instances are a [`world`] of a
+//! few parameters.
 
 mod act;
 pub mod event;
@@ -10,5 +11,5 @@
 pub mod world;
 
 pub use play::Play;
+pub use world::ModelParams;
 pub use world::Size;
-pub use world::World;
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -1,4 +1,4 @@
-//! One instance.
+//! A simulated instance.
 
 use std::sync::Arc;
 
@@ -11,42 +11,42 @@
 use spread::View;
 use spread::tree;
 
-use crate::event::Question;
-use crate::world::World;
+use crate::event::Poll;
+use crate::world::ModelParams;
 
-/// Bytes of a message beside what it carries.
-const HEAD: u64 = 300;
+/// Bytes of a message without its payload.
+const MESSAGE_OVERHEAD_BYTES: u64 = 300;
 
-/// Bytes of an instance's entry in a message.
-const MEMBER: u64 = 60;
+/// Bytes of a member in a message.
+const MEMBER_BYTES: u64 = 60;
 
-/// An instance.
+/// A simulated instance: the product's replica and follower, with a modeled link and CPU.
 #[derive(Debug)]
 pub struct Node {
-    /// Its entry.
+    /// Its entry in the membership.
     pub member: Member,
-    /// Whether it has entered and runs.
+    /// Whether it runs.
     pub alive: bool,
-    /// Whether the platform serves it.
+    /// Whether the platform answers its reads.
     pub served: bool,
-    /// What it knows.
+    /// Its replica of the platform's list.
     pub board: Replica,
-    /// Whom it asks.
+    /// Chooses which instance it polls, and when it reads the platform.
     pub follower: Follower,
-    /// The instances that it knows.
+    /// The members that it knows.
     pub members: Arc<[Member]>,
-    /// Where it stands among them.
-    pub place: TreePosition,
-    /// Questions that wait here.
-    pub waiting: Vec<Question>,
-    /// The number of its last question.
-    pub asked: u64,
-    /// When its round began, in microseconds.
-    pub begun: u64,
-    /// Until when its link sends, in microseconds.
-    pub sends: u64,
-    /// Until when its processor is taken, in microseconds.
-    pub works: u64,
+    /// Its position in the tree of those members.
+    pub position: TreePosition,
+    /// Polls that it holds until it has an update for them.
+    pub pending: Vec<Poll>,
+    /// Number of its latest poll; a higher number makes a late reply to an earlier poll invalid.
+    pub last_poll: u64,
+    /// Start of its current round, in microseconds.
+    pub round_start: u64,
+    /// Time at which its link has sent everything queued, in microseconds.
+    pub link_free: u64,
+    /// Time at which its CPU has processed everything queued, in microseconds.
+    pub cpu_free: u64,
     /// Bytes that it has sent.
     pub sent: u64,
     /// Messages that it has sent.
@@ -54,7 +54,7 @@
 }
 
 impl Node {
-    /// An instance that has not started.
+    /// Creates an instance that has not started yet.
     pub fn new(member: Member) -> Self {
         Self {
             member,
@@ -63,82 +63,82 @@
             board: Replica::default(),
             follower: Follower::default(),
             members: Arc::new([]),
-            place: TreePosition::default(),
-            waiting: Vec::new(),
-            asked: 0,
-            begun: 0,
-            sends: 0,
-            works: 0,
+            position: TreePosition::default(),
+            pending: Vec::new(),
+            last_poll: 0,
+            round_start: 0,
+            link_free: 0,
+            cpu_free: 0,
             sent: 0,
             messages: 0,
         }
     }
 
-    /// Notes who has entered.
-    pub fn met(&mut self, members: Arc<[Member]>) {
-        self.place = tree::position(&members, &self.member.owner.instance, &self.member.domain);
+    /// Sets all members and computes its position among them.
+    pub fn set_members(&mut self, members: Arc<[Member]>) {
+        self.position = tree::position(&members, &self.member.owner.instance, &self.member.domain);
         self.members = members;
     }
 
-    /// Notes some of those that have entered.
-    pub fn met_some(&mut self, some: Arc<[Member]>) {
-        self.place = tree::partial_position(&some, &self.member);
-        self.members = some;
+    /// Sets the members of a partial read and computes a provisional position among them.
+    pub fn set_partial_members(&mut self, members: Arc<[Member]>) {
+        self.position = tree::partial_position(&members, &self.member);
+        self.members = members;
     }
 
-    /// What decides whom it asks.
-    pub fn view(&self, dice: u64) -> View {
+    /// Returns the input of the follower's decisions.
+    pub fn view(&self, random_value: u64) -> View {
         View {
             me: self.member.owner.instance.clone(),
             domain: self.member.domain.clone(),
-            position: self.place.clone(),
+            position: self.position.clone(),
             members: self.members.clone(),
             entries: self.board.len(),
-            random: dice,
+            random: random_value,
         }
     }
 
-    /// Whether it has much processor and a wide link.
-    fn is_strong(&self) -> bool {
+    /// Returns whether it is a large instance, with more CPU and a wide link.
+    fn is_large(&self) -> bool {
         self.member.centicores >= 50
     }
 
-    /// Sends a message; gives when it has left, in microseconds.
-    pub fn send(&mut self, world: &World, now: u64, bytes: u64) -> u64 {
-        let rate = if self.is_strong() {
-            world.wide
+    /// Sends a message with `bytes` of payload and returns when it has left, in microseconds.
+    pub fn send(&mut self, params: &ModelParams, now: u64, bytes: u64) -> u64 {
+        let rate = if self.is_large() {
+            params.wide_rate
         } else {
-            world.narrow
+            params.narrow_rate
         };
-        let bytes = bytes + HEAD;
-        self.sends = self.sends.max(now) + bytes * 1_000 / rate;
+        let bytes = bytes + MESSAGE_OVERHEAD_BYTES;
+        self.link_free = self.link_free.max(now) + bytes * 1_000 / rate;
         self.sent += bytes;
         self.messages += 1;
-        self.sends
+        self.link_free
     }
 
-    /// Takes in so many entries; gives when that is done, in microseconds.
-    pub fn work(&mut self, world: &World, now: u64, entries: usize) -> u64 {
-        let each = match self.is_strong() {
-            true => world.entry / 4,
-            false => world.entry,
+    /// Applies `entries` that arrive at `now`, in microseconds, and returns when that is done.
+    pub fn process(&mut self, params: &ModelParams, now: u64, entries: usize) -> u64 {
+        let entry_cost = match self.is_large() {
+            true => params.entry_cost / 4,
+            false => params.entry_cost,
         };
-        self.works = self.works.max(now) + each * entries as u64;
-        self.works
+        self.cpu_free = self.cpu_free.max(now) + entry_cost * entries as u64;
+        self.cpu_free
     }
 }
 
-/// Bytes of news in a message.
-pub fn bytes(news: &Update) -> u64 {
-    let items = news.items.iter();
+/// Returns the bytes of an update in a message.
+pub fn update_bytes(update: &Update) -> u64 {
+    let items = update.items.iter();
     let items: usize = items
         .map(|item| item.key.len() + item.value.len() + 12)
         .sum();
-    let gone = match &news.removed {
+    let removed = match &update.removed {
         Some(Removed::Keys(keys)) => keys.iter().map(String::len).sum(),
         Some(Removed::AllExcept(digests)) => digests.len() * 9,
         None => 0,
     };
-    let members = news.members.as_ref().map_or(0, Vec::len) as u64;
-    (items + gone) as u64 + members * MEMBER
+    let members = update.members.as_ref().map_or(0, Vec::len) as u64;
+    (items + removed) as u64 + members * MEMBER_BYTES
 }
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/play.rs
@@ -1,4 +1,4 @@
-//! A play: instances start, hear, read and are lost.
+//! A simulation of a fleet whose instances start, poll each other, read the platform and are killed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,147 +10,153 @@
 use rand::rngs::StdRng;
 use spread::Member;
 
+use crate::event::EventKind;
 use crate::event::Queue;
-use crate::event::What;
 use crate::node::Node;
 use crate::world;
-use crate::world::MS;
+use crate::world::MICROS_PER_MS;
+use crate::world::ModelParams;
 use crate::world::Size;
-use crate::world::Store;
-use crate::world::World;
+use crate::world::UpstreamList;
 
-/// Time within which all start, in milliseconds.
-const STARTS: u64 = 300;
+/// Time within which all instances start, in milliseconds.
+const START_WINDOW_MS: u64 = 300;
 
-/// What was counted.
+/// Load on the platform since the simulation began.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Reads of the whole list.
+    /// Reads of the whole list of upstreams.
     pub reads: u64,
     /// Bytes that the platform's link carried.
     pub carried: u64,
 }
 
-/// The time until others have what one has, in milliseconds.
+/// Times until instances know a revision, in milliseconds since the wait began.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// The first one.
+    /// Time until the first instance knows it.
     pub first: u64,
-    /// The one in the middle.
+    /// Median over the instances.
     pub middle: u64,
-    /// The last one.
+    /// Time until the last instance knows it.
     pub last: u64,
 }
 
-/// A play.
+/// A simulation of a fleet.
 pub struct Play {
-    /// The instances that are played.
+    /// The instances.
     pub nodes: Vec<Node>,
-    /// What was counted.
+    /// Load on the platform so far.
     pub counts: Counts,
-    pub(crate) world: World,
-    pub(crate) store: Store,
-    pub(crate) all: Arc<[Member]>,
-    /// The same by name.
-    pub(crate) keys: Vec<Member>,
-    pub(crate) at: Map<SocketAddr, usize>,
+    pub(crate) params: ModelParams,
+    pub(crate) upstreams: UpstreamList,
+    /// The members in the order of `nodes`.
+    pub(crate) members: Arc<[Member]>,
+    /// The members sorted by name, which is the order of the platform's keys.
+    pub(crate) by_name: Vec<Member>,
+    /// Index of each instance by its address.
+    pub(crate) indexes: Map<SocketAddr, usize>,
     pub(crate) queue: Queue,
+    /// Simulated time, in microseconds.
     pub(crate) now: u64,
-    /// Until when the platform's link is taken, in microseconds.
-    pub(crate) link: u64,
+    /// Time at which the platform's link has carried everything queued, in microseconds.
+    pub(crate) link_free: u64,
+    /// Reads of the list that each instance has completed.
     pub(crate) reads: Vec<u64>,
     pub(crate) rng: StdRng,
 }
 
 impl Play {
-    /// Begins a play in which all instances start together.
+    /// Creates a simulation whose instances all start within its first 300 ms.
     pub fn start(size: Size, seed: u64) -> Self {
-        let all = world::members(size);
-        let nodes: Vec<_> = all.iter().cloned().map(Node::new).collect();
-        let at = nodes.iter().enumerate();
-        let at = at.map(|(at, node)| (node.member.addr, at)).collect();
-        let mut keys = all.to_vec();
-        keys.sort_by(|a, b| a.owner.instance.cmp(&b.owner.instance));
+        let members = world::members(size);
+        let nodes: Vec<_> = members.iter().cloned().map(Node::new).collect();
+        let indexes = nodes.iter().enumerate();
+        let indexes = indexes
+            .map(|(index, node)| (node.member.addr, index))
+            .collect();
+        let mut by_name = members.to_vec();
+        by_name.sort_by(|a, b| a.owner.instance.cmp(&b.owner.instance));
         let mut play = Self {
             reads: vec![0; nodes.len()],
             nodes,
             counts: Counts::default(),
-            world: World::default(),
-            store: Store::new(size.upstreams),
-            keys,
-            all,
-            at,
+            params: ModelParams::default(),
+            upstreams: UpstreamList::new(size.upstreams),
+            by_name,
+            members,
+            indexes,
             queue: Queue::default(),
             now: 0,
-            link: 0,
+            link_free: 0,
             rng: StdRng::seed_from_u64(seed),
         };
         for node in 0..play.nodes.len() {
-            let at = play.rng.random_range(0..STARTS * MS);
-            play.queue.add(at, node, What::Start);
+            let time = play.rng.random_range(0..START_WINDOW_MS * MICROS_PER_MS);
+            play.queue.add(time, node, EventKind::Start);
         }
         play
     }
 
-    /// The time, in milliseconds.
+    /// Returns the simulated time, in milliseconds.
     pub fn now(&self) -> Millis {
-        self.now / MS
+        self.now / MICROS_PER_MS
     }
 
-    /// Plays on for a time, in milliseconds.
+    /// Advances the simulated time by `time` milliseconds and handles all events until then.
     pub fn run(&mut self, time: Millis) {
-        let end = self.now + time * MS;
+        let end = self.now + time * MICROS_PER_MS;
         while let Some(event) = self.queue.next(end) {
-            self.now = event.at;
-            self.happen(event.node, event.what);
+            self.now = event.time;
+            self.handle(event.node, event.kind);
         }
         self.now = end;
     }
 
-    /// Changes some upstreams; gives the last revision.
+    /// Changes `count` upstreams picked at random and returns the last revision.
     pub fn change(&mut self, count: usize) -> i64 {
         let mut rev = 0;
         for _ in 0..count {
-            rev = self.store.change(self.rng.random_range(0..usize::MAX));
+            rev = self.upstreams.change(self.rng.random_range(0..usize::MAX));
         }
         rev
     }
 
-    /// Plays on until all that run have everything up to a revision; gives the times. [`None`] when they have not
-    /// within `most` milliseconds.
-    pub fn until(&mut self, rev: i64, most: Millis) -> Option<Times> {
-        let begun = self.now();
-        let mut known = Vec::new();
-        let mut knows = vec![false; self.nodes.len()];
-        while self.now() < begun + most {
+    /// Runs until every instance that is alive has a complete replica up to revision `rev`, and returns the times.
+    /// Returns [`None`] when that takes longer than `limit` milliseconds.
+    pub fn until(&mut self, rev: i64, limit: Millis) -> Option<Times> {
+        let start = self.now();
+        let mut times = Vec::new();
+        let mut reached = vec![false; self.nodes.len()];
+        while self.now() < start + limit {
             self.run(1);
             let count = self.nodes.iter().filter(|node| node.alive).count();
-            for (node, knows) in self.nodes.iter().zip(&mut knows) {
-                let has = node.alive && node.board.is_complete() && node.board.rev() >= rev;
-                if has && !std::mem::replace(knows, true) {
-                    known.push(self.now() - begun);
+            for (node, reached) in self.nodes.iter().zip(&mut reached) {
+                let is_current = node.alive && node.board.is_complete() && node.board.rev() >= rev;
+                if is_current && !std::mem::replace(reached, true) {
+                    times.push(self.now() - start);
                 }
             }
-            if known.len() >= count && count > 0 {
+            if times.len() >= count && count > 0 {
                 return Some(Times {
-                    first: known.first().copied()?,
-                    middle: known.get(known.len() / 2).copied()?,
-                    last: known.last().copied()?,
+                    first: times.first().copied()?,
+                    middle: times.get(times.len() / 2).copied()?,
+                    last: times.last().copied()?,
                 });
             }
         }
         None
     }
 
-    /// Takes the power from an instance.
+    /// Kills the instance at index `node`: it drops the polls that it holds and handles no event any more.
     pub fn kill(&mut self, node: usize) {
         if let Some(node) = self.nodes.get_mut(node) {
             node.alive = false;
-            node.waiting.clear();
+            node.pending.clear();
         }
     }
 
-    /// The instance that reads for all.
+    /// Returns the index of the first instance alive, the one that reads the platform for the others.
     pub fn reader(&self) -> usize {
         let alive = self.nodes.iter().position(|node| node.alive);
         alive.unwrap_or_default()
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,4 +1,4 @@
-//! What is played: how many, on which links.
+//! The modeled fleet: its size, the latencies and rates of its links, and the platform's list of upstreams.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use spread::Member;
 
 /// Microseconds in a millisecond.
-pub const MS: u64 = 1_000;
+pub const MICROS_PER_MS: u64 = 1_000;
 
-/// How many there are.
+/// Size of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Instances of all failure domains.
+    /// Instances in all failure domains together.
     pub instances: usize,
     /// Failure domains.
     pub domains: usize,
@@ -21,64 +21,67 @@
     pub upstreams: usize,
 }
 
-/// Instances of each failure domain with much processor and a wide link.
-const STRONG: usize = 10;
+/// Large instances of each failure domain: those with more CPU and a wide link.
+const LARGE_PER_DOMAIN: usize = 10;
 
-/// Bytes of an upstream's entry.
-const VALUE: usize = 220;
+/// Bytes of an upstream's value in the platform's list.
+const UPSTREAM_VALUE_BYTES: usize = 220;
 
-/// Links, the platform and processors.
+/// Latencies, link rates and processing costs of the model.
 #[derive(Clone, Copy, Debug)]
-pub struct World {
-    /// One way between two instances, in microseconds.
+pub struct ModelParams {
+    /// One-way latency of every link, in microseconds.
     pub hop: u64,
-    /// Time in which the platform answers, in microseconds.
-    pub call: u64,
-    /// Bytes that the platform's link carries in a millisecond.
-    pub store: u64,
-    /// The same of an instance with a wide link.
-    pub wide: u64,
-    /// The same of any other instance.
-    pub narrow: u64,
-    /// Time that an instance with little processor takes to take in one entry, in microseconds.
-    pub entry: u64,
+    /// Time in which the platform serves one call, in microseconds.
+    pub platform_latency: u64,
+    /// Rate of the platform's link, in bytes a millisecond.
+    pub platform_rate: u64,
+    /// Rate of a large instance's link, in bytes a millisecond.
+    pub wide_rate: u64,
+    /// Rate of any other instance's link, in bytes a millisecond.
+    pub narrow_rate: u64,
+    /// Time in which a small instance applies one entry, in microseconds.
+    pub entry_cost: u64,
     /// Entries of a page.
-    pub page: usize,
+    pub page_size: usize,
 }
 
-impl Default for World {
+impl Default for ModelParams {
     fn default() -> Self {
         Self {
             hop: 500,
-            call: 4 * MS,
-            store: 125_000,
-            wide: 25_000,
-            narrow: 7_500,
-            entry: 100,
-            page: 200,
+            platform_latency: 4 * MICROS_PER_MS,
+            platform_rate: 125_000,
+            wide_rate: 25_000,
+            narrow_rate: 7_500,
+            entry_cost: 100,
+            page_size: 200,
         }
     }
 }
 
-/// A number without a factor in common with the instances of a failure domain: names tell nothing of strength.
-const SCATTER: usize = 7_919;
+/// Step between the names of consecutive instances of a failure domain.
+///
+/// It has no factor in common with their count, so that every name is unique, and the order of names says nothing
+/// about the size of an instance.
+const NAME_STRIDE: usize = 7_919;
 
-/// All instances, the strongest of each failure domain first.
+/// Returns all instances, the large ones of each failure domain first.
 pub fn members(size: Size) -> Arc<[Member]> {
-    let each = size.instances.div_ceil(size.domains);
-    let member = |at: usize| {
-        let (domain, place) = (at % size.domains, at / size.domains);
-        let name = place * SCATTER % each;
+    let per_domain = size.instances.div_ceil(size.domains);
+    let member = |index: usize| {
+        let (domain, rank) = (index % size.domains, index / size.domains);
+        let name = rank * NAME_STRIDE % per_domain;
         Member {
             owner: Owner {
                 instance: format!("d{domain}-n{name:04}").into(),
                 start: 1,
             },
             domain: format!("d{domain}").into(),
-            // Ports are the names of instances here.
-            addr: ([10, 0, (at >> 8) as u8, at as u8], 1).into(),
+            // The address encodes the index and identifies the instance; nothing listens on it.
+            addr: ([10, 0, (index >> 8) as u8, index as u8], 1).into(),
             is_reader: true,
-            centicores: if place < STRONG { 50 } else { 12 },
+            centicores: if rank < LARGE_PER_DOMAIN { 50 } else { 12 },
         }
     };
     (0..size.instances).map(member).collect()
@@ -86,17 +89,17 @@
 
 /// The platform's list of upstreams.
 #[derive(Debug)]
-pub struct Store {
+pub struct UpstreamList {
     items: Vec<Item>,
     rev: i64,
 }
 
-impl Store {
-    /// A store that lists `count` upstreams.
+impl UpstreamList {
+    /// Creates a list of `count` upstreams, one revision for each.
     pub fn new(count: usize) -> Self {
         let item = |at: usize| Item {
             key: format!("servers/i-{at:012x}"),
-            value: vec![0; VALUE],
+            value: vec![0; UPSTREAM_VALUE_BYTES],
             rev: at as i64 + 1,
         };
         Self {
@@ -105,17 +108,17 @@
         }
     }
 
-    /// Changes the entry of the upstream at `at`; gives the revision.
-    pub fn change(&mut self, at: usize) -> i64 {
+    /// Changes the entry of the upstream at `index`, modulo the length of the list, and returns the new revision.
+    pub fn change(&mut self, index: usize) -> i64 {
         self.rev += 1;
         let count = self.items.len().max(1);
-        if let Some(item) = self.items.get_mut(at % count) {
+        if let Some(item) = self.items.get_mut(index % count) {
             item.rev = self.rev;
         }
         self.rev
     }
 
-    /// Reads the list.
+    /// Returns the whole list.
     pub fn read(&self) -> Listing {
         Listing {
             items: self.items.clone(),
