--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -96,7 +96,7 @@
 
 impl Done {
     fn broken(&self) -> u64 {
-        self.trainer.broken() + self.lookups.foreign + self.orders.foreign
+        self.trainer.broken() + self.lookups.mismatched + self.orders.mismatched
     }
 }
 
--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -1,5 +1,4 @@
-//! Callers of plain services: an open loop at a given rate, so that a slow answer does not slow
-//! the load down.
+//! Callers of plain services: an open loop at a given rate, so that slow responses do not reduce the load.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,51 +26,51 @@
 
 use crate::report::histogram;
 
-/// Bytes of an answer.
-const MOST: usize = 16 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// What callers send.
+/// An open-loop load of calls to a plain service.
 #[derive(Clone, Debug)]
 pub struct Callers {
-    /// The entries, taken in turn.
+    /// Addresses of the entries, called in turn.
     pub entries: Vec<SocketAddr>,
     /// The bearer token.
     pub token: String,
-    /// The path of each call; `{n}` is replaced by its number.
+    /// The path of each call; `{n}` is replaced by the call's number.
     pub path: String,
-    /// Calls a second.
+    /// Mean calls per second.
     pub rate: f64,
-    /// How long.
+    /// Time over which calls are sent.
     pub span: Duration,
-    /// Whether each call is a POST with a key of its own.
+    /// Whether each call is a POST with an idempotency key of its own.
     pub once: bool,
-    /// The deadline of a call in milliseconds.
+    /// The timeout that each call states, in milliseconds.
     pub timeout: u64,
-    /// Seed of the times between calls.
+    /// Seed of the intervals between calls.
     pub seed: u64,
 }
 
-/// What callers saw.
+/// Results of an open-loop load.
 #[derive(Debug)]
 pub struct Seen {
     /// Calls that were sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Calls with a complete and matching response.
     pub whole: u64,
-    /// Microseconds of the whole answers, from the moment at which the call was due.
+    /// Latency of the completed calls in microseconds, from the time at which the call was due.
     pub micros: Histogram<u64>,
-    /// Refusals that say "not run".
+    /// Refusals that state that the call was not executed.
     pub not_run: u64,
-    /// Refusals that say "unknown", and calls without any answer.
+    /// Calls that may have been executed: refusals that say so, and calls without a usable response.
     pub unknown: u64,
-    /// Answers that were not the call's own.
-    pub foreign: u64,
-    /// Keys whose call was answered whole.
-    pub answered: Vec<String>,
-    /// Keys whose call was refused as not run.
-    pub refused: Vec<String>,
-    /// Types of refusals, with their number.
-    pub kinds: Vec<(String, u64)>,
+    /// Successful responses that belong to another call.
+    pub mismatched: u64,
+    /// Idempotency keys of the completed calls.
+    pub completed_keys: Vec<String>,
+    /// Idempotency keys of the calls that were refused without being executed.
+    pub refused_keys: Vec<String>,
+    /// Problem types of refusals, with the number of each.
+    pub refusals: Vec<(String, u64)>,
 }
 
 impl Default for Seen {
@@ -82,25 +81,26 @@
             micros: histogram(),
             not_run: 0,
             unknown: 0,
-            foreign: 0,
-            answered: Vec::new(),
-            refused: Vec::new(),
-            kinds: Vec::new(),
+            mismatched: 0,
+            completed_keys: Vec::new(),
+            refused_keys: Vec::new(),
+            refusals: Vec::new(),
         }
     }
 }
 
-enum Answer {
-    Whole,
-    Foreign,
+enum Outcome {
+    Completed,
+    /// The response belongs to another call.
+    Mismatched,
     Refused(Box<Problem>),
-    None,
+    NoResponse,
 }
 
 impl Callers {
-    /// Sends calls and waits for the last answer.
+    /// Sends the calls, waits for the last response and returns the results.
     pub async fn run(&self) -> Seen {
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let stats = Arc::new(Mutex::new(Seen::default()));
         let http = net::Client::new();
         let mut random = SmallRng::seed_from_u64(self.seed);
         let mut calls = JoinSet::new();
@@ -108,9 +108,9 @@
         let mut due = Duration::ZERO;
         let mut number = 0;
         loop {
-            // Exponential gaps: arrivals that know nothing of one another.
-            let gap = -random.random::<f64>().max(1e-12).ln() / self.rate;
-            due += Duration::from_secs_f64(gap);
+            // Exponential intervals, as of arrivals that are independent of each other.
+            let interval = -random.random::<f64>().max(1e-12).ln() / self.rate;
+            due += Duration::from_secs_f64(interval);
             if due >= self.span {
                 break;
             }
@@ -122,36 +122,36 @@
                 entry,
                 due: start + due,
                 http: http.clone(),
-                seen: seen.clone(),
+                stats: stats.clone(),
             };
             let callers = self.clone();
             calls.spawn(async move { callers.call(call).await });
             while calls.try_join_next().is_some() {}
         }
         while calls.join_next().await.is_some() {}
-        std::mem::take(&mut *seen.lock())
+        std::mem::take(&mut *stats.lock())
     }
 
     async fn call(self, call: Call) {
         let key = self.once.then(|| Uuid::now_v7().to_string());
-        let answer = self.send(&call, key.as_deref()).await;
+        let outcome = self.send(&call, key.as_deref()).await;
         let micros = call.due.elapsed().as_micros() as u64;
-        let mut seen = call.seen.lock();
-        seen.sent += 1;
-        match answer {
-            Answer::Whole => {
-                seen.whole += 1;
-                // The histogram grows by itself, so a value is never out of its range.
-                let _ = seen.micros.record(micros);
-                seen.answered.extend(key);
+        let mut stats = call.stats.lock();
+        stats.sent += 1;
+        match outcome {
+            Outcome::Completed => {
+                stats.whole += 1;
+                // The histogram resizes itself, so no value is out of range.
+                let _ = stats.micros.record(micros);
+                stats.completed_keys.extend(key);
             }
-            Answer::Foreign => seen.foreign += 1,
-            Answer::Refused(problem) => seen.refuse(&problem, key),
-            Answer::None => seen.unknown += 1,
+            Outcome::Mismatched => stats.mismatched += 1,
+            Outcome::Refused(problem) => stats.record_refusal(&problem, key),
+            Outcome::NoResponse => stats.unknown += 1,
         }
     }
 
-    async fn send(&self, call: &Call, key: Option<&str>) -> Answer {
+    async fn send(&self, call: &Call, key: Option<&str>) -> Outcome {
         let path = self.path.replace("{n}", &call.number.to_string());
         let sep = if path.contains('?') { '&' } else { '?' };
         let query = format!("call={}", call.number);
@@ -169,31 +169,31 @@
             None => request,
         };
         let Ok(request) = request.body(Full::new(Bytes::new())) else {
-            return Answer::None;
+            return Outcome::NoResponse;
         };
-        // Longer than the deadline: the answer that the entry promises must have time to come.
+        // Longer than the stated timeout, so that the entry's own timeout response still arrives.
         let limit = Duration::from_millis(self.timeout + 2_000);
-        match call.http.fetch(request, limit, MOST).await {
-            Ok(answer) if answer.status().is_success() => judge(answer.body(), &query),
-            Ok(answer) => match serde_json::from_slice(answer.body()) {
-                Ok(problem) => Answer::Refused(Box::new(problem)),
-                Err(_) if answer.status() == StatusCode::OK => Answer::Foreign,
-                Err(_) => Answer::None,
+        match call.http.fetch(request, limit, MAX_RESPONSE_BYTES).await {
+            Ok(response) if response.status().is_success() => check_echo(response.body(), &query),
+            Ok(response) => match serde_json::from_slice(response.body()) {
+                Ok(problem) => Outcome::Refused(Box::new(problem)),
+                Err(_) if response.status() == StatusCode::OK => Outcome::Mismatched,
+                Err(_) => Outcome::NoResponse,
             },
-            Err(_) => Answer::None,
+            Err(_) => Outcome::NoResponse,
         }
     }
 }
 
-/// Tells whether an answer is the call's own: the stand-in repeats the query.
-fn judge(body: &[u8], query: &str) -> Answer {
+/// Checks that a response belongs to the call with this query: the stand-in service echoes the query.
+fn check_echo(body: &[u8], query: &str) -> Outcome {
     let value: Result<serde_json::Value, _> = serde_json::from_slice(body);
     let echo = value
         .ok()
         .and_then(|value| Some(value["echo"].as_str()?.to_owned()));
     match echo {
-        Some(echo) if echo.ends_with(query) => Answer::Whole,
-        _ => Answer::Foreign,
+        Some(echo) if echo.ends_with(query) => Outcome::Completed,
+        _ => Outcome::Mismatched,
     }
 }
 
@@ -202,23 +202,23 @@
     entry: SocketAddr,
     due: Instant,
     http: net::Client,
-    seen: Arc<Mutex<Seen>>,
+    stats: Arc<Mutex<Seen>>,
 }
 
 impl Seen {
-    fn refuse(&mut self, problem: &Problem, key: Option<String>) {
+    fn record_refusal(&mut self, problem: &Problem, key: Option<String>) {
         match problem.ran {
             Ran::No => {
                 self.not_run += 1;
-                self.refused.extend(key);
+                self.refused_keys.extend(key);
             }
             Ran::Unknown => self.unknown += 1,
         }
         let kind = serde_json::to_value(problem.kind).unwrap_or_default();
         let kind = kind.as_str().unwrap_or("?").to_owned();
-        match self.kinds.iter_mut().find(|(known, _)| *known == kind) {
+        match self.refusals.iter_mut().find(|(known, _)| *known == kind) {
             Some((_, count)) => *count += 1,
-            None => self.kinds.push((kind, 1)),
+            None => self.refusals.push((kind, 1)),
         }
     }
 }
--- a/crates/load/src/cli.rs
+++ b/crates/load/src/cli.rs
@@ -1,10 +1,10 @@
-//! The command line.
+//! Command line of `snipeway-load`.
 
 use args::CliSpec;
 use args::Cmd;
 use args::Opt;
 
-/// The command line of the program.
+/// Commands and options; the man page and the completions are generated from them.
 pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-load",
     about: "Sends load as callers and trainers do, and reports what they saw",
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load: callers and trainers that check what they are promised, and reports of what they saw.
+//! Load generator: callers and trainers that check the guarantees on their responses, and reports of the results.
 
 pub mod callers;
 pub mod cli;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `snipeway-load`: load and reports.
+//! `snipeway-load`: sends the load of callers and trainers and reports the results.
 
 use std::process::ExitCode;
 
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,19 +1,19 @@
-//! Reports.
+//! Reports: a table of results, and the histograms behind them.
 
 use std::fmt;
 
 use hdrhistogram::Histogram;
 
-/// Significant digits of a histogram.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of a histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Makes an empty histogram; it grows as needed.
+/// Creates an empty histogram that resizes itself.
 pub fn histogram() -> Histogram<u64> {
-    // Only more than five digits are refused.
-    Histogram::new(DIGITS).unwrap_or_else(|_| unreachable!("three digits are allowed"))
+    // The constructor fails only for more than five digits.
+    Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("three digits are allowed"))
 }
 
-/// A table of two columns.
+/// A table of two columns, name and value.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: Vec<(String, String)>,
@@ -27,9 +27,9 @@
 
     /// Adds the percentiles of a histogram of microseconds, in milliseconds.
     pub fn latency(&mut self, name: &str, micros: &Histogram<u64>) {
-        for (part, at) in [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)] {
-            let millis = micros.value_at_quantile(at) as f64 / 1_000.0;
-            self.row(format!("{name} {part} [ms]"), format!("{millis:.2}"));
+        for (percentile, quantile) in [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)] {
+            let millis = micros.value_at_quantile(quantile) as f64 / 1_000.0;
+            self.row(format!("{name} {percentile} [ms]"), format!("{millis:.2}"));
         }
     }
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Sends what the settings say.
+//! Runs the callers or the trainers of the settings and prints their results.
 
 use args::ParsedArgs;
 use eyre::bail;
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when the settings are wrong or a promise was broken.
+/// Returns an error if the settings are invalid, or if a response or sample violated a guarantee.
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let file: String = parsed.require("config", "a file")?;
     let settings = settings::read(&file, &conf::load(&file)?)?;
@@ -28,7 +28,7 @@
 
 async fn call(settings: &Settings) -> eyre::Result<()> {
     let mut table = Table::default();
-    let mut foreign = 0;
+    let mut mismatched = 0;
     let runs: Vec<_> = settings
         .callers
         .iter()
@@ -36,32 +36,32 @@
         .map(|(name, callers)| tokio::spawn(async move { (name, callers.run().await) }))
         .collect();
     for run in runs {
-        let (name, seen) = run.await?;
-        foreign += seen.foreign;
-        callers_rows(&mut table, &name, &seen);
+        let (name, stats) = run.await?;
+        mismatched += stats.mismatched;
+        callers_rows(&mut table, &name, &stats);
     }
     args::output::write(format_args!("{table}"));
-    if foreign > 0 {
-        bail!("{foreign} answers were not the caller's own");
+    if mismatched > 0 {
+        bail!("{mismatched} answers were not the caller's own");
     }
     Ok(())
 }
 
-/// Adds what callers saw to a table.
-pub fn callers_rows(table: &mut Table, name: &str, seen: &callers::Seen) {
-    table.row(format!("{name} calls"), seen.sent);
-    table.row(format!("{name} whole answers"), seen.whole);
-    table.latency(&format!("{name} latency"), &seen.micros);
-    table.row(format!("{name} refused, not run"), seen.not_run);
-    table.row(format!("{name} refused, unknown"), seen.unknown);
-    for (kind, count) in &seen.kinds {
+/// Adds the results of callers to a table.
+pub fn callers_rows(table: &mut Table, name: &str, stats: &callers::Seen) {
+    table.row(format!("{name} calls"), stats.sent);
+    table.row(format!("{name} whole answers"), stats.whole);
+    table.latency(&format!("{name} latency"), &stats.micros);
+    table.row(format!("{name} refused, not run"), stats.not_run);
+    table.row(format!("{name} refused, unknown"), stats.unknown);
+    for (kind, count) in &stats.refusals {
         table.row(format!("{name} refused as {kind}"), count);
     }
 }
 
 async fn train(settings: &Settings) -> eyre::Result<()> {
     let mut table = Table::default();
-    let mut broken = 0;
+    let mut violations = 0;
     let runs: Vec<_> = settings
         .trainers
         .iter()
@@ -69,50 +69,50 @@
         .map(|(name, trainer)| tokio::spawn(async move { (name, trainer.run().await) }))
         .collect();
     for run in runs {
-        let (name, seen) = run.await?;
-        broken += seen.broken();
-        trainer_rows(&mut table, &name, &seen);
+        let (name, stats) = run.await?;
+        violations += stats.broken();
+        trainer_rows(&mut table, &name, &stats);
     }
     args::output::write(format_args!("{table}"));
-    if broken > 0 {
-        bail!("{broken} samples broke a promise");
+    if violations > 0 {
+        bail!("{violations} samples broke a promise");
     }
     Ok(())
 }
 
-/// Adds what a trainer saw to a table.
-pub fn trainer_rows(table: &mut Table, name: &str, seen: &trainer::Seen) {
-    let part = seen.idle.as_secs_f64() / seen.all.as_secs_f64().max(1e-9);
-    table.row(format!("{name} steps whole"), seen.steps);
-    table.row(format!("{name} samples"), seen.samples);
+/// Adds the results of a trainer to a table.
+pub fn trainer_rows(table: &mut Table, name: &str, stats: &trainer::Seen) {
+    let idle_ratio = stats.idle.as_secs_f64() / stats.total.as_secs_f64().max(1e-9);
+    table.row(format!("{name} steps whole"), stats.steps);
+    table.row(format!("{name} samples"), stats.samples);
     table.row(
         format!("{name} samples with versions named"),
-        seen.samples - seen.unnamed,
+        stats.samples - stats.unversioned,
     );
-    table.row(format!("{name} samples of several versions"), seen.mixed);
-    table.row(format!("{name} samples doubled"), seen.doubled);
-    table.row(format!("{name} samples beyond the bound"), seen.stale);
-    table.row(format!("{name} samples with a wrong text"), seen.wrong);
-    let mean = format!("{:.2}", seen.staleness.mean());
+    table.row(format!("{name} samples of several versions"), stats.mixed);
+    table.row(format!("{name} samples doubled"), stats.duplicates);
+    table.row(format!("{name} samples beyond the bound"), stats.stale);
+    table.row(format!("{name} samples with a wrong text"), stats.wrong);
+    let mean = format!("{:.2}", stats.staleness.mean());
     table.row(format!("{name} staleness, mean [versions]"), mean);
     table.row(
         format!("{name} staleness, p99 [versions]"),
-        seen.staleness.value_at_quantile(0.99),
+        stats.staleness.value_at_quantile(0.99),
     );
     table.row(
         format!("{name} step until whole, p50 [ms]"),
-        seen.whole.value_at_quantile(0.5),
+        stats.whole.value_at_quantile(0.5),
     );
     table.row(
         format!("{name} step until whole, max [ms]"),
-        seen.whole.max(),
+        stats.whole.max(),
     );
     let idle = format!(
         "{:.2} of {:.2} ({:.0}%)",
-        seen.idle.as_secs_f64(),
-        seen.all.as_secs_f64(),
-        part * 100.0
+        stats.idle.as_secs_f64(),
+        stats.total.as_secs_f64(),
+        idle_ratio * 100.0
     );
     table.row(format!("{name} idle [s]"), idle);
-    table.row(format!("{name} calls tried again"), seen.failures);
+    table.row(format!("{name} calls tried again"), stats.failures);
 }
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -13,7 +13,7 @@
 use crate::Callers;
 use crate::Trainer;
 
-/// What to send.
+/// The callers and trainers to run.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Callers by name.
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// Returns every mistake of the file at once.
+/// Returns all errors of the file together.
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let mut load = doc.take_section("load");
--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer: opens steps, pulls samples, trains, announces weights, and checks every promise.
+//! A trainer: opens steps, pulls samples, trains, announces weight versions, and checks every guarantee on samples.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,78 +26,78 @@
 
 use crate::report::histogram;
 
-/// Time that a call has, on top of the wait that a pull asks for.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a call; a pull has its own wait on top.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Milliseconds that a pull waits for samples.
-const WAIT: u64 = 1_000;
+/// Time that a pull waits for samples, in milliseconds.
+const PULL_WAIT_MS: u64 = 1_000;
 
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Bytes of an answer.
-const MOST: usize = 64 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// What a trainer does.
+/// A trainer and the steps that it trains on.
 #[derive(Clone, Debug)]
 pub struct Trainer {
-    /// The entries; the next one is tried when one fails.
+    /// Addresses of the entries; a failed call moves on to the next one.
     pub entries: Vec<SocketAddr>,
     /// The bearer token.
     pub token: String,
     /// The model.
     pub model: Name,
-    /// Groups a step.
+    /// Groups per step.
     pub groups: u32,
-    /// Samples a group.
+    /// Samples per group.
     pub samples: u32,
-    /// Tokens at most in a sample.
+    /// Maximum number of tokens per sample.
     pub tokens: u32,
-    /// Steps.
+    /// Number of steps.
     pub steps: u32,
-    /// Time that training on a step takes.
+    /// Time that training on one step takes.
     pub train: Duration,
-    /// The version that it begins with.
+    /// The weight version at the start.
     pub version: u64,
-    /// Name that keeps this trainer's prompts apart from others'.
+    /// Prefix of the prompts, so that trainers send different ones.
     pub label: String,
-    /// The median length that the engines were made with, to check texts; 0 checks none.
+    /// Median tokens per sample of the stand-in engines, to check the texts; 0 disables the check.
     pub median: u32,
 }
 
-/// What a trainer saw.
+/// Results of a trainer's run.
 #[derive(Debug)]
 pub struct Seen {
-    /// Steps that became whole.
+    /// Steps of which the trainer received every sample.
     pub steps: u32,
-    /// Samples that it took.
+    /// Samples received.
     pub samples: u64,
-    /// Samples that it already had.
-    pub doubled: u64,
+    /// Samples received more than once.
+    pub duplicates: u64,
     /// Samples beyond the staleness bound.
     pub stale: u64,
-    /// Samples whose spans do not name a version for each token.
-    pub unnamed: u64,
-    /// Samples whose text is not the one that the engines make.
+    /// Samples whose spans do not give a version for each token.
+    pub unversioned: u64,
+    /// Samples with an index outside of the step, or with a text that the engines do not generate for it.
     pub wrong: u64,
-    /// Samples with more than one version.
+    /// Samples of more than one version.
     pub mixed: u64,
-    /// Staleness of each sample.
+    /// Staleness of each sample, in versions.
     pub staleness: Histogram<u64>,
-    /// Milliseconds that each step took from opening until whole.
+    /// Time of each step from opening to its last sample, in milliseconds.
     pub whole: Histogram<u64>,
-    /// Time without anything to train on.
+    /// Time spent waiting for samples.
     pub idle: Duration,
-    /// Time in all.
-    pub all: Duration,
-    /// Tokens that it took.
+    /// Time of the whole run.
+    pub total: Duration,
+    /// Tokens received.
     pub tokens: u64,
-    /// Tokens of each step's longest sample, added up.
+    /// Tokens of the longest sample of each step, summed over the steps.
     pub longest: u64,
-    /// Calls that failed and were tried again.
+    /// Failed calls.
     pub failures: u64,
-    /// Identifiers of the steps.
-    pub ids: Vec<String>,
+    /// Identifiers of the completed steps.
+    pub step_ids: Vec<String>,
 }
 
 impl Default for Seen {
@@ -105,81 +105,85 @@
         Self {
             steps: 0,
             samples: 0,
-            doubled: 0,
+            duplicates: 0,
             stale: 0,
-            unnamed: 0,
+            unversioned: 0,
             wrong: 0,
             mixed: 0,
             staleness: histogram(),
             whole: histogram(),
             idle: Duration::ZERO,
-            all: Duration::ZERO,
+            total: Duration::ZERO,
             tokens: 0,
             longest: 0,
             failures: 0,
-            ids: Vec::new(),
+            step_ids: Vec::new(),
         }
     }
 }
 
 impl Seen {
-    /// Promises that were broken.
+    /// Returns the number of violations of the guarantees on samples.
     pub fn broken(&self) -> u64 {
-        self.doubled + self.stale + self.unnamed + self.wrong
+        self.duplicates + self.stale + self.unversioned + self.wrong
     }
 }
 
-/// An open step.
+/// A step that is open.
 struct Step {
     opened: OpenedStep,
-    at: Instant,
+    open_time: Instant,
     cursor: String,
     prompts: Vec<String>,
-    have: Vec<bool>,
+    /// Whether each sample has been received, by index.
+    received: Vec<bool>,
+    /// Tokens of the longest sample received.
     longest: u32,
 }
 
 impl Trainer {
-    /// Trains all steps; the next step is opened before the training on one begins, so that
-    /// samples are made meanwhile.
+    /// Runs all steps and returns the results. The next step is opened before the training on the current one
+    /// begins, so that its samples are generated meanwhile.
     pub async fn run(&self) -> Seen {
-        let mut seen = Seen::default();
-        let mut caller = Caller::new(self);
+        let mut stats = Seen::default();
+        let mut client = EntryClient::new(self);
         let start = Instant::now();
         let mut version = self.version;
-        let mut step = self.open(&mut caller, 0, version).await;
+        let mut step = self.open(&mut client, 0, version).await;
         for number in 1..=self.steps {
-            let waiting = Instant::now();
-            self.pull(&mut caller, &mut step, version, &mut seen).await;
-            seen.longest += u64::from(step.longest);
-            seen.idle += waiting.elapsed();
-            seen.steps += 1;
-            // The histogram grows by itself, so a value is never out of its range.
-            let _ = seen.whole.record(step.at.elapsed().as_millis() as u64);
-            seen.ids.push(step.opened.step.clone());
+            let pull_start = Instant::now();
+            self.pull(&mut client, &mut step, version, &mut stats).await;
+            stats.longest += u64::from(step.longest);
+            stats.idle += pull_start.elapsed();
+            stats.steps += 1;
+            // The histogram resizes itself, so no value is out of range.
+            let _ = stats
+                .whole
+                .record(step.open_time.elapsed().as_millis() as u64);
+            stats.step_ids.push(step.opened.step.clone());
             let path = format!("/v1/steps/{}", step.opened.step);
-            caller.delete(&path).await;
+            client.delete(&path).await;
             let next = match number < self.steps {
-                true => Some(self.open(&mut caller, number, version).await),
+                true => Some(self.open(&mut client, number, version).await),
                 false => None,
             };
             tokio::time::sleep(self.train).await;
             version += 1;
             let path = format!("/v1/weights/{}", self.model);
-            let _: AnnouncedVersion = caller
-                .call(&path, &AnnounceVersion { version }, LIMIT)
+            let _: AnnouncedVersion = client
+                .call(&path, &AnnounceVersion { version }, CALL_TIMEOUT)
                 .await;
             match next {
                 Some(next) => step = next,
                 None => break,
             }
         }
-        seen.all = start.elapsed();
-        seen.failures = caller.failures;
-        seen
+        stats.total = start.elapsed();
+        stats.failures = client.failures;
+        stats
     }
 
-    async fn open(&self, caller: &mut Caller, number: u32, version: u64) -> Step {
+    async fn open(&self, client: &mut EntryClient, number: u32, version: u64) -> Step {
         let prompt = |group| format!("{} step {number} case {group}", self.label);
         let prompts: Vec<String> = (0..self.groups).map(prompt).collect();
         let open = OpenStep {
@@ -192,32 +196,38 @@
             max_tokens: self.tokens,
             version,
         };
-        let at = Instant::now();
-        let opened: OpenedStep = caller.call("/v1/steps", &open, LIMIT).await;
+        let open_time = Instant::now();
+        let opened: OpenedStep = client.call("/v1/steps", &open, CALL_TIMEOUT).await;
         Step {
-            have: vec![false; opened.total as usize],
+            received: vec![false; opened.total as usize],
             opened,
-            at,
+            open_time,
             cursor: String::new(),
             prompts,
             longest: 0,
         }
     }
 
-    /// Pulls until the step is whole.
-    async fn pull(&self, caller: &mut Caller, step: &mut Step, version: u64, seen: &mut Seen) {
+    /// Pulls until every sample of the step is received.
+    async fn pull(
+        &self,
+        client: &mut EntryClient,
+        step: &mut Step,
+        version: u64,
+        stats: &mut Seen,
+    ) {
         let path = format!("/v1/steps/{}/pull", step.opened.step);
         loop {
             let pull = PullRequest {
                 version,
                 cursor: step.cursor.clone(),
                 limit: 256,
-                wait_ms: WAIT,
+                wait_ms: PULL_WAIT_MS,
             };
-            let limit = LIMIT + Duration::from_millis(WAIT);
-            let batch: Batch = caller.call(&path, &pull, limit).await;
+            let timeout = CALL_TIMEOUT + Duration::from_millis(PULL_WAIT_MS);
+            let batch: Batch = client.call(&path, &pull, timeout).await;
             for sample in &batch.samples {
-                self.check(step, sample, version, seen);
+                self.check(step, sample, version, stats);
             }
             step.cursor = batch.cursor;
             if batch.done {
@@ -226,24 +236,24 @@
         }
     }
 
-    fn check(&self, step: &mut Step, sample: &Sample, version: u64, seen: &mut Seen) {
-        seen.samples += 1;
-        seen.tokens += u64::from(sample.tokens);
+    fn check(&self, step: &mut Step, sample: &Sample, version: u64, stats: &mut Seen) {
+        stats.samples += 1;
+        stats.tokens += u64::from(sample.tokens);
         step.longest = step.longest.max(sample.tokens);
         let staleness = sample.staleness(version);
-        let _ = seen.staleness.record(staleness);
-        seen.stale += u64::from(staleness > step.opened.bound);
-        seen.mixed += u64::from(sample.spans.len() > 1);
-        match step.have.get_mut(sample.index as usize) {
-            Some(have) => seen.doubled += u64::from(std::mem::replace(have, true)),
-            None => seen.wrong += 1,
+        let _ = stats.staleness.record(staleness);
+        stats.stale += u64::from(staleness > step.opened.bound);
+        stats.mixed += u64::from(sample.spans.len() > 1);
+        match step.received.get_mut(sample.index as usize) {
+            Some(received) => stats.duplicates += u64::from(std::mem::replace(received, true)),
+            None => stats.wrong += 1,
         }
-        seen.unnamed += u64::from(!is_named(sample));
-        seen.wrong += u64::from(!self.is_right(step, sample));
+        stats.unversioned += u64::from(!is_versioned(sample));
+        stats.wrong += u64::from(!self.is_expected(step, sample));
     }
 
-    /// Tells whether the text is the one that the engines make for this prompt and seed.
-    fn is_right(&self, step: &Step, sample: &Sample) -> bool {
+    /// Returns whether the text is the one that the engines generate for this prompt and seed.
+    fn is_expected(&self, step: &Step, sample: &Sample) -> bool {
         if self.median == 0 {
             return true;
         }
@@ -257,61 +267,65 @@
     }
 }
 
-/// Tells whether every token has a version.
-fn is_named(sample: &Sample) -> bool {
-    let mut at = 0;
+/// Returns whether the spans give every token a version, in order and without gaps.
+fn is_versioned(sample: &Sample) -> bool {
+    let mut end = 0;
     for span in &sample.spans {
-        if span.from != at || span.to <= at || span.version == 0 {
+        if span.from != end || span.to <= end || span.version == 0 {
             return false;
         }
-        at = span.to;
+        end = span.to;
     }
-    at == sample.tokens
+    end == sample.tokens
 }
 
-/// Calls entries until one answers.
-struct Caller {
+/// A client that retries a failed call at the next entry.
+struct EntryClient {
     entries: Vec<SocketAddr>,
     token: String,
     http: net::Client,
-    at: usize,
+    /// Index of the current entry, modulo their number.
+    current: usize,
+    /// Failed calls.
     failures: u64,
 }
 
-impl Caller {
+impl EntryClient {
     fn new(trainer: &Trainer) -> Self {
         Self {
             entries: trainer.entries.clone(),
             token: trainer.token.clone(),
             http: net::Client::new(),
-            at: 0,
+            current: 0,
             failures: 0,
         }
     }
 
-    /// Calls until there is an answer: a trainer has nothing better to do than try again.
+    /// Calls until an entry returns a usable response. There is no limit of retries, because a trainer cannot
+    /// proceed without the response.
     async fn call<T: Serialize, R: DeserializeOwned>(
         &mut self,
         path: &str,
         value: &T,
-        limit: Duration,
+        timeout: Duration,
     ) -> R {
         let bytes = Bytes::from(serde_json::to_vec(value).unwrap_or_default());
         loop {
-            if let Some(answer) = self.send(Method::POST, path, bytes.clone(), limit).await
-                && let Ok(answer) = serde_json::from_slice(&answer)
+            if let Some(response) = self.send(Method::POST, path, bytes.clone(), timeout).await
+                && let Ok(response) = serde_json::from_slice(&response)
             {
-                return answer;
+                return response;
             }
             self.failures += 1;
-            self.at += 1;
-            tokio::time::sleep(PAUSE).await;
+            self.current += 1;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
+    /// Deletes a resource. A failure is counted but not retried.
     async fn delete(&mut self, path: &str) {
         if self
-            .send(Method::DELETE, path, Bytes::new(), LIMIT)
+            .send(Method::DELETE, path, Bytes::new(), CALL_TIMEOUT)
             .await
             .is_none()
         {
@@ -319,14 +333,15 @@
         }
     }
 
+    /// Returns the body of a successful response, or [`None`] for any other outcome.
     async fn send(
         &self,
         method: Method,
         path: &str,
         bytes: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<Bytes> {
-        let entry = self.entries[self.at % self.entries.len()];
+        let entry = self.entries[self.current % self.entries.len()];
         let request = Request::builder()
             .method(method)
             .uri(uri(entry, path))
@@ -334,7 +349,11 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(bytes))
             .ok()?;
-        let answer = self.http.fetch(request, limit, MOST).await.ok()?;
-        answer.status().is_success().then(|| answer.into_body())
+        let response = self
+            .http
+            .fetch(request, timeout, MAX_RESPONSE_BYTES)
+            .await
+            .ok()?;
+        response.status().is_success().then(|| response.into_body())
     }
 }
