--- a/crates/rig/src/call.rs
+++ b/crates/rig/src/call.rs
@@ -1,4 +1,4 @@
-//! Single calls of an entry.
+//! Single HTTP calls to an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 
 use crate::contracts::token;
 
-/// Time that a call may take.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bytes of an answer.
-const MOST: usize = 64 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// One call.
+/// One HTTP call.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// The entry.
+    /// Address of the entry.
     pub to: SocketAddr,
     /// The method.
     pub method: Method,
@@ -36,9 +36,9 @@
     pub body: Bytes,
 }
 
-/// An answer.
+/// The response to a call.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -47,17 +47,17 @@
     pub body: Bytes,
 }
 
-impl Answer {
-    /// The refusal, if it is one.
+impl Response {
+    /// Returns the body as a [`Problem`], if the response is a refusal.
     pub fn problem(&self) -> Option<Problem> {
         serde_json::from_slice(&self.body).ok()
     }
 
-    /// The body as JSON.
+    /// Decodes the body from JSON.
     ///
     /// # Errors
     ///
-    /// Returns the codec's error, with the body in words.
+    /// Returns the decoding error together with the status and the body.
     pub fn json<T: DeserializeOwned>(&self) -> eyre::Result<T> {
         serde_json::from_slice(&self.body).map_err(|error| {
             let body = String::from_utf8_lossy(&self.body);
@@ -65,14 +65,14 @@
         })
     }
 
-    /// A header's text.
+    /// Returns the value of a header, if it is present and text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
 impl Asked {
-    /// A call of a customer whose contract [`crate::contracts::text`] wrote.
+    /// Creates a call of a customer whose contract was written by [`crate::contracts::text`].
     pub fn new(to: SocketAddr, customer: &str, method: Method, path: &str) -> Self {
         let bearer = format!("Bearer {}", token(customer));
         Self {
@@ -84,19 +84,19 @@
         }
     }
 
-    /// A read of the plain service.
+    /// Creates a read of the plain service `portal`.
     pub fn lookup(to: SocketAddr, customer: &str) -> Self {
         Self::new(to, customer, Method::GET, "/v1/services/portal/size/1")
     }
 
-    /// A non-idempotent call of the plain service.
+    /// Creates a non-idempotent call of the plain service `portal`, with an idempotency key.
     pub fn order(to: SocketAddr, customer: &str, key: &str) -> Self {
         let path = "/v1/services/portal/orders";
         let order = Self::new(to, customer, Method::POST, path);
         order.header("idempotency-key", key).body("blazer")
     }
 
-    /// A call with a JSON body.
+    /// Creates a POST with a JSON body.
     pub fn json<T: serde::Serialize>(
         to: SocketAddr,
         customer: &str,
@@ -119,12 +119,12 @@
         self
     }
 
-    /// Sends it.
+    /// Sends the call.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError`] when there is no whole answer.
-    pub async fn send(&self) -> Result<Answer, SendError> {
+    /// Returns [`SendError`] if there is no complete response.
+    pub async fn send(&self) -> Result<Response, SendError> {
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(net::client::uri(self.to, &self.path));
@@ -133,11 +133,13 @@
         }
         let request = request.body(Full::new(self.body.clone()));
         let request = request.map_err(|_| SendError::Garbled)?;
-        let answer = net::Client::new().fetch(request, LIMIT, MOST).await?;
-        let (head, body) = answer.into_parts();
-        Ok(Answer {
-            status: head.status,
-            headers: head.headers,
+        let response = net::Client::new()
+            .fetch(request, CALL_TIMEOUT, MAX_RESPONSE_BYTES)
+            .await?;
+        let (parts, body) = response.into_parts();
+        Ok(Response {
+            status: parts.status,
+            headers: parts.headers,
             body,
         })
     }
--- a/crates/rig/src/contracts.rs
+++ b/crates/rig/src/contracts.rs
@@ -1,10 +1,12 @@
-//! Contracts for fleets of stand-ins.
+//! Contracts of the customers of a rig.
 
 use contract::TokenDigest;
 
-/// Writes a contract for the model `fitting` and the service `portal`, whose orders are marked as
-/// non-idempotent. The token is `token-` and the customer; `more` adds lines.
-pub fn text(customer: &str, more: &str) -> String {
+/// Returns the text of a contract for the model `fitting` and the service `portal`, whose orders are non-idempotent.
+///
+/// The customer's bearer token is that of [`token`]. The lines of `extra` are appended and replace the default lines
+/// with the same key.
+pub fn text(customer: &str, extra: &str) -> String {
     let token = TokenDigest::of(&token(customer));
     let mut text = format!(
         "[contract]\ncustomer = {customer}\ntoken-sha256 = {token}\nmodels = fitting\n\
@@ -17,15 +19,15 @@
         ("deadline", "5s"),
     ];
     for (key, value) in defaults {
-        let given = more.lines().any(|line| line.starts_with(key));
-        if !given {
+        let is_given = extra.lines().any(|line| line.starts_with(key));
+        if !is_given {
             text += &format!("{key} = {value}\n");
         }
     }
-    text + more
+    text + extra
 }
 
-/// The bearer token of a customer of [`text`].
+/// Returns the bearer token of a customer: `token-` followed by the customer's name.
 pub fn token(customer: &str) -> String {
     format!("token-{customer}")
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fleets for the demo, the bench and tests: stand-ins in this process, with entries and their
-//! control in this process too, or as processes of their own.
+//! Fleets for the demo, the benchmarks and tests: stand-ins for the platform, engines, services and the weight store
+//! run in this process; entries and their control run in this process too, or as separate processes.
 
 pub mod call;
 pub mod contracts;
--- a/crates/rig/src/make.rs
+++ b/crates/rig/src/make.rs
@@ -1,10 +1,10 @@
-//! How a fleet is made.
+//! Configuration of a rig.
 
 use std::time::Duration;
 
 use standin::engine;
 
-/// How a fleet is made.
+/// Configuration of a rig.
 #[derive(Clone, Debug)]
 pub struct Make {
     /// Names of the failure domains.
@@ -13,31 +13,31 @@
     pub entries: usize,
     /// Engines in each failure domain.
     pub engines: usize,
-    /// How each engine is made.
+    /// Configuration of each stand-in engine.
     pub engine: engine::Make,
     /// Plain services in each failure domain.
     pub services: usize,
-    /// What a plain service works on a call.
+    /// Time that a plain service takes for one call.
     pub work: Duration,
-    /// Calls that a plain service works on at once.
+    /// Number of calls that a plain service serves at the same time.
     pub slots: usize,
-    /// Whether the entries have their control beside them.
+    /// Whether a controller runs beside each entry.
     pub control: bool,
-    /// Bytes of a weight version and bytes a second of the store; none without a store.
+    /// Bytes of a weight version and the weight store's rate in bytes per second; [`None`] for no store.
     pub store: Option<(usize, f64)>,
-    /// Whether the first entry of each failure domain caches weights, in a folder of its own.
+    /// Whether the first entry of each failure domain caches weights in its own directory.
     pub cache: bool,
-    /// Order of the queues.
+    /// Order of the queues, as in the settings of a pool.
     pub order: &'static str,
-    /// Choice of upstreams.
+    /// Chooser of upstreams, as in the settings of a pool.
     pub chooser: &'static str,
-    /// Policy of steps.
+    /// Policy of steps, as in the settings of steps.
     pub policy: &'static str,
-    /// Time between two load reports.
+    /// Interval between two load reports of an engine, as in the settings of weights.
     pub poll: &'static str,
-    /// More settings for each entry.
+    /// Additional settings text for each entry.
     pub more: String,
-    /// Contracts, applied at the start.
+    /// Texts of the contracts that are applied at the start.
     pub contracts: Vec<String>,
 }
 
--- a/crates/rig/src/parts.rs
+++ b/crates/rig/src/parts.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a fleet, and the settings that name them.
+//! The stand-ins of a rig, and the settings that list them.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -12,34 +12,34 @@
 
 use crate::Make;
 
-/// The key that the instances share.
+/// The secret that authenticates instances to each other.
 pub const SECRET: &str = "the rig's shared key";
 
-/// A stand-in with its name and where it serves.
+/// A running stand-in.
 pub struct Part<T> {
-    /// Its name.
+    /// Name of the stand-in, also in the settings if it is an upstream.
     pub name: String,
     /// The stand-in.
     pub part: Arc<T>,
-    /// Where it serves, and its faults.
+    /// The server, with its address and the faults to inject.
     pub host: Host,
 }
 
-/// The stand-ins of a fleet.
+/// The stand-ins of a rig.
 pub struct Parts {
-    /// The platform.
+    /// The platform's key-value store.
     pub platform: Part<Platform>,
-    /// The engines, those of a failure domain side by side.
+    /// The engines, grouped by failure domain.
     pub engines: Vec<Part<Engine>>,
-    /// The plain services.
+    /// The plain services, grouped by failure domain.
     pub services: Vec<Part<Service>>,
-    /// The weight store.
+    /// The weight store, if the configuration has one.
     pub store: Option<Part<Store>>,
-    /// Settings that every instance shares.
+    /// Settings text that all instances have in common.
     pub shared: String,
 }
 
-/// A free loopback address.
+/// Returns a loopback address with port 0, for which the system picks a free port.
 pub fn free() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when one cannot listen.
+    /// Returns an error if one cannot listen.
     pub async fn start(make: &Make) -> eyre::Result<Self> {
         let platform = Arc::new(Platform::default());
         let host = platform.host(free()).await?;
@@ -66,14 +66,15 @@
             let host = store.host(free()).await?;
             parts.store = Some(part("store", store, host));
         }
-        parts.head(make)?;
+        parts.write_shared(make)?;
         for domain in &make.domains {
-            parts.domain(make, domain).await?;
+            parts.start_domain(make, domain).await?;
         }
         Ok(parts)
     }
 
-    fn head(&mut self, make: &Make) -> std::fmt::Result {
+    /// Writes the settings that do not depend on a single upstream.
+    fn write_shared(&mut self, make: &Make) -> std::fmt::Result {
         let text = &mut self.shared;
         writeln!(text, "[platform]\naddresses = {}", self.platform.host.addr)?;
         writeln!(text, "[peers]\nsecret = {SECRET}")?;
@@ -92,25 +93,25 @@
         writeln!(text, "{}", make.more)
     }
 
-    async fn domain(&mut self, make: &Make, domain: &str) -> eyre::Result<()> {
-        for at in 0..make.engines {
+    async fn start_domain(&mut self, make: &Make, domain: &str) -> eyre::Result<()> {
+        for index in 0..make.engines {
             let engine = Arc::new(Engine::new(make.engine));
             let host = engine.host(free()).await?;
-            let part = part(&format!("engine-{domain}-{at}"), engine, host);
-            self.upstream(&part, "fitting", domain, make.engine.slots as usize)?;
+            let part = part(&format!("engine-{domain}-{index}"), engine, host);
+            self.write_upstream(&part, "fitting", domain, make.engine.slots as usize)?;
             self.engines.push(part);
         }
-        for at in 0..make.services {
+        for index in 0..make.services {
             let service = Arc::new(Service::new(make.work, make.slots));
             let host = service.host(free()).await?;
-            let part = part(&format!("portal-{domain}-{at}"), service, host);
-            self.upstream(&part, "portal", domain, make.slots)?;
+            let part = part(&format!("portal-{domain}-{index}"), service, host);
+            self.write_upstream(&part, "portal", domain, make.slots)?;
             self.services.push(part);
         }
         Ok(())
     }
 
-    fn upstream<T>(
+    fn write_upstream<T>(
         &mut self,
         part: &Part<T>,
         pool: &str,
@@ -125,15 +126,16 @@
         )
     }
 
-    /// Orders that ran more than once, by the services' own logs.
+    /// Returns the idempotency keys that the services' logs hold more than once, sorted; a key with more than two
+    /// executions is repeated.
     pub fn twice(&self) -> Vec<String> {
         let mut keys: Vec<_> = self.services.iter().flat_map(|s| s.part.log()).collect();
         keys.sort_unstable();
-        let doubled = keys.windows(2).filter(|pair| pair[0] == pair[1]);
-        doubled.map(|pair| pair[0].clone()).collect()
+        let repeated = keys.windows(2).filter(|pair| pair[0] == pair[1]);
+        repeated.map(|pair| pair[0].clone()).collect()
     }
 
-    /// The keys of every order that ran.
+    /// Returns the idempotency keys of all executed orders, from the services' logs.
     pub fn ran(&self) -> Vec<String> {
         self.services.iter().flat_map(|s| s.part.log()).collect()
     }
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -1,4 +1,4 @@
-//! A fleet in this process.
+//! A fleet that runs in this process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,16 +20,16 @@
 use crate::parts::SECRET;
 use crate::parts::free;
 
-/// Time in which contracts must be in force everywhere.
-const SPREAD: Duration = Duration::from_secs(19);
+/// Time within which a revision must be in force on every entry.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(19);
 
-/// Time in which the address of a killed entry must be free again.
-const REBIND: Duration = Duration::from_secs(5);
+/// Time within which the address of a killed entry must be free again.
+const REBIND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between two looks at whether they are.
-const LOOK: Duration = Duration::from_millis(10);
+/// Pause between two checks of a condition that is waited for.
+const CHECK_PAUSE: Duration = Duration::from_millis(10);
 
-/// Adds the caches of an entry's failure domain to its settings, and its folder if it is one.
+/// Adds the weight caches of an entry's failure domain to its settings, and a directory if the entry is a cache itself.
 fn with_cache(
     text: &str,
     name: &str,
@@ -37,8 +37,8 @@
     addr: SocketAddr,
     caches: &[(&str, SocketAddr)],
 ) -> String {
-    let near = caches.iter().filter(|(of, _)| *of == domain);
-    let list: Vec<_> = near.map(|(_, addr)| addr.to_string()).collect();
+    let local = caches.iter().filter(|(of, _)| *of == domain);
+    let list: Vec<_> = local.map(|(_, addr)| addr.to_string()).collect();
     if list.is_empty() {
         return text.to_owned();
     }
@@ -50,33 +50,33 @@
     text.replace("[weights]\n", &lines)
 }
 
-/// A fleet in this process.
+/// A fleet that runs in this process.
 pub struct Rig {
     /// The stand-ins.
     pub parts: Parts,
-    /// The entries; one that was killed is [`None`].
+    /// The entries; [`None`] for one that was killed.
     pub entries: Vec<Option<Running>>,
-    /// The entries' control.
+    /// The controllers that run beside the entries.
     pub controls: Vec<Controller>,
-    /// Settings and address of each entry, in their order.
+    /// Settings text and address of each entry, in the order of `entries`.
     pub files: Vec<(String, SocketAddr)>,
 }
 
 impl Rig {
-    /// Starts a fleet and applies its contracts.
+    /// Starts a fleet and applies the contracts of its configuration.
     ///
     /// # Errors
     ///
-    /// Returns an error when a part cannot start, or the contracts do not come into force.
+    /// Returns an error if a part cannot start, or if the contracts are not in force after 19 s.
     pub async fn start(make: &Make) -> eyre::Result<Self> {
         let parts = Parts::start(make).await?;
         let mut sockets = Vec::new();
         let mut text = parts.shared.clone();
         for domain in &make.domains {
-            for at in 0..make.entries {
+            for index in 0..make.entries {
                 let listener = TcpListener::bind(free()).await?;
                 let addr = listener.local_addr()?;
-                let name = format!("{domain}-{at}");
+                let name = format!("{domain}-{index}");
                 text += &format!("[peer {name}]\ndomain = {domain}\naddress = {addr}\n");
                 sockets.push((name, *domain, listener, addr));
             }
@@ -108,16 +108,16 @@
         Ok(rig)
     }
 
-    /// Works with the contracts at the platform.
+    /// Returns a client for the contracts that the platform stores.
     pub fn contracts(&self) -> Contracts {
         Contracts::new(plat::Client::new(vec![self.parts.platform.host.addr]))
     }
 
-    /// Applies contracts and waits until they are in force on every entry.
+    /// Applies contracts, waits until they are in force on every entry that runs, and returns their newest revision.
     ///
     /// # Errors
     ///
-    /// Returns an error when they are not after 19 s.
+    /// Returns an error if a contract is invalid or not applied, or if one is not in force after 19 s.
     pub async fn apply(&self, texts: &[String]) -> eyre::Result<i64> {
         let mut newest = 0;
         for text in texts {
@@ -131,33 +131,33 @@
         Ok(newest)
     }
 
-    /// Waits until a revision is in force on every entry that runs.
+    /// Waits until a revision is in force on every entry that runs, and returns how long that took.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is not after 19 s.
+    /// Returns an error if it is not in force after 19 s.
     pub async fn reach(&self, rev: i64) -> eyre::Result<Duration> {
         let start = Instant::now();
         while self.running().any(|entry| entry.app.newest() < rev) {
-            if start.elapsed() > SPREAD {
-                bail!("revision {rev} is not in force everywhere after {SPREAD:?}");
+            if start.elapsed() > PROPAGATION_TIMEOUT {
+                bail!("revision {rev} is not in force everywhere after {PROPAGATION_TIMEOUT:?}");
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_PAUSE).await;
         }
         Ok(start.elapsed())
     }
 
-    /// The entries that run.
+    /// Returns the entries that run.
     pub fn running(&self) -> impl Iterator<Item = &Running> {
         self.entries.iter().flatten()
     }
 
-    /// The addresses of the entries that run.
+    /// Returns the addresses of the entries that run.
     pub fn addrs(&self) -> Vec<SocketAddr> {
         self.running().map(|entry| entry.addr).collect()
     }
 
-    /// Asks the entries as an operator does.
+    /// Returns an operator's client for the entries that run.
     pub fn fleet(&self) -> Fleet {
         let peers = self.running().map(|entry| Peer {
             name: entry.app.settings.me.name.clone(),
@@ -167,47 +167,47 @@
         Fleet::new(peers.collect(), Secret::new(SECRET))
     }
 
-    /// Stops an entry at once, as a crash does.
-    pub fn kill(&mut self, at: usize) {
-        if let Some(entry) = self.entries[at].take() {
+    /// Stops the entry at `index` abruptly, as a crash does.
+    pub fn kill(&mut self, index: usize) {
+        if let Some(entry) = self.entries[index].take() {
             entry.kill();
         }
     }
 
-    /// Starts an entry again that was killed, at its old address.
+    /// Restarts the killed entry at `index`, with its former address.
     ///
     /// # Errors
     ///
-    /// Returns an error when it cannot start.
-    pub async fn revive(&mut self, at: usize) -> eyre::Result<()> {
-        let settings = serve::settings::read("rig", &self.files[at].0)?;
-        // The killed entry's socket closes when its tasks are dropped, which is a moment later.
+    /// Returns an error if it cannot start.
+    pub async fn revive(&mut self, index: usize) -> eyre::Result<()> {
+        let settings = serve::settings::read("rig", &self.files[index].0)?;
+        // The killed entry's socket closes only when its tasks are dropped, which is shortly after the kill.
         let start = Instant::now();
         loop {
             match Running::start(settings.clone()).await {
                 Ok(entry) => {
-                    self.entries[at] = Some(entry);
+                    self.entries[index] = Some(entry);
                     return Ok(());
                 }
-                Err(error) if start.elapsed() > REBIND => return Err(error.into()),
-                Err(_) => tokio::time::sleep(LOOK).await,
+                Err(error) if start.elapsed() > REBIND_TIMEOUT => return Err(error.into()),
+                Err(_) => tokio::time::sleep(CHECK_PAUSE).await,
             }
         }
     }
 
-    /// Makes every entry leave gracefully.
+    /// Stops the controllers, then drains and stops every entry.
     ///
     /// # Errors
     ///
-    /// Returns an error when one cut requests off.
+    /// Returns an error if an entry aborted requests.
     pub async fn leave(self) -> eyre::Result<()> {
         for control in self.controls {
             control.stop().await;
         }
         let entries = self.entries.into_iter().flatten();
-        let leaving: Vec<_> = entries.map(|entry| tokio::spawn(entry.drain())).collect();
-        for left in leaving {
-            if !left.await? {
+        let drains: Vec<_> = entries.map(|entry| tokio::spawn(entry.drain())).collect();
+        for drain in drains {
+            if !drain.await? {
                 bail!("an entry cut requests off when it left");
             }
         }
