--- a/crates/demo/src/cli.rs
+++ b/crates/demo/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line.
+//! Command line of `snipeway-demo`.
 
 use args::CliSpec;
 use args::Opt;
 
-/// The command line of the program.
+/// Options; the man page and the completions are generated from them.
 pub const SPEC: CliSpec = CliSpec {
     program: "snipeway-demo",
     about: "Runs a whole fleet with stand-ins in one process",
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,4 +1,4 @@
-//! `snipeway-demo`: everything in one process, on free loopback ports.
+//! `snipeway-demo`: a whole fleet with its load in one process, on free loopback ports.
 
 pub mod cli;
 mod run;
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,4 +1,4 @@
-//! `snipeway-demo`: everything in one process.
+//! `snipeway-demo`: a whole fleet with its load in one process.
 
 use std::process::ExitCode;
 
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs the demo's job and judges it.
+//! Runs a trainer and callers against a fleet and checks the guarantees on their responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,20 +17,20 @@
 use rig::parts::SECRET;
 use standin::engine;
 
-/// The customer that trains.
-const TRAINER: &str = "fitting-staff";
+/// Customer of the trainer.
+const TRAINER_CUSTOMER: &str = "fitting-staff";
 
-/// The customer that looks up and orders.
-const PORTAL: &str = "order-portal";
+/// Customer of the lookups and orders.
+const PORTAL_CUSTOMER: &str = "order-portal";
 
-/// Median length of a sample in tokens.
-const MEDIAN: u32 = 60;
+/// Median number of tokens of a sample.
+const MEDIAN_TOKENS: u32 = 60;
 
 /// Runs the program.
 ///
 /// # Errors
 ///
-/// Returns an error when the fleet cannot start or a promise was broken.
+/// Returns an error if the fleet cannot start, or if a guarantee was violated.
 pub fn run(parsed: ParsedArgs) -> eyre::Result<()> {
     let steps = parsed.get("steps", "a number of steps")?.unwrap_or(4);
     if parsed.has("verbose") {
@@ -43,7 +43,7 @@
     Make {
         engines: 3,
         engine: engine::Make {
-            median: MEDIAN,
+            median: MEDIAN_TOKENS,
             ..engine::Make::default()
         },
         control: true,
@@ -56,58 +56,58 @@
     let staff = "rate = 200\nconcurrency = 256\nclass = 2\nstaleness = 1\nweighs = staleness\n";
     let portal = "rate = 400\nconcurrency = 256\nclass = 5\n";
     [
-        rig::contracts::text(TRAINER, staff),
-        rig::contracts::text(PORTAL, portal),
+        rig::contracts::text(TRAINER_CUSTOMER, staff),
+        rig::contracts::text(PORTAL_CUSTOMER, portal),
     ]
 }
 
 async fn demo(steps: u32, stay: bool) -> eyre::Result<()> {
     let rig = Rig::start(&make()).await?;
-    let before = Instant::now();
+    let apply_start = Instant::now();
     rig.apply(&contracts()).await?;
-    let spread = before.elapsed();
-    let done = work(&rig.addrs(), steps).await;
+    let apply_time = apply_start.elapsed();
+    let results = run_load(&rig.addrs(), steps).await;
     let mut table = Table::default();
-    table.row("contracts in force everywhere [ms]", spread.as_millis());
-    load::run::trainer_rows(&mut table, "trainer", &done.trainer);
-    load::run::callers_rows(&mut table, "lookups", &done.lookups);
-    load::run::callers_rows(&mut table, "orders", &done.orders);
-    let twice = rig.parts.twice().len() as u64;
-    table.row("orders that ran more than once", twice);
+    table.row("contracts in force everywhere [ms]", apply_time.as_millis());
+    load::run::trainer_rows(&mut table, "trainer", &results.trainer);
+    load::run::callers_rows(&mut table, "lookups", &results.lookups);
+    load::run::callers_rows(&mut table, "orders", &results.orders);
+    let repeated = rig.parts.twice().len() as u64;
+    table.row("orders that ran more than once", repeated);
     args::output::write(format_args!("{table}"));
-    let broken = done.broken() + twice;
+    let violations = results.violations() + repeated;
     if stay {
         self::stay(rig).await?;
     } else {
         rig.leave().await?;
     }
-    if broken > 0 {
-        bail!("{broken} promises were broken");
+    if violations > 0 {
+        bail!("{violations} promises were broken");
     }
     args::print_line!("every promise was kept");
     Ok(())
 }
 
-struct Done {
+struct Results {
     trainer: trainer::Seen,
     lookups: callers::Seen,
     orders: callers::Seen,
 }
 
-impl Done {
-    fn broken(&self) -> u64 {
+impl Results {
+    fn violations(&self) -> u64 {
         self.trainer.broken() + self.lookups.mismatched + self.orders.mismatched
     }
 }
 
-/// A trainer, with lookups and orders beside it for as long as it trains.
-async fn work(entries: &[SocketAddr], steps: u32) -> Done {
+/// Runs a trainer, with lookups and orders at the same time, and returns the results.
+async fn run_load(entries: &[SocketAddr], steps: u32) -> Results {
     let trainer = Trainer {
         entries: entries.to_vec(),
-        token: token(TRAINER),
+        token: token(TRAINER_CUSTOMER),
         model: "fitting"
             .parse()
-            .unwrap_or_else(|_| unreachable!("a good name")),
+            .unwrap_or_else(|_| unreachable!("the model name is valid")),
         groups: 16,
         samples: 8,
         tokens: 1_024,
@@ -115,11 +115,11 @@
         train: Duration::from_millis(500),
         version: 1,
         label: "demo".into(),
-        median: MEDIAN,
+        median: MEDIAN_TOKENS,
     };
     let callers = |path: &str, rate: f64, once: bool| Callers {
         entries: entries.to_vec(),
-        token: token(PORTAL),
+        token: token(PORTAL_CUSTOMER),
         path: path.into(),
         rate,
         span: Duration::from_millis(1_500) * steps,
@@ -130,14 +130,15 @@
     let lookups = callers("/v1/services/portal/size/{n}", 100.0, false);
     let orders = callers("/v1/services/portal/orders", 20.0, true);
     let (trainer, lookups, orders) = tokio::join!(trainer.run(), lookups.run(), orders.run());
-    Done {
+    Results {
         trainer,
         lookups,
         orders,
     }
 }
 
-/// Keeps the fleet up until interrupted.
+/// Prints addresses, tokens and the operator's settings, and keeps the fleet running until the process is
+/// interrupted or terminated.
 async fn stay(rig: Rig) -> eyre::Result<()> {
     let platform = rig.parts.platform.host.addr;
     args::print_line!("\nplatform  http://{platform}");
@@ -150,8 +151,8 @@
             me.name, me.domain, entry.addr
         );
     }
-    args::print_line!("tokens    {} (order portal)", token(PORTAL));
-    args::print_line!("          {} (tailoring staff)", token(TRAINER));
+    args::print_line!("tokens    {} (order portal)", token(PORTAL_CUSTOMER));
+    args::print_line!("          {} (tailoring staff)", token(TRAINER_CUSTOMER));
     let file = std::env::temp_dir().join("snipeway-demo.ini");
     std::fs::write(&file, text)?;
     args::print_line!("operators snipeway status --config {}", file.display());
