--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,4 @@
-//! The clocks of the process.
+//! The monotonic clock and the wall clock of the process.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -8,11 +8,11 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// A monotonic clock that begins with the process, and the wall clock.
+/// A monotonic clock that starts at 0 when it is created, and the wall clock.
 ///
-/// The monotonic clock counts the time for which the machine was suspended. A holder of a lease
-/// that was frozen together with its machine would otherwise believe that its lease still has
-/// time to live, and two holders would give orders at once.
+/// The monotonic clock includes the time for which the machine was suspended. Without that time, the holder of a
+/// lease on a machine that resumes would take an expired lease for valid, and two holders would issue orders at the
+/// same time.
 ///
 /// # Examples
 ///
@@ -23,42 +23,45 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
+    /// Time since boot when the clock was created.
     start: Duration,
-    /// Milliseconds since 1970 when the process began.
+    /// Wall clock time when the clock was created, in milliseconds since 1970.
     epoch: Millis,
 }
 
-fn boot() -> Duration {
+/// Returns the time since boot, including suspended time.
+fn boot_time() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec.max(0) as u64, time.tv_nsec.max(0) as u32)
 }
 
-fn wall() -> Millis {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as Millis)
+/// Returns the milliseconds since 1970, or 0 for an earlier time.
+fn wall_time() -> Millis {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| since_epoch.as_millis() as Millis)
 }
 
 impl Default for Clock {
     fn default() -> Self {
-        let start = boot();
-        let epoch = wall();
+        let start = boot_time();
+        let epoch = wall_time();
         Self { start, epoch }
     }
 }
 
 impl Clock {
-    /// Milliseconds on the monotonic clock.
+    /// Returns the monotonic time, in milliseconds since the clock was created.
     pub fn now(&self) -> Millis {
-        boot().saturating_sub(self.start).as_millis() as Millis
+        boot_time().saturating_sub(self.start).as_millis() as Millis
     }
 
-    /// Milliseconds since 1970.
+    /// Returns the wall clock time, in milliseconds since 1970.
     pub fn wall(&self) -> Millis {
-        wall()
+        wall_time()
     }
 
-    /// Milliseconds since 1970 by the wall clock when the process began and the monotonic clock since. A wall
-    /// clock that is set while the process runs does not move it.
+    /// Returns the milliseconds since 1970, taken from the wall clock when this clock was created and advanced by
+    /// the monotonic clock. Setting the wall clock while the process runs has no effect on it.
     ///
     /// # Examples
     ///
