--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use load::Table;
-use sim::Play;
+use sim::Simulation;
 use sim::Size;
 use sim::play::Times;
 
@@ -40,8 +40,8 @@
     };
     let mut row = |what: &str, value: String| table.row(format!("{instances}: {what}"), value);
     let began = Instant::now();
-    let mut play = Play::start(size, seed);
-    let started = play.until(size.upstreams as i64, MOST);
+    let mut play = Simulation::start(size, seed);
+    let started = play.run_until(size.upstreams as i64, MOST);
     row("all know all after a start, ms", write(started));
     row(
         "reads of the list until then",
@@ -59,7 +59,7 @@
         .map(|node| (node.sent, node.messages))
         .collect();
     for _ in 0..REST / 1_000 {
-        play.change(CHANGES);
+        play.change_upstreams(CHANGES);
         play.run(1_000);
     }
     let seconds = REST as f64 / 1e3;
@@ -75,20 +75,20 @@
         "KB a second at rest, middle / most",
         format!("{middle:.1} / {most:.1}"),
     );
-    let rev = play.change(1);
-    row("a change, ms", write(play.until(rev, MOST)));
+    let rev = play.change_upstreams(1);
+    row("a change, ms", write(play.run_until(rev, MOST)));
     play.kill(play.reader());
-    let rev = play.change(1);
+    let rev = play.change_upstreams(1);
     row(
         "a change as the reader is lost, ms",
-        write(play.until(rev, MOST)),
+        write(play.run_until(rev, MOST)),
     );
     let count = (play.nodes.len() as f64 * KILLED) as usize;
     (0..count).for_each(|at| play.kill(at * 7 % play.nodes.len()));
-    let rev = play.change(1);
+    let rev = play.change_upstreams(1);
     row(
         "a change as over half are lost, ms",
-        write(play.until(rev, MOST)),
+        write(play.run_until(rev, MOST)),
     );
     let held = play.nodes.iter().map(|node| node.board.len()).max();
     row("most entries held", held.unwrap_or_default().to_string());
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -13,7 +13,7 @@
 use spread::read_budget;
 use spread::timing;
 
-use crate::Play;
+use crate::Simulation;
 use crate::event::EventKind;
 use crate::event::Poll;
 use crate::node;
@@ -33,7 +33,7 @@
     JOIN_DELAY_MS + timing::FIRST_MEMBER_POLL * ((1 << number) - 1)
 }
 
-impl Play {
+impl Simulation {
     /// Handles an event of the instance at `index`; an instance that does not run ignores all but its start.
     pub(crate) fn handle(&mut self, index: usize, kind: EventKind) {
         if matches!(kind, EventKind::Start) {
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -10,6 +10,6 @@
 pub mod play;
 pub mod world;
 
-pub use play::Play;
+pub use play::Simulation;
 pub use world::ModelParams;
 pub use world::Size;
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/play.rs
@@ -43,7 +43,7 @@
 }
 
 /// A simulation of a fleet.
-pub struct Play {
+pub struct Simulation {
     /// The instances.
     pub nodes: Vec<Node>,
     /// Load on the platform so far.
@@ -66,7 +66,7 @@
     pub(crate) rng: StdRng,
 }
 
-impl Play {
+impl Simulation {
     /// Creates a simulation whose instances all start within its first 300 ms.
     pub fn start(size: Size, seed: u64) -> Self {
         let members = world::members(size);
@@ -114,7 +114,7 @@
     }
 
     /// Changes `count` upstreams picked at random and returns the last revision.
-    pub fn change(&mut self, count: usize) -> i64 {
+    pub fn change_upstreams(&mut self, count: usize) -> i64 {
         let mut rev = 0;
         for _ in 0..count {
             rev = self.upstreams.change(self.rng.random_range(0..usize::MAX));
@@ -124,7 +124,7 @@
 
     /// Runs until every instance that is alive has a complete replica up to revision `rev`, and returns the times.
     /// Returns [`None`] when that takes longer than `limit` milliseconds.
-    pub fn until(&mut self, rev: i64, limit: Millis) -> Option<Times> {
+    pub fn run_until(&mut self, rev: i64, limit: Millis) -> Option<Times> {
         let start = self.now();
         let mut times = Vec::new();
         let mut reached = vec![false; self.nodes.len()];
--- a/crates/sim/tests/play.rs
+++ b/crates/sim/tests/play.rs
@@ -1,6 +1,6 @@
 //! Simulates a thousand instances that get the list of upstreams from each other.
 
-use sim::Play;
+use sim::Simulation;
 use sim::Size;
 use sim::play::Times;
 
@@ -27,9 +27,9 @@
 const LINK_RATE: u64 = 125_000;
 
 /// Returns a fleet that has started, and the times until its instances knew all upstreams.
-fn started() -> (Play, Times) {
-    let mut play = Play::start(FLEET_SIZE, 1);
-    let times = play.until(FLEET_SIZE.upstreams as i64, STARTUP_LIMIT_MS);
+fn started() -> (Simulation, Times) {
+    let mut play = Simulation::start(FLEET_SIZE, 1);
+    let times = play.run_until(FLEET_SIZE.upstreams as i64, STARTUP_LIMIT_MS);
     (play, times.expect("not all know the upstreams"))
 }
 
@@ -66,10 +66,10 @@
     let (mut play, _) = started();
     play.run(5_000);
 
-    let rev = play.change(1);
+    let rev = play.change_upstreams(1);
 
     let times = play
-        .until(rev, CHANGE_LIMIT_MS)
+        .run_until(rev, CHANGE_LIMIT_MS)
         .expect("not all know the change");
     assert!(times.last < CHANGE_LIMIT_MS / 2, "{times:?}");
 }
@@ -81,9 +81,9 @@
     play.run(5_000);
 
     play.kill(play.reader());
-    let rev = play.change(1);
+    let rev = play.change_upstreams(1);
 
-    assert!(play.until(rev, CHANGE_LIMIT_MS).is_some());
+    assert!(play.run_until(rev, CHANGE_LIMIT_MS).is_some());
 }
 
 // Guards against lists that are sent whole, or read from the platform by every instance, when the instances that
@@ -98,9 +98,9 @@
     for index in (0..play.nodes.len()).step_by(2) {
         play.kill(index);
     }
-    let rev = play.change(1);
+    let rev = play.change_upstreams(1);
     let times = play
-        .until(rev, CHANGE_LIMIT_MS)
+        .run_until(rev, CHANGE_LIMIT_MS)
         .expect("not all know the change");
 
     let link_ms = (play.counts.carried - before.carried) / LINK_RATE;
