--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -5,7 +5,7 @@
 use load::Table;
 use sim::Simulation;
 use sim::Size;
-use sim::play::Times;
+use sim::play::ConvergenceTimes;
 
 /// Failure domains.
 const DOMAINS: usize = 5;
@@ -25,11 +25,11 @@
 /// Part of all instances that is killed at once.
 const KILLED: f64 = 0.55;
 
-fn write(times: Option<Times>) -> String {
+fn write(times: Option<ConvergenceTimes>) -> String {
     let Some(times) = times else {
         return format!("not within {MOST}");
     };
-    format!("{} / {} / {}", times.first, times.middle, times.last)
+    format!("{} / {} / {}", times.first, times.median, times.last)
 }
 
 fn measure(table: &mut Table, instances: usize, seed: u64) {
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/play.rs
@@ -33,11 +33,11 @@
 
 /// Times until instances know a revision, in milliseconds since the wait began.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct ConvergenceTimes {
     /// Time until the first instance knows it.
     pub first: u64,
     /// Median over the instances.
-    pub middle: u64,
+    pub median: u64,
     /// Time until the last instance knows it.
     pub last: u64,
 }
@@ -124,7 +124,7 @@
 
     /// Runs until every instance that is alive has a complete replica up to revision `rev`, and returns the times.
     /// Returns [`None`] when that takes longer than `limit` milliseconds.
-    pub fn run_until(&mut self, rev: i64, limit: Millis) -> Option<Times> {
+    pub fn run_until(&mut self, rev: i64, limit: Millis) -> Option<ConvergenceTimes> {
         let start = self.now();
         let mut times = Vec::new();
         let mut reached = vec![false; self.nodes.len()];
@@ -138,9 +138,9 @@
                 }
             }
             if times.len() >= count && count > 0 {
-                return Some(Times {
+                return Some(ConvergenceTimes {
                     first: times.first().copied()?,
-                    middle: times.get(times.len() / 2).copied()?,
+                    median: times.get(times.len() / 2).copied()?,
                     last: times.last().copied()?,
                 });
             }
--- a/crates/sim/tests/play.rs
+++ b/crates/sim/tests/play.rs
@@ -2,7 +2,7 @@
 
 use sim::Simulation;
 use sim::Size;
-use sim::play::Times;
+use sim::play::ConvergenceTimes;
 
 /// The simulated fleet; its list of upstreams spans several messages. `snipeway-bench fleet` simulates larger ones.
 const FLEET_SIZE: Size = Size {
@@ -27,7 +27,7 @@
 const LINK_RATE: u64 = 125_000;
 
 /// Returns a fleet that has started, and the times until its instances knew all upstreams.
-fn started() -> (Simulation, Times) {
+fn started() -> (Simulation, ConvergenceTimes) {
     let mut play = Simulation::start(FLEET_SIZE, 1);
     let times = play.run_until(FLEET_SIZE.upstreams as i64, STARTUP_LIMIT_MS);
     (play, times.expect("not all know the upstreams"))
