--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -3,8 +3,8 @@
 use std::time::Instant;
 
 use load::Table;
+use sim::FleetSize;
 use sim::Simulation;
-use sim::Size;
 use sim::play::ConvergenceTimes;
 
 /// Failure domains.
@@ -33,7 +33,7 @@
 }
 
 fn measure(table: &mut Table, instances: usize, seed: u64) {
-    let size = Size {
+    let size = FleetSize {
         instances,
         domains: DOMAINS,
         upstreams: instances * EACH,
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod world;
 
 pub use play::Simulation;
+pub use world::FleetSize;
 pub use world::ModelParams;
-pub use world::Size;
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/play.rs
@@ -14,9 +14,9 @@
 use crate::event::Queue;
 use crate::node::Node;
 use crate::world;
+use crate::world::FleetSize;
 use crate::world::MICROS_PER_MS;
 use crate::world::ModelParams;
-use crate::world::Size;
 use crate::world::UpstreamList;
 
 /// Time within which all instances start, in milliseconds.
@@ -68,7 +68,7 @@
 
 impl Simulation {
     /// Creates a simulation whose instances all start within its first 300 ms.
-    pub fn start(size: Size, seed: u64) -> Self {
+    pub fn start(size: FleetSize, seed: u64) -> Self {
         let members = world::members(size);
         let nodes: Vec<_> = members.iter().cloned().map(Node::new).collect();
         let indexes = nodes.iter().enumerate();
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -12,7 +12,7 @@
 
 /// Size of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct FleetSize {
     /// Instances in all failure domains together.
     pub instances: usize,
     /// Failure domains.
@@ -67,7 +67,7 @@
 const NAME_STRIDE: usize = 7_919;
 
 /// Returns all instances, the large ones of each failure domain first.
-pub fn members(size: Size) -> Arc<[Member]> {
+pub fn members(size: FleetSize) -> Arc<[Member]> {
     let per_domain = size.instances.div_ceil(size.domains);
     let member = |index: usize| {
         let (domain, rank) = (index % size.domains, index / size.domains);
--- a/crates/sim/tests/play.rs
+++ b/crates/sim/tests/play.rs
@@ -1,11 +1,11 @@
 //! Simulates a thousand instances that get the list of upstreams from each other.
 
+use sim::FleetSize;
 use sim::Simulation;
-use sim::Size;
 use sim::play::ConvergenceTimes;
 
 /// The simulated fleet; its list of upstreams spans several messages. `snipeway-bench fleet` simulates larger ones.
-const FLEET_SIZE: Size = Size {
+const FLEET_SIZE: FleetSize = FleetSize {
     instances: 1_000,
     domains: 5,
     upstreams: 2_000,
