--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -90,7 +90,7 @@
         "a change as over half are lost, ms",
         write(play.run_until(rev, MOST)),
     );
-    let held = play.nodes.iter().map(|node| node.board.len()).max();
+    let held = play.nodes.iter().map(|node| node.replica.len()).max();
     row("most entries held", held.unwrap_or_default().to_string());
     row(
         "s of this machine",
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -70,7 +70,7 @@
     /// Reads the members from the platform: all of them if they fit on one page, else the first page by name and
     /// the page that follows the instance's own name.
     fn read_members(&mut self, index: usize) {
-        if self.nodes[index].board.membership().is_some() {
+        if self.nodes[index].replica.membership().is_some() {
             return;
         }
         let is_alive = |member: &&Member| {
@@ -134,11 +134,11 @@
         let node = &mut self.nodes[index];
         node.last_poll += 1;
         let number = node.last_poll;
-        let slack = timing::reply_slack(&node.board);
+        let slack = timing::reply_slack(&node.replica);
         let poll = Poll {
             from: index,
             number,
-            state: node.board.sync_state(now),
+            state: node.replica.sync_state(now),
             sent_at: now,
             wait,
         };
@@ -168,10 +168,10 @@
         let mut state = poll.state;
         state.age = state.age.map(|age| age + (now - poll.sent_at));
         let node = &self.nodes[index];
-        if !node.board.has_more(state, now) {
+        if !node.replica.has_more(state, now) {
             return false;
         }
-        let update = node.board.update_since(state, now);
+        let update = node.replica.update_since(state, now);
         self.send_reply(index, poll, Ok(update));
         true
     }
@@ -211,7 +211,7 @@
         node.last_poll += 1;
         match reply {
             Ok(update) => {
-                node.board.merge(&update, now);
+                node.replica.merge(&update, now);
                 node.follower.update_received();
                 self.replica_changed(index);
                 self.begin_round(index);
@@ -228,7 +228,7 @@
     fn replica_changed(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let members = node
-            .board
+            .replica
             .membership()
             .map(|membership| membership.members.clone());
         if let Some(members) = members.filter(|members| !Arc::ptr_eq(members, &node.members)) {
@@ -250,7 +250,7 @@
             self.queue.add(next, index, EventKind::BeginRound);
             return;
         }
-        let known = self.nodes[index].board.len();
+        let known = self.nodes[index].replica.len();
         let pages = self
             .upstreams
             .read()
@@ -287,11 +287,11 @@
         if self.reads[index] % timing::READS_PER_MEMBER_READ == 1 {
             let members: Vec<_> = self.members.iter().filter(is_alive).cloned().collect();
             self.transfer(members.len() as u64 * MEMBER_BYTES);
-            self.nodes[index].board.set_members(members, now);
+            self.nodes[index].replica.set_members(members, now);
         }
         let round_start = self.nodes[index].round_start / MICROS_PER_MS;
         let node = &mut self.nodes[index];
-        node.board
+        node.replica
             .apply_read(self.upstreams.read(), self.rng.random(), now);
         node.follower.read_took(now - round_start);
         self.replica_changed(index);
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -30,7 +30,7 @@
     /// Whether the platform answers its reads.
     pub served: bool,
     /// Its replica of the platform's list.
-    pub board: Replica,
+    pub replica: Replica,
     /// Chooses which instance it polls, and when it reads the platform.
     pub follower: Follower,
     /// The members that it knows.
@@ -60,7 +60,7 @@
             member,
             alive: false,
             served: true,
-            board: Replica::default(),
+            replica: Replica::default(),
             follower: Follower::default(),
             members: Arc::new([]),
             position: TreePosition::default(),
@@ -93,7 +93,7 @@
             domain: self.member.domain.clone(),
             position: self.position.clone(),
             members: self.members.clone(),
-            entries: self.board.len(),
+            entries: self.replica.len(),
             random: random_value,
         }
     }
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/play.rs
@@ -132,7 +132,8 @@
             self.run(1);
             let count = self.nodes.iter().filter(|node| node.alive).count();
             for (node, reached) in self.nodes.iter().zip(&mut reached) {
-                let is_current = node.alive && node.board.is_complete() && node.board.rev() >= rev;
+                let is_current =
+                    node.alive && node.replica.is_complete() && node.replica.rev() >= rev;
                 if is_current && !std::mem::replace(reached, true) {
                     times.push(self.now() - start);
                 }
