--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -47,7 +47,7 @@
         "reads of the list until then",
         play.counts.reads.to_string(),
     );
-    let carried = play.counts.carried as f64 / 1e6;
+    let carried = play.counts.link_bytes as f64 / 1e6;
     row(
         "MB on the platform's link until then",
         format!("{carried:.1}"),
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/act.rs
@@ -102,7 +102,7 @@
 
     /// Sends `bytes` over the platform's link and returns when they have arrived, in microseconds.
     fn transfer(&mut self, bytes: u64) -> u64 {
-        self.counts.carried += bytes;
+        self.counts.link_bytes += bytes;
         self.link_free = self.link_free.max(self.now) + bytes * 1_000 / self.params.platform_rate;
         self.link_free
     }
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/play.rs
@@ -24,11 +24,11 @@
 
 /// Load on the platform since the simulation began.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct PlatformCounts {
     /// Reads of the whole list of upstreams.
     pub reads: u64,
     /// Bytes that the platform's link carried.
-    pub carried: u64,
+    pub link_bytes: u64,
 }
 
 /// Times until instances know a revision, in milliseconds since the wait began.
@@ -47,7 +47,7 @@
     /// The instances.
     pub nodes: Vec<Node>,
     /// Load on the platform so far.
-    pub counts: Counts,
+    pub counts: PlatformCounts,
     pub(crate) params: ModelParams,
     pub(crate) upstreams: UpstreamList,
     /// The members in the order of `nodes`.
@@ -80,7 +80,7 @@
         let mut play = Self {
             reads: vec![0; nodes.len()],
             nodes,
-            counts: Counts::default(),
+            counts: PlatformCounts::default(),
             params: ModelParams::default(),
             upstreams: UpstreamList::new(size.upstreams),
             by_name,
--- a/crates/sim/tests/play.rs
+++ b/crates/sim/tests/play.rs
@@ -103,7 +103,7 @@
         .run_until(rev, CHANGE_LIMIT_MS)
         .expect("not all know the change");
 
-    let link_ms = (play.counts.carried - before.carried) / LINK_RATE;
+    let link_ms = (play.counts.link_bytes - before.link_bytes) / LINK_RATE;
     assert!(
         link_ms < times.last / 2,
         "{link_ms} ms of the platform's link, {times:?}"
