--- a/crates/bench/src/goodput.rs
+++ b/crates/bench/src/goodput.rs
@@ -46,7 +46,7 @@
             seed: 5,
         };
         let seen = callers.run().await;
-        let good = seen.whole as f64 / SPAN.as_secs_f64();
+        let good = seen.completed as f64 / SPAN.as_secs_f64();
         peak = peak.max(good);
         let name = format!("{factor} times capacity");
         table.row(
@@ -57,7 +57,7 @@
             format!("{name}: part of the peak so far"),
             format!("{:.2}", good / peak),
         );
-        table.latency(&format!("{name}: latency"), &seen.micros);
+        table.latency(&format!("{name}: latency"), &seen.latency_us);
         table.row(format!("{name}: refused, not run"), seen.not_run);
         table.row(format!("{name}: refused, unknown"), seen.unknown);
         rig.leave().await?;
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -60,9 +60,9 @@
         );
         table.row(
             format!("{name}: whole of sent"),
-            format!("{} of {}", seen.whole, seen.sent),
+            format!("{} of {}", seen.completed, seen.sent),
         );
-        table.latency(&name, &seen.micros);
+        table.latency(&name, &seen.latency_us);
         table.row(format!("{name}: ran twice"), rig.parts.twice().len());
         rig.leave().await?;
     }
--- a/crates/bench/src/limits.rs
+++ b/crates/bench/src/limits.rs
@@ -51,7 +51,7 @@
             seed: 4,
         };
         let seen = callers.run().await;
-        let rate = seen.whole as f64 / SPAN.as_secs_f64();
+        let rate = seen.completed as f64 / SPAN.as_secs_f64();
         table.row(
             format!("{name}: whole answers a second"),
             format!("{rate:.0}"),
--- a/crates/bench/src/slow.rs
+++ b/crates/bench/src/slow.rs
@@ -58,19 +58,19 @@
                 seed: 3,
             };
             let seen = callers.run().await;
-            let p99 = seen.micros.value_at_quantile(0.99) as f64;
+            let p99 = seen.latency_us.value_at_quantile(0.99) as f64;
             if healthy == 0.0 {
                 healthy = p99;
             }
             let name = format!("{chooser}, {name}");
-            table.latency(&name, &seen.micros);
+            table.latency(&name, &seen.latency_us);
             table.row(
                 format!("{name}: p99 to healthy"),
                 format!("{:.2}", p99 / healthy),
             );
             table.row(
                 format!("{name}: whole of sent"),
-                format!("{} of {}", seen.whole, seen.sent),
+                format!("{} of {}", seen.completed, seen.sent),
             );
             rig.leave().await?;
         }
--- a/crates/bench/src/surge.rs
+++ b/crates/bench/src/surge.rs
@@ -4,7 +4,7 @@
 
 use load::Callers;
 use load::Table;
-use load::callers::Seen;
+use load::callers::CallerStats;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -51,7 +51,7 @@
     }
 }
 
-async fn part(make: &Make, surge: f64) -> eyre::Result<(Seen, Seen)> {
+async fn part(make: &Make, surge: f64) -> eyre::Result<(CallerStats, CallerStats)> {
     let rig = Rig::start(make).await?;
     let calm = callers(&rig, "calm", CALM);
     let other = callers(&rig, "surge", surge);
@@ -84,22 +84,22 @@
     let mut quiet = 0.0;
     for (name, make, rate) in parts {
         let (calm, other) = part(&make, rate).await?;
-        let p99 = calm.micros.value_at_quantile(0.99) as f64;
+        let p99 = calm.latency_us.value_at_quantile(0.99) as f64;
         if quiet == 0.0 {
             quiet = p99;
         }
-        table.latency(&format!("{name}: calm"), &calm.micros);
+        table.latency(&format!("{name}: calm"), &calm.latency_us);
         table.row(
             format!("{name}: calm p99 to quiet p99"),
             format!("{:.2}", p99 / quiet),
         );
         table.row(
             format!("{name}: calm whole of sent"),
-            format!("{} of {}", calm.whole, calm.sent),
+            format!("{} of {}", calm.completed, calm.sent),
         );
         table.row(
             format!("{name}: surge whole of sent"),
-            format!("{} of {}", other.whole, other.sent),
+            format!("{} of {}", other.completed, other.sent),
         );
     }
     args::output::write(format_args!("{table}"));
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -90,8 +90,8 @@
 
 struct Results {
     trainer: trainer::Seen,
-    lookups: callers::Seen,
-    orders: callers::Seen,
+    lookups: callers::CallerStats,
+    orders: callers::CallerStats,
 }
 
 impl Results {
--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -52,13 +52,13 @@
 
 /// Results of an open-loop load.
 #[derive(Debug)]
-pub struct Seen {
+pub struct CallerStats {
     /// Calls that were sent.
     pub sent: u64,
     /// Calls with a complete and matching response.
-    pub whole: u64,
+    pub completed: u64,
     /// Latency of the completed calls in microseconds, from the time at which the call was due.
-    pub micros: Histogram<u64>,
+    pub latency_us: Histogram<u64>,
     /// Refusals that state that the call was not executed.
     pub not_run: u64,
     /// Calls that may have been executed: refusals that say so, and calls without a usable response.
@@ -73,12 +73,12 @@
     pub refusals: Vec<(String, u64)>,
 }
 
-impl Default for Seen {
+impl Default for CallerStats {
     fn default() -> Self {
         Self {
             sent: 0,
-            whole: 0,
-            micros: histogram(),
+            completed: 0,
+            latency_us: histogram(),
             not_run: 0,
             unknown: 0,
             mismatched: 0,
@@ -99,8 +99,8 @@
 
 impl Callers {
     /// Sends the calls, waits for the last response and returns the results.
-    pub async fn run(&self) -> Seen {
-        let stats = Arc::new(Mutex::new(Seen::default()));
+    pub async fn run(&self) -> CallerStats {
+        let stats = Arc::new(Mutex::new(CallerStats::default()));
         let http = net::Client::new();
         let mut random = SmallRng::seed_from_u64(self.seed);
         let mut calls = JoinSet::new();
@@ -140,9 +140,9 @@
         stats.sent += 1;
         match outcome {
             Outcome::Completed => {
-                stats.whole += 1;
+                stats.completed += 1;
                 // The histogram resizes itself, so no value is out of range.
-                let _ = stats.micros.record(micros);
+                let _ = stats.latency_us.record(micros);
                 stats.completed_keys.extend(key);
             }
             Outcome::Mismatched => stats.mismatched += 1,
@@ -202,10 +202,10 @@
     entry: SocketAddr,
     due: Instant,
     http: net::Client,
-    stats: Arc<Mutex<Seen>>,
+    stats: Arc<Mutex<CallerStats>>,
 }
 
-impl Seen {
+impl CallerStats {
     fn record_refusal(&mut self, problem: &Problem, key: Option<String>) {
         match problem.ran {
             Ran::No => {
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -48,10 +48,10 @@
 }
 
 /// Adds the results of callers to a table.
-pub fn callers_rows(table: &mut Table, name: &str, stats: &callers::Seen) {
+pub fn callers_rows(table: &mut Table, name: &str, stats: &callers::CallerStats) {
     table.row(format!("{name} calls"), stats.sent);
-    table.row(format!("{name} whole answers"), stats.whole);
-    table.latency(&format!("{name} latency"), &stats.micros);
+    table.row(format!("{name} whole answers"), stats.completed);
+    table.latency(&format!("{name} latency"), &stats.latency_us);
     table.row(format!("{name} refused, not run"), stats.not_run);
     table.row(format!("{name} refused, unknown"), stats.unknown);
     for (kind, count) in &stats.refusals {
