--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -7,7 +7,7 @@
 use load::Table;
 use load::Trainer;
 use load::run::trainer_rows;
-use load::trainer::Seen;
+use load::trainer::TrainerStats;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -67,7 +67,7 @@
     }
 }
 
-async fn part(make: &Make, fault: &str) -> eyre::Result<Seen> {
+async fn part(make: &Make, fault: &str) -> eyre::Result<TrainerStats> {
     let mut rig = Rig::start(make).await?;
     let trainer = trainer(&rig);
     let run = tokio::spawn(async move { trainer.run().await });
@@ -98,10 +98,10 @@
 
 /// Seconds that the engines need at least for a step: for its tokens with every stream in use,
 /// and for its longest sample.
-fn bound(seen: &Seen) -> f64 {
+fn bound(seen: &TrainerStats) -> f64 {
     let streams = f64::from(SLOTS) * 8.0;
     let tokens = seen.tokens as f64 / f64::from(seen.steps.max(1));
-    let longest = seen.longest as f64 / f64::from(seen.steps.max(1));
+    let longest = seen.longest_tokens as f64 / f64::from(seen.steps.max(1));
     (tokens / (SPEED * streams)).max(longest / SPEED)
 }
 
@@ -113,7 +113,7 @@
     let baseline = part(&make("inorder", "least", "fifo"), fault).await?;
     for (name, seen) in [("policy", &policy), ("baseline", &baseline)] {
         trainer_rows(&mut table, name, seen);
-        let step = seen.whole.value_at_quantile(0.5) as f64 / 1_000.0;
+        let step = seen.step_ms.value_at_quantile(0.5) as f64 / 1_000.0;
         table.row(
             format!("{name} step to the engines' bound"),
             format!("{:.2}", step / bound(seen)),
@@ -124,8 +124,8 @@
     let stale = policy.staleness.mean() / baseline.staleness.mean().max(1e-9);
     table.row("mean staleness, policy to baseline", format!("{stale:.2}"));
     args::output::write(format_args!("{table}"));
-    if policy.broken() > 0 {
-        bail!("{} samples broke a promise", policy.broken());
+    if policy.violations() > 0 {
+        bail!("{} samples broke a promise", policy.violations());
     }
     Ok(())
 }
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -89,14 +89,14 @@
 }
 
 struct Results {
-    trainer: trainer::Seen,
+    trainer: trainer::TrainerStats,
     lookups: callers::CallerStats,
     orders: callers::CallerStats,
 }
 
 impl Results {
     fn violations(&self) -> u64 {
-        self.trainer.broken() + self.lookups.mismatched + self.orders.mismatched
+        self.trainer.violations() + self.lookups.mismatched + self.orders.mismatched
     }
 }
 
--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -178,7 +178,7 @@
     let seen = run.await.expect("the steps become whole").unwrap();
 
     assert_eq!((seen.steps, seen.samples), (3, 3 * 48));
-    assert_eq!(seen.broken(), 0, "{seen:?}");
+    assert_eq!(seen.violations(), 0, "{seen:?}");
     assert!(seen.failures > 0, "the kills were felt");
 }
 
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -70,7 +70,7 @@
         .collect();
     for run in runs {
         let (name, stats) = run.await?;
-        violations += stats.broken();
+        violations += stats.violations();
         trainer_rows(&mut table, &name, &stats);
     }
     args::output::write(format_args!("{table}"));
@@ -81,7 +81,7 @@
 }
 
 /// Adds the results of a trainer to a table.
-pub fn trainer_rows(table: &mut Table, name: &str, stats: &trainer::Seen) {
+pub fn trainer_rows(table: &mut Table, name: &str, stats: &trainer::TrainerStats) {
     let idle_ratio = stats.idle.as_secs_f64() / stats.total.as_secs_f64().max(1e-9);
     table.row(format!("{name} steps whole"), stats.steps);
     table.row(format!("{name} samples"), stats.samples);
@@ -92,7 +92,10 @@
     table.row(format!("{name} samples of several versions"), stats.mixed);
     table.row(format!("{name} samples doubled"), stats.duplicates);
     table.row(format!("{name} samples beyond the bound"), stats.stale);
-    table.row(format!("{name} samples with a wrong text"), stats.wrong);
+    table.row(
+        format!("{name} samples with a wrong text"),
+        stats.mismatched,
+    );
     let mean = format!("{:.2}", stats.staleness.mean());
     table.row(format!("{name} staleness, mean [versions]"), mean);
     table.row(
@@ -101,11 +104,11 @@
     );
     table.row(
         format!("{name} step until whole, p50 [ms]"),
-        stats.whole.value_at_quantile(0.5),
+        stats.step_ms.value_at_quantile(0.5),
     );
     table.row(
         format!("{name} step until whole, max [ms]"),
-        stats.whole.max(),
+        stats.step_ms.max(),
     );
     let idle = format!(
         "{:.2} of {:.2} ({:.0}%)",
--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -67,7 +67,7 @@
 
 /// Results of a trainer's run.
 #[derive(Debug)]
-pub struct Seen {
+pub struct TrainerStats {
     /// Steps of which the trainer received every sample.
     pub steps: u32,
     /// Samples received.
@@ -79,13 +79,13 @@
     /// Samples whose spans do not give a version for each token.
     pub unversioned: u64,
     /// Samples with an index outside of the step, or with a text that the engines do not generate for it.
-    pub wrong: u64,
+    pub mismatched: u64,
     /// Samples of more than one version.
     pub mixed: u64,
     /// Staleness of each sample, in versions.
     pub staleness: Histogram<u64>,
     /// Time of each step from opening to its last sample, in milliseconds.
-    pub whole: Histogram<u64>,
+    pub step_ms: Histogram<u64>,
     /// Time spent waiting for samples.
     pub idle: Duration,
     /// Time of the whole run.
@@ -93,14 +93,14 @@
     /// Tokens received.
     pub tokens: u64,
     /// Tokens of the longest sample of each step, summed over the steps.
-    pub longest: u64,
+    pub longest_tokens: u64,
     /// Failed calls.
     pub failures: u64,
     /// Identifiers of the completed steps.
     pub step_ids: Vec<String>,
 }
 
-impl Default for Seen {
+impl Default for TrainerStats {
     fn default() -> Self {
         Self {
             steps: 0,
@@ -108,24 +108,24 @@
             duplicates: 0,
             stale: 0,
             unversioned: 0,
-            wrong: 0,
+            mismatched: 0,
             mixed: 0,
             staleness: histogram(),
-            whole: histogram(),
+            step_ms: histogram(),
             idle: Duration::ZERO,
             total: Duration::ZERO,
             tokens: 0,
-            longest: 0,
+            longest_tokens: 0,
             failures: 0,
             step_ids: Vec::new(),
         }
     }
 }
 
-impl Seen {
+impl TrainerStats {
     /// Returns the number of violations of the guarantees on samples.
-    pub fn broken(&self) -> u64 {
-        self.duplicates + self.stale + self.unversioned + self.wrong
+    pub fn violations(&self) -> u64 {
+        self.duplicates + self.stale + self.unversioned + self.mismatched
     }
 }
 
@@ -144,8 +144,8 @@
 impl Trainer {
     /// Runs all steps and returns the results. The next step is opened before the training on the current one
     /// begins, so that its samples are generated meanwhile.
-    pub async fn run(&self) -> Seen {
-        let mut stats = Seen::default();
+    pub async fn run(&self) -> TrainerStats {
+        let mut stats = TrainerStats::default();
         let mut client = EntryClient::new(self);
         let start = Instant::now();
         let mut version = self.version;
@@ -153,12 +153,12 @@
         for number in 1..=self.steps {
             let pull_start = Instant::now();
             self.pull(&mut client, &mut step, version, &mut stats).await;
-            stats.longest += u64::from(step.longest);
+            stats.longest_tokens += u64::from(step.longest);
             stats.idle += pull_start.elapsed();
             stats.steps += 1;
             // The histogram resizes itself, so no value is out of range.
             let _ = stats
-                .whole
+                .step_ms
                 .record(step.open_time.elapsed().as_millis() as u64);
             stats.step_ids.push(step.opened.step.clone());
             let path = format!("/v1/steps/{}", step.opened.step);
@@ -214,7 +214,7 @@
         client: &mut EntryClient,
         step: &mut Step,
         version: u64,
-        stats: &mut Seen,
+        stats: &mut TrainerStats,
     ) {
         let path = format!("/v1/steps/{}/pull", step.opened.step);
         loop {
@@ -236,7 +236,7 @@
         }
     }
 
-    fn check(&self, step: &mut Step, sample: &Sample, version: u64, stats: &mut Seen) {
+    fn check(&self, step: &mut Step, sample: &Sample, version: u64, stats: &mut TrainerStats) {
         stats.samples += 1;
         stats.tokens += u64::from(sample.tokens);
         step.longest = step.longest.max(sample.tokens);
@@ -246,10 +246,10 @@
         stats.mixed += u64::from(sample.spans.len() > 1);
         match step.received.get_mut(sample.index as usize) {
             Some(received) => stats.duplicates += u64::from(std::mem::replace(received, true)),
-            None => stats.wrong += 1,
+            None => stats.mismatched += 1,
         }
         stats.unversioned += u64::from(!is_versioned(sample));
-        stats.wrong += u64::from(!self.is_expected(step, sample));
+        stats.mismatched += u64::from(!self.is_expected(step, sample));
     }
 
     /// Returns whether the text is the one that the engines generate for this prompt and seed.
