--- a/crates/bench/src/goodput.rs
+++ b/crates/bench/src/goodput.rs
@@ -40,9 +40,9 @@
             token: contracts::token("one"),
             path: "/v1/services/portal/size/{n}".into(),
             rate: factor * CAPACITY,
-            span: SPAN,
-            once: false,
-            timeout: TIMEOUT,
+            duration: SPAN,
+            with_keys: false,
+            timeout_ms: TIMEOUT,
             seed: 5,
         };
         let seen = callers.run().await;
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -42,9 +42,9 @@
             token: contracts::token("one"),
             path: "/v1/services/portal/orders".into(),
             rate,
-            span: SPAN,
-            once: true,
-            timeout: 3_000,
+            duration: SPAN,
+            with_keys: true,
+            timeout_ms: 3_000,
             seed: 9,
         };
         let seen = callers.run().await;
--- a/crates/bench/src/slow.rs
+++ b/crates/bench/src/slow.rs
@@ -52,9 +52,9 @@
                 token: contracts::token("one"),
                 path: "/v1/services/portal/size/{n}".into(),
                 rate: 300.0,
-                span: SPAN,
-                once: false,
-                timeout: 2_000,
+                duration: SPAN,
+                with_keys: false,
+                timeout_ms: 2_000,
                 seed: 3,
             };
             let seen = callers.run().await;
--- a/crates/bench/src/surge.rs
+++ b/crates/bench/src/surge.rs
@@ -44,9 +44,9 @@
         token: contracts::token(customer),
         path: "/v1/services/portal/size/{n}".into(),
         rate,
-        span: SPAN,
-        once: false,
-        timeout: 2_000,
+        duration: SPAN,
+        with_keys: false,
+        timeout_ms: 2_000,
         seed: 11,
     }
 }
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -117,14 +117,14 @@
         label: "demo".into(),
         median: MEDIAN_TOKENS,
     };
-    let callers = |path: &str, rate: f64, once: bool| Callers {
+    let callers = |path: &str, rate: f64, with_keys: bool| Callers {
         entries: entries.to_vec(),
         token: token(PORTAL_CUSTOMER),
         path: path.into(),
         rate,
-        span: Duration::from_millis(1_500) * steps,
-        once,
-        timeout: 2_000,
+        duration: Duration::from_millis(1_500) * steps,
+        with_keys,
+        timeout_ms: 2_000,
         seed: 7,
     };
     let lookups = callers("/v1/services/portal/size/{n}", 100.0, false);
--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -41,11 +41,11 @@
     /// Mean calls per second.
     pub rate: f64,
     /// Time over which calls are sent.
-    pub span: Duration,
+    pub duration: Duration,
     /// Whether each call is a POST with an idempotency key of its own.
-    pub once: bool,
+    pub with_keys: bool,
     /// The timeout that each call states, in milliseconds.
-    pub timeout: u64,
+    pub timeout_ms: u64,
     /// Seed of the intervals between calls.
     pub seed: u64,
 }
@@ -111,7 +111,7 @@
             // Exponential intervals, as of arrivals that are independent of each other.
             let interval = -random.random::<f64>().max(1e-12).ln() / self.rate;
             due += Duration::from_secs_f64(interval);
-            if due >= self.span {
+            if due >= self.duration {
                 break;
             }
             tokio::time::sleep_until((start + due).into()).await;
@@ -133,7 +133,7 @@
     }
 
     async fn call(self, call: Call) {
-        let key = self.once.then(|| Uuid::now_v7().to_string());
+        let key = self.with_keys.then(|| Uuid::now_v7().to_string());
         let outcome = self.send(&call, key.as_deref()).await;
         let micros = call.due.elapsed().as_micros() as u64;
         let mut stats = call.stats.lock();
@@ -163,7 +163,7 @@
             })
             .uri(uri(call.entry, &format!("{path}{sep}{query}")))
             .header(AUTHORIZATION, format!("Bearer {}", self.token))
-            .header(TIMEOUT, self.timeout);
+            .header(TIMEOUT, self.timeout_ms);
         let request = match key {
             Some(key) => request.header(IDEMPOTENCY_KEY, key),
             None => request,
@@ -172,7 +172,7 @@
             return Outcome::NoResponse;
         };
         // Longer than the stated timeout, so that the entry's own timeout response still arrives.
-        let limit = Duration::from_millis(self.timeout + 2_000);
+        let limit = Duration::from_millis(self.timeout_ms + 2_000);
         match call.http.fetch(request, limit, MAX_RESPONSE_BYTES).await {
             Ok(response) if response.status().is_success() => check_echo(response.body(), &query),
             Ok(response) => match serde_json::from_slice(response.body()) {
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -60,8 +60,8 @@
     let path = s.require("path", "a path such as /v1/services/portal/size/{n}");
     let rate = s.get_or("rate", "calls a second", Rate(10.0)).0;
     let span = s.get_or("span", "a span of time", DurationMs(10_000)).0;
-    let once = s.get_or("once", "true or false", false);
-    let timeout = s.get_or("timeout", "a span of time", DurationMs(2_000)).0;
+    let with_keys = s.get_or("once", "true or false", false);
+    let timeout_ms = s.get_or("timeout", "a span of time", DurationMs(2_000)).0;
     let seed = s.get_or("seed", "a number", 1);
     if rate == 0.0 {
         s.report_invalid("rate", "more than 0 calls a second");
@@ -71,9 +71,9 @@
         token: token?,
         path: path?,
         rate,
-        span: Duration::from_millis(span),
-        once,
-        timeout,
+        duration: Duration::from_millis(span),
+        with_keys,
+        timeout_ms,
         seed,
     })
 }
