--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -58,12 +58,12 @@
             .unwrap_or_else(|_| unreachable!("a good name")),
         groups: 96,
         samples: 8,
-        tokens: 2_000,
+        max_tokens: 2_000,
         steps: 4,
-        train: Duration::from_millis(1_500),
-        version: 1,
+        train_time: Duration::from_millis(1_500),
+        start_version: 1,
         label: "bench".into(),
-        median: MEDIAN,
+        median_tokens: MEDIAN,
     }
 }
 
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -110,12 +110,12 @@
             .unwrap_or_else(|_| unreachable!("the model name is valid")),
         groups: 16,
         samples: 8,
-        tokens: 1_024,
+        max_tokens: 1_024,
         steps,
-        train: Duration::from_millis(500),
-        version: 1,
+        train_time: Duration::from_millis(500),
+        start_version: 1,
         label: "demo".into(),
-        median: MEDIAN_TOKENS,
+        median_tokens: MEDIAN_TOKENS,
     };
     let callers = |path: &str, rate: f64, with_keys: bool| Callers {
         entries: entries.to_vec(),
--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -158,12 +158,12 @@
         model: "fitting".parse().unwrap(),
         groups: 12,
         samples: 4,
-        tokens: 400,
+        max_tokens: 400,
         steps: 3,
-        train: Duration::from_millis(100),
-        version: 1,
+        train_time: Duration::from_millis(100),
+        start_version: 1,
         label: "t".into(),
-        median: MEDIAN,
+        median_tokens: MEDIAN,
     };
     let run = tokio::spawn(async move { trainer.run().await });
 
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -87,11 +87,11 @@
         model: model?,
         groups: s.get_or("groups", "a number of groups", 16),
         samples: s.get_or("samples", "a number of samples", 4),
-        tokens: s.get_or("tokens", "a number of tokens", 1_024),
+        max_tokens: s.get_or("tokens", "a number of tokens", 1_024),
         steps: s.get_or("steps", "a number of steps", 3),
-        train: Duration::from_millis(s.get_or("train", "a span of time", DurationMs(1_000)).0),
-        version: s.get_or("version", "a weight version", 1),
+        train_time: Duration::from_millis(s.get_or("train", "a span of time", DurationMs(1_000)).0),
+        start_version: s.get_or("version", "a weight version", 1),
         label: name.to_owned(),
-        median: s.get_or("median", "a number of tokens", 0),
+        median_tokens: s.get_or("median", "a number of tokens", 0),
     })
 }
--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -52,17 +52,17 @@
     /// Samples per group.
     pub samples: u32,
     /// Maximum number of tokens per sample.
-    pub tokens: u32,
+    pub max_tokens: u32,
     /// Number of steps.
     pub steps: u32,
     /// Time that training on one step takes.
-    pub train: Duration,
+    pub train_time: Duration,
     /// The weight version at the start.
-    pub version: u64,
+    pub start_version: u64,
     /// Prefix of the prompts, so that trainers send different ones.
     pub label: String,
     /// Median tokens per sample of the stand-in engines, to check the texts; 0 disables the check.
-    pub median: u32,
+    pub median_tokens: u32,
 }
 
 /// Results of a trainer's run.
@@ -148,7 +148,7 @@
         let mut stats = TrainerStats::default();
         let mut client = EntryClient::new(self);
         let start = Instant::now();
-        let mut version = self.version;
+        let mut version = self.start_version;
         let mut step = self.open(&mut client, 0, version).await;
         for number in 1..=self.steps {
             let pull_start = Instant::now();
@@ -167,7 +167,7 @@
                 true => Some(self.open(&mut client, number, version).await),
                 false => None,
             };
-            tokio::time::sleep(self.train).await;
+            tokio::time::sleep(self.train_time).await;
             version += 1;
             let path = format!("/v1/weights/{}", self.model);
             let _: AnnouncedVersion = client
@@ -193,7 +193,7 @@
                 .map(|prompt| prompt.as_str().into())
                 .collect(),
             samples: self.samples,
-            max_tokens: self.tokens,
+            max_tokens: self.max_tokens,
             version,
         };
         let open_time = Instant::now();
@@ -254,7 +254,7 @@
 
     /// Returns whether the text is the one that the engines generate for this prompt and seed.
     fn is_expected(&self, step: &Step, sample: &Sample) -> bool {
-        if self.median == 0 {
+        if self.median_tokens == 0 {
             return true;
         }
         let group = (sample.index / self.samples) as usize;
@@ -262,7 +262,7 @@
             return false;
         };
         let seed = u64::from(sample.index);
-        let tokens = text::length(prompt, seed, self.median, self.tokens);
+        let tokens = text::length(prompt, seed, self.median_tokens, self.max_tokens);
         sample.tokens == tokens && sample.text == text::whole(prompt, seed, tokens)
     }
 }
