--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -6,7 +6,7 @@
 use eyre::bail;
 use load::Table;
 use load::Trainer;
-use load::run::trainer_rows;
+use load::run::add_trainer_rows;
 use load::trainer::TrainerStats;
 use rig::Make;
 use rig::Rig;
@@ -112,7 +112,7 @@
     let policy = part(&make("longest", "scored", "fair"), fault).await?;
     let baseline = part(&make("inorder", "least", "fifo"), fault).await?;
     for (name, seen) in [("policy", &policy), ("baseline", &baseline)] {
-        trainer_rows(&mut table, name, seen);
+        add_trainer_rows(&mut table, name, seen);
         let step = seen.step_ms.value_at_quantile(0.5) as f64 / 1_000.0;
         table.row(
             format!("{name} step to the engines' bound"),
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -69,9 +69,9 @@
     let results = run_load(&rig.addrs(), steps).await;
     let mut table = Table::default();
     table.row("contracts in force everywhere [ms]", apply_time.as_millis());
-    load::run::trainer_rows(&mut table, "trainer", &results.trainer);
-    load::run::callers_rows(&mut table, "lookups", &results.lookups);
-    load::run::callers_rows(&mut table, "orders", &results.orders);
+    load::run::add_trainer_rows(&mut table, "trainer", &results.trainer);
+    load::run::add_caller_rows(&mut table, "lookups", &results.lookups);
+    load::run::add_caller_rows(&mut table, "orders", &results.orders);
     let repeated = rig.parts.twice().len() as u64;
     table.row("orders that ran more than once", repeated);
     args::output::write(format_args!("{table}"));
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -38,7 +38,7 @@
     for run in runs {
         let (name, stats) = run.await?;
         mismatched += stats.mismatched;
-        callers_rows(&mut table, &name, &stats);
+        add_caller_rows(&mut table, &name, &stats);
     }
     args::output::write(format_args!("{table}"));
     if mismatched > 0 {
@@ -48,7 +48,7 @@
 }
 
 /// Adds the results of callers to a table.
-pub fn callers_rows(table: &mut Table, name: &str, stats: &callers::CallerStats) {
+pub fn add_caller_rows(table: &mut Table, name: &str, stats: &callers::CallerStats) {
     table.row(format!("{name} calls"), stats.sent);
     table.row(format!("{name} whole answers"), stats.completed);
     table.latency(&format!("{name} latency"), &stats.latency_us);
@@ -71,7 +71,7 @@
     for run in runs {
         let (name, stats) = run.await?;
         violations += stats.violations();
-        trainer_rows(&mut table, &name, &stats);
+        add_trainer_rows(&mut table, &name, &stats);
     }
     args::output::write(format_args!("{table}"));
     if violations > 0 {
@@ -81,7 +81,7 @@
 }
 
 /// Adds the results of a trainer to a table.
-pub fn trainer_rows(table: &mut Table, name: &str, stats: &trainer::TrainerStats) {
+pub fn add_trainer_rows(table: &mut Table, name: &str, stats: &trainer::TrainerStats) {
     let idle_ratio = stats.idle.as_secs_f64() / stats.total.as_secs_f64().max(1e-9);
     table.row(format!("{name} steps whole"), stats.steps);
     table.row(format!("{name} samples"), stats.samples);
