--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use load::Table;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -42,7 +42,7 @@
     let path = "/v1/weights/fitting";
     let body = json!({ "version": version });
     loop {
-        let asked = Asked::json(rig.addrs()[0], "staff", path, &body);
+        let asked = Call::json(rig.addrs()[0], "staff", path, &body);
         if asked.send().await?.status.is_success() {
             return Ok(());
         }
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -5,7 +5,7 @@
 
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -34,7 +34,7 @@
 
 async fn announce(rig: &Rig, version: u64) -> StatusCode {
     let path = "/v1/weights/fitting";
-    let asked = Asked::json(
+    let asked = Call::json(
         rig.addrs()[0],
         "staff",
         path,
@@ -44,7 +44,7 @@
 }
 
 async fn fetch_load(addr: std::net::SocketAddr) -> Option<LoadReport> {
-    let asked = Asked::new(addr, "-", Method::GET, LOAD);
+    let asked = Call::new(addr, "-", Method::GET, LOAD);
     asked.send().await.ok()?.json().ok()
 }
 
@@ -179,7 +179,7 @@
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
         let engine = &rig.parts.engines[0];
-        let answer = Asked::json(engine.host.addr, "-", ORDER, &stale_order())
+        let answer = Call::json(engine.host.addr, "-", ORDER, &stale_order())
             .send()
             .await
             .unwrap();
@@ -200,7 +200,7 @@
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
         let engine = &rig.parts.engines[0];
-        let answer = Asked::json(engine.host.addr, "-", ORDER, &stale_order())
+        let answer = Call::json(engine.host.addr, "-", ORDER, &stale_order())
             .send()
             .await
             .unwrap();
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use control::Controller;
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Parts;
 use rustix::process::Pid;
@@ -79,7 +79,7 @@
     /// Waits until it is ready, with the contracts of the fleet.
     pub(crate) async fn ready(&self) {
         for _ in 0..1_000 {
-            let asked = Asked::new(self.addr, "-", Method::GET, "/readyz");
+            let asked = Call::new(self.addr, "-", Method::GET, "/readyz");
             let answer = asked.send().await;
             if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
                 return;
--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use http::StatusCode;
 use load::Trainer;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::contracts;
 use route::Ran;
@@ -43,7 +43,7 @@
     for number in 0..count {
         let key = format!("{label}-{number}");
         for turn in 0..20 {
-            let order = Asked::order(to[(number + turn) % to.len()], "aarhus", &key);
+            let order = Call::order(to[(number + turn) % to.len()], "aarhus", &key);
             let Ok(answer) = order.send().await else {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
@@ -193,13 +193,13 @@
     let mut fleet = Fleet::start(&make).await;
     let to = fleet.entries[0].addr;
     let body = json!({"model": "fitting", "prompt": "a case", "stream": true, "seed": 3});
-    let asked = Asked::json(to, "aarhus", "/v1/completions", &body);
+    let asked = Call::json(to, "aarhus", "/v1/completions", &body);
     let call = tokio::spawn(async move { asked.send().await });
     tokio::time::sleep(Duration::from_millis(200)).await;
 
     fleet.entries[0].terminate();
     let ready = async || {
-        let asked = Asked::new(to, "-", Method::GET, "/readyz");
+        let asked = Call::new(to, "-", Method::GET, "/readyz");
         asked
             .send()
             .await
--- a/crates/rig/src/call.rs
+++ b/crates/rig/src/call.rs
@@ -23,7 +23,7 @@
 
 /// One HTTP call.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Call {
     /// Address of the entry.
     pub to: SocketAddr,
     /// The method.
@@ -71,7 +71,7 @@
     }
 }
 
-impl Asked {
+impl Call {
     /// Creates a call of a customer whose contract was written by [`crate::contracts::text`].
     pub fn new(to: SocketAddr, customer: &str, method: Method, path: &str) -> Self {
         let bearer = format!("Bearer {}", token(customer));
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod parts;
 mod start;
 
-pub use call::Asked;
+pub use call::Call;
 pub use make::Make;
 pub use parts::Parts;
 pub use start::Rig;
--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -7,7 +7,7 @@
 use http::Method;
 use http::StatusCode;
 use plat::budget::CallKind;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -64,14 +64,14 @@
     let open = json!({
         "model": "fitting", "groups": prompts, "samples": 2, "max_tokens": 300, "version": 1,
     });
-    let answer = Asked::json(to, "staff", "/v1/steps", &open).send().await;
+    let answer = Call::json(to, "staff", "/v1/steps", &open).send().await;
     let opened: OpenedStep = answer.unwrap().json().unwrap();
     opened.step
 }
 
 async fn end(to: SocketAddr, step: &str) -> StatusCode {
     let path = format!("/v1/steps/{step}");
-    let asked = Asked::new(to, "staff", Method::DELETE, &path);
+    let asked = Call::new(to, "staff", Method::DELETE, &path);
     asked.send().await.unwrap().status
 }
 
@@ -84,7 +84,7 @@
 async fn pull(to: SocketAddr, step: &str) -> Option<Type> {
     let path = format!("/v1/steps/{step}/pull");
     let pull = json!({ "version": 1, "cursor": "", "limit": 8, "wait_ms": 100 });
-    let answer = Asked::json(to, "staff", &path, &pull).send().await.unwrap();
+    let answer = Call::json(to, "staff", &path, &pull).send().await.unwrap();
     match answer.status {
         StatusCode::OK => None,
         _ => answer.problem().map(|problem| problem.kind),
@@ -360,9 +360,7 @@
         let path = format!("/v1/steps/{step}");
 
         for to in rig.addrs() {
-            let foreign = Asked::new(to, "cutters", Method::DELETE, &path)
-                .send()
-                .await;
+            let foreign = Call::new(to, "cutters", Method::DELETE, &path).send().await;
             assert_eq!(foreign.unwrap().status, StatusCode::NOT_FOUND);
         }
 
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -9,7 +9,7 @@
 use plat::Put;
 use plat::Txn;
 use plat::keys;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -49,8 +49,8 @@
     let rig = rig().await;
     let to = rig.addrs();
 
-    let first = Asked::order(to[0], "aarhus", "k").send().await.unwrap();
-    let again = Asked::order(to[1], "aarhus", "k").send().await.unwrap();
+    let first = Call::order(to[0], "aarhus", "k").send().await.unwrap();
+    let again = Call::order(to[1], "aarhus", "k").send().await.unwrap();
 
     assert_eq!(first.status, StatusCode::CREATED);
     assert_eq!(again.status, StatusCode::CREATED);
@@ -66,8 +66,8 @@
     let rig = Rig::start(&make).await.unwrap();
     let to = rig.addrs()[0];
 
-    Asked::order(to, "aarhus", "k").send().await.unwrap();
-    let other = Asked::order(to, "other", "k").send().await.unwrap();
+    Call::order(to, "aarhus", "k").send().await.unwrap();
+    let other = Call::order(to, "other", "k").send().await.unwrap();
 
     assert_eq!(other.status, StatusCode::CREATED);
     assert_eq!(rig.parts.ran(), ["k", "k"]);
@@ -77,9 +77,9 @@
 async fn a_key_of_another_request_is_refused() {
     let rig = rig().await;
     let to = rig.addrs()[0];
-    Asked::order(to, "aarhus", "k").send().await.unwrap();
+    Call::order(to, "aarhus", "k").send().await.unwrap();
 
-    let other = Asked::order(to, "aarhus", "k")
+    let other = Call::order(to, "aarhus", "k")
         .body("cap")
         .send()
         .await
@@ -98,7 +98,7 @@
     tokio::runtime::Runtime::new().unwrap().block_on(async {
         let rig = rig().await;
 
-        let answer = Asked::order(rig.addrs()[0], "aarhus", key)
+        let answer = Call::order(rig.addrs()[0], "aarhus", key)
             .send()
             .await
             .unwrap();
@@ -119,7 +119,7 @@
     for turn in 0..10 {
         let key = format!("k{turn}");
         let calls: Vec<_> = (0..6)
-            .map(|at| Asked::order(to[at % 2], "aarhus", &key))
+            .map(|at| Call::order(to[at % 2], "aarhus", &key))
             .map(|order| tokio::spawn(async move { order.send().await.unwrap() }))
             .collect();
         let mut created = 0;
@@ -145,8 +145,8 @@
     let to = rig.addrs()[0];
     rig.parts.platform.host.faults.set(down());
 
-    let order = Asked::order(to, "aarhus", "k").send().await.unwrap();
-    let lookup = Asked::lookup(to, "aarhus").send().await.unwrap();
+    let order = Call::order(to, "aarhus", "k").send().await.unwrap();
+    let lookup = Call::lookup(to, "aarhus").send().await.unwrap();
     rig.parts.platform.host.faults.set(Fault::default());
     let again = until_created(&rig, "k").await;
 
@@ -161,7 +161,7 @@
 /// Sends an order again until it is created, for a few seconds.
 async fn until_created(rig: &Rig, key: &str) -> bool {
     for _ in 0..60 {
-        let answer = Asked::order(rig.addrs()[0], "aarhus", key)
+        let answer = Call::order(rig.addrs()[0], "aarhus", key)
             .send()
             .await
             .unwrap();
@@ -189,7 +189,7 @@
         };
         rig.parts.platform.host.faults.set(fault);
         let key = format!("k{turn}");
-        let answer = Asked::order(to[turn % 2], "aarhus", &key)
+        let answer = Call::order(to[turn % 2], "aarhus", &key)
             .send()
             .await
             .unwrap();
@@ -226,13 +226,13 @@
     // Both shards have been read, so that the next question is a write at once.
     for turn in 0..8 {
         let key = format!("warm{turn}");
-        Asked::order(to[0], "aarhus", &key).send().await.unwrap();
+        Call::order(to[0], "aarhus", &key).send().await.unwrap();
     }
     rig.parts.platform.host.faults.set(mute());
     let keys: Vec<_> = (0..16).map(|turn| format!("k{turn}")).collect();
     let asked = keys.iter().zip(to.iter().cycle());
     let asked = asked.map(|(key, to)| async {
-        let order = Asked::order(*to, "aarhus", key);
+        let order = Call::order(*to, "aarhus", key);
         order.send().await.unwrap().problem().unwrap().ran
     });
     let ran = futures_util::future::join_all(asked).await;
@@ -257,12 +257,12 @@
         .iter()
         .for_each(|s| s.host.faults.set(mute()));
 
-    let lost = Asked::order(to[0], "aarhus", "k").send().await.unwrap();
+    let lost = Call::order(to[0], "aarhus", "k").send().await.unwrap();
     rig.parts
         .services
         .iter()
         .for_each(|s| s.host.faults.set(Fault::default()));
-    let again = Asked::order(to[1], "aarhus", "k").send().await.unwrap();
+    let again = Call::order(to[1], "aarhus", "k").send().await.unwrap();
 
     let problem = lost.problem().unwrap();
     assert_eq!((problem.kind, problem.ran), (Type::Upstream, Ran::Unknown));
@@ -284,8 +284,8 @@
     rig.parts.services.iter().for_each(|s| s.host.stop());
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
 
-    let first = Asked::order(to, "aarhus", "k").send().await.unwrap();
-    let second = Asked::order(to, "aarhus", "k").send().await.unwrap();
+    let first = Call::order(to, "aarhus", "k").send().await.unwrap();
+    let second = Call::order(to, "aarhus", "k").send().await.unwrap();
 
     for answer in [first, second] {
         let problem = answer.problem().unwrap_or_else(|| panic!("{answer:?}"));
@@ -325,7 +325,7 @@
     };
     plat.txn(&txn).await.unwrap();
 
-    let answer = Asked::order(rig.addrs()[0], "aarhus", "k")
+    let answer = Call::order(rig.addrs()[0], "aarhus", "k")
         .send()
         .await
         .unwrap();
@@ -344,7 +344,7 @@
     let to = rig.addrs()[0];
 
     for turn in 0..8 {
-        let answer = Asked::order(to, "aarhus", &format!("k{turn}"))
+        let answer = Call::order(to, "aarhus", &format!("k{turn}"))
             .send()
             .await
             .unwrap();
--- a/crates/serve/tests/poison.rs
+++ b/crates/serve/tests/poison.rs
@@ -4,7 +4,7 @@
 
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -56,12 +56,12 @@
     all.filter(|faults| faults.get().down).count()
 }
 
-fn update(rig: &Rig, at: usize, body: &'static str) -> Asked {
+fn update(rig: &Rig, at: usize, body: &'static str) -> Call {
     let path = "/v1/services/portal/size/1";
-    Asked::new(rig.addrs()[at], "aarhus", Method::PUT, path).body(body)
+    Call::new(rig.addrs()[at], "aarhus", Method::PUT, path).body(body)
 }
 
-async fn problem(asked: Asked) -> Problem {
+async fn problem(asked: Call) -> Problem {
     asked.send().await.unwrap().problem().unwrap()
 }
 
@@ -107,7 +107,7 @@
     block(async {
         let rig = fixture("").await;
         let order = |at: usize| {
-            let order = Asked::order(rig.addrs()[0], "aarhus", &format!("key-{at}"));
+            let order = Call::order(rig.addrs()[0], "aarhus", &format!("key-{at}"));
             order.body(FATAL)
         };
 
@@ -135,7 +135,7 @@
         });
 
         for _ in 0..4 {
-            let asked = Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body);
+            let asked = Call::json(rig.addrs()[0], "aarhus", "/v1/completions", &body);
             // A stream is cut off, so that it does not look whole.
             let _ = asked.send().await;
         }
@@ -154,14 +154,14 @@
             "model": "fitting", "groups": ["case 0", "a fatal case", "case 2"], "samples": 1,
             "max_tokens": 40, "version": 1,
         });
-        let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
+        let opened = Call::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
         let opened: OpenedStep = opened.send().await.unwrap().json().unwrap();
 
         let (mut cursor, mut got) = (String::new(), Vec::new());
         for _ in 0..16 {
             let path = format!("/v1/steps/{}/pull", opened.step);
             let pull = json!({"version": 1, "cursor": cursor, "limit": 9, "wait_ms": 300});
-            let answer = Asked::json(rig.addrs()[0], "aarhus", &path, &pull)
+            let answer = Call::json(rig.addrs()[0], "aarhus", &path, &pull)
                 .send()
                 .await;
             let batch: Batch = answer.unwrap().json().unwrap();
@@ -189,7 +189,7 @@
             "max_tokens": 40, "version": 1,
         });
 
-        let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
+        let opened = Call::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
         let status = opened.send().await.unwrap().status;
         tokio::time::sleep(Duration::from_secs(4)).await;
 
--- a/crates/serve/tests/refusals.rs
+++ b/crates/serve/tests/refusals.rs
@@ -5,7 +5,7 @@
 
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -31,8 +31,8 @@
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
-fn call(to: SocketAddr, method: Method, path: &str, body: &str) -> Asked {
-    Asked::new(to, "aarhus", method, path).body(body.to_owned())
+fn call(to: SocketAddr, method: Method, path: &str, body: &str) -> Call {
+    Call::new(to, "aarhus", method, path).body(body.to_owned())
 }
 
 const STEP: &str = r#"{"model":"fitting","groups":["a"],"samples":1,"version":1}"#;
@@ -81,7 +81,7 @@
             Some("application/problem+json")
         );
         assert!(answer.header("x-request-id").is_some());
-        let after = Asked::lookup(to, "aarhus").send().await.unwrap();
+        let after = Call::lookup(to, "aarhus").send().await.unwrap();
         assert_eq!(after.status, StatusCode::OK);
     });
 }
@@ -94,7 +94,7 @@
 fn a_call_without_a_good_token_is_refused(header: Option<&str>) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let mut lookup = Asked::lookup(rig.addrs()[0], "aarhus");
+        let mut lookup = Call::lookup(rig.addrs()[0], "aarhus");
         lookup.headers.clear();
         if let Some(header) = header {
             lookup = lookup.header("authorization", header);
@@ -108,14 +108,14 @@
 }
 
 #[parameterized(
-    long_body = { Asked::body, "x-a", "1", Type::TooLarge },
+    long_body = { Call::body, "x-a", "1", Type::TooLarge },
     deadline = { keep, "x-request-timeout-ms", "soon", Type::BadRequest },
     no_time = { keep, "x-request-timeout-ms", "0", Type::BadRequest },
 )]
-fn bad_parts_are_named(body: fn(Asked, String) -> Asked, name: &str, value: &str, expected: Type) {
+fn bad_parts_are_named(body: fn(Call, String) -> Call, name: &str, value: &str, expected: Type) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let order = Asked::order(rig.addrs()[0], "aarhus", "k").header(name, value);
+        let order = Call::order(rig.addrs()[0], "aarhus", "k").header(name, value);
 
         let answer = body(order, "x".repeat(1_001)).send().await.unwrap();
 
@@ -124,7 +124,7 @@
     });
 }
 
-fn keep(asked: Asked, _: String) -> Asked {
+fn keep(asked: Call, _: String) -> Call {
     asked
 }
 
@@ -159,7 +159,7 @@
 
         assert!(answer.contains(part), "{answer}");
         assert!(rig.parts.ran().is_empty());
-        let after = Asked::lookup(to, "aarhus").send().await.unwrap();
+        let after = Call::lookup(to, "aarhus").send().await.unwrap();
         assert_eq!(after.status, StatusCode::OK);
     });
 }
@@ -206,7 +206,7 @@
         let opened: wire::caller::OpenedStep = opened.json().unwrap();
         let path = format!("/v1/steps/{}/pull", opened.step);
 
-        let pull = Asked::new(to, "other", Method::POST, &path).body(r#"{"version":1}"#);
+        let pull = Call::new(to, "other", Method::POST, &path).body(r#"{"version":1}"#);
         let answer = pull.send().await.unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, Type::NotFound);
@@ -241,7 +241,7 @@
             fault.mute = true;
             fault.delay = 100;
         });
-        let lookup = || Asked::lookup(rig.addrs()[0], "aarhus");
+        let lookup = || Call::lookup(rig.addrs()[0], "aarhus");
 
         let first = lookup().header("x-request-timeout-ms", "170");
         let others = async {
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -7,7 +7,7 @@
 use http::Method;
 use http::StatusCode;
 use operate::Applied;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -81,12 +81,12 @@
         rig.reach(rev).await.unwrap();
 
         let entry = rig.entries[2].as_ref().unwrap();
-        let ready = Asked::new(entry.addr, "-", Method::GET, "/readyz")
+        let ready = Call::new(entry.addr, "-", Method::GET, "/readyz")
             .send()
             .await
             .unwrap();
         assert_eq!(ready.status, StatusCode::OK);
-        let lookup = Asked::lookup(entry.addr, "aarhus").send().await.unwrap();
+        let lookup = Call::lookup(entry.addr, "aarhus").send().await.unwrap();
         assert_eq!(lookup.status, StatusCode::OK);
     });
 }
@@ -110,17 +110,17 @@
         rig.revive(0).await.unwrap();
 
         let addr = rig.addrs()[0];
-        let ready = Asked::new(addr, "-", Method::GET, "/readyz")
+        let ready = Call::new(addr, "-", Method::GET, "/readyz")
             .send()
             .await
             .unwrap();
-        let health = Asked::new(addr, "-", Method::GET, "/healthz")
+        let health = Call::new(addr, "-", Method::GET, "/healthz")
             .send()
             .await
             .unwrap();
         assert_eq!(ready.status, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(health.status, StatusCode::OK);
-        let lookup = Asked::lookup(addr, "aarhus").send().await.unwrap();
+        let lookup = Call::lookup(addr, "aarhus").send().await.unwrap();
         assert_eq!(lookup.problem().unwrap().kind, Type::Unauthorized);
     });
 }
@@ -190,8 +190,8 @@
         rig.reach(rev).await.unwrap();
 
         for addr in rig.addrs() {
-            let old = Asked::lookup(addr, "aarhus").send().await.unwrap();
-            let new = Asked::lookup(addr, "new").send().await.unwrap();
+            let old = Call::lookup(addr, "aarhus").send().await.unwrap();
+            let new = Call::lookup(addr, "new").send().await.unwrap();
             assert_eq!(old.problem().unwrap().kind, Type::Unauthorized);
             assert_eq!(new.status, StatusCode::OK);
         }
@@ -354,7 +354,7 @@
             // The first answer says so.
             for _ in 0..8 {
                 for addr in rig.addrs() {
-                    Asked::lookup(addr, "aarhus").send().await.unwrap();
+                    Call::lookup(addr, "aarhus").send().await.unwrap();
                 }
             }
         }
@@ -363,7 +363,7 @@
 
         for _ in 0..10 {
             for addr in rig.addrs() {
-                let answer = Asked::lookup(addr, "aarhus").send().await.unwrap();
+                let answer = Call::lookup(addr, "aarhus").send().await.unwrap();
                 assert_eq!(answer.status, StatusCode::OK);
             }
         }
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -5,7 +5,7 @@
 
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -60,7 +60,7 @@
             "model": "fitting", "groups": prompts, "samples": samples, "max_tokens": TOKENS,
             "version": 1,
         });
-        let answer = Asked::json(to[0], "staff", "/v1/steps", &open)
+        let answer = Call::json(to[0], "staff", "/v1/steps", &open)
             .send()
             .await
             .unwrap();
@@ -77,12 +77,12 @@
         }
     }
 
-    fn asked(&self, limit: usize) -> Asked {
+    fn asked(&self, limit: usize) -> Call {
         let path = format!("/v1/steps/{}/pull", self.step);
         let pull = json!({
             "version": self.version, "cursor": self.cursor, "limit": limit, "wait_ms": 500,
         });
-        Asked::json(self.to[self.at % self.to.len()], "staff", &path, &pull)
+        Call::json(self.to[self.at % self.to.len()], "staff", &path, &pull)
     }
 
     /// Pulls once and takes the batch; another entry is next when this one does not answer.
@@ -277,7 +277,7 @@
         }
         for version in [2, 3] {
             let announce = json!({ "version": version });
-            let answer = Asked::json(rig.addrs()[0], "staff", path, &announce)
+            let answer = Call::json(rig.addrs()[0], "staff", path, &announce)
                 .send()
                 .await;
             assert_eq!(answer.unwrap().status, StatusCode::OK);
@@ -300,7 +300,7 @@
         let trainer = Trainer::open(&rig, 2, 2).await;
         let path = format!("/v1/steps/{}", trainer.step);
 
-        let end = Asked::new(rig.addrs()[1], "staff", Method::DELETE, &path);
+        let end = Call::new(rig.addrs()[1], "staff", Method::DELETE, &path);
         let ended = end.send().await.unwrap();
 
         assert_eq!(ended.status, StatusCode::NO_CONTENT);
@@ -341,7 +341,7 @@
         let open = json!({
             "model": "fitting", "groups": prompts, "samples": 1, "max_tokens": 16, "version": 1,
         });
-        let opened = Asked::json(rig.addrs()[0], "staff", "/v1/steps", &open)
+        let opened = Call::json(rig.addrs()[0], "staff", "/v1/steps", &open)
             .send()
             .await;
         let opened: OpenedStep = opened.unwrap().json().unwrap();
@@ -352,7 +352,7 @@
         let mut cursor = String::new();
         for _ in 0..100 {
             let pull = json!({ "version": 1, "cursor": cursor, "wait_ms": 500 });
-            let answer = Asked::json(rig.addrs()[0], "staff", &path, &pull)
+            let answer = Call::json(rig.addrs()[0], "staff", &path, &pull)
                 .send()
                 .await
                 .unwrap();
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -5,7 +5,7 @@
 use http::Method;
 use http::StatusCode;
 use net::events::DONE;
-use rig::Asked;
+use rig::Call;
 use rig::Make;
 use rig::Rig;
 use rig::contracts;
@@ -31,11 +31,11 @@
     }
 }
 
-fn ask(rig: &Rig, prompt: &str, stream: bool) -> Asked {
+fn ask(rig: &Rig, prompt: &str, stream: bool) -> Call {
     let body = json!({
         "model": "fitting", "prompt": prompt, "max_tokens": 400, "seed": 7, "stream": stream,
     });
-    Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body)
+    Call::json(rig.addrs()[0], "aarhus", "/v1/completions", &body)
 }
 
 fn right(prompt: &str) -> String {
@@ -169,7 +169,7 @@
     let load = rig.parts.engines.iter().map(|e| e.host.addr);
     for addr in load {
         let free = async || {
-            let load = Asked::new(addr, "-", Method::GET, wire::engine::LOAD);
+            let load = Call::new(addr, "-", Method::GET, wire::engine::LOAD);
             let load: wire::engine::LoadReport = load.send().await.unwrap().json().unwrap();
             load.running == 0
         };
