--- a/crates/bench/src/goodput.rs
+++ b/crates/bench/src/goodput.rs
@@ -4,8 +4,8 @@
 
 use load::Callers;
 use load::Table;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Four services that work 20 ms on at most 4 calls each.
@@ -17,15 +17,15 @@
 /// The deadline of a call in milliseconds.
 const TIMEOUT: u64 = 500;
 
-fn make(order: &'static str) -> Make {
+fn make(queue_order: &'static str) -> RigConfig {
     let free = "rate = 100000\nburst = 100000\nconcurrency = 100000\n";
-    Make {
+    RigConfig {
         engines: 0,
-        work: Duration::from_millis(20),
-        slots: 4,
-        order,
+        service_time: Duration::from_millis(20),
+        service_slots: 4,
+        queue_order,
         contracts: vec![contracts::text("one", free)],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -5,25 +5,25 @@
 
 use load::Callers;
 use load::Table;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// How long each part runs.
 const SPAN: Duration = Duration::from_secs(8);
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engines: 0,
         services: 4,
-        work: Duration::from_millis(5),
-        slots: 32,
+        service_time: Duration::from_millis(5),
+        service_slots: 32,
         entries: 4,
         contracts: vec![contracts::text(
             "one",
             "rate = 5000\nburst = 5000\nconcurrency = 4096\n",
         )],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
--- a/crates/bench/src/limits.rs
+++ b/crates/bench/src/limits.rs
@@ -4,8 +4,8 @@
 
 use load::Callers;
 use load::Table;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Contracted calls a second.
@@ -17,14 +17,14 @@
 /// How long each part runs; the first seconds go into learning who is asked how much.
 const SPAN: Duration = Duration::from_secs(15);
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         entries: 4,
         engines: 0,
-        work: Duration::from_millis(2),
-        slots: 64,
+        service_time: Duration::from_millis(2),
+        service_slots: 64,
         contracts: vec![contracts::text("one", "rate = 200\nburst = 20\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -10,8 +10,8 @@
 use http_body_util::Full;
 use load::Table;
 use load::report::histogram;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 use crate::cpu;
@@ -78,14 +78,14 @@
 
 /// Runs the measurement.
 pub(crate) async fn run() -> eyre::Result<()> {
-    let make = Make {
+    let make = RigConfig {
         domains: vec!["nord"],
         engines: 0,
         services: 1,
-        work: Duration::ZERO,
-        slots: 64,
+        service_time: Duration::ZERO,
+        service_slots: 64,
         contracts: vec![contracts::text("one", "rate = 1000000\nburst = 100000\n")],
-        ..Make::default()
+        ..RigConfig::default()
     };
     let rig = Rig::start(&make).await?;
     let straight = part(rig.parts.services[0].host.addr, "/size/1").await;
--- a/crates/bench/src/slow.rs
+++ b/crates/bench/src/slow.rs
@@ -4,22 +4,22 @@
 
 use load::Callers;
 use load::Table;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use standin::Fault;
 
 /// How long each part runs.
 const SPAN: Duration = Duration::from_secs(6);
 
-fn make(chooser: &'static str) -> Make {
-    Make {
+fn make(chooser: &'static str) -> RigConfig {
+    RigConfig {
         engines: 0,
-        work: Duration::from_millis(5),
-        slots: 16,
+        service_time: Duration::from_millis(5),
+        service_slots: 16,
         chooser,
         contracts: vec![contracts::text("one", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -5,21 +5,21 @@
 
 use load::Table;
 use load::report::histogram;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Changes of each part.
 const CHANGES: u32 = 20;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         domains: vec!["nord", "midt", "syd"],
         entries: 3,
         engines: 0,
         services: 1,
         contracts: vec![contracts::text("one", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
--- a/crates/bench/src/surge.rs
+++ b/crates/bench/src/surge.rs
@@ -5,8 +5,8 @@
 use load::Callers;
 use load::Table;
 use load::callers::CallerStats;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Lookups a second of the calm customer.
@@ -19,22 +19,22 @@
 const SPAN: Duration = Duration::from_secs(6);
 
 /// Four services that work 20 ms on at most 4 calls each: 800 calls a second.
-fn make(order: &'static str, chooser: &'static str, limited: bool) -> Make {
+fn make(queue_order: &'static str, chooser: &'static str, limited: bool) -> RigConfig {
     let surge = match limited {
         true => format!("rate = {CONTRACT}\nburst = 40\n"),
         false => "rate = 100000\nburst = 100000\nconcurrency = 100000\n".into(),
     };
-    Make {
+    RigConfig {
         engines: 0,
-        work: Duration::from_millis(20),
-        slots: 4,
-        order,
+        service_time: Duration::from_millis(20),
+        service_slots: 4,
+        queue_order,
         chooser,
         contracts: vec![
             contracts::text("calm", ""),
             contracts::text("surge", &surge),
         ],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-async fn part(make: &Make, surge: f64) -> eyre::Result<(CallerStats, CallerStats)> {
+async fn part(make: &RigConfig, surge: f64) -> eyre::Result<(CallerStats, CallerStats)> {
     let rig = Rig::start(make).await?;
     let calm = callers(&rig, "calm", CALM);
     let other = callers(&rig, "surge", surge);
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -8,8 +8,8 @@
 use load::Trainer;
 use load::run::add_trainer_rows;
 use load::trainer::TrainerStats;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use standin::Fault;
 use standin::engine;
@@ -29,8 +29,8 @@
 /// How long the platform is away.
 const AWAY: Duration = Duration::from_secs(5);
 
-fn make(policy: &'static str, chooser: &'static str, order: &'static str) -> Make {
-    Make {
+fn make(policy: &'static str, chooser: &'static str, queue_order: &'static str) -> RigConfig {
+    RigConfig {
         engines: 4,
         engine: engine::Make {
             median: MEDIAN,
@@ -39,13 +39,13 @@
             ..engine::Make::default()
         },
         services: 0,
-        control: true,
+        with_control: true,
         store: Some((1 << 20, 200e6)),
         policy,
         chooser,
-        order,
+        queue_order,
         contracts: vec![contracts::text("staff", "staleness = 1\nweighs = idle\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-async fn part(make: &Make, fault: &str) -> eyre::Result<TrainerStats> {
+async fn part(make: &RigConfig, fault: &str) -> eyre::Result<TrainerStats> {
     let mut rig = Rig::start(make).await?;
     let trainer = trainer(&rig);
     let run = tokio::spawn(async move { trainer.run().await });
--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -5,8 +5,8 @@
 
 use load::Table;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::engine;
@@ -20,9 +20,9 @@
 /// Longest time that is waited.
 const LIMIT: Duration = Duration::from_secs(60);
 
-fn make(engines: usize, cache: bool) -> Make {
-    Make {
-        cache,
+fn make(engines: usize, with_cache: bool) -> RigConfig {
+    RigConfig {
+        with_cache,
         engines: engines / 2,
         engine: engine::Make {
             slots: 8,
@@ -30,11 +30,11 @@
             ..engine::Make::default()
         },
         services: 0,
-        control: true,
+        with_control: true,
         store: Some((SIZE, RATE)),
         contracts: vec![contracts::text("staff", "")],
-        poll: "5s",
-        ..Make::default()
+        report_interval: "5s",
+        ..RigConfig::default()
     }
 }
 
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -6,8 +6,8 @@
 use http::Method;
 use http::StatusCode;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::Fault;
@@ -16,15 +16,15 @@
 use wire::engine::LoadReport;
 use wire::engine::ORDER;
 
-fn config() -> Make {
-    Make {
+fn config() -> RigConfig {
+    RigConfig {
         entries: 2,
         engines: 3,
         services: 0,
-        control: true,
+        with_control: true,
         store: Some((100_000, 100e6)),
         contracts: vec![contracts::text("staff", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -241,9 +241,9 @@
     });
 }
 
-fn config_with_cache() -> Make {
-    Make {
-        cache: true,
+fn config_with_cache() -> RigConfig {
+    RigConfig {
+        with_cache: true,
         ..config()
     }
 }
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -11,8 +11,8 @@
 use load::Trainer;
 use load::callers;
 use load::trainer;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts::token;
 use rig::parts::SECRET;
 use standin::engine;
@@ -39,16 +39,16 @@
     args::program::block_on(demo(steps, parsed.has("stay")))
 }
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engines: 3,
         engine: engine::Make {
             median: MEDIAN_TOKENS,
             ..engine::Make::default()
         },
-        control: true,
+        with_control: true,
         store: Some((1 << 20, 200e6)),
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -11,8 +11,8 @@
 use http::Method;
 use http::StatusCode;
 use rig::Call;
-use rig::Make;
 use rig::Parts;
+use rig::RigConfig;
 use rustix::process::Pid;
 use rustix::process::Signal;
 use rustix::process::kill_process;
@@ -119,7 +119,7 @@
 }
 
 impl Fleet {
-    pub(crate) async fn start(make: &Make) -> Self {
+    pub(crate) async fn start(make: &RigConfig) -> Self {
         let parts = Parts::start(make).await.unwrap();
         let contracts = operate::Contracts::new(plat::Client::new(vec![parts.platform.host.addr]));
         for text in &make.contracts {
--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -10,7 +10,7 @@
 use http::StatusCode;
 use load::Trainer;
 use rig::Call;
-use rig::Make;
+use rig::RigConfig;
 use rig::contracts;
 use route::Ran;
 use serde_json::json;
@@ -19,14 +19,14 @@
 
 const MEDIAN: u32 = 40;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engine: engine::Make {
             median: MEDIAN,
             ..engine::Make::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 3s\nstaleness = 1\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -130,7 +130,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_survive_paused_entries() {
     let mut make = make();
-    make.more = "[journal]\nshards = 1\n".into();
+    make.extra_settings = "[journal]\nshards = 1\n".into();
     let fleet = Fleet::start(&make).await;
     let calls = load(&fleet, 8, 25).await;
 
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -8,6 +8,6 @@
 mod start;
 
 pub use call::Call;
-pub use make::Make;
+pub use make::RigConfig;
 pub use parts::Parts;
 pub use start::Rig;
--- a/crates/rig/src/make.rs
+++ b/crates/rig/src/make.rs
@@ -6,7 +6,7 @@
 
 /// Configuration of a rig.
 #[derive(Clone, Debug)]
-pub struct Make {
+pub struct RigConfig {
     /// Names of the failure domains.
     pub domains: Vec<&'static str>,
     /// Entries in each failure domain.
@@ -18,30 +18,30 @@
     /// Plain services in each failure domain.
     pub services: usize,
     /// Time that a plain service takes for one call.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Number of calls that a plain service serves at the same time.
-    pub slots: usize,
+    pub service_slots: usize,
     /// Whether a controller runs beside each entry.
-    pub control: bool,
+    pub with_control: bool,
     /// Bytes of a weight version and the weight store's rate in bytes per second; [`None`] for no store.
     pub store: Option<(usize, f64)>,
     /// Whether the first entry of each failure domain caches weights in its own directory.
-    pub cache: bool,
+    pub with_cache: bool,
     /// Order of the queues, as in the settings of a pool.
-    pub order: &'static str,
+    pub queue_order: &'static str,
     /// Chooser of upstreams, as in the settings of a pool.
     pub chooser: &'static str,
     /// Policy of steps, as in the settings of steps.
     pub policy: &'static str,
     /// Interval between two load reports of an engine, as in the settings of weights.
-    pub poll: &'static str,
+    pub report_interval: &'static str,
     /// Additional settings text for each entry.
-    pub more: String,
+    pub extra_settings: String,
     /// Texts of the contracts that are applied at the start.
     pub contracts: Vec<String>,
 }
 
-impl Default for Make {
+impl Default for RigConfig {
     fn default() -> Self {
         Self {
             domains: vec!["nord", "syd"],
@@ -49,16 +49,16 @@
             engines: 2,
             engine: engine::Make::default(),
             services: 2,
-            work: Duration::from_millis(4),
-            slots: 16,
-            control: false,
+            service_time: Duration::from_millis(4),
+            service_slots: 16,
+            with_control: false,
             store: None,
-            cache: false,
-            order: "fair",
+            with_cache: false,
+            queue_order: "fair",
             chooser: "scored",
             policy: "longest",
-            poll: "200ms",
-            more: String::new(),
+            report_interval: "200ms",
+            extra_settings: String::new(),
             contracts: Vec::new(),
         }
     }
--- a/crates/rig/src/parts.rs
+++ b/crates/rig/src/parts.rs
@@ -10,7 +10,7 @@
 use standin::Service;
 use standin::Store;
 
-use crate::Make;
+use crate::RigConfig;
 
 /// The secret that authenticates instances to each other.
 pub const SECRET: &str = "the rig's shared key";
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Returns an error if one cannot listen.
-    pub async fn start(make: &Make) -> eyre::Result<Self> {
+    pub async fn start(config: &RigConfig) -> eyre::Result<Self> {
         let platform = Arc::new(Platform::default());
         let host = platform.host(free()).await?;
         let platform = part("platform", platform, host);
@@ -61,51 +61,51 @@
             services: Vec::new(),
             store: None,
         };
-        if let Some((size, rate)) = make.store {
+        if let Some((size, rate)) = config.store {
             let store = Arc::new(Store::new(size, rate));
             let host = store.host(free()).await?;
             parts.store = Some(part("store", store, host));
         }
-        parts.write_shared(make)?;
-        for domain in &make.domains {
-            parts.start_domain(make, domain).await?;
+        parts.write_shared(config)?;
+        for domain in &config.domains {
+            parts.start_domain(config, domain).await?;
         }
         Ok(parts)
     }
 
     /// Writes the settings that do not depend on a single upstream.
-    fn write_shared(&mut self, make: &Make) -> std::fmt::Result {
+    fn write_shared(&mut self, config: &RigConfig) -> std::fmt::Result {
         let text = &mut self.shared;
         writeln!(text, "[platform]\naddresses = {}", self.platform.host.addr)?;
         writeln!(text, "[peers]\nsecret = {SECRET}")?;
-        let (order, chooser) = (make.order, make.chooser);
+        let (order, chooser) = (config.queue_order, config.chooser);
         for (name, kind) in [("fitting", "engine"), ("portal", "service")] {
             writeln!(
                 text,
                 "[pool {name}]\nkind = {kind}\norder = {order}\nchooser = {chooser}"
             )?;
         }
-        writeln!(text, "[steps]\npolicy = {}", make.policy)?;
-        writeln!(text, "[weights]\npoll = {}", make.poll)?;
+        writeln!(text, "[steps]\npolicy = {}", config.policy)?;
+        writeln!(text, "[weights]\npoll = {}", config.report_interval)?;
         if let Some(store) = &self.store {
             writeln!(text, "store = http://{}/weights", store.host.addr)?;
         }
-        writeln!(text, "{}", make.more)
+        writeln!(text, "{}", config.extra_settings)
     }
 
-    async fn start_domain(&mut self, make: &Make, domain: &str) -> eyre::Result<()> {
-        for index in 0..make.engines {
-            let engine = Arc::new(Engine::new(make.engine));
+    async fn start_domain(&mut self, config: &RigConfig, domain: &str) -> eyre::Result<()> {
+        for index in 0..config.engines {
+            let engine = Arc::new(Engine::new(config.engine));
             let host = engine.host(free()).await?;
             let part = part(&format!("engine-{domain}-{index}"), engine, host);
-            self.write_upstream(&part, "fitting", domain, make.engine.slots as usize)?;
+            self.write_upstream(&part, "fitting", domain, config.engine.slots as usize)?;
             self.engines.push(part);
         }
-        for index in 0..make.services {
-            let service = Arc::new(Service::new(make.work, make.slots));
+        for index in 0..config.services {
+            let service = Arc::new(Service::new(config.service_time, config.service_slots));
             let host = service.host(free()).await?;
             let part = part(&format!("portal-{domain}-{index}"), service, host);
-            self.write_upstream(&part, "portal", domain, make.slots)?;
+            self.write_upstream(&part, "portal", domain, config.service_slots)?;
             self.services.push(part);
         }
         Ok(())
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpListener;
 use wire::peer::Secret;
 
-use crate::Make;
 use crate::Parts;
+use crate::RigConfig;
 use crate::parts::SECRET;
 use crate::parts::free;
 
@@ -68,12 +68,12 @@
     /// # Errors
     ///
     /// Returns an error if a part cannot start, or if the contracts are not in force after 19 s.
-    pub async fn start(make: &Make) -> eyre::Result<Self> {
-        let parts = Parts::start(make).await?;
+    pub async fn start(config: &RigConfig) -> eyre::Result<Self> {
+        let parts = Parts::start(config).await?;
         let mut sockets = Vec::new();
         let mut text = parts.shared.clone();
-        for domain in &make.domains {
-            for index in 0..make.entries {
+        for domain in &config.domains {
+            for index in 0..config.entries {
                 let listener = TcpListener::bind(free()).await?;
                 let addr = listener.local_addr()?;
                 let name = format!("{domain}-{index}");
@@ -83,7 +83,7 @@
         }
         let caches: Vec<_> = sockets
             .iter()
-            .filter(|(name, ..)| make.cache && name.ends_with("-0"))
+            .filter(|(name, ..)| config.with_cache && name.ends_with("-0"))
             .map(|(_, domain, _, addr)| (*domain, *addr))
             .collect();
         let mut rig = Self {
@@ -97,14 +97,14 @@
             let file = format!("{}{me}", with_cache(&text, &name, domain, addr, &caches));
             let settings = serve::settings::read(&name, &file)?;
             let entry = Running::start_on(listener, settings)?;
-            if make.control {
+            if config.with_control {
                 let control = Controller::start(&entry.app.settings, entry.addr);
                 rig.controls.push(control);
             }
             rig.entries.push(Some(entry));
             rig.files.push((file, addr));
         }
-        rig.apply(&make.contracts).await?;
+        rig.apply(&config.contracts).await?;
         Ok(rig)
     }
 
--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -8,8 +8,8 @@
 use http::StatusCode;
 use plat::budget::CallKind;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use serve::Running;
@@ -40,8 +40,8 @@
 const SLOW: u64 = 400;
 
 /// Samples take half a minute each, and more wait than the engines have places for.
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engine: engine::Make {
             speed: 10.0,
             median: 300,
@@ -51,7 +51,7 @@
         engines: 1,
         services: 0,
         contracts: vec![contracts::text("staff", "staleness = 1\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -185,8 +185,8 @@
         make.engine.slots = 16;
         make.domains = vec!["nord"];
         make.services = 1;
-        make.slots = 1;
-        make.work = Duration::from_millis(1_200);
+        make.service_slots = 1;
+        make.service_time = Duration::from_millis(1_200);
         let more = "staleness = 1\nscorer = portal\nunscored = wait\n";
         make.contracts = vec![contracts::text("staff", more)];
         let rig = Rig::start(&make).await.unwrap();
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -10,19 +10,19 @@
 use plat::Txn;
 use plat::keys;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use route::Ran;
 use standin::Fault;
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         contracts: vec![contracts::text("aarhus", "deadline = 3s\n")],
-        more: "[journal]\nshards = 2\n".into(),
-        ..Make::default()
+        extra_settings: "[journal]\nshards = 2\n".into(),
+        ..RigConfig::default()
     }
 }
 
--- a/crates/serve/tests/poison.rs
+++ b/crates/serve/tests/poison.rs
@@ -5,8 +5,8 @@
 use http::Method;
 use http::StatusCode;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::Faults;
@@ -29,12 +29,12 @@
 
 /// Two failure domains with two entries each, and upstreams that a body with the word can end.
 async fn fixture(more: &str) -> Rig {
-    let make = Make {
+    let make = RigConfig {
         entries: 2,
         engines: 4,
         services: 4,
         contracts: vec![contracts::text("aarhus", more)],
-        ..Make::default()
+        ..RigConfig::default()
     };
     let rig = Rig::start(&make).await.unwrap();
     for faults in services(&rig).chain(engines(&rig)) {
--- a/crates/serve/tests/refusals.rs
+++ b/crates/serve/tests/refusals.rs
@@ -6,8 +6,8 @@
 use http::Method;
 use http::StatusCode;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use route::Ran;
 use tokio::io::AsyncReadExt;
@@ -16,14 +16,14 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         domains: vec!["nord"],
         engines: 1,
         services: 1,
-        more: "[limits]\nbody = 1000\npatience = 300ms\nheaders = 300ms\n".into(),
+        extra_settings: "[limits]\nbody = 1000\npatience = 300ms\nheaders = 300ms\n".into(),
         contracts: vec![contracts::text("aarhus", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -234,7 +234,10 @@
 #[test]
 fn a_call_that_may_have_run_before_is_not_refused_as_not_run() {
     block(async {
-        let make = Make { slots: 1, ..make() };
+        let make = RigConfig {
+            service_slots: 1,
+            ..make()
+        };
         let rig = Rig::start(&make).await.unwrap();
         let service = &rig.parts.services[0];
         service.host.faults.change(|fault| {
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -8,20 +8,20 @@
 use http::StatusCode;
 use operate::Applied;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use standin::Fault;
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         entries: 2,
         engines: 0,
         services: 1,
         contracts: vec![contracts::text("aarhus", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -97,7 +97,7 @@
 #[test]
 fn an_entry_that_knows_nothing_is_not_ready() {
     block(async {
-        let make = Make {
+        let make = RigConfig {
             domains: vec!["nord"],
             entries: 1,
             contracts: Vec::new(),
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -6,8 +6,8 @@
 use http::Method;
 use http::StatusCode;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::Fault;
@@ -23,8 +23,8 @@
 const MEDIAN: u32 = 40;
 const TOKENS: u32 = 300;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engine: engine::Make {
             median: MEDIAN,
             ..engine::Make::default()
@@ -32,7 +32,7 @@
         engines: 3,
         services: 0,
         contracts: vec![contracts::text("staff", "staleness = 1\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -261,7 +261,7 @@
 fn samples_that_grew_too_old_are_made_again() {
     block(async {
         let mut make = make();
-        make.control = true;
+        make.with_control = true;
         let rig = Rig::start(&make).await.unwrap();
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         let path = "/v1/weights/fitting";
@@ -333,7 +333,7 @@
 fn a_large_step_is_taken_over() {
     block(async {
         let mut make = make();
-        make.more = "[limits]\nbody = 8000000\n".into();
+        make.extra_settings = "[limits]\nbody = 8000000\n".into();
         let mut rig = Rig::start(&make).await.unwrap();
         let prompts: Vec<_> = (0..4)
             .map(|g| format!("{g}{}", "x".repeat(400_000)))
@@ -366,9 +366,9 @@
     });
 }
 
-fn scored(unscored: &str) -> Make {
+fn scored(unscored: &str) -> RigConfig {
     let more = format!("staleness = 1\nscorer = portal\nunscored = {unscored}\n");
-    Make {
+    RigConfig {
         services: 1,
         contracts: vec![contracts::text("staff", &more)],
         ..make()
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -6,8 +6,8 @@
 use http::StatusCode;
 use net::events::DONE;
 use rig::Call;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::Fault;
@@ -20,14 +20,14 @@
 
 const MEDIAN: u32 = 60;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engine: engine::Make {
             median: MEDIAN,
             ..engine::Make::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 20s\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
