--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -34,7 +34,7 @@
     table.row("shards of the journal", 16);
     for rate in [10.0, 100.0, 1_000.0] {
         let rig = Rig::start(&make()).await?;
-        let platform = rig.parts.platform.part.clone();
+        let platform = rig.standins.platform.state.clone();
         let calls = || platform.calls.txn.load(Ordering::Relaxed);
         let before = calls();
         let callers = Callers {
@@ -63,7 +63,10 @@
             format!("{} of {}", seen.completed, seen.sent),
         );
         table.latency(&name, &seen.latency_us);
-        table.row(format!("{name}: ran twice"), rig.parts.twice().len());
+        table.row(
+            format!("{name}: ran twice"),
+            rig.standins.repeated_orders().len(),
+        );
         rig.leave().await?;
     }
     args::output::write(format_args!("{table}"));
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -88,7 +88,7 @@
         ..RigConfig::default()
     };
     let rig = Rig::start(&make).await?;
-    let straight = part(rig.parts.services[0].host.addr, "/size/1").await;
+    let straight = part(rig.standins.services[0].host.addr, "/size/1").await;
     let entry = part(rig.addrs()[0], "/v1/services/portal/size/1").await;
     let mut table = Table::default();
     table.latency("straight", &straight.micros);
--- a/crates/bench/src/slow.rs
+++ b/crates/bench/src/slow.rs
@@ -46,7 +46,7 @@
             ),
         ] {
             let rig = Rig::start(&make(chooser)).await?;
-            rig.parts.services[0].host.faults.set(fault);
+            rig.standins.services[0].host.faults.set(fault);
             let callers = Callers {
                 entries: rig.addrs(),
                 token: contracts::token("one"),
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -56,7 +56,7 @@
 
 /// The platform goes away as soon as one entry has the change; the others learn it from peers.
 async fn outage(rig: &mut Rig) -> eyre::Result<Duration> {
-    let faults = rig.parts.platform.host.faults.clone();
+    let faults = rig.standins.platform.host.faults.clone();
     let start = Instant::now();
     let contract = contract::ini::parse("bench", &contracts::text("one", "rate = 7\n"))?;
     let applied = rig.contracts().apply("bench", None, contract).await?;
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -74,17 +74,17 @@
     tokio::time::sleep(AFTER).await;
     match fault {
         "none" => (),
-        "engine" => rig.parts.engines[0].host.faults.set(Fault {
+        "engine" => rig.standins.engines[0].host.faults.set(Fault {
             down: true,
             ..Fault::default()
         }),
-        "slow" => rig.parts.engines[0].host.faults.set(Fault {
+        "slow" => rig.standins.engines[0].host.faults.set(Fault {
             slow: 6.0,
             ..Fault::default()
         }),
         "entry" => rig.kill(0),
         "platform" => {
-            let faults = rig.parts.platform.host.faults.clone();
+            let faults = rig.standins.platform.host.faults.clone();
             faults.change(|fault| fault.down = true);
             tokio::time::sleep(AWAY).await;
             faults.change(|fault| fault.down = false);
--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -52,8 +52,8 @@
 
 async fn reach(rig: &Rig, version: u64) -> Duration {
     let start = Instant::now();
-    let has = |e: &rig::parts::Part<standin::Engine>| e.part.version() == version;
-    while !rig.parts.engines.iter().all(has) && start.elapsed() < LIMIT {
+    let has = |e: &rig::parts::Standin<standin::Engine>| e.state.version() == version;
+    while !rig.standins.engines.iter().all(has) && start.elapsed() < LIMIT {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     start.elapsed()
@@ -73,10 +73,10 @@
         announce(&rig, 2).await?;
         reach(&rig, 2).await;
         let sent = || {
-            rig.parts
+            rig.standins
                 .store
                 .as_ref()
-                .map_or(0, |store| store.part.sent())
+                .map_or(0, |store| store.state.sent())
         };
         let before = sent();
         let mut worst = Duration::ZERO;
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -62,7 +62,7 @@
 async fn wait_for_version(rig: &Rig, version: u64) {
     for _ in 0..1_500 {
         let mut all = true;
-        for engine in &rig.parts.engines {
+        for engine in &rig.standins.engines {
             let load = fetch_load(engine.host.addr).await;
             all &= load.is_some_and(|load| load.stated.single_version() == Some(version));
         }
@@ -82,8 +82,8 @@
         assert_eq!(announce(&rig, 2).await, StatusCode::OK);
 
         wait_for_version(&rig, 2).await;
-        let store = rig.parts.store.as_ref().unwrap();
-        assert_eq!(store.part.sent(), 6 * 100_000);
+        let store = rig.standins.store.as_ref().unwrap();
+        assert_eq!(store.state.sent(), 6 * 100_000);
     });
 }
 
@@ -100,7 +100,7 @@
         tokio::time::sleep(Duration::from_millis(1_500)).await;
 
         wait_for_version(&rig, 5).await;
-        let orders = rig.parts.engines.iter().flat_map(|e| e.part.orders());
+        let orders = rig.standins.engines.iter().flat_map(|e| e.state.orders());
         assert!(orders.into_iter().all(|(_, version)| version == 5));
     });
 }
@@ -111,7 +111,7 @@
 fn a_swap_that_fails_partway_is_repaired() {
     run_async(async {
         let rig = Rig::start(&config()).await.unwrap();
-        rig.parts.engines[1]
+        rig.standins.engines[1]
             .host
             .faults
             .change(|fault| fault.mixed = true);
@@ -119,7 +119,7 @@
         announce(&rig, 2).await;
 
         wait_for_version(&rig, 2).await;
-        assert!(rig.parts.engines[1].part.orders().len() > 1);
+        assert!(rig.standins.engines[1].state.orders().len() > 1);
     });
 }
 
@@ -131,11 +131,11 @@
             down: true,
             ..Fault::default()
         };
-        rig.parts.engines[0].host.faults.set(down);
+        rig.standins.engines[0].host.faults.set(down);
         announce(&rig, 2).await;
         tokio::time::sleep(Duration::from_millis(1_500)).await;
 
-        rig.parts.engines[0].host.faults.set(Fault::default());
+        rig.standins.engines[0].host.faults.set(Fault::default());
 
         wait_for_version(&rig, 2).await;
     });
@@ -160,7 +160,7 @@
         announce(&rig, 3).await;
 
         wait_for_version(&rig, 3).await;
-        let fences = |at: usize| rig.parts.engines[at].part.orders();
+        let fences = |at: usize| rig.standins.engines[at].state.orders();
         let first = fences(0);
         assert!(
             first.windows(2).all(|pair| pair[0].0 <= pair[1].0),
@@ -178,7 +178,7 @@
         let rig = Rig::start(&config()).await.unwrap();
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
-        let engine = &rig.parts.engines[0];
+        let engine = &rig.standins.engines[0];
         let answer = Call::json(engine.host.addr, "-", ORDER, &stale_order())
             .send()
             .await
@@ -199,7 +199,7 @@
         let rig = Rig::start(&config).await.unwrap();
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
-        let engine = &rig.parts.engines[0];
+        let engine = &rig.standins.engines[0];
         let answer = Call::json(engine.host.addr, "-", ORDER, &stale_order())
             .send()
             .await
@@ -227,7 +227,7 @@
         let rig = Rig::start(&config()).await.unwrap();
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
-        let faults = rig.parts.platform.host.faults.clone();
+        let faults = rig.standins.platform.host.faults.clone();
         faults.change(|fault| fault.down = true);
         assert_eq!(announce(&rig, 3).await, StatusCode::SERVICE_UNAVAILABLE);
         tokio::time::sleep(Duration::from_secs(9)).await;
@@ -259,9 +259,9 @@
         announce(&rig, 2).await;
 
         wait_for_version(&rig, 2).await;
-        let store = rig.parts.store.as_ref().unwrap();
+        let store = rig.standins.store.as_ref().unwrap();
         assert_eq!(
-            store.part.sent(),
+            store.state.sent(),
             2 * 100_000,
             "one download per failure domain"
         );
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -72,7 +72,7 @@
     load::run::add_trainer_rows(&mut table, "trainer", &results.trainer);
     load::run::add_caller_rows(&mut table, "lookups", &results.lookups);
     load::run::add_caller_rows(&mut table, "orders", &results.orders);
-    let repeated = rig.parts.twice().len() as u64;
+    let repeated = rig.standins.repeated_orders().len() as u64;
     table.row("orders that ran more than once", repeated);
     args::output::write(format_args!("{table}"));
     let violations = results.violations() + repeated;
@@ -140,7 +140,7 @@
 /// Prints addresses, tokens and the operator's settings, and keeps the fleet running until the process is
 /// interrupted or terminated.
 async fn stay(rig: Rig) -> eyre::Result<()> {
-    let platform = rig.parts.platform.host.addr;
+    let platform = rig.standins.platform.host.addr;
     args::print_line!("\nplatform  http://{platform}");
     let mut text = format!("[platform]\naddresses = {platform}\n[peers]\nsecret = {SECRET}\n");
     for entry in rig.running() {
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -11,8 +11,8 @@
 use http::Method;
 use http::StatusCode;
 use rig::Call;
-use rig::Parts;
 use rig::RigConfig;
+use rig::Standins;
 use rustix::process::Pid;
 use rustix::process::Signal;
 use rustix::process::kill_process;
@@ -107,7 +107,7 @@
 
 /// Stand-ins in this process, entries as processes of their own.
 pub(crate) struct Fleet {
-    pub(crate) parts: Parts,
+    pub(crate) parts: Standins,
     pub(crate) entries: Vec<Entry>,
     /// Beside the entries, in this process.
     _controls: Vec<Controller>,
@@ -120,7 +120,7 @@
 
 impl Fleet {
     pub(crate) async fn start(make: &RigConfig) -> Self {
-        let parts = Parts::start(make).await.unwrap();
+        let parts = Standins::start(make).await.unwrap();
         let contracts = operate::Contracts::new(plat::Client::new(vec![parts.platform.host.addr]));
         for text in &make.contracts {
             let contract = contract::ini::parse("test", text).unwrap();
--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -66,9 +66,9 @@
 
 /// Checks what callers were told against the services' own logs.
 fn check(fleet: &Fleet, seen: &[Seen]) {
-    let ran = fleet.parts.ran();
+    let ran = fleet.parts.executed_orders();
     assert_eq!(
-        fleet.parts.twice(),
+        fleet.parts.repeated_orders(),
         Vec::<String>::new(),
         "no key runs twice"
     );
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -9,5 +9,5 @@
 
 pub use call::Call;
 pub use make::RigConfig;
-pub use parts::Parts;
+pub use parts::Standins;
 pub use start::Rig;
--- a/crates/rig/src/parts.rs
+++ b/crates/rig/src/parts.rs
@@ -16,25 +16,25 @@
 pub const SECRET: &str = "the rig's shared key";
 
 /// A running stand-in.
-pub struct Part<T> {
+pub struct Standin<T> {
     /// Name of the stand-in, also in the settings if it is an upstream.
     pub name: String,
-    /// The stand-in.
-    pub part: Arc<T>,
+    /// The state of the stand-in, which its server shares.
+    pub state: Arc<T>,
     /// The server, with its address and the faults to inject.
     pub host: Host,
 }
 
 /// The stand-ins of a rig.
-pub struct Parts {
+pub struct Standins {
     /// The platform's key-value store.
-    pub platform: Part<Platform>,
+    pub platform: Standin<Platform>,
     /// The engines, grouped by failure domain.
-    pub engines: Vec<Part<Engine>>,
+    pub engines: Vec<Standin<Engine>>,
     /// The plain services, grouped by failure domain.
-    pub services: Vec<Part<Service>>,
+    pub services: Vec<Standin<Service>>,
     /// The weight store, if the configuration has one.
-    pub store: Option<Part<Store>>,
+    pub store: Option<Standin<Store>>,
     /// Settings text that all instances have in common.
     pub shared: String,
 }
@@ -44,7 +44,7 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-impl Parts {
+impl Standins {
     /// Starts the stand-ins.
     ///
     /// # Errors
@@ -53,8 +53,8 @@
     pub async fn start(config: &RigConfig) -> eyre::Result<Self> {
         let platform = Arc::new(Platform::default());
         let host = platform.host(free()).await?;
-        let platform = part("platform", platform, host);
-        let mut parts = Self {
+        let platform = standin("platform", platform, host);
+        let mut standins = Self {
             shared: String::new(),
             platform,
             engines: Vec::new(),
@@ -64,13 +64,13 @@
         if let Some((size, rate)) = config.store {
             let store = Arc::new(Store::new(size, rate));
             let host = store.host(free()).await?;
-            parts.store = Some(part("store", store, host));
+            standins.store = Some(standin("store", store, host));
         }
-        parts.write_shared(config)?;
+        standins.write_shared(config)?;
         for domain in &config.domains {
-            parts.start_domain(config, domain).await?;
+            standins.start_domain(config, domain).await?;
         }
-        Ok(parts)
+        Ok(standins)
     }
 
     /// Writes the settings that do not depend on a single upstream.
@@ -97,28 +97,28 @@
         for index in 0..config.engines {
             let engine = Arc::new(Engine::new(config.engine));
             let host = engine.host(free()).await?;
-            let part = part(&format!("engine-{domain}-{index}"), engine, host);
-            self.write_upstream(&part, "fitting", domain, config.engine.slots as usize)?;
-            self.engines.push(part);
+            let standin = standin(&format!("engine-{domain}-{index}"), engine, host);
+            self.write_upstream(&standin, "fitting", domain, config.engine.slots as usize)?;
+            self.engines.push(standin);
         }
         for index in 0..config.services {
             let service = Arc::new(Service::new(config.service_time, config.service_slots));
             let host = service.host(free()).await?;
-            let part = part(&format!("portal-{domain}-{index}"), service, host);
-            self.write_upstream(&part, "portal", domain, config.service_slots)?;
-            self.services.push(part);
+            let standin = standin(&format!("portal-{domain}-{index}"), service, host);
+            self.write_upstream(&standin, "portal", domain, config.service_slots)?;
+            self.services.push(standin);
         }
         Ok(())
     }
 
     fn write_upstream<T>(
         &mut self,
-        part: &Part<T>,
+        standin: &Standin<T>,
         pool: &str,
         domain: &str,
         slots: usize,
     ) -> std::fmt::Result {
-        let (name, addr) = (&part.name, part.host.addr);
+        let (name, addr) = (&standin.name, standin.host.addr);
         writeln!(
             self.shared,
             "[upstream {name}]\naddress = {addr}\npool = {pool}\ndomain = {domain}\n\
@@ -128,20 +128,20 @@
 
     /// Returns the idempotency keys that the services' logs hold more than once, sorted; a key with more than two
     /// executions is repeated.
-    pub fn twice(&self) -> Vec<String> {
-        let mut keys: Vec<_> = self.services.iter().flat_map(|s| s.part.log()).collect();
+    pub fn repeated_orders(&self) -> Vec<String> {
+        let mut keys: Vec<_> = self.services.iter().flat_map(|s| s.state.log()).collect();
         keys.sort_unstable();
         let repeated = keys.windows(2).filter(|pair| pair[0] == pair[1]);
         repeated.map(|pair| pair[0].clone()).collect()
     }
 
     /// Returns the idempotency keys of all executed orders, from the services' logs.
-    pub fn ran(&self) -> Vec<String> {
-        self.services.iter().flat_map(|s| s.part.log()).collect()
+    pub fn executed_orders(&self) -> Vec<String> {
+        self.services.iter().flat_map(|s| s.state.log()).collect()
     }
 }
 
-fn part<T>(name: &str, part: Arc<T>, host: Host) -> Part<T> {
+fn standin<T>(name: &str, state: Arc<T>, host: Host) -> Standin<T> {
     let name = name.to_owned();
-    Part { name, part, host }
+    Standin { name, state, host }
 }
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpListener;
 use wire::peer::Secret;
 
-use crate::Parts;
 use crate::RigConfig;
+use crate::Standins;
 use crate::parts::SECRET;
 use crate::parts::free;
 
@@ -53,7 +53,7 @@
 /// A fleet that runs in this process.
 pub struct Rig {
     /// The stand-ins.
-    pub parts: Parts,
+    pub standins: Standins,
     /// The entries; [`None`] for one that was killed.
     pub entries: Vec<Option<Running>>,
     /// The controllers that run beside the entries.
@@ -69,9 +69,9 @@
     ///
     /// Returns an error if a part cannot start, or if the contracts are not in force after 19 s.
     pub async fn start(config: &RigConfig) -> eyre::Result<Self> {
-        let parts = Parts::start(config).await?;
+        let standins = Standins::start(config).await?;
         let mut sockets = Vec::new();
-        let mut text = parts.shared.clone();
+        let mut text = standins.shared.clone();
         for domain in &config.domains {
             for index in 0..config.entries {
                 let listener = TcpListener::bind(free()).await?;
@@ -87,7 +87,7 @@
             .map(|(_, domain, _, addr)| (*domain, *addr))
             .collect();
         let mut rig = Self {
-            parts,
+            standins,
             entries: Vec::new(),
             controls: Vec::new(),
             files: Vec::new(),
@@ -110,7 +110,7 @@
 
     /// Returns a client for the contracts that the platform stores.
     pub fn contracts(&self) -> Contracts {
-        Contracts::new(plat::Client::new(vec![self.parts.platform.host.addr]))
+        Contracts::new(plat::Client::new(vec![self.standins.platform.host.addr]))
     }
 
     /// Applies contracts, waits until they are in force on every entry that runs, and returns their newest revision.
--- a/crates/serve/tests/ended.rs
+++ b/crates/serve/tests/ended.rs
@@ -100,7 +100,7 @@
 }
 
 fn tokens(rig: &Rig) -> u64 {
-    rig.parts.engines.iter().map(|e| e.part.tokens()).sum()
+    rig.standins.engines.iter().map(|e| e.state.tokens()).sum()
 }
 
 async fn running(rig: &Rig) {
@@ -117,18 +117,18 @@
 }
 
 fn platform(rig: &Rig, f: impl FnOnce(&mut Fault)) {
-    rig.parts.platform.host.faults.change(f);
+    rig.standins.platform.host.faults.change(f);
 }
 
 /// An instance that reaches the platform and the upstreams, and no other instance.
 async fn apart(rig: &Rig) -> Running {
-    start(rig, "ost-0", &rig.parts.shared).await
+    start(rig, "ost-0", &rig.standins.shared).await
 }
 
 /// An instance that reaches the platform through `way`, and all instances of the rig.
 async fn behind(rig: &Rig, way: SocketAddr) -> Running {
-    let platform = rig.parts.platform.host.addr.to_string();
-    let mut text = rig.parts.shared.replace(&platform, &way.to_string());
+    let platform = rig.standins.platform.host.addr.to_string();
+    let mut text = rig.standins.shared.replace(&platform, &way.to_string());
     for (name, addr) in ["nord-0", "syd-0"].iter().zip(rig.addrs()) {
         let domain = name.trim_end_matches("-0");
         text += &format!("[peer {name}]\ndomain = {domain}\naddress = {addr}\n");
@@ -190,7 +190,7 @@
         let more = "staleness = 1\nscorer = portal\nunscored = wait\n";
         make.contracts = vec![contracts::text("staff", more)];
         let rig = Rig::start(&make).await.unwrap();
-        let scored = || rig.parts.services[0].part.served();
+        let scored = || rig.standins.services[0].state.served();
         let step = open(rig.addrs()[0]).await;
         until(async || scored() > 0).await;
 
@@ -236,7 +236,14 @@
             fault.down = false;
             fault.delay = SLOW;
         });
-        let leases = || rig.parts.platform.part.calls.lease.load(Ordering::Relaxed);
+        let leases = || {
+            rig.standins
+                .platform
+                .state
+                .calls
+                .lease
+                .load(Ordering::Relaxed)
+        };
         let before = leases();
         until(async || leases() > before).await;
 
@@ -280,7 +287,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let other = apart(&rig).await;
-        let (addr, task) = way(rig.parts.platform.host.addr).await;
+        let (addr, task) = way(rig.standins.platform.host.addr).await;
         let home = behind(&rig, addr).await;
         let step = open(home.addr).await;
         running(&rig).await;
@@ -342,7 +349,7 @@
         open(rig.addrs()[0]).await;
         running(&rig).await;
 
-        rig.parts.platform.host.faults.set(fault);
+        rig.standins.platform.host.faults.set(fault);
 
         tokio::time::sleep(BOUND).await;
         assert!(late_tokens(&rig).await > 0);
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -56,7 +56,7 @@
     assert_eq!(again.status, StatusCode::CREATED);
     assert_eq!(again.body, first.body);
     assert_eq!(again.header("idempotent-replayed"), Some("whole"));
-    assert_eq!(rig.parts.ran(), ["k"]);
+    assert_eq!(rig.standins.executed_orders(), ["k"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -70,7 +70,7 @@
     let other = Call::order(to, "other", "k").send().await.unwrap();
 
     assert_eq!(other.status, StatusCode::CREATED);
-    assert_eq!(rig.parts.ran(), ["k", "k"]);
+    assert_eq!(rig.standins.executed_orders(), ["k", "k"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -104,7 +104,7 @@
             .unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, expected);
-        assert!(rig.parts.ran().is_empty());
+        assert!(rig.standins.executed_orders().is_empty());
     });
 }
 
@@ -133,7 +133,7 @@
         assert!(created >= 1);
     }
 
-    assert_eq!(rig.parts.ran().len(), 10);
+    assert_eq!(rig.standins.executed_orders().len(), 10);
 }
 
 // Symptom: an order runs though its caller was told "not run", or callers hang.
@@ -143,11 +143,11 @@
 async fn without_the_platform_orders_are_refused_truly_and_lookups_go_on() {
     let rig = rig().await;
     let to = rig.addrs()[0];
-    rig.parts.platform.host.faults.set(down());
+    rig.standins.platform.host.faults.set(down());
 
     let order = Call::order(to, "aarhus", "k").send().await.unwrap();
     let lookup = Call::lookup(to, "aarhus").send().await.unwrap();
-    rig.parts.platform.host.faults.set(Fault::default());
+    rig.standins.platform.host.faults.set(Fault::default());
     let again = until_created(&rig, "k").await;
 
     let problem = order.problem().unwrap();
@@ -155,7 +155,7 @@
     assert!(order.header("retry-after").is_some());
     assert_eq!(lookup.status, StatusCode::OK);
     assert!(again);
-    assert_eq!(rig.parts.ran(), ["k"]);
+    assert_eq!(rig.standins.executed_orders(), ["k"]);
 }
 
 /// Sends an order again until it is created, for a few seconds.
@@ -187,7 +187,7 @@
         } else {
             Fault::default()
         };
-        rig.parts.platform.host.faults.set(fault);
+        rig.standins.platform.host.faults.set(fault);
         let key = format!("k{turn}");
         let answer = Call::order(to[turn % 2], "aarhus", &key)
             .send()
@@ -200,10 +200,10 @@
             refused.push(key);
         }
     }
-    rig.parts.platform.host.faults.set(Fault::default());
+    rig.standins.platform.host.faults.set(Fault::default());
 
-    let ran = rig.parts.ran();
-    assert_eq!(rig.parts.twice(), Vec::<String>::new());
+    let ran = rig.standins.executed_orders();
+    assert_eq!(rig.standins.repeated_orders(), Vec::<String>::new());
     assert!(
         refused.iter().all(|key| !ran.contains(key)),
         "{refused:?} {ran:?}"
@@ -212,7 +212,7 @@
     for key in &refused {
         assert!(until_created(&rig, key).await, "{key} cannot be used again");
     }
-    assert_eq!(rig.parts.twice(), Vec::<String>::new());
+    assert_eq!(rig.standins.repeated_orders(), Vec::<String>::new());
 }
 
 // Symptom: an order that was refused as "not run" can never be sent again: its key stays in doubt.
@@ -228,7 +228,7 @@
         let key = format!("warm{turn}");
         Call::order(to[0], "aarhus", &key).send().await.unwrap();
     }
-    rig.parts.platform.host.faults.set(mute());
+    rig.standins.platform.host.faults.set(mute());
     let keys: Vec<_> = (0..16).map(|turn| format!("k{turn}")).collect();
     let asked = keys.iter().zip(to.iter().cycle());
     let asked = asked.map(|(key, to)| async {
@@ -236,13 +236,13 @@
         order.send().await.unwrap().problem().unwrap().ran
     });
     let ran = futures_util::future::join_all(asked).await;
-    rig.parts.platform.host.faults.set(Fault::default());
+    rig.standins.platform.host.faults.set(Fault::default());
 
     assert_eq!(ran, [Ran::No; 16]);
     for key in &keys {
         assert!(until_created(&rig, key).await, "{key} cannot be used again");
     }
-    assert_eq!(rig.parts.twice(), Vec::<String>::new());
+    assert_eq!(rig.standins.repeated_orders(), Vec::<String>::new());
 }
 
 // Symptom: an order runs again after the service took it and died.
@@ -252,13 +252,13 @@
 async fn an_order_whose_answer_is_lost_stays_in_doubt() {
     let rig = rig().await;
     let to = rig.addrs();
-    rig.parts
+    rig.standins
         .services
         .iter()
         .for_each(|s| s.host.faults.set(mute()));
 
     let lost = Call::order(to[0], "aarhus", "k").send().await.unwrap();
-    rig.parts
+    rig.standins
         .services
         .iter()
         .for_each(|s| s.host.faults.set(Fault::default()));
@@ -271,7 +271,7 @@
         (problem.kind, problem.ran),
         (Type::KeyInDoubt, Ran::Unknown)
     );
-    assert_eq!(rig.parts.ran(), ["k"]);
+    assert_eq!(rig.standins.executed_orders(), ["k"]);
 }
 
 // Symptom: an order that never reached the service cannot be sent again.
@@ -281,7 +281,7 @@
 async fn an_order_that_could_not_connect_may_be_sent_again() {
     let rig = rig().await;
     let to = rig.addrs()[0];
-    rig.parts.services.iter().for_each(|s| s.host.stop());
+    rig.standins.services.iter().for_each(|s| s.host.stop());
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
 
     let first = Call::order(to, "aarhus", "k").send().await.unwrap();
@@ -291,7 +291,7 @@
         let problem = answer.problem().unwrap_or_else(|| panic!("{answer:?}"));
         assert_eq!(problem.ran, Ran::No, "{problem:?}");
     }
-    assert!(rig.parts.ran().is_empty());
+    assert!(rig.standins.executed_orders().is_empty());
 }
 
 // Symptom: an order runs again on another instance after the first one crashed.
@@ -315,7 +315,7 @@
         records: vec![record],
     };
     // What an instance leaves at the platform that was killed after its write.
-    let plat = plat::Client::new(vec![rig.parts.platform.host.addr]);
+    let plat = plat::Client::new(vec![rig.standins.platform.host.addr]);
     let txn = Txn {
         puts: vec![
             Put::new(keys::shard_head(shard), "1"),
@@ -331,7 +331,7 @@
         .unwrap();
 
     assert_eq!(answer.problem().unwrap().kind, Type::KeyInDoubt);
-    assert!(rig.parts.ran().is_empty());
+    assert!(rig.standins.executed_orders().is_empty());
 }
 
 // Symptom: calls fail when the peer that writes a shard is gone.
@@ -351,5 +351,5 @@
         assert_eq!(answer.status, StatusCode::CREATED, "{:?}", answer.problem());
     }
 
-    assert_eq!(rig.parts.ran().len(), 8);
+    assert_eq!(rig.standins.executed_orders().len(), 8);
 }
--- a/crates/serve/tests/poison.rs
+++ b/crates/serve/tests/poison.rs
@@ -44,11 +44,11 @@
 }
 
 fn services(rig: &Rig) -> impl Iterator<Item = &Faults> {
-    rig.parts.services.iter().map(|part| &part.host.faults)
+    rig.standins.services.iter().map(|part| &part.host.faults)
 }
 
 fn engines(rig: &Rig) -> impl Iterator<Item = &Faults> {
-    rig.parts.engines.iter().map(|part| &part.host.faults)
+    rig.standins.engines.iter().map(|part| &part.host.faults)
 }
 
 /// Upstreams that have ended.
--- a/crates/serve/tests/refusals.rs
+++ b/crates/serve/tests/refusals.rs
@@ -120,7 +120,7 @@
         let answer = body(order, "x".repeat(1_001)).send().await.unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, expected);
-        assert!(rig.parts.ran().is_empty());
+        assert!(rig.standins.executed_orders().is_empty());
     });
 }
 
@@ -158,7 +158,7 @@
         let answer = half(to, text).await;
 
         assert!(answer.contains(part), "{answer}");
-        assert!(rig.parts.ran().is_empty());
+        assert!(rig.standins.executed_orders().is_empty());
         let after = Call::lookup(to, "aarhus").send().await.unwrap();
         assert_eq!(after.status, StatusCode::OK);
     });
@@ -239,7 +239,7 @@
             ..make()
         };
         let rig = Rig::start(&make).await.unwrap();
-        let service = &rig.parts.services[0];
+        let service = &rig.standins.services[0];
         service.host.faults.change(|fault| {
             fault.mute = true;
             fault.delay = 100;
@@ -256,7 +256,7 @@
         let (answer, ()) = tokio::join!(sending, others);
 
         let problem = answer.unwrap().problem().unwrap();
-        assert!(service.part.served() > 0);
+        assert!(service.state.served() > 0);
         assert_eq!(problem.ran, Ran::Unknown, "{problem:?}");
     });
 }
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -74,7 +74,7 @@
         let mut rig = Rig::start(&make()).await.unwrap();
         let rev = apply(&rig, "rate = 7\n").await;
         rig.reach(rev).await.unwrap();
-        rig.parts.platform.host.faults.set(down());
+        rig.standins.platform.host.faults.set(down());
         rig.kill(2);
 
         rig.revive(2).await.unwrap();
@@ -105,7 +105,7 @@
         };
         let mut rig = Rig::start(&make).await.unwrap();
         rig.kill(0);
-        rig.parts.platform.host.faults.set(down());
+        rig.standins.platform.host.faults.set(down());
 
         rig.revive(0).await.unwrap();
 
@@ -135,12 +135,12 @@
 fn changes_during_a_gap_are_found(compacted: bool) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        rig.parts.platform.host.faults.set(down());
+        rig.standins.platform.host.faults.set(down());
         tokio::time::sleep(Duration::from_millis(2_500)).await;
-        rig.parts.platform.host.faults.set(Fault::default());
+        rig.standins.platform.host.faults.set(Fault::default());
         let rev = apply(&rig, "rate = 9\n").await;
         if compacted {
-            rig.parts.platform.part.compact();
+            rig.standins.platform.state.compact();
         }
 
         rig.reach(rev).await.unwrap();
@@ -154,7 +154,7 @@
 fn a_silent_watch_does_not_leave_contracts_unconfirmed() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        rig.parts
+        rig.standins
             .platform
             .host
             .faults
@@ -267,7 +267,7 @@
         let rig = Rig::start(&make()).await.unwrap();
         let contracts = rig.contracts();
         let customer = "aarhus".parse().unwrap();
-        let faults = rig.parts.platform.host.faults.clone();
+        let faults = rig.standins.platform.host.faults.clone();
         let before = contracts.show(&customer).await.unwrap().unwrap().rev;
         faults.change(|fault| fault.mute_writes = 1);
 
@@ -288,13 +288,13 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let contracts = rig.contracts();
-        let faults = rig.parts.platform.host.faults.clone();
+        let faults = rig.standins.platform.host.faults.clone();
         faults.change(|fault| fault.mute_writes = u32::MAX);
         let customer = "aarhus".parse().unwrap();
 
         let applied = contracts.apply("op", None, read("rate = 5\n"));
         let down = async {
-            while rig.parts.platform.part.dump("/snipeway/audit/").len() < 2 {
+            while rig.standins.platform.state.dump("/snipeway/audit/").len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             faults.change(|fault| fault.down = true);
@@ -340,9 +340,9 @@
 fn a_leaving_upstream_gets_nothing_new_within_seconds(listed: bool) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let leaving = &rig.parts.services[0];
+        let leaving = &rig.standins.services[0];
         if listed {
-            let plat = plat::Client::new(vec![rig.parts.platform.host.addr]);
+            let plat = plat::Client::new(vec![rig.standins.platform.host.addr]);
             let key = format!("{}{}", plat::keys::LEAVING, leaving.name);
             let txn = plat::Txn {
                 puts: vec![plat::Put::new(key, "1")],
@@ -359,7 +359,7 @@
             }
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let before = leaving.part.served();
+        let before = leaving.state.served();
 
         for _ in 0..10 {
             for addr in rig.addrs() {
@@ -368,6 +368,6 @@
             }
         }
 
-        assert_eq!(leaving.part.served(), before);
+        assert_eq!(leaving.state.served(), before);
     });
 }
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -155,7 +155,7 @@
 fn a_step_becomes_whole(fault: Fault) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        rig.parts.engines[0].host.faults.set(fault);
+        rig.standins.engines[0].host.faults.set(fault);
         let mut trainer = Trainer::open(&rig, 8, 4).await;
 
         trainer.finish().await;
@@ -222,10 +222,10 @@
             ..Fault::default()
         };
         if before {
-            rig.parts.platform.host.faults.set(down);
+            rig.standins.platform.host.faults.set(down);
         }
         let mut trainer = Trainer::open(&rig, 4, 4).await;
-        rig.parts.platform.host.faults.set(down);
+        rig.standins.platform.host.faults.set(down);
 
         trainer.at = 1;
         trainer.finish().await;
@@ -306,7 +306,13 @@
         assert_eq!(ended.status, StatusCode::NO_CONTENT);
         let pull = trainer.asked(1).send().await.unwrap();
         assert_eq!(pull.problem().unwrap().kind, Type::NotFound);
-        assert!(rig.parts.platform.part.dump("/snipeway/steps/").is_empty());
+        assert!(
+            rig.standins
+                .platform
+                .state
+                .dump("/snipeway/steps/")
+                .is_empty()
+        );
     });
 }
 
@@ -400,7 +406,7 @@
     block(async {
         let rig = Rig::start(&scored(unscored)).await.unwrap();
         let down = |on: bool| {
-            for service in &rig.parts.services {
+            for service in &rig.standins.services {
                 service.host.faults.change(|fault| fault.down = on);
             }
         };
--- a/crates/serve/tests/whole.rs
+++ b/crates/serve/tests/whole.rs
@@ -43,7 +43,7 @@
 }
 
 fn set(rig: &Rig, fault: Fault) {
-    rig.parts
+    rig.standins
         .engines
         .iter()
         .for_each(|e| e.host.faults.set(fault));
@@ -166,7 +166,7 @@
     call.abort();
 
     wait(|| running() == 0).await;
-    let load = rig.parts.engines.iter().map(|e| e.host.addr);
+    let load = rig.standins.engines.iter().map(|e| e.host.addr);
     for addr in load {
         let free = async || {
             let load = Call::new(addr, "-", Method::GET, wire::engine::LOAD);
