--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -14,7 +14,7 @@
 use rig::Rig;
 use rig::RigConfig;
 use rig::contracts::token;
-use rig::parts::SECRET;
+use rig::parts::PEER_SECRET;
 use standin::engine;
 
 /// Customer of the trainer.
@@ -142,7 +142,7 @@
 async fn stay(rig: Rig) -> eyre::Result<()> {
     let platform = rig.standins.platform.host.addr;
     args::print_line!("\nplatform  http://{platform}");
-    let mut text = format!("[platform]\naddresses = {platform}\n[peers]\nsecret = {SECRET}\n");
+    let mut text = format!("[platform]\naddresses = {platform}\n[peers]\nsecret = {PEER_SECRET}\n");
     for entry in rig.running() {
         let me = &entry.app.settings.me;
         args::print_line!("entry     http://{}  ({})", entry.addr, me.name);
--- a/crates/rig/src/parts.rs
+++ b/crates/rig/src/parts.rs
@@ -13,7 +13,7 @@
 use crate::RigConfig;
 
 /// The secret that authenticates instances to each other.
-pub const SECRET: &str = "the rig's shared key";
+pub const PEER_SECRET: &str = "the rig's shared key";
 
 /// A running stand-in.
 pub struct Standin<T> {
@@ -40,7 +40,7 @@
 }
 
 /// Returns a loopback address with port 0, for which the system picks a free port.
-pub fn free() -> SocketAddr {
+pub fn loopback_addr() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
@@ -52,7 +52,7 @@
     /// Returns an error if one cannot listen.
     pub async fn start(config: &RigConfig) -> eyre::Result<Self> {
         let platform = Arc::new(Platform::default());
-        let host = platform.host(free()).await?;
+        let host = platform.host(loopback_addr()).await?;
         let platform = standin("platform", platform, host);
         let mut standins = Self {
             shared: String::new(),
@@ -63,7 +63,7 @@
         };
         if let Some((size, rate)) = config.store {
             let store = Arc::new(Store::new(size, rate));
-            let host = store.host(free()).await?;
+            let host = store.host(loopback_addr()).await?;
             standins.store = Some(standin("store", store, host));
         }
         standins.write_shared(config)?;
@@ -77,7 +77,7 @@
     fn write_shared(&mut self, config: &RigConfig) -> std::fmt::Result {
         let text = &mut self.shared;
         writeln!(text, "[platform]\naddresses = {}", self.platform.host.addr)?;
-        writeln!(text, "[peers]\nsecret = {SECRET}")?;
+        writeln!(text, "[peers]\nsecret = {PEER_SECRET}")?;
         let (order, chooser) = (config.queue_order, config.chooser);
         for (name, kind) in [("fitting", "engine"), ("portal", "service")] {
             writeln!(
@@ -96,14 +96,14 @@
     async fn start_domain(&mut self, config: &RigConfig, domain: &str) -> eyre::Result<()> {
         for index in 0..config.engines {
             let engine = Arc::new(Engine::new(config.engine));
-            let host = engine.host(free()).await?;
+            let host = engine.host(loopback_addr()).await?;
             let standin = standin(&format!("engine-{domain}-{index}"), engine, host);
             self.write_upstream(&standin, "fitting", domain, config.engine.slots as usize)?;
             self.engines.push(standin);
         }
         for index in 0..config.services {
             let service = Arc::new(Service::new(config.service_time, config.service_slots));
-            let host = service.host(free()).await?;
+            let host = service.host(loopback_addr()).await?;
             let standin = standin(&format!("portal-{domain}-{index}"), service, host);
             self.write_upstream(&standin, "portal", domain, config.service_slots)?;
             self.services.push(standin);
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -17,8 +17,8 @@
 
 use crate::RigConfig;
 use crate::Standins;
-use crate::parts::SECRET;
-use crate::parts::free;
+use crate::parts::PEER_SECRET;
+use crate::parts::loopback_addr;
 
 /// Time within which a revision must be in force on every entry.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(19);
@@ -74,7 +74,7 @@
         let mut text = standins.shared.clone();
         for domain in &config.domains {
             for index in 0..config.entries {
-                let listener = TcpListener::bind(free()).await?;
+                let listener = TcpListener::bind(loopback_addr()).await?;
                 let addr = listener.local_addr()?;
                 let name = format!("{domain}-{index}");
                 text += &format!("[peer {name}]\ndomain = {domain}\naddress = {addr}\n");
@@ -164,7 +164,7 @@
             domain: entry.app.settings.me.domain.clone(),
             address: entry.addr,
         });
-        Fleet::new(peers.collect(), Secret::new(SECRET))
+        Fleet::new(peers.collect(), Secret::new(PEER_SECRET))
     }
 
     /// Stops the entry at `index` abruptly, as a crash does.
