--- a/crates/bench/src/goodput.rs
+++ b/crates/bench/src/goodput.rs
@@ -60,7 +60,7 @@
         table.latency(&format!("{name}: latency"), &seen.latency_us);
         table.row(format!("{name}: refused, not run"), seen.not_run);
         table.row(format!("{name}: refused, unknown"), seen.unknown);
-        rig.leave().await?;
+        rig.shutdown().await?;
     }
     args::output::write(format_args!("{table}"));
     Ok(())
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -67,7 +67,7 @@
             format!("{name}: ran twice"),
             rig.standins.repeated_orders().len(),
         );
-        rig.leave().await?;
+        rig.shutdown().await?;
     }
     args::output::write(format_args!("{table}"));
     Ok(())
--- a/crates/bench/src/limits.rs
+++ b/crates/bench/src/limits.rs
@@ -60,7 +60,7 @@
             format!("{name}: of the contract"),
             format!("{:.2}", rate / RATE),
         );
-        rig.leave().await?;
+        rig.shutdown().await?;
     }
     args::output::write(format_args!("{table}"));
     Ok(())
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -105,5 +105,5 @@
         format!("{:.0}", 1.0 / added.max(1e-9)),
     );
     args::output::write(format_args!("{table}"));
-    rig.leave().await
+    rig.shutdown().await
 }
--- a/crates/bench/src/slow.rs
+++ b/crates/bench/src/slow.rs
@@ -72,7 +72,7 @@
                 format!("{name}: whole of sent"),
                 format!("{} of {}", seen.completed, seen.sent),
             );
-            rig.leave().await?;
+            rig.shutdown().await?;
         }
     }
     args::output::write(format_args!("{table}"));
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -51,7 +51,7 @@
         took.as_millis(),
     );
     args::output::write(format_args!("{table}"));
-    rig.leave().await
+    rig.shutdown().await
 }
 
 /// The platform goes away as soon as one entry has the change; the others learn it from peers.
@@ -67,7 +67,7 @@
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     faults.change(|fault| fault.down = true);
-    rig.reach(rev).await?;
+    rig.wait_for_revision(rev).await?;
     let took = start.elapsed();
     faults.change(|fault| fault.down = false);
     Ok(took)
--- a/crates/bench/src/surge.rs
+++ b/crates/bench/src/surge.rs
@@ -56,7 +56,7 @@
     let calm = callers(&rig, "calm", CALM);
     let other = callers(&rig, "surge", surge);
     let seen = tokio::join!(calm.run(), other.run());
-    rig.leave().await?;
+    rig.shutdown().await?;
     Ok(seen)
 }
 
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -92,7 +92,7 @@
         other => bail!("unknown fault {other:?}"),
     }
     let seen = run.await?;
-    rig.leave().await?;
+    rig.shutdown().await?;
     Ok(seen)
 }
 
--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -98,7 +98,7 @@
         );
         let bytes = (sent() - before) / 3;
         table.row(format!("{name}: bytes from the store a version"), bytes);
-        rig.leave().await?;
+        rig.shutdown().await?;
     }
     args::output::write(format_args!("{table}"));
     Ok(())
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -155,7 +155,7 @@
             rig.kill(at);
             // A crashed holder would not revoke its lease. `stop` revokes it, which stands in for
             // the expiry of the lease at the platform.
-            rig.controls.remove(at).stop().await;
+            rig.controllers.remove(at).stop().await;
         }
         announce(&rig, 3).await;
 
@@ -277,7 +277,7 @@
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
         rig.kill(0);
-        rig.controls.remove(0).stop().await;
+        rig.controllers.remove(0).stop().await;
 
         announce(&rig, 3).await;
 
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -79,7 +79,7 @@
     if stay {
         self::stay(rig).await?;
     } else {
-        rig.leave().await?;
+        rig.shutdown().await?;
     }
     if violations > 0 {
         bail!("{violations} promises were broken");
@@ -158,5 +158,5 @@
     args::print_line!("operators snipeway status --config {}", file.display());
     args::print_line!("interrupt to end");
     serve::server::terminated().await;
-    rig.leave().await
+    rig.shutdown().await
 }
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -57,9 +57,9 @@
     /// The entries; [`None`] for one that was killed.
     pub entries: Vec<Option<Running>>,
     /// The controllers that run beside the entries.
-    pub controls: Vec<Controller>,
+    pub controllers: Vec<Controller>,
     /// Settings text and address of each entry, in the order of `entries`.
-    pub files: Vec<(String, SocketAddr)>,
+    pub entry_settings: Vec<(String, SocketAddr)>,
 }
 
 impl Rig {
@@ -89,8 +89,8 @@
         let mut rig = Self {
             standins,
             entries: Vec::new(),
-            controls: Vec::new(),
-            files: Vec::new(),
+            controllers: Vec::new(),
+            entry_settings: Vec::new(),
         };
         for (name, domain, listener, addr) in sockets {
             let me = format!("[instance]\nname = {name}\ndomain = {domain}\nlisten = {addr}\n");
@@ -99,10 +99,10 @@
             let entry = Running::start_on(listener, settings)?;
             if config.with_control {
                 let control = Controller::start(&entry.app.settings, entry.addr);
-                rig.controls.push(control);
+                rig.controllers.push(control);
             }
             rig.entries.push(Some(entry));
-            rig.files.push((file, addr));
+            rig.entry_settings.push((file, addr));
         }
         rig.apply(&config.contracts).await?;
         Ok(rig)
@@ -127,7 +127,7 @@
                 other => bail!("a contract was not applied: {other:?}"),
             }
         }
-        self.reach(newest).await?;
+        self.wait_for_revision(newest).await?;
         Ok(newest)
     }
 
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Returns an error if it is not in force after 19 s.
-    pub async fn reach(&self, rev: i64) -> eyre::Result<Duration> {
+    pub async fn wait_for_revision(&self, rev: i64) -> eyre::Result<Duration> {
         let start = Instant::now();
         while self.running().any(|entry| entry.app.newest() < rev) {
             if start.elapsed() > PROPAGATION_TIMEOUT {
@@ -179,8 +179,8 @@
     /// # Errors
     ///
     /// Returns an error if it cannot start.
-    pub async fn revive(&mut self, index: usize) -> eyre::Result<()> {
-        let settings = serve::settings::read("rig", &self.files[index].0)?;
+    pub async fn restart(&mut self, index: usize) -> eyre::Result<()> {
+        let settings = serve::settings::read("rig", &self.entry_settings[index].0)?;
         // The killed entry's socket closes only when its tasks are dropped, which is shortly after the kill.
         let start = Instant::now();
         loop {
@@ -200,8 +200,8 @@
     /// # Errors
     ///
     /// Returns an error if an entry aborted requests.
-    pub async fn leave(self) -> eyre::Result<()> {
-        for control in self.controls {
+    pub async fn shutdown(self) -> eyre::Result<()> {
+        for control in self.controllers {
             control.stop().await;
         }
         let entries = self.entries.into_iter().flatten();
--- a/crates/serve/tests/poison.rs
+++ b/crates/serve/tests/poison.rs
@@ -80,9 +80,9 @@
         let other = update(&rig, 3, "hello").send().await.unwrap();
         for at in 0..4 {
             rig.kill(at);
-            rig.revive(at).await.unwrap();
+            rig.restart(at).await.unwrap();
         }
-        rig.reach(1).await.unwrap();
+        rig.wait_for_revision(1).await.unwrap();
         tokio::time::sleep(Duration::from_millis(500)).await;
         let anew = problem(update(&rig, 1, FATAL)).await;
 
--- a/crates/serve/tests/spread.rs
+++ b/crates/serve/tests/spread.rs
@@ -53,7 +53,7 @@
         let rig = Rig::start(&make()).await.unwrap();
 
         let rev = apply(&rig, "rate = 7\n").await;
-        rig.reach(rev).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
 
         for entry in rig.running() {
             let book = entry.app.book.read();
@@ -73,12 +73,12 @@
     block(async {
         let mut rig = Rig::start(&make()).await.unwrap();
         let rev = apply(&rig, "rate = 7\n").await;
-        rig.reach(rev).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
         rig.standins.platform.host.faults.set(down());
         rig.kill(2);
 
-        rig.revive(2).await.unwrap();
-        rig.reach(rev).await.unwrap();
+        rig.restart(2).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
 
         let entry = rig.entries[2].as_ref().unwrap();
         let ready = Call::new(entry.addr, "-", Method::GET, "/readyz")
@@ -107,7 +107,7 @@
         rig.kill(0);
         rig.standins.platform.host.faults.set(down());
 
-        rig.revive(0).await.unwrap();
+        rig.restart(0).await.unwrap();
 
         let addr = rig.addrs()[0];
         let ready = Call::new(addr, "-", Method::GET, "/readyz")
@@ -143,7 +143,7 @@
             rig.standins.platform.state.compact();
         }
 
-        rig.reach(rev).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
     });
 }
 
@@ -187,7 +187,7 @@
             panic!("{applied:?}");
         };
 
-        rig.reach(rev).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
 
         for addr in rig.addrs() {
             let old = Call::lookup(addr, "aarhus").send().await.unwrap();
