--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -39,7 +39,7 @@
     args::program::block_on(demo(steps, parsed.has("stay")))
 }
 
-fn make() -> RigConfig {
+fn rig_config() -> RigConfig {
     RigConfig {
         engines: 3,
         engine: engine::Make {
@@ -62,7 +62,7 @@
 }
 
 async fn demo(steps: u32, stay: bool) -> eyre::Result<()> {
-    let rig = Rig::start(&make()).await?;
+    let rig = Rig::start(&rig_config()).await?;
     let apply_start = Instant::now();
     rig.apply(&contracts()).await?;
     let apply_time = apply_start.elapsed();
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/start.rs
@@ -98,8 +98,8 @@
             let settings = serve::settings::read(&name, &file)?;
             let entry = Running::start_on(listener, settings)?;
             if config.with_control {
-                let control = Controller::start(&entry.app.settings, entry.addr);
-                rig.controllers.push(control);
+                let controller = Controller::start(&entry.app.settings, entry.addr);
+                rig.controllers.push(controller);
             }
             rig.entries.push(Some(entry));
             rig.entry_settings.push((file, addr));
@@ -201,8 +201,8 @@
     ///
     /// Returns an error if an entry aborted requests.
     pub async fn shutdown(self) -> eyre::Result<()> {
-        for control in self.controllers {
-            control.stop().await;
+        for controller in self.controllers {
+            controller.stop().await;
         }
         let entries = self.entries.into_iter().flatten();
         let drains: Vec<_> = entries.map(|entry| tokio::spawn(entry.drain())).collect();
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/play.rs
@@ -77,7 +77,7 @@
             .collect();
         let mut by_name = members.to_vec();
         by_name.sort_by(|a, b| a.owner.instance.cmp(&b.owner.instance));
-        let mut play = Self {
+        let mut simulation = Self {
             reads: vec![0; nodes.len()],
             nodes,
             counts: PlatformCounts::default(),
@@ -91,11 +91,13 @@
             link_free: 0,
             rng: StdRng::seed_from_u64(seed),
         };
-        for node in 0..play.nodes.len() {
-            let time = play.rng.random_range(0..START_WINDOW_MS * MICROS_PER_MS);
-            play.queue.add(time, node, EventKind::Start);
+        for node in 0..simulation.nodes.len() {
+            let time = simulation
+                .rng
+                .random_range(0..START_WINDOW_MS * MICROS_PER_MS);
+            simulation.queue.add(time, node, EventKind::Start);
         }
-        play
+        simulation
     }
 
     /// Returns the simulated time, in milliseconds.
--- a/crates/sim/tests/play.rs
+++ b/crates/sim/tests/play.rs
@@ -28,19 +28,19 @@
 
 /// Returns a fleet that has started, and the times until its instances knew all upstreams.
 fn started() -> (Simulation, ConvergenceTimes) {
-    let mut play = Simulation::start(FLEET_SIZE, 1);
-    let times = play.run_until(FLEET_SIZE.upstreams as i64, STARTUP_LIMIT_MS);
-    (play, times.expect("not all know the upstreams"))
+    let mut simulation = Simulation::start(FLEET_SIZE, 1);
+    let times = simulation.run_until(FLEET_SIZE.upstreams as i64, STARTUP_LIMIT_MS);
+    (simulation, times.expect("not all know the upstreams"))
 }
 
 // Guards against a joint start after which no instance ever gets the list: each reads it from the platform itself,
 // and the platform's link is busy for longer than a call waits.
 #[test]
 fn all_know_the_upstreams_soon_after_they_have_started_together() {
-    let (play, times) = started();
+    let (simulation, times) = started();
 
     assert!(times.last < STARTUP_LIMIT_MS / 2, "{times:?}");
-    let busy = play.counts.reads * FLEET_SIZE.upstreams as u64 * ENTRY_BYTES / LINK_RATE;
+    let busy = simulation.counts.reads * FLEET_SIZE.upstreams as u64 * ENTRY_BYTES / LINK_RATE;
     assert!(
         busy < PLATFORM_TIMEOUT_MS,
         "{busy} ms of the platform's link"
@@ -50,9 +50,9 @@
 // Guards against an instance that has to send a list of thousands of entries to hundreds of others.
 #[test]
 fn no_instance_sends_the_list_to_more_than_a_few() {
-    let (play, _) = started();
+    let (simulation, _) = started();
 
-    let most = play.nodes.iter().map(|node| node.sent).max();
+    let most = simulation.nodes.iter().map(|node| node.sent).max();
 
     // Every instance gets the list from another one, whole or in parts from several.
     let list = FLEET_SIZE.upstreams as u64 * 260;
@@ -63,12 +63,12 @@
 // Guards against a change that reaches the lower levels of a deep tree too late.
 #[test]
 fn a_change_is_known_everywhere_within_its_bound() {
-    let (mut play, _) = started();
-    play.run(5_000);
+    let (mut simulation, _) = started();
+    simulation.run(5_000);
 
-    let rev = play.change_upstreams(1);
+    let rev = simulation.change_upstreams(1);
 
-    let times = play
+    let times = simulation
         .run_until(rev, CHANGE_LIMIT_MS)
         .expect("not all know the change");
     assert!(times.last < CHANGE_LIMIT_MS / 2, "{times:?}");
@@ -77,39 +77,39 @@
 // Guards against a change that never spreads because the instance that reads the platform for the others is lost.
 #[test]
 fn a_change_is_known_everywhere_though_the_reader_is_lost() {
-    let (mut play, _) = started();
-    play.run(5_000);
+    let (mut simulation, _) = started();
+    simulation.run(5_000);
 
-    play.kill(play.reader());
-    let rev = play.change_upstreams(1);
+    simulation.kill(simulation.reader());
+    let rev = simulation.change_upstreams(1);
 
-    assert!(play.run_until(rev, CHANGE_LIMIT_MS).is_some());
+    assert!(simulation.run_until(rev, CHANGE_LIMIT_MS).is_some());
 }
 
 // Guards against lists that are sent whole, or read from the platform by every instance, when the instances that
 // were polled are lost.
 #[test]
 fn after_half_are_lost_the_others_send_and_read_only_changes() {
-    let (mut play, _) = started();
-    play.run(5_000);
-    let before = play.counts;
-    let sent: u64 = play.nodes.iter().map(|node| node.sent).sum();
+    let (mut simulation, _) = started();
+    simulation.run(5_000);
+    let before = simulation.counts;
+    let sent: u64 = simulation.nodes.iter().map(|node| node.sent).sum();
 
-    for index in (0..play.nodes.len()).step_by(2) {
-        play.kill(index);
+    for index in (0..simulation.nodes.len()).step_by(2) {
+        simulation.kill(index);
     }
-    let rev = play.change_upstreams(1);
-    let times = play
+    let rev = simulation.change_upstreams(1);
+    let times = simulation
         .run_until(rev, CHANGE_LIMIT_MS)
         .expect("not all know the change");
 
-    let link_ms = (play.counts.link_bytes - before.link_bytes) / LINK_RATE;
+    let link_ms = (simulation.counts.link_bytes - before.link_bytes) / LINK_RATE;
     assert!(
         link_ms < times.last / 2,
         "{link_ms} ms of the platform's link, {times:?}"
     );
-    let now: u64 = play.nodes.iter().map(|node| node.sent).sum();
-    let each = (now - sent) / play.nodes.len() as u64;
+    let now: u64 = simulation.nodes.iter().map(|node| node.sent).sum();
+    let each = (now - sent) / simulation.nodes.len() as u64;
     // A tenth of the list.
     assert!(
         each < FLEET_SIZE.upstreams as u64 * 26,
