--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -5,7 +5,7 @@
 use load::Table;
 use sim::FleetSize;
 use sim::Simulation;
-use sim::play::ConvergenceTimes;
+use sim::simulation::ConvergenceTimes;
 
 /// Failure domains.
 const DOMAINS: usize = 5;
--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -52,7 +52,7 @@
 
 async fn reach(rig: &Rig, version: u64) -> Duration {
     let start = Instant::now();
-    let has = |e: &rig::parts::Standin<standin::Engine>| e.state.version() == version;
+    let has = |e: &rig::standins::Standin<standin::Engine>| e.state.version() == version;
     while !rig.standins.engines.iter().all(has) && start.elapsed() < LIMIT {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/crates/demo/src/run.rs
+++ b/crates/demo/src/run.rs
@@ -14,7 +14,7 @@
 use rig::Rig;
 use rig::RigConfig;
 use rig::contracts::token;
-use rig::parts::PEER_SECRET;
+use rig::standins::PEER_SECRET;
 use standin::engine;
 
 /// Customer of the trainer.
--- a/crates/rig/src/start.rs
+++ b/crates/rig/src/fleet.rs
@@ -17,8 +17,8 @@
 
 use crate::RigConfig;
 use crate::Standins;
-use crate::parts::PEER_SECRET;
-use crate::parts::loopback_addr;
+use crate::standins::PEER_SECRET;
+use crate::standins::loopback_addr;
 
 /// Time within which a revision must be in force on every entry.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(19);
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -2,12 +2,12 @@
 //! run in this process; entries and their control run in this process too, or as separate processes.
 
 pub mod call;
+pub mod config;
 pub mod contracts;
-pub mod make;
-pub mod parts;
-mod start;
+mod fleet;
+pub mod standins;
 
 pub use call::Call;
-pub use make::RigConfig;
-pub use parts::Standins;
-pub use start::Rig;
+pub use config::RigConfig;
+pub use fleet::Rig;
+pub use standins::Standins;
--- a/crates/serve/tests/refusals.rs
+++ b/crates/serve/tests/refusals.rs
@@ -177,7 +177,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let path = wire::peer::PING;
-        let secret = wire::peer::Secret::new(rig::parts::PEER_SECRET);
+        let secret = wire::peer::Secret::new(rig::standins::PEER_SECRET);
         let good = secret.sign(path, b"x");
         let mut asked = call(rig.addrs()[0], Method::POST, path, "x");
         asked = asked.header(wire::peer::VERSION_HEADER, version);
--- a/crates/sim/src/act.rs
+++ b/crates/sim/src/handlers.rs
@@ -16,8 +16,8 @@
 use crate::Simulation;
 use crate::event::EventKind;
 use crate::event::Poll;
+use crate::model::MICROS_PER_MS;
 use crate::node;
-use crate::world::MICROS_PER_MS;
 
 /// Time that an instance takes to join after its start, in milliseconds; its first read of the members follows.
 const JOIN_DELAY_MS: u64 = 30;
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -12,7 +12,7 @@
 use spread::tree;
 
 use crate::event::Poll;
-use crate::world::ModelParams;
+use crate::model::ModelParams;
 
 /// Bytes of a message without its payload.
 const MESSAGE_OVERHEAD_BYTES: u64 = 300;
--- a/crates/sim/src/play.rs
+++ b/crates/sim/src/simulation.rs
@@ -12,12 +12,12 @@
 
 use crate::event::EventKind;
 use crate::event::Queue;
+use crate::model;
+use crate::model::FleetSize;
+use crate::model::MICROS_PER_MS;
+use crate::model::ModelParams;
+use crate::model::UpstreamList;
 use crate::node::Node;
-use crate::world;
-use crate::world::FleetSize;
-use crate::world::MICROS_PER_MS;
-use crate::world::ModelParams;
-use crate::world::UpstreamList;
 
 /// Time within which all instances start, in milliseconds.
 const START_WINDOW_MS: u64 = 300;
@@ -69,7 +69,7 @@
 impl Simulation {
     /// Creates a simulation whose instances all start within its first 300 ms.
     pub fn start(size: FleetSize, seed: u64) -> Self {
-        let members = world::members(size);
+        let members = model::members(size);
         let nodes: Vec<_> = members.iter().cloned().map(Node::new).collect();
         let indexes = nodes.iter().enumerate();
         let indexes = indexes
--- a/crates/sim/tests/play.rs
+++ b/crates/sim/tests/convergence.rs
@@ -2,7 +2,7 @@
 
 use sim::FleetSize;
 use sim::Simulation;
-use sim::play::ConvergenceTimes;
+use sim::simulation::ConvergenceTimes;
 
 /// The simulated fleet; its list of upstreams spans several messages. `snipeway-bench fleet` simulates larger ones.
 const FLEET_SIZE: FleetSize = FleetSize {
