--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -3,9 +3,9 @@
 use std::time::Instant;
 
 use load::Table;
-use sim::Play;
-use sim::Size;
-use sim::play::Times;
+use sim::FleetSize;
+use sim::Simulation;
+use sim::simulation::ConvergenceTimes;
 
 /// Number of failure domains.
 const DOMAINS: usize = 5;
@@ -25,23 +25,23 @@
 /// Share of the instances that fail at the same time.
 const FAILED_SHARE: f64 = 0.55;
 
-fn format_times(times: Option<Times>) -> String {
+fn format_times(times: Option<ConvergenceTimes>) -> String {
     let Some(times) = times else {
         return format!("not within {MAX_WAIT_MS}");
     };
-    format!("{} / {} / {}", times.first, times.middle, times.last)
+    format!("{} / {} / {}", times.first, times.median, times.last)
 }
 
 fn measure(table: &mut Table, instances: usize, seed: u64) {
-    let size = Size {
+    let size = FleetSize {
         instances,
         domains: DOMAINS,
         upstreams: instances * UPSTREAMS_PER_INSTANCE,
     };
     let mut row = |name: &str, value: String| table.row(format!("{instances}: {name}"), value);
     let start = Instant::now();
-    let mut simulation = Play::start(size, seed);
-    let startup_times = simulation.until(size.upstreams as i64, MAX_WAIT_MS);
+    let mut simulation = Simulation::start(size, seed);
+    let startup_times = simulation.run_until(size.upstreams as i64, MAX_WAIT_MS);
     row(
         "whole list on all instances after a start, ms",
         format_times(startup_times),
@@ -50,7 +50,7 @@
         "reads of the list until then",
         simulation.counts.reads.to_string(),
     );
-    let megabytes = simulation.counts.carried as f64 / 1e6;
+    let megabytes = simulation.counts.link_bytes as f64 / 1e6;
     row(
         "MB on the platform's link until then",
         format!("{megabytes:.1}"),
@@ -62,7 +62,7 @@
         .map(|node| (node.sent, node.messages))
         .collect();
     for _ in 0..STEADY_STATE_MS / 1_000 {
-        simulation.change(CHANGES_PER_SECOND);
+        simulation.change_upstreams(CHANGES_PER_SECOND);
         simulation.run(1_000);
     }
     let seconds = STEADY_STATE_MS as f64 / 1e3;
@@ -81,25 +81,25 @@
         "KB per second sent by an instance in steady state, median / max",
         format!("{median:.1} / {max:.1}"),
     );
-    let rev = simulation.change(1);
+    let rev = simulation.change_upstreams(1);
     row(
         "propagation of a change, ms",
-        format_times(simulation.until(rev, MAX_WAIT_MS)),
+        format_times(simulation.run_until(rev, MAX_WAIT_MS)),
     );
     simulation.kill(simulation.reader());
-    let rev = simulation.change(1);
+    let rev = simulation.change_upstreams(1);
     row(
         "propagation of a change as the reader fails, ms",
-        format_times(simulation.until(rev, MAX_WAIT_MS)),
+        format_times(simulation.run_until(rev, MAX_WAIT_MS)),
     );
     let count = (simulation.nodes.len() as f64 * FAILED_SHARE) as usize;
     (0..count).for_each(|index| simulation.kill(index * 7 % simulation.nodes.len()));
-    let rev = simulation.change(1);
+    let rev = simulation.change_upstreams(1);
     row(
         "propagation of a change as over half of the instances fail, ms",
-        format_times(simulation.until(rev, MAX_WAIT_MS)),
+        format_times(simulation.run_until(rev, MAX_WAIT_MS)),
     );
-    let max_entries = simulation.nodes.iter().map(|node| node.board.len()).max();
+    let max_entries = simulation.nodes.iter().map(|node| node.replica.len()).max();
     row(
         "max entries held by an instance",
         max_entries.unwrap_or_default().to_string(),
--- a/crates/bench/src/goodput.rs
+++ b/crates/bench/src/goodput.rs
@@ -4,8 +4,8 @@
 
 use load::Callers;
 use load::Table;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Capacity in calls per second: four services that process up to 4 calls concurrently, in 20 ms each.
@@ -17,15 +17,15 @@
 /// Deadline of a call in milliseconds.
 const TIMEOUT_MS: u64 = 500;
 
-fn rig_settings(order: &'static str) -> Make {
+fn rig_settings(queue_order: &'static str) -> RigConfig {
     let unlimited = "rate = 100000\nburst = 100000\nconcurrency = 100000\n";
-    Make {
+    RigConfig {
         engines: 0,
-        work: Duration::from_millis(20),
-        slots: 4,
-        order,
+        service_time: Duration::from_millis(20),
+        service_slots: 4,
+        queue_order,
         contracts: vec![contracts::text("one", unlimited)],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -40,13 +40,13 @@
             token: contracts::token("one"),
             path: "/v1/services/portal/size/{n}".into(),
             rate: factor * CAPACITY_PER_SECOND,
-            span: RUN_DURATION,
-            once: false,
-            timeout: TIMEOUT_MS,
+            duration: RUN_DURATION,
+            with_keys: false,
+            timeout_ms: TIMEOUT_MS,
             seed: 5,
         };
         let result = callers.run().await;
-        let goodput = result.whole as f64 / RUN_DURATION.as_secs_f64();
+        let goodput = result.completed as f64 / RUN_DURATION.as_secs_f64();
         peak = peak.max(goodput);
         let name = format!("{factor} times capacity");
         table.row(
@@ -57,13 +57,13 @@
             format!("{name}: share of the peak so far"),
             format!("{:.2}", goodput / peak),
         );
-        table.latency(&format!("{name}: latency"), &result.micros);
+        table.latency(&format!("{name}: latency"), &result.latency_us);
         table.row(format!("{name}: rejected, not executed"), result.not_run);
         table.row(
             format!("{name}: rejected or no response, execution unknown"),
             result.unknown,
         );
-        rig.leave().await?;
+        rig.shutdown().await?;
     }
     args::output::write(format_args!("{table}"));
     Ok(())
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -5,25 +5,25 @@
 
 use load::Callers;
 use load::Table;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Duration of each run.
 const RUN_DURATION: Duration = Duration::from_secs(8);
 
-fn rig_settings() -> Make {
-    Make {
+fn rig_settings() -> RigConfig {
+    RigConfig {
         engines: 0,
         services: 4,
-        work: Duration::from_millis(5),
-        slots: 32,
+        service_time: Duration::from_millis(5),
+        service_slots: 32,
         entries: 4,
         contracts: vec![contracts::text(
             "one",
             "rate = 5000\nburst = 5000\nconcurrency = 4096\n",
         )],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -34,7 +34,7 @@
     table.row("shards of the journal", 16);
     for rate in [10.0, 100.0, 1_000.0] {
         let rig = Rig::start(&rig_settings()).await?;
-        let platform = rig.parts.platform.part.clone();
+        let platform = rig.standins.platform.state.clone();
         let transactions = || platform.calls.txn.load(Ordering::Relaxed);
         let before = transactions();
         let callers = Callers {
@@ -42,9 +42,9 @@
             token: contracts::token("one"),
             path: "/v1/services/portal/orders".into(),
             rate,
-            span: RUN_DURATION,
-            once: true,
-            timeout: 3_000,
+            duration: RUN_DURATION,
+            with_keys: true,
+            timeout_ms: 3_000,
             seed: 9,
         };
         let result = callers.run().await;
@@ -60,11 +60,14 @@
         );
         table.row(
             format!("{name}: completed of sent"),
-            format!("{} of {}", result.whole, result.sent),
+            format!("{} of {}", result.completed, result.sent),
         );
-        table.latency(&name, &result.micros);
-        table.row(format!("{name}: executed twice"), rig.parts.twice().len());
-        rig.leave().await?;
+        table.latency(&name, &result.latency_us);
+        table.row(
+            format!("{name}: executed twice"),
+            rig.standins.repeated_orders().len(),
+        );
+        rig.shutdown().await?;
     }
     args::output::write(format_args!("{table}"));
     Ok(())
--- a/crates/bench/src/limits.rs
+++ b/crates/bench/src/limits.rs
@@ -4,8 +4,8 @@
 
 use load::Callers;
 use load::Table;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Contracted calls per second.
@@ -17,14 +17,14 @@
 /// Duration of each run. It includes the first seconds, in which the entries learn how the calls are distributed.
 const RUN_DURATION: Duration = Duration::from_secs(15);
 
-fn rig_settings() -> Make {
-    Make {
+fn rig_settings() -> RigConfig {
+    RigConfig {
         entries: 4,
         engines: 0,
-        work: Duration::from_millis(2),
-        slots: 64,
+        service_time: Duration::from_millis(2),
+        service_slots: 64,
         contracts: vec![contracts::text("one", "rate = 200\nburst = 20\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -45,13 +45,13 @@
             token: contracts::token("one"),
             path: "/v1/services/portal/size/{n}".into(),
             rate: OFFERED_RATE,
-            span: RUN_DURATION,
-            once: false,
-            timeout: 2_000,
+            duration: RUN_DURATION,
+            with_keys: false,
+            timeout_ms: 2_000,
             seed: 4,
         };
         let result = callers.run().await;
-        let rate = result.whole as f64 / RUN_DURATION.as_secs_f64();
+        let rate = result.completed as f64 / RUN_DURATION.as_secs_f64();
         table.row(
             format!("{name}: complete responses per second"),
             format!("{rate:.0}"),
@@ -60,7 +60,7 @@
             format!("{name}: ratio to the contracted rate"),
             format!("{:.2}", rate / CONTRACT_RATE),
         );
-        rig.leave().await?;
+        rig.shutdown().await?;
     }
     args::output::write(format_args!("{table}"));
     Ok(())
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -10,8 +10,8 @@
 use http_body_util::Full;
 use load::Table;
 use load::report::histogram;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 use crate::cpu;
@@ -78,17 +78,17 @@
 
 /// Runs the benchmark and prints its results.
 pub(crate) async fn run() -> eyre::Result<()> {
-    let settings = Make {
+    let settings = RigConfig {
         domains: vec!["nord"],
         engines: 0,
         services: 1,
-        work: Duration::ZERO,
-        slots: 64,
+        service_time: Duration::ZERO,
+        service_slots: 64,
         contracts: vec![contracts::text("one", "rate = 1000000\nburst = 100000\n")],
-        ..Make::default()
+        ..RigConfig::default()
     };
     let rig = Rig::start(&settings).await?;
-    let direct = measure(rig.parts.services[0].host.addr, "/size/1").await;
+    let direct = measure(rig.standins.services[0].host.addr, "/size/1").await;
     let entry = measure(rig.addrs()[0], "/v1/services/portal/size/1").await;
     let mut table = Table::default();
     table.latency("straight", &direct.micros);
@@ -106,5 +106,5 @@
         format!("{:.0}", 1.0 / added_seconds.max(1e-9)),
     );
     args::output::write(format_args!("{table}"));
-    rig.leave().await
+    rig.shutdown().await
 }
--- a/crates/bench/src/slow.rs
+++ b/crates/bench/src/slow.rs
@@ -4,22 +4,22 @@
 
 use load::Callers;
 use load::Table;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use standin::Fault;
 
 /// Duration of each run.
 const RUN_DURATION: Duration = Duration::from_secs(6);
 
-fn rig_settings(chooser: &'static str) -> Make {
-    Make {
+fn rig_settings(chooser: &'static str) -> RigConfig {
+    RigConfig {
         engines: 0,
-        work: Duration::from_millis(5),
-        slots: 16,
+        service_time: Duration::from_millis(5),
+        service_slots: 16,
         chooser,
         contracts: vec![contracts::text("one", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -46,33 +46,33 @@
             ),
         ] {
             let rig = Rig::start(&rig_settings(chooser)).await?;
-            rig.parts.services[0].host.faults.set(fault);
+            rig.standins.services[0].host.faults.set(fault);
             let callers = Callers {
                 entries: rig.addrs(),
                 token: contracts::token("one"),
                 path: "/v1/services/portal/size/{n}".into(),
                 rate: 300.0,
-                span: RUN_DURATION,
-                once: false,
-                timeout: 2_000,
+                duration: RUN_DURATION,
+                with_keys: false,
+                timeout_ms: 2_000,
                 seed: 3,
             };
             let result = callers.run().await;
-            let p99 = result.micros.value_at_quantile(0.99) as f64;
+            let p99 = result.latency_us.value_at_quantile(0.99) as f64;
             if healthy_p99 == 0.0 {
                 healthy_p99 = p99;
             }
             let name = format!("{chooser}, {name}");
-            table.latency(&name, &result.micros);
+            table.latency(&name, &result.latency_us);
             table.row(
                 format!("{name}: ratio to the p99 with all healthy"),
                 format!("{:.2}", p99 / healthy_p99),
             );
             table.row(
                 format!("{name}: completed of sent"),
-                format!("{} of {}", result.whole, result.sent),
+                format!("{} of {}", result.completed, result.sent),
             );
-            rig.leave().await?;
+            rig.shutdown().await?;
         }
     }
     args::output::write(format_args!("{table}"));
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -5,21 +5,21 @@
 
 use load::Table;
 use load::report::histogram;
-use rig::Make;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Number of measured changes.
 const CHANGES: u32 = 20;
 
-fn rig_settings() -> Make {
-    Make {
+fn rig_settings() -> RigConfig {
+    RigConfig {
         domains: vec!["nord", "midt", "syd"],
         entries: 3,
         engines: 0,
         services: 1,
         contracts: vec![contracts::text("one", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -52,13 +52,13 @@
         elapsed.as_millis(),
     );
     args::output::write(format_args!("{table}"));
-    rig.leave().await
+    rig.shutdown().await
 }
 
 /// Changes the contract and makes the platform unavailable as soon as one entry has the change, so that the other
 /// entries receive it from their peers. Returns the time until all entries have it.
 async fn change_during_outage(rig: &mut Rig) -> eyre::Result<Duration> {
-    let faults = rig.parts.platform.host.faults.clone();
+    let faults = rig.standins.platform.host.faults.clone();
     let start = Instant::now();
     let contract = contract::ini::parse("bench", &contracts::text("one", "rate = 7\n"))?;
     let applied = rig.contracts().apply("bench", None, contract).await?;
@@ -72,7 +72,7 @@
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     faults.change(|fault| fault.down = true);
-    rig.reach(rev).await?;
+    rig.wait_for_revision(rev).await?;
     let elapsed = start.elapsed();
     faults.change(|fault| fault.down = false);
     Ok(elapsed)
--- a/crates/bench/src/surge.rs
+++ b/crates/bench/src/surge.rs
@@ -4,9 +4,9 @@
 
 use load::Callers;
 use load::Table;
-use load::callers::Seen;
-use rig::Make;
+use load::callers::CallerStats;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 
 /// Lookups per second of the customer within its contract.
@@ -20,22 +20,22 @@
 
 /// Settings of a fleet with a capacity of 800 calls per second: four services that process up to 4 calls concurrently,
 /// in 20 ms each.
-fn rig_settings(order: &'static str, chooser: &'static str, limited: bool) -> Make {
+fn rig_settings(queue_order: &'static str, chooser: &'static str, limited: bool) -> RigConfig {
     let surge_contract = match limited {
         true => format!("rate = {CONTRACT_RATE}\nburst = 40\n"),
         false => "rate = 100000\nburst = 100000\nconcurrency = 100000\n".into(),
     };
-    Make {
+    RigConfig {
         engines: 0,
-        work: Duration::from_millis(20),
-        slots: 4,
-        order,
+        service_time: Duration::from_millis(20),
+        service_slots: 4,
+        queue_order,
         chooser,
         contracts: vec![
             contracts::text("calm", ""),
             contracts::text("surge", &surge_contract),
         ],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -45,20 +45,23 @@
         token: contracts::token(customer),
         path: "/v1/services/portal/size/{n}".into(),
         rate,
-        span: RUN_DURATION,
-        once: false,
-        timeout: 2_000,
+        duration: RUN_DURATION,
+        with_keys: false,
+        timeout_ms: 2_000,
         seed: 11,
     }
 }
 
 /// Runs both customers and returns the results of the calm one and of the surging one.
-async fn measure(settings: &Make, surge_rate: f64) -> eyre::Result<(Seen, Seen)> {
+async fn measure(
+    settings: &RigConfig,
+    surge_rate: f64,
+) -> eyre::Result<(CallerStats, CallerStats)> {
     let rig = Rig::start(settings).await?;
     let calm = callers(&rig, "calm", CALM_RATE);
     let surge = callers(&rig, "surge", surge_rate);
     let results = tokio::join!(calm.run(), surge.run());
-    rig.leave().await?;
+    rig.shutdown().await?;
     Ok(results)
 }
 
@@ -86,22 +89,22 @@
     let mut quiet_p99 = 0.0;
     for (name, settings, surge_rate) in cases {
         let (calm, surge) = measure(&settings, surge_rate).await?;
-        let p99 = calm.micros.value_at_quantile(0.99) as f64;
+        let p99 = calm.latency_us.value_at_quantile(0.99) as f64;
         if quiet_p99 == 0.0 {
             quiet_p99 = p99;
         }
-        table.latency(&format!("{name}: calm"), &calm.micros);
+        table.latency(&format!("{name}: calm"), &calm.latency_us);
         table.row(
             format!("{name}: calm, ratio to the quiet p99"),
             format!("{:.2}", p99 / quiet_p99),
         );
         table.row(
             format!("{name}: calm, completed of sent"),
-            format!("{} of {}", calm.whole, calm.sent),
+            format!("{} of {}", calm.completed, calm.sent),
         );
         table.row(
             format!("{name}: surge, completed of sent"),
-            format!("{} of {}", surge.whole, surge.sent),
+            format!("{} of {}", surge.completed, surge.sent),
         );
     }
     args::output::write(format_args!("{table}"));
--- a/crates/bench/src/trainer.rs
+++ b/crates/bench/src/trainer.rs
@@ -7,10 +7,10 @@
 use eyre::bail;
 use load::Table;
 use load::Trainer;
-use load::run::trainer_rows;
-use load::trainer::Seen;
-use rig::Make;
+use load::run::add_trainer_rows;
+use load::trainer::TrainerStats;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use standin::Fault;
 use standin::engine;
@@ -30,8 +30,12 @@
 /// Duration of the platform's outage.
 const OUTAGE_DURATION: Duration = Duration::from_secs(5);
 
-fn rig_settings(policy: &'static str, chooser: &'static str, order: &'static str) -> Make {
-    Make {
+fn rig_settings(
+    policy: &'static str,
+    chooser: &'static str,
+    queue_order: &'static str,
+) -> RigConfig {
+    RigConfig {
         engines: 4,
         engine: engine::Settings {
             median: MEDIAN_TOKENS,
@@ -40,13 +44,13 @@
             ..engine::Settings::default()
         },
         services: 0,
-        control: true,
+        with_control: true,
         store: Some((1 << 20, 200e6)),
         policy,
         chooser,
-        order,
+        queue_order,
         contracts: vec![contracts::text("staff", "staleness = 1\nweighs = idle\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -59,33 +63,33 @@
             .unwrap_or_else(|_| unreachable!("the model name is valid")),
         groups: 96,
         samples: 8,
-        tokens: 2_000,
+        max_tokens: 2_000,
         steps: 4,
-        train: Duration::from_millis(1_500),
-        version: 1,
+        train_time: Duration::from_millis(1_500),
+        start_version: 1,
         label: "bench".into(),
-        median: MEDIAN_TOKENS,
+        median_tokens: MEDIAN_TOKENS,
     }
 }
 
-async fn measure(settings: &Make, fault: &str) -> eyre::Result<Seen> {
+async fn measure(settings: &RigConfig, fault: &str) -> eyre::Result<TrainerStats> {
     let mut rig = Rig::start(settings).await?;
     let trainer = trainer(&rig);
     let task = tokio::spawn(async move { trainer.run().await });
     tokio::time::sleep(FAULT_DELAY).await;
     match fault {
         "none" => (),
-        "engine" => rig.parts.engines[0].host.faults.set(Fault {
+        "engine" => rig.standins.engines[0].host.faults.set(Fault {
             down: true,
             ..Fault::default()
         }),
-        "slow" => rig.parts.engines[0].host.faults.set(Fault {
+        "slow" => rig.standins.engines[0].host.faults.set(Fault {
             slow: 6.0,
             ..Fault::default()
         }),
         "entry" => rig.kill(0),
         "platform" => {
-            let faults = rig.parts.platform.host.faults.clone();
+            let faults = rig.standins.platform.host.faults.clone();
             faults.change(|fault| fault.down = true);
             tokio::time::sleep(OUTAGE_DURATION).await;
             faults.change(|fault| fault.down = false);
@@ -93,16 +97,16 @@
         other => bail!("unknown fault {other:?}"),
     }
     let result = task.await?;
-    rig.leave().await?;
+    rig.shutdown().await?;
     Ok(result)
 }
 
 /// Returns the minimum time that the 8 engines need for a step, in seconds: the time for its tokens if all streams are
 /// in use, or for its longest sample if that takes longer.
-fn min_step_seconds(result: &Seen) -> f64 {
+fn min_step_seconds(result: &TrainerStats) -> f64 {
     let streams = f64::from(SLOTS) * 8.0;
     let tokens = result.tokens as f64 / f64::from(result.steps.max(1));
-    let longest = result.longest as f64 / f64::from(result.steps.max(1));
+    let longest = result.longest_tokens as f64 / f64::from(result.steps.max(1));
     (tokens / (TOKENS_PER_SECOND * streams)).max(longest / TOKENS_PER_SECOND)
 }
 
@@ -113,8 +117,8 @@
     let policy = measure(&rig_settings("longest", "scored", "fair"), fault).await?;
     let baseline = measure(&rig_settings("inorder", "least", "fifo"), fault).await?;
     for (name, result) in [("policy", &policy), ("baseline", &baseline)] {
-        trainer_rows(&mut table, name, result);
-        let step_seconds = result.whole.value_at_quantile(0.5) as f64 / 1_000.0;
+        add_trainer_rows(&mut table, name, result);
+        let step_seconds = result.step_ms.value_at_quantile(0.5) as f64 / 1_000.0;
         table.row(
             format!("{name}: ratio of the step time to the engines' minimum"),
             format!("{:.2}", step_seconds / min_step_seconds(result)),
@@ -131,8 +135,8 @@
         format!("{staleness_ratio:.2}"),
     );
     args::output::write(format_args!("{table}"));
-    if policy.broken() > 0 {
-        bail!("{} samples broke a promise", policy.broken());
+    if policy.violations() > 0 {
+        bail!("{} samples broke a promise", policy.violations());
     }
     Ok(())
 }
--- a/crates/bench/src/weights.rs
+++ b/crates/bench/src/weights.rs
@@ -4,9 +4,9 @@
 use std::time::Instant;
 
 use load::Table;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::engine;
@@ -20,9 +20,9 @@
 /// Maximum time to wait until all engines have a version.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn rig_settings(engines: usize, cache: bool) -> Make {
-    Make {
-        cache,
+fn rig_settings(engines: usize, with_cache: bool) -> RigConfig {
+    RigConfig {
+        with_cache,
         engines: engines / 2,
         engine: engine::Settings {
             slots: 8,
@@ -30,11 +30,11 @@
             ..engine::Settings::default()
         },
         services: 0,
-        control: true,
+        with_control: true,
         store: Some((VERSION_BYTES, STORE_BYTES_PER_SECOND)),
         contracts: vec![contracts::text("staff", "")],
-        poll: "5s",
-        ..Make::default()
+        report_interval: "5s",
+        ..RigConfig::default()
     }
 }
 
@@ -43,7 +43,7 @@
     let path = "/v1/weights/fitting";
     let body = json!({ "version": version });
     loop {
-        let request = Asked::json(rig.addrs()[0], "staff", path, &body);
+        let request = Call::json(rig.addrs()[0], "staff", path, &body);
         if request.send().await?.status.is_success() {
             return Ok(());
         }
@@ -54,8 +54,9 @@
 /// Waits until all engines have a version or the timeout has passed, and returns the time that it took.
 async fn wait_for_version(rig: &Rig, version: u64) -> Duration {
     let start = Instant::now();
-    let has_version = |engine: &rig::parts::Part<standin::Engine>| engine.part.version() == version;
-    while !rig.parts.engines.iter().all(has_version) && start.elapsed() < LOAD_TIMEOUT {
+    let has_version =
+        |engine: &rig::standins::Standin<standin::Engine>| engine.state.version() == version;
+    while !rig.standins.engines.iter().all(has_version) && start.elapsed() < LOAD_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     start.elapsed()
@@ -78,10 +79,10 @@
         announce(&rig, 2).await?;
         wait_for_version(&rig, 2).await;
         let bytes_sent = || {
-            rig.parts
+            rig.standins
                 .store
                 .as_ref()
-                .map_or(0, |store| store.part.bytes_sent())
+                .map_or(0, |store| store.state.bytes_sent())
         };
         let before = bytes_sent();
         let mut longest = Duration::ZERO;
@@ -106,7 +107,7 @@
             format!("{name}: bytes from the store per version"),
             bytes_per_version,
         );
-        rig.leave().await?;
+        rig.shutdown().await?;
     }
     args::output::write(format_args!("{table}"));
     Ok(())
--- a/crates/control/tests/control.rs
+++ b/crates/control/tests/control.rs
@@ -5,9 +5,9 @@
 
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::Fault;
@@ -16,15 +16,15 @@
 use wire::engine::LoadReport;
 use wire::engine::ORDER;
 
-fn config() -> Make {
-    Make {
+fn config() -> RigConfig {
+    RigConfig {
         entries: 2,
         engines: 3,
         services: 0,
-        control: true,
+        with_control: true,
         store: Some((100_000, 100e6)),
         contracts: vec![contracts::text("staff", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -34,7 +34,7 @@
 
 async fn announce(rig: &Rig, version: u64) -> StatusCode {
     let path = "/v1/weights/fitting";
-    let asked = Asked::json(
+    let asked = Call::json(
         rig.addrs()[0],
         "staff",
         path,
@@ -44,7 +44,7 @@
 }
 
 async fn fetch_load(addr: std::net::SocketAddr) -> Option<LoadReport> {
-    let asked = Asked::new(addr, "-", Method::GET, LOAD);
+    let asked = Call::new(addr, "-", Method::GET, LOAD);
     asked.send().await.ok()?.json().ok()
 }
 
@@ -62,7 +62,7 @@
 async fn wait_for_version(rig: &Rig, version: u64) {
     for _ in 0..1_500 {
         let mut all = true;
-        for engine in &rig.parts.engines {
+        for engine in &rig.standins.engines {
             let load = fetch_load(engine.host.addr).await;
             all &= load.is_some_and(|load| load.stated.single_version() == Some(version));
         }
@@ -82,8 +82,8 @@
         assert_eq!(announce(&rig, 2).await, StatusCode::OK);
 
         wait_for_version(&rig, 2).await;
-        let store = rig.parts.store.as_ref().unwrap();
-        assert_eq!(store.part.bytes_sent(), 6 * 100_000);
+        let store = rig.standins.store.as_ref().unwrap();
+        assert_eq!(store.state.bytes_sent(), 6 * 100_000);
     });
 }
 
@@ -100,7 +100,7 @@
         tokio::time::sleep(Duration::from_millis(1_500)).await;
 
         wait_for_version(&rig, 5).await;
-        let orders = rig.parts.engines.iter().flat_map(|e| e.part.orders());
+        let orders = rig.standins.engines.iter().flat_map(|e| e.state.orders());
         assert!(orders.into_iter().all(|(_, version)| version == 5));
     });
 }
@@ -111,7 +111,7 @@
 fn a_swap_that_fails_partway_is_repaired() {
     run_async(async {
         let rig = Rig::start(&config()).await.unwrap();
-        rig.parts.engines[1]
+        rig.standins.engines[1]
             .host
             .faults
             .change(|fault| fault.mixed = true);
@@ -119,7 +119,7 @@
         announce(&rig, 2).await;
 
         wait_for_version(&rig, 2).await;
-        assert!(rig.parts.engines[1].part.orders().len() > 1);
+        assert!(rig.standins.engines[1].state.orders().len() > 1);
     });
 }
 
@@ -131,11 +131,11 @@
             down: true,
             ..Fault::default()
         };
-        rig.parts.engines[0].host.faults.set(down);
+        rig.standins.engines[0].host.faults.set(down);
         announce(&rig, 2).await;
         tokio::time::sleep(Duration::from_millis(1_500)).await;
 
-        rig.parts.engines[0].host.faults.set(Fault::default());
+        rig.standins.engines[0].host.faults.set(Fault::default());
 
         wait_for_version(&rig, 2).await;
     });
@@ -155,12 +155,12 @@
             rig.kill(at);
             // A crashed holder would not revoke its lease. `stop` revokes it, which stands in for
             // the expiry of the lease at the platform.
-            rig.controls.remove(at).stop().await;
+            rig.controllers.remove(at).stop().await;
         }
         announce(&rig, 3).await;
 
         wait_for_version(&rig, 3).await;
-        let fences = |at: usize| rig.parts.engines[at].part.orders();
+        let fences = |at: usize| rig.standins.engines[at].state.orders();
         let first = fences(0);
         assert!(
             first.windows(2).all(|pair| pair[0].0 <= pair[1].0),
@@ -178,8 +178,8 @@
         let rig = Rig::start(&config()).await.unwrap();
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
-        let engine = &rig.parts.engines[0];
-        let answer = Asked::json(engine.host.addr, "-", ORDER, &stale_order())
+        let engine = &rig.standins.engines[0];
+        let answer = Call::json(engine.host.addr, "-", ORDER, &stale_order())
             .send()
             .await
             .unwrap();
@@ -199,8 +199,8 @@
         let rig = Rig::start(&config).await.unwrap();
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
-        let engine = &rig.parts.engines[0];
-        let answer = Asked::json(engine.host.addr, "-", ORDER, &stale_order())
+        let engine = &rig.standins.engines[0];
+        let answer = Call::json(engine.host.addr, "-", ORDER, &stale_order())
             .send()
             .await
             .unwrap();
@@ -227,7 +227,7 @@
         let rig = Rig::start(&config()).await.unwrap();
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
-        let faults = rig.parts.platform.host.faults.clone();
+        let faults = rig.standins.platform.host.faults.clone();
         faults.change(|fault| fault.down = true);
         assert_eq!(announce(&rig, 3).await, StatusCode::SERVICE_UNAVAILABLE);
         tokio::time::sleep(Duration::from_secs(9)).await;
@@ -241,9 +241,9 @@
     });
 }
 
-fn config_with_cache() -> Make {
-    Make {
-        cache: true,
+fn config_with_cache() -> RigConfig {
+    RigConfig {
+        with_cache: true,
         ..config()
     }
 }
@@ -259,9 +259,9 @@
         announce(&rig, 2).await;
 
         wait_for_version(&rig, 2).await;
-        let store = rig.parts.store.as_ref().unwrap();
+        let store = rig.standins.store.as_ref().unwrap();
         assert_eq!(
-            store.part.bytes_sent(),
+            store.state.bytes_sent(),
             2 * 100_000,
             "one download per failure domain"
         );
@@ -277,7 +277,7 @@
         announce(&rig, 2).await;
         wait_for_version(&rig, 2).await;
         rig.kill(0);
-        rig.controls.remove(0).stop().await;
+        rig.controllers.remove(0).stop().await;
 
         announce(&rig, 3).await;
 
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -10,9 +10,9 @@
 use control::Controller;
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
-use rig::Make;
-use rig::Parts;
+use rig::Call;
+use rig::RigConfig;
+use rig::Standins;
 use rustix::process::Pid;
 use rustix::process::Signal;
 use rustix::process::kill_process;
@@ -79,7 +79,7 @@
     /// Waits until the entry is ready, that is, has the contracts of the fleet.
     pub(crate) async fn wait_ready(&self) {
         for _ in 0..1_000 {
-            let probe = Asked::new(self.addr, "-", Method::GET, "/readyz");
+            let probe = Call::new(self.addr, "-", Method::GET, "/readyz");
             let answer = probe.send().await;
             if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
                 return;
@@ -107,7 +107,7 @@
 
 /// Fleet whose stand-ins run in this process and whose entries run in processes of their own.
 pub(crate) struct Fleet {
-    pub(crate) parts: Parts,
+    pub(crate) parts: Standins,
     pub(crate) entries: Vec<Entry>,
     /// Controllers of the entries; they run in this process.
     _controls: Vec<Controller>,
@@ -120,8 +120,8 @@
 }
 
 impl Fleet {
-    pub(crate) async fn start(options: &Make) -> Self {
-        let parts = Parts::start(options).await.unwrap();
+    pub(crate) async fn start(options: &RigConfig) -> Self {
+        let parts = Standins::start(options).await.unwrap();
         let contracts = operate::Contracts::new(plat::Client::new(vec![parts.platform.host.addr]));
         for text in &options.contracts {
             let contract = contract::ini::parse("test", text).unwrap();
--- a/crates/entry/tests/process.rs
+++ b/crates/entry/tests/process.rs
@@ -9,8 +9,8 @@
 use http::Method;
 use http::StatusCode;
 use load::Trainer;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
+use rig::RigConfig;
 use rig::contracts;
 use route::Ran;
 use serde_json::json;
@@ -20,14 +20,14 @@
 /// Median length of an engine's output, in tokens.
 const MEDIAN_TOKENS: u32 = 40;
 
-fn options() -> Make {
-    Make {
+fn options() -> RigConfig {
+    RigConfig {
         engine: engine::Settings {
             median: MEDIAN_TOKENS,
             ..engine::Settings::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 3s\nstaleness = 1\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -44,7 +44,7 @@
     for number in 0..count {
         let key = format!("{label}-{number}");
         for attempt in 0..20 {
-            let request = Asked::order(entries[(number + attempt) % entries.len()], "aarhus", &key);
+            let request = Call::order(entries[(number + attempt) % entries.len()], "aarhus", &key);
             let Ok(answer) = request.send().await else {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
@@ -67,9 +67,9 @@
 
 /// Checks the outcomes that callers received against the logs of the services.
 fn assert_consistent(fleet: &Fleet, outcomes: &[Outcomes]) {
-    let ran = fleet.parts.ran();
+    let ran = fleet.parts.executed_orders();
     assert_eq!(
-        fleet.parts.twice(),
+        fleet.parts.repeated_orders(),
         Vec::<String>::new(),
         "no key may run twice"
     );
@@ -133,7 +133,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_survive_paused_entries() {
     let mut options = options();
-    options.more = "[journal]\nshards = 1\n".into();
+    options.extra_settings = "[journal]\nshards = 1\n".into();
     let fleet = Fleet::start(&options).await;
     let callers = start_callers(&fleet, 8, 25).await;
 
@@ -160,12 +160,12 @@
         model: "fitting".parse().unwrap(),
         groups: 12,
         samples: 4,
-        tokens: 400,
+        max_tokens: 400,
         steps: 3,
-        train: Duration::from_millis(100),
-        version: 1,
+        train_time: Duration::from_millis(100),
+        start_version: 1,
         label: "t".into(),
-        median: MEDIAN_TOKENS,
+        median_tokens: MEDIAN_TOKENS,
     };
     let run = tokio::spawn(async move { trainer.run().await });
 
@@ -180,7 +180,7 @@
     let tally = run.await.expect("the steps must complete").unwrap();
 
     assert_eq!((tally.steps, tally.samples), (3, 3 * 48));
-    assert_eq!(tally.broken(), 0, "{tally:?}");
+    assert_eq!(tally.violations(), 0, "{tally:?}");
     assert!(tally.failures > 0, "the kills must cause failed calls");
 }
 
@@ -194,13 +194,13 @@
     let mut fleet = Fleet::start(&options).await;
     let addr = fleet.entries[0].addr;
     let body = json!({"model": "fitting", "prompt": "a case", "stream": true, "seed": 3});
-    let request = Asked::json(addr, "aarhus", "/v1/completions", &body);
+    let request = Call::json(addr, "aarhus", "/v1/completions", &body);
     let call = tokio::spawn(async move { request.send().await });
     tokio::time::sleep(Duration::from_millis(200)).await;
 
     fleet.entries[0].terminate();
     let ready = async || {
-        let probe = Asked::new(addr, "-", Method::GET, "/readyz");
+        let probe = Call::new(addr, "-", Method::GET, "/readyz");
         probe
             .send()
             .await
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -13,7 +13,7 @@
 use crate::Callers;
 use crate::Trainer;
 
-/// What to send.
+/// The callers and trainers to run.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Callers by name.
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// Returns every mistake of the file at once.
+/// Returns all errors of the file together.
 pub fn read(file: &str, text: &str) -> Result<Settings, SettingsErrors> {
     let mut doc = Document::parse(file, text);
     let mut load = doc.take_section("load");
@@ -60,8 +60,8 @@
     let path = s.require("path", "a path such as /v1/services/portal/size/{n}");
     let rate = s.get_or("rate", "calls a second", Rate(10.0)).0;
     let span = s.get_or("span", "a span of time", DurationMs(10_000)).0;
-    let once = s.get_or("once", "true or false", false);
-    let timeout = s.get_or("timeout", "a span of time", DurationMs(2_000)).0;
+    let with_keys = s.get_or("once", "true or false", false);
+    let timeout_ms = s.get_or("timeout", "a span of time", DurationMs(2_000)).0;
     let seed = s.get_or("seed", "a number", 1);
     if rate == 0.0 {
         s.report_invalid("rate", "more than 0 calls a second");
@@ -71,9 +71,9 @@
         token: token?,
         path: path?,
         rate,
-        span: Duration::from_millis(span),
-        once,
-        timeout,
+        duration: Duration::from_millis(span),
+        with_keys,
+        timeout_ms,
         seed,
     })
 }
@@ -87,11 +87,11 @@
         model: model?,
         groups: s.get_or("groups", "a number of groups", 16),
         samples: s.get_or("samples", "a number of samples", 4),
-        tokens: s.get_or("tokens", "a number of tokens", 1_024),
+        max_tokens: s.get_or("tokens", "a number of tokens", 1_024),
         steps: s.get_or("steps", "a number of steps", 3),
-        train: Duration::from_millis(s.get_or("train", "a span of time", DurationMs(1_000)).0),
-        version: s.get_or("version", "a weight version", 1),
+        train_time: Duration::from_millis(s.get_or("train", "a span of time", DurationMs(1_000)).0),
+        start_version: s.get_or("version", "a weight version", 1),
         label: name.to_owned(),
-        median: s.get_or("median", "a number of tokens", 0),
+        median_tokens: s.get_or("median", "a number of tokens", 0),
     })
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,13 +1,13 @@
-//! Fleets for the demo, the bench and tests: stand-ins in this process, with entries and their
-//! control in this process too, or as processes of their own.
+//! Fleets for the demo, the benchmarks and tests: stand-ins for the platform, engines, services and the weight store
+//! run in this process; entries and their control run in this process too, or as separate processes.
 
 pub mod call;
+pub mod config;
 pub mod contracts;
-pub mod make;
-pub mod parts;
-mod start;
+mod fleet;
+pub mod standins;
 
-pub use call::Asked;
-pub use make::Make;
-pub use parts::Parts;
-pub use start::Rig;
+pub use call::Call;
+pub use config::RigConfig;
+pub use fleet::Rig;
+pub use standins::Standins;
--- a/crates/serve/tests/completions.rs
+++ b/crates/serve/tests/completions.rs
@@ -5,9 +5,9 @@
 use http::Method;
 use http::StatusCode;
 use net::events::DONE;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::Fault;
@@ -21,22 +21,22 @@
 /// Median length of an engine's answers in tokens.
 const MEDIAN_TOKENS: u32 = 60;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engine: engine::Settings {
             median: MEDIAN_TOKENS,
             ..engine::Settings::default()
         },
         contracts: vec![contracts::text("aarhus", "deadline = 20s\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
-fn completion(rig: &Rig, prompt: &str, stream: bool) -> Asked {
+fn completion(rig: &Rig, prompt: &str, stream: bool) -> Call {
     let body = json!({
         "model": "fitting", "prompt": prompt, "max_tokens": 400, "seed": 7, "stream": stream
     });
-    Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body)
+    Call::json(rig.addrs()[0], "aarhus", "/v1/completions", &body)
 }
 
 /// Returns the complete answer to a prompt.
@@ -46,7 +46,7 @@
 
 /// Sets the faults of all engines.
 fn set_fault(rig: &Rig, fault: Fault) {
-    rig.parts
+    rig.standins
         .engines
         .iter()
         .for_each(|e| e.host.faults.set(fault));
@@ -166,10 +166,10 @@
     call.abort();
 
     wait_until(|| running() == 0).await;
-    let addrs = rig.parts.engines.iter().map(|e| e.host.addr);
+    let addrs = rig.standins.engines.iter().map(|e| e.host.addr);
     for addr in addrs {
         let is_free = async || {
-            let load = Asked::new(addr, "-", Method::GET, wire::engine::LOAD);
+            let load = Call::new(addr, "-", Method::GET, wire::engine::LOAD);
             let load: wire::engine::LoadReport = load.send().await.unwrap().json().unwrap();
             load.running == 0
         };
--- a/crates/serve/tests/invalid_calls.rs
+++ b/crates/serve/tests/invalid_calls.rs
@@ -5,9 +5,9 @@
 
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use route::Ran;
 use tokio::io::AsyncReadExt;
@@ -16,14 +16,14 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         domains: vec!["nord"],
         engines: 1,
         services: 1,
-        more: "[limits]\nbody = 1000\npatience = 300ms\nheaders = 300ms\n".into(),
+        extra_settings: "[limits]\nbody = 1000\npatience = 300ms\nheaders = 300ms\n".into(),
         contracts: vec![contracts::text("aarhus", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -31,8 +31,8 @@
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
-fn call(to: SocketAddr, method: Method, path: &str, body: &str) -> Asked {
-    Asked::new(to, "aarhus", method, path).body(body.to_owned())
+fn call(to: SocketAddr, method: Method, path: &str, body: &str) -> Call {
+    Call::new(to, "aarhus", method, path).body(body.to_owned())
 }
 
 const OPEN_STEP: &str = r#"{"model":"fitting","groups":["a"],"samples":1,"version":1}"#;
@@ -81,7 +81,7 @@
             Some("application/problem+json")
         );
         assert!(answer.header("x-request-id").is_some());
-        let after = Asked::lookup(to, "aarhus").send().await.unwrap();
+        let after = Call::lookup(to, "aarhus").send().await.unwrap();
         assert_eq!(after.status, StatusCode::OK);
     });
 }
@@ -94,7 +94,7 @@
 fn a_call_without_a_valid_token_is_rejected(header: Option<&str>) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let mut lookup = Asked::lookup(rig.addrs()[0], "aarhus");
+        let mut lookup = Call::lookup(rig.addrs()[0], "aarhus");
         lookup.headers.clear();
         if let Some(header) = header {
             lookup = lookup.header("authorization", header);
@@ -108,28 +108,28 @@
 }
 
 #[parameterized(
-    long_body = { Asked::body, "x-a", "1", Type::TooLarge },
+    long_body = { Call::body, "x-a", "1", Type::TooLarge },
     invalid_timeout = { unchanged, "x-request-timeout-ms", "soon", Type::BadRequest },
     zero_timeout = { unchanged, "x-request-timeout-ms", "0", Type::BadRequest },
 )]
 fn an_invalid_part_is_rejected_by_its_type(
-    set_body: fn(Asked, String) -> Asked,
+    set_body: fn(Call, String) -> Call,
     name: &str,
     value: &str,
     expected: Type,
 ) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let order = Asked::order(rig.addrs()[0], "aarhus", "k").header(name, value);
+        let order = Call::order(rig.addrs()[0], "aarhus", "k").header(name, value);
 
         let answer = set_body(order, "x".repeat(1_001)).send().await.unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, expected);
-        assert!(rig.parts.ran().is_empty());
+        assert!(rig.standins.executed_orders().is_empty());
     });
 }
 
-fn unchanged(call: Asked, _: String) -> Asked {
+fn unchanged(call: Call, _: String) -> Call {
     call
 }
 
@@ -162,8 +162,8 @@
         let answer = send_partial(to, text).await;
 
         assert!(answer.contains(expected), "{answer}");
-        assert!(rig.parts.ran().is_empty());
-        let after = Asked::lookup(to, "aarhus").send().await.unwrap();
+        assert!(rig.standins.executed_orders().is_empty());
+        let after = Call::lookup(to, "aarhus").send().await.unwrap();
         assert_eq!(after.status, StatusCode::OK);
     });
 }
@@ -184,7 +184,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let path = wire::peer::PING;
-        let secret = wire::peer::Secret::new(rig::parts::SECRET);
+        let secret = wire::peer::Secret::new(rig::standins::PEER_SECRET);
         let valid = secret.sign(path, b"x");
         let mut message = call(rig.addrs()[0], Method::POST, path, "x");
         message = message.header(wire::peer::VERSION_HEADER, version);
@@ -217,7 +217,7 @@
         let opened: wire::caller::OpenedStep = opened.json().unwrap();
         let path = format!("/v1/steps/{}/pull", opened.step);
 
-        let pull = Asked::new(to, "other", Method::POST, &path).body(r#"{"version":1}"#);
+        let pull = Call::new(to, "other", Method::POST, &path).body(r#"{"version":1}"#);
         let answer = pull.send().await.unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, Type::NotFound);
@@ -244,14 +244,17 @@
 #[test]
 fn a_call_with_an_earlier_attempt_is_not_rejected_as_not_run() {
     block(async {
-        let make = Make { slots: 1, ..make() };
+        let make = RigConfig {
+            service_slots: 1,
+            ..make()
+        };
         let rig = Rig::start(&make).await.unwrap();
-        let service = &rig.parts.services[0];
+        let service = &rig.standins.services[0];
         service.host.faults.change(|fault| {
             fault.mute = true;
             fault.delay = 100;
         });
-        let lookup = || Asked::lookup(rig.addrs()[0], "aarhus");
+        let lookup = || Call::lookup(rig.addrs()[0], "aarhus");
 
         let first = lookup().header("x-request-timeout-ms", "170");
         let others = async {
@@ -263,7 +266,7 @@
         let (answer, ()) = tokio::join!(sending, others);
 
         let problem = answer.unwrap().problem().unwrap();
-        assert!(service.part.served() > 0);
+        assert!(service.state.served() > 0);
         assert_eq!(problem.ran, Ran::Unknown, "{problem:?}");
     });
 }
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -10,20 +10,20 @@
 use plat::Put;
 use plat::Txn;
 use plat::keys;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use route::Ran;
 use standin::Fault;
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         contracts: vec![contracts::text("aarhus", "deadline = 3s\n")],
-        more: "[journal]\nshards = 2\n".into(),
-        ..Make::default()
+        extra_settings: "[journal]\nshards = 2\n".into(),
+        ..RigConfig::default()
     }
 }
 
@@ -50,14 +50,14 @@
     let rig = rig().await;
     let to = rig.addrs();
 
-    let first = Asked::order(to[0], "aarhus", "k").send().await.unwrap();
-    let again = Asked::order(to[1], "aarhus", "k").send().await.unwrap();
+    let first = Call::order(to[0], "aarhus", "k").send().await.unwrap();
+    let again = Call::order(to[1], "aarhus", "k").send().await.unwrap();
 
     assert_eq!(first.status, StatusCode::CREATED);
     assert_eq!(again.status, StatusCode::CREATED);
     assert_eq!(again.body, first.body);
     assert_eq!(again.header("idempotent-replayed"), Some("whole"));
-    assert_eq!(rig.parts.ran(), ["k"]);
+    assert_eq!(rig.standins.executed_orders(), ["k"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -67,20 +67,20 @@
     let rig = Rig::start(&make).await.unwrap();
     let to = rig.addrs()[0];
 
-    Asked::order(to, "aarhus", "k").send().await.unwrap();
-    let other = Asked::order(to, "other", "k").send().await.unwrap();
+    Call::order(to, "aarhus", "k").send().await.unwrap();
+    let other = Call::order(to, "other", "k").send().await.unwrap();
 
     assert_eq!(other.status, StatusCode::CREATED);
-    assert_eq!(rig.parts.ran(), ["k", "k"]);
+    assert_eq!(rig.standins.executed_orders(), ["k", "k"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_of_another_request_is_refused() {
     let rig = rig().await;
     let to = rig.addrs()[0];
-    Asked::order(to, "aarhus", "k").send().await.unwrap();
+    Call::order(to, "aarhus", "k").send().await.unwrap();
 
-    let other = Asked::order(to, "aarhus", "k")
+    let other = Call::order(to, "aarhus", "k")
         .body("cap")
         .send()
         .await
@@ -99,13 +99,13 @@
     tokio::runtime::Runtime::new().unwrap().block_on(async {
         let rig = rig().await;
 
-        let answer = Asked::order(rig.addrs()[0], "aarhus", key)
+        let answer = Call::order(rig.addrs()[0], "aarhus", key)
             .send()
             .await
             .unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, expected);
-        assert!(rig.parts.ran().is_empty());
+        assert!(rig.standins.executed_orders().is_empty());
     });
 }
 
@@ -119,7 +119,7 @@
     for turn in 0..10 {
         let key = format!("k{turn}");
         let calls: Vec<_> = (0..6)
-            .map(|index| Asked::order(to[index % 2], "aarhus", &key))
+            .map(|index| Call::order(to[index % 2], "aarhus", &key))
             .map(|order| tokio::spawn(async move { order.send().await.unwrap() }))
             .collect();
         let mut created = 0;
@@ -133,7 +133,7 @@
         assert!(created >= 1);
     }
 
-    assert_eq!(rig.parts.ran().len(), 10);
+    assert_eq!(rig.standins.executed_orders().len(), 10);
 }
 
 // Guards against an order that runs although its caller was told that it did not, and against calls
@@ -143,11 +143,11 @@
 async fn without_the_platform_orders_are_refused_as_not_run_and_lookups_succeed() {
     let rig = rig().await;
     let to = rig.addrs()[0];
-    rig.parts.platform.host.faults.set(down());
+    rig.standins.platform.host.faults.set(down());
 
-    let order = Asked::order(to, "aarhus", "k").send().await.unwrap();
-    let lookup = Asked::lookup(to, "aarhus").send().await.unwrap();
-    rig.parts.platform.host.faults.set(Fault::default());
+    let order = Call::order(to, "aarhus", "k").send().await.unwrap();
+    let lookup = Call::lookup(to, "aarhus").send().await.unwrap();
+    rig.standins.platform.host.faults.set(Fault::default());
     let again = until_created(&rig, "k").await;
 
     let problem = order.problem().unwrap();
@@ -155,13 +155,13 @@
     assert!(order.header("retry-after").is_some());
     assert_eq!(lookup.status, StatusCode::OK);
     assert!(again);
-    assert_eq!(rig.parts.ran(), ["k"]);
+    assert_eq!(rig.standins.executed_orders(), ["k"]);
 }
 
 /// Repeats an order until it is created, for a few seconds. Returns whether it was.
 async fn until_created(rig: &Rig, key: &str) -> bool {
     for _ in 0..60 {
-        let answer = Asked::order(rig.addrs()[0], "aarhus", key)
+        let answer = Call::order(rig.addrs()[0], "aarhus", key)
             .send()
             .await
             .unwrap();
@@ -186,9 +186,9 @@
         } else {
             Fault::default()
         };
-        rig.parts.platform.host.faults.set(fault);
+        rig.standins.platform.host.faults.set(fault);
         let key = format!("k{turn}");
-        let answer = Asked::order(to[turn % 2], "aarhus", &key)
+        let answer = Call::order(to[turn % 2], "aarhus", &key)
             .send()
             .await
             .unwrap();
@@ -199,10 +199,10 @@
             refused.push(key);
         }
     }
-    rig.parts.platform.host.faults.set(Fault::default());
+    rig.standins.platform.host.faults.set(Fault::default());
 
-    let ran = rig.parts.ran();
-    assert_eq!(rig.parts.twice(), Vec::<String>::new());
+    let ran = rig.standins.executed_orders();
+    assert_eq!(rig.standins.repeated_orders(), Vec::<String>::new());
     assert!(
         refused.iter().all(|key| !ran.contains(key)),
         "{refused:?} {ran:?}"
@@ -212,7 +212,7 @@
     for key in &refused {
         assert!(until_created(&rig, key).await, "{key} cannot be used again");
     }
-    assert_eq!(rig.parts.twice(), Vec::<String>::new());
+    assert_eq!(rig.standins.repeated_orders(), Vec::<String>::new());
 }
 
 // Guards against a key that stays in doubt although its order was refused as not run. The peer that
@@ -225,23 +225,23 @@
     // Load both shards, so that the next claims are written at once.
     for turn in 0..8 {
         let key = format!("warm{turn}");
-        Asked::order(to[0], "aarhus", &key).send().await.unwrap();
+        Call::order(to[0], "aarhus", &key).send().await.unwrap();
     }
-    rig.parts.platform.host.faults.set(mute());
+    rig.standins.platform.host.faults.set(mute());
     let keys: Vec<_> = (0..16).map(|turn| format!("k{turn}")).collect();
     let asked = keys.iter().zip(to.iter().cycle());
     let asked = asked.map(|(key, to)| async {
-        let order = Asked::order(*to, "aarhus", key);
+        let order = Call::order(*to, "aarhus", key);
         order.send().await.unwrap().problem().unwrap().ran
     });
     let ran = futures_util::future::join_all(asked).await;
-    rig.parts.platform.host.faults.set(Fault::default());
+    rig.standins.platform.host.faults.set(Fault::default());
 
     assert_eq!(ran, [Ran::No; 16]);
     for key in &keys {
         assert!(until_created(&rig, key).await, "{key} cannot be used again");
     }
-    assert_eq!(rig.parts.twice(), Vec::<String>::new());
+    assert_eq!(rig.standins.repeated_orders(), Vec::<String>::new());
 }
 
 // Guards against an order that runs again after the service carried it out and its response was
@@ -250,17 +250,17 @@
 async fn an_order_whose_response_is_lost_stays_in_doubt() {
     let rig = rig().await;
     let to = rig.addrs();
-    rig.parts
+    rig.standins
         .services
         .iter()
         .for_each(|s| s.host.faults.set(mute()));
 
-    let lost = Asked::order(to[0], "aarhus", "k").send().await.unwrap();
-    rig.parts
+    let lost = Call::order(to[0], "aarhus", "k").send().await.unwrap();
+    rig.standins
         .services
         .iter()
         .for_each(|s| s.host.faults.set(Fault::default()));
-    let again = Asked::order(to[1], "aarhus", "k").send().await.unwrap();
+    let again = Call::order(to[1], "aarhus", "k").send().await.unwrap();
 
     let problem = lost.problem().unwrap();
     assert_eq!((problem.kind, problem.ran), (Type::Upstream, Ran::Unknown));
@@ -269,7 +269,7 @@
         (problem.kind, problem.ran),
         (Type::KeyInDoubt, Ran::Unknown)
     );
-    assert_eq!(rig.parts.ran(), ["k"]);
+    assert_eq!(rig.standins.executed_orders(), ["k"]);
 }
 
 // Guards against an order that cannot be repeated although it never reached a service, because all
@@ -278,17 +278,17 @@
 async fn an_order_that_could_not_connect_may_be_sent_again() {
     let rig = rig().await;
     let to = rig.addrs()[0];
-    rig.parts.services.iter().for_each(|s| s.host.stop());
+    rig.standins.services.iter().for_each(|s| s.host.stop());
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
 
-    let first = Asked::order(to, "aarhus", "k").send().await.unwrap();
-    let second = Asked::order(to, "aarhus", "k").send().await.unwrap();
+    let first = Call::order(to, "aarhus", "k").send().await.unwrap();
+    let second = Call::order(to, "aarhus", "k").send().await.unwrap();
 
     for answer in [first, second] {
         let problem = answer.problem().unwrap_or_else(|| panic!("{answer:?}"));
         assert_eq!(problem.ran, Ran::No, "{problem:?}");
     }
-    assert!(rig.parts.ran().is_empty());
+    assert!(rig.standins.executed_orders().is_empty());
 }
 
 // Guards against an order that runs again at another instance, after the first instance wrote the
@@ -310,7 +310,7 @@
         records: vec![record],
     };
     // The state that a killed instance leaves at the platform after it wrote the intent.
-    let plat = plat::Client::new(vec![rig.parts.platform.host.addr]);
+    let plat = plat::Client::new(vec![rig.standins.platform.host.addr]);
     let txn = Txn {
         puts: vec![
             Put::new(keys::shard_head(shard), "1"),
@@ -320,13 +320,13 @@
     };
     plat.txn(&txn).await.unwrap();
 
-    let answer = Asked::order(rig.addrs()[0], "aarhus", "k")
+    let answer = Call::order(rig.addrs()[0], "aarhus", "k")
         .send()
         .await
         .unwrap();
 
     assert_eq!(answer.problem().unwrap().kind, Type::KeyInDoubt);
-    assert!(rig.parts.ran().is_empty());
+    assert!(rig.standins.executed_orders().is_empty());
 }
 
 // Guards against calls that fail because the instance that writes a shard was killed while its peers
@@ -338,12 +338,12 @@
     let to = rig.addrs()[0];
 
     for turn in 0..8 {
-        let answer = Asked::order(to, "aarhus", &format!("k{turn}"))
+        let answer = Call::order(to, "aarhus", &format!("k{turn}"))
             .send()
             .await
             .unwrap();
         assert_eq!(answer.status, StatusCode::CREATED, "{:?}", answer.problem());
     }
 
-    assert_eq!(rig.parts.ran().len(), 8);
+    assert_eq!(rig.standins.executed_orders().len(), 8);
 }
--- a/crates/serve/tests/quarantine.rs
+++ b/crates/serve/tests/quarantine.rs
@@ -4,9 +4,9 @@
 
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::Faults;
@@ -31,12 +31,12 @@
 /// Starts two failure domains with two entries each, and upstreams that crash on a body that contains
 /// [`FATAL`].
 async fn start_rig(more: &str) -> Rig {
-    let make = Make {
+    let make = RigConfig {
         entries: 2,
         engines: 4,
         services: 4,
         contracts: vec![contracts::text("aarhus", more)],
-        ..Make::default()
+        ..RigConfig::default()
     };
     let rig = Rig::start(&make).await.unwrap();
     for faults in services(&rig).chain(engines(&rig)) {
@@ -46,11 +46,11 @@
 }
 
 fn services(rig: &Rig) -> impl Iterator<Item = &Faults> {
-    rig.parts.services.iter().map(|part| &part.host.faults)
+    rig.standins.services.iter().map(|part| &part.host.faults)
 }
 
 fn engines(rig: &Rig) -> impl Iterator<Item = &Faults> {
-    rig.parts.engines.iter().map(|part| &part.host.faults)
+    rig.standins.engines.iter().map(|part| &part.host.faults)
 }
 
 /// Returns the number of upstreams that have crashed.
@@ -58,12 +58,12 @@
     all.filter(|faults| faults.get().down).count()
 }
 
-fn update(rig: &Rig, entry: usize, body: &'static str) -> Asked {
+fn update(rig: &Rig, entry: usize, body: &'static str) -> Call {
     let path = "/v1/services/portal/size/1";
-    Asked::new(rig.addrs()[entry], "aarhus", Method::PUT, path).body(body)
+    Call::new(rig.addrs()[entry], "aarhus", Method::PUT, path).body(body)
 }
 
-async fn send_for_problem(call: Asked) -> Problem {
+async fn send_for_problem(call: Call) -> Problem {
     call.send().await.unwrap().problem().unwrap()
 }
 
@@ -83,9 +83,9 @@
         let harmless = update(&rig, 3, "hello").send().await.unwrap();
         for entry in 0..4 {
             rig.kill(entry);
-            rig.revive(entry).await.unwrap();
+            rig.restart(entry).await.unwrap();
         }
-        rig.reach(1).await.unwrap();
+        rig.wait_for_revision(1).await.unwrap();
         tokio::time::sleep(Duration::from_millis(500)).await;
         let after_restart = send_for_problem(update(&rig, 1, FATAL_MARKER)).await;
 
@@ -110,7 +110,7 @@
     block(async {
         let rig = start_rig("").await;
         let order = |number: usize| {
-            let order = Asked::order(rig.addrs()[0], "aarhus", &format!("key-{number}"));
+            let order = Call::order(rig.addrs()[0], "aarhus", &format!("key-{number}"));
             order.body(FATAL_MARKER)
         };
 
@@ -138,7 +138,7 @@
         });
 
         for _ in 0..4 {
-            let call = Asked::json(rig.addrs()[0], "aarhus", "/v1/completions", &body);
+            let call = Call::json(rig.addrs()[0], "aarhus", "/v1/completions", &body);
             // A failed stream is cut off, so that it does not look complete; sending then returns an error.
             let _ = call.send().await;
         }
@@ -161,14 +161,14 @@
             "model": "fitting", "groups": ["case 0", "a fatal case", "case 2"], "samples": 1,
             "max_tokens": 40, "version": 1
         });
-        let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
+        let opened = Call::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
         let opened: OpenedStep = opened.send().await.unwrap().json().unwrap();
 
         let (mut cursor, mut indices) = (String::new(), Vec::new());
         for _ in 0..16 {
             let path = format!("/v1/steps/{}/pull", opened.step);
             let pull = json!({"version": 1, "cursor": cursor, "limit": 9, "wait_ms": 300});
-            let answer = Asked::json(rig.addrs()[0], "aarhus", &path, &pull)
+            let answer = Call::json(rig.addrs()[0], "aarhus", &path, &pull)
                 .send()
                 .await;
             let batch: Batch = answer.unwrap().json().unwrap();
@@ -199,7 +199,7 @@
             "max_tokens": 40, "version": 1
         });
 
-        let opened = Asked::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
+        let opened = Call::json(rig.addrs()[0], "aarhus", "/v1/steps", &open);
         let status = opened.send().await.unwrap().status;
         tokio::time::sleep(Duration::from_secs(4)).await;
 
--- a/crates/serve/tests/replication.rs
+++ b/crates/serve/tests/replication.rs
@@ -8,21 +8,21 @@
 use http::Method;
 use http::StatusCode;
 use operate::ApplyOutcome;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use standin::Fault;
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         entries: 2,
         engines: 0,
         services: 1,
         contracts: vec![contracts::text("aarhus", "")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -59,7 +59,7 @@
         let rig = Rig::start(&make()).await.unwrap();
 
         let rev = apply(&rig, "rate = 7\n").await;
-        rig.reach(rev).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
 
         for entry in rig.running() {
             let registry = entry.app.contracts.read();
@@ -83,20 +83,20 @@
     block(async {
         let mut rig = Rig::start(&make()).await.unwrap();
         let rev = apply(&rig, "rate = 7\n").await;
-        rig.reach(rev).await.unwrap();
-        rig.parts.platform.host.faults.set(platform_down());
+        rig.wait_for_revision(rev).await.unwrap();
+        rig.standins.platform.host.faults.set(platform_down());
         rig.kill(2);
 
-        rig.revive(2).await.unwrap();
-        rig.reach(rev).await.unwrap();
+        rig.restart(2).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
 
         let entry = rig.entries[2].as_ref().unwrap();
-        let ready = Asked::new(entry.addr, "-", Method::GET, "/readyz")
+        let ready = Call::new(entry.addr, "-", Method::GET, "/readyz")
             .send()
             .await
             .unwrap();
         assert_eq!(ready.status, StatusCode::OK);
-        let lookup = Asked::lookup(entry.addr, "aarhus").send().await.unwrap();
+        let lookup = Call::lookup(entry.addr, "aarhus").send().await.unwrap();
         assert_eq!(lookup.status, StatusCode::OK);
     });
 }
@@ -107,7 +107,7 @@
 #[test]
 fn an_entry_without_contracts_is_not_ready() {
     block(async {
-        let make = Make {
+        let make = RigConfig {
             domains: vec!["nord"],
             entries: 1,
             contracts: Vec::new(),
@@ -115,22 +115,22 @@
         };
         let mut rig = Rig::start(&make).await.unwrap();
         rig.kill(0);
-        rig.parts.platform.host.faults.set(platform_down());
+        rig.standins.platform.host.faults.set(platform_down());
 
-        rig.revive(0).await.unwrap();
+        rig.restart(0).await.unwrap();
 
         let addr = rig.addrs()[0];
-        let ready = Asked::new(addr, "-", Method::GET, "/readyz")
+        let ready = Call::new(addr, "-", Method::GET, "/readyz")
             .send()
             .await
             .unwrap();
-        let health = Asked::new(addr, "-", Method::GET, "/healthz")
+        let health = Call::new(addr, "-", Method::GET, "/healthz")
             .send()
             .await
             .unwrap();
         assert_eq!(ready.status, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(health.status, StatusCode::OK);
-        let lookup = Asked::lookup(addr, "aarhus").send().await.unwrap();
+        let lookup = Call::lookup(addr, "aarhus").send().await.unwrap();
         assert_eq!(lookup.problem().unwrap().kind, Type::Unauthorized);
     });
 }
@@ -145,15 +145,15 @@
 fn changes_after_an_outage_are_found(compacted: bool) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        rig.parts.platform.host.faults.set(platform_down());
+        rig.standins.platform.host.faults.set(platform_down());
         tokio::time::sleep(Duration::from_millis(2_500)).await;
-        rig.parts.platform.host.faults.set(Fault::default());
+        rig.standins.platform.host.faults.set(Fault::default());
         let rev = apply(&rig, "rate = 9\n").await;
         if compacted {
-            rig.parts.platform.part.compact();
+            rig.standins.platform.state.compact();
         }
 
-        rig.reach(rev).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
     });
 }
 
@@ -164,7 +164,7 @@
 fn a_silent_watch_does_not_leave_contracts_unconfirmed() {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        rig.parts
+        rig.standins
             .platform
             .host
             .faults
@@ -197,11 +197,11 @@
             panic!("{applied:?}");
         };
 
-        rig.reach(rev).await.unwrap();
+        rig.wait_for_revision(rev).await.unwrap();
 
         for addr in rig.addrs() {
-            let old = Asked::lookup(addr, "aarhus").send().await.unwrap();
-            let new = Asked::lookup(addr, "new").send().await.unwrap();
+            let old = Call::lookup(addr, "aarhus").send().await.unwrap();
+            let new = Call::lookup(addr, "new").send().await.unwrap();
             assert_eq!(old.problem().unwrap().kind, Type::Unauthorized);
             assert_eq!(new.status, StatusCode::OK);
         }
@@ -278,7 +278,7 @@
         let rig = Rig::start(&make()).await.unwrap();
         let contracts = rig.contracts();
         let customer = "aarhus".parse().unwrap();
-        let faults = rig.parts.platform.host.faults.clone();
+        let faults = rig.standins.platform.host.faults.clone();
         let before = contracts.show(&customer).await.unwrap().unwrap().rev;
         faults.change(|fault| fault.mute_writes = 1);
 
@@ -299,13 +299,13 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let contracts = rig.contracts();
-        let faults = rig.parts.platform.host.faults.clone();
+        let faults = rig.standins.platform.host.faults.clone();
         faults.change(|fault| fault.mute_writes = u32::MAX);
         let customer = "aarhus".parse().unwrap();
 
         let applied = contracts.apply("op", None, contract("rate = 5\n"));
         let outage = async {
-            while rig.parts.platform.part.dump("/snipeway/audit/").len() < 2 {
+            while rig.standins.platform.state.dump("/snipeway/audit/").len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             faults.change(|fault| fault.down = true);
@@ -351,9 +351,9 @@
 fn a_leaving_upstream_gets_no_new_calls_after_seconds(listed: bool) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        let leaving = &rig.parts.services[0];
+        let leaving = &rig.standins.services[0];
         if listed {
-            let plat = plat::Client::new(vec![rig.parts.platform.host.addr]);
+            let plat = plat::Client::new(vec![rig.standins.platform.host.addr]);
             let key = format!("{}{}", plat::keys::LEAVING, leaving.name);
             let txn = plat::Txn {
                 puts: vec![plat::Put::new(key, "1")],
@@ -365,20 +365,20 @@
             // The first response reports that the upstream is leaving.
             for _ in 0..8 {
                 for addr in rig.addrs() {
-                    Asked::lookup(addr, "aarhus").send().await.unwrap();
+                    Call::lookup(addr, "aarhus").send().await.unwrap();
                 }
             }
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let before = leaving.part.served();
+        let before = leaving.state.served();
 
         for _ in 0..10 {
             for addr in rig.addrs() {
-                let answer = Asked::lookup(addr, "aarhus").send().await.unwrap();
+                let answer = Call::lookup(addr, "aarhus").send().await.unwrap();
                 assert_eq!(answer.status, StatusCode::OK);
             }
         }
 
-        assert_eq!(leaving.part.served(), before);
+        assert_eq!(leaving.state.served(), before);
     });
 }
--- a/crates/serve/tests/step_end.rs
+++ b/crates/serve/tests/step_end.rs
@@ -7,9 +7,9 @@
 use http::Method;
 use http::StatusCode;
 use plat::budget::CallKind;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use serve::RunningInstance;
@@ -40,8 +40,8 @@
 const SLOW_MS: u64 = 400;
 
 /// Samples take half a minute each, and there are more than the engines have slots.
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engine: engine::Settings {
             speed: 10.0,
             median: 300,
@@ -51,7 +51,7 @@
         engines: 1,
         services: 0,
         contracts: vec![contracts::text("staff", "staleness = 1\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -64,14 +64,14 @@
     let open = json!({
         "model": "fitting", "groups": prompts, "samples": 2, "max_tokens": 300, "version": 1
     });
-    let answer = Asked::json(to, "staff", "/v1/steps", &open).send().await;
+    let answer = Call::json(to, "staff", "/v1/steps", &open).send().await;
     let opened: OpenedStep = answer.unwrap().json().unwrap();
     opened.step
 }
 
 async fn end(to: SocketAddr, step: &str) -> StatusCode {
     let path = format!("/v1/steps/{step}");
-    let asked = Asked::new(to, "staff", Method::DELETE, &path);
+    let asked = Call::new(to, "staff", Method::DELETE, &path);
     asked.send().await.unwrap().status
 }
 
@@ -84,7 +84,7 @@
 async fn pull(to: SocketAddr, step: &str) -> Option<Type> {
     let path = format!("/v1/steps/{step}/pull");
     let pull = json!({ "version": 1, "cursor": "", "limit": 8, "wait_ms": 100 });
-    let answer = Asked::json(to, "staff", &path, &pull).send().await.unwrap();
+    let answer = Call::json(to, "staff", &path, &pull).send().await.unwrap();
     match answer.status {
         StatusCode::OK => None,
         _ => answer.problem().map(|problem| problem.kind),
@@ -103,7 +103,7 @@
 }
 
 fn tokens(rig: &Rig) -> u64 {
-    rig.parts.engines.iter().map(|e| e.part.tokens()).sum()
+    rig.standins.engines.iter().map(|e| e.state.tokens()).sum()
 }
 
 async fn until_running(rig: &Rig) {
@@ -120,19 +120,19 @@
 }
 
 fn platform(rig: &Rig, f: impl FnOnce(&mut Fault)) {
-    rig.parts.platform.host.faults.change(f);
+    rig.standins.platform.host.faults.change(f);
 }
 
 /// Starts an instance that can reach the platform and the upstreams, but no other instance.
 async fn start_isolated(rig: &Rig) -> RunningInstance {
-    start(rig, "ost-0", &rig.parts.shared).await
+    start(rig, "ost-0", &rig.standins.shared).await
 }
 
 /// Starts an instance that reaches the platform through `proxy`, and every instance of the rig
 /// directly.
 async fn start_behind(rig: &Rig, proxy: SocketAddr) -> RunningInstance {
-    let platform = rig.parts.platform.host.addr.to_string();
-    let mut text = rig.parts.shared.replace(&platform, &proxy.to_string());
+    let platform = rig.standins.platform.host.addr.to_string();
+    let mut text = rig.standins.shared.replace(&platform, &proxy.to_string());
     for (name, addr) in ["nord-0", "syd-0"].iter().zip(rig.addrs()) {
         let domain = name.trim_end_matches("-0");
         text += &format!("[peer {name}]\ndomain = {domain}\naddress = {addr}\n");
@@ -192,12 +192,12 @@
         make.engine.slots = 16;
         make.domains = vec!["nord"];
         make.services = 1;
-        make.slots = 1;
-        make.work = Duration::from_millis(1_200);
+        make.service_slots = 1;
+        make.service_time = Duration::from_millis(1_200);
         let more = "staleness = 1\nscorer = portal\nunscored = wait\n";
         make.contracts = vec![contracts::text("staff", more)];
         let rig = Rig::start(&make).await.unwrap();
-        let scored = || rig.parts.services[0].part.served();
+        let scored = || rig.standins.services[0].state.served();
         let step = open(rig.addrs()[0]).await;
         until(async || scored() > 0).await;
 
@@ -244,7 +244,14 @@
             fault.down = false;
             fault.delay = SLOW_MS;
         });
-        let leases = || rig.parts.platform.part.calls.lease.load(Ordering::Relaxed);
+        let leases = || {
+            rig.standins
+                .platform
+                .state
+                .calls
+                .lease
+                .load(Ordering::Relaxed)
+        };
         let before = leases();
         until(async || leases() > before).await;
 
@@ -288,7 +295,7 @@
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
         let other = start_isolated(&rig).await;
-        let (addr, task) = start_proxy(rig.parts.platform.host.addr).await;
+        let (addr, task) = start_proxy(rig.standins.platform.host.addr).await;
         let home = start_behind(&rig, addr).await;
         let step = open(home.addr).await;
         until_running(&rig).await;
@@ -352,7 +359,7 @@
         open(rig.addrs()[0]).await;
         until_running(&rig).await;
 
-        rig.parts.platform.host.faults.set(fault);
+        rig.standins.platform.host.faults.set(fault);
 
         tokio::time::sleep(STOP_TIMEOUT).await;
         assert!(late_tokens(&rig).await > 0);
@@ -370,9 +377,7 @@
         let path = format!("/v1/steps/{step}");
 
         for to in rig.addrs() {
-            let foreign = Asked::new(to, "cutters", Method::DELETE, &path)
-                .send()
-                .await;
+            let foreign = Call::new(to, "cutters", Method::DELETE, &path).send().await;
             assert_eq!(foreign.unwrap().status, StatusCode::NOT_FOUND);
         }
 
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -6,9 +6,9 @@
 
 use http::Method;
 use http::StatusCode;
-use rig::Asked;
-use rig::Make;
+use rig::Call;
 use rig::Rig;
+use rig::RigConfig;
 use rig::contracts;
 use serde_json::json;
 use standin::Fault;
@@ -27,8 +27,8 @@
 /// Maximum length of a sample, in tokens.
 const MAX_TOKENS: u32 = 300;
 
-fn make() -> Make {
-    Make {
+fn make() -> RigConfig {
+    RigConfig {
         engine: engine::Settings {
             median: MEDIAN_TOKENS,
             ..engine::Settings::default()
@@ -36,7 +36,7 @@
         engines: 3,
         services: 0,
         contracts: vec![contracts::text("staff", "staleness = 1\n")],
-        ..Make::default()
+        ..RigConfig::default()
     }
 }
 
@@ -65,7 +65,7 @@
             "model": "fitting", "groups": prompts, "samples": samples, "max_tokens": MAX_TOKENS,
             "version": 1
         });
-        let answer = Asked::json(entries[0], "staff", "/v1/steps", &open)
+        let answer = Call::json(entries[0], "staff", "/v1/steps", &open)
             .send()
             .await
             .unwrap();
@@ -82,12 +82,12 @@
         }
     }
 
-    fn pull_request(&self, limit: usize) -> Asked {
+    fn pull_request(&self, limit: usize) -> Call {
         let path = format!("/v1/steps/{}/pull", self.step);
         let pull = json!({
             "version": self.version, "cursor": self.cursor, "limit": limit, "wait_ms": 500
         });
-        Asked::json(
+        Call::json(
             self.entries[self.next_entry % self.entries.len()],
             "staff",
             &path,
@@ -165,7 +165,7 @@
 fn a_step_is_completed(fault: Fault) {
     block(async {
         let rig = Rig::start(&make()).await.unwrap();
-        rig.parts.engines[0].host.faults.set(fault);
+        rig.standins.engines[0].host.faults.set(fault);
         let mut trainer = Trainer::open(&rig, 8, 4).await;
 
         trainer.finish().await;
@@ -229,10 +229,10 @@
             ..Fault::default()
         };
         if before {
-            rig.parts.platform.host.faults.set(down);
+            rig.standins.platform.host.faults.set(down);
         }
         let mut trainer = Trainer::open(&rig, 4, 4).await;
-        rig.parts.platform.host.faults.set(down);
+        rig.standins.platform.host.faults.set(down);
 
         trainer.next_entry = 1;
         trainer.finish().await;
@@ -267,7 +267,7 @@
 fn samples_that_became_too_stale_are_generated_again() {
     block(async {
         let mut make = make();
-        make.control = true;
+        make.with_control = true;
         let rig = Rig::start(&make).await.unwrap();
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         let path = "/v1/weights/fitting";
@@ -283,7 +283,7 @@
         }
         for version in [2, 3] {
             let announce = json!({ "version": version });
-            let answer = Asked::json(rig.addrs()[0], "staff", path, &announce)
+            let answer = Call::json(rig.addrs()[0], "staff", path, &announce)
                 .send()
                 .await;
             assert_eq!(answer.unwrap().status, StatusCode::OK);
@@ -306,13 +306,19 @@
         let trainer = Trainer::open(&rig, 2, 2).await;
         let path = format!("/v1/steps/{}", trainer.step);
 
-        let end = Asked::new(rig.addrs()[1], "staff", Method::DELETE, &path);
+        let end = Call::new(rig.addrs()[1], "staff", Method::DELETE, &path);
         let ended = end.send().await.unwrap();
 
         assert_eq!(ended.status, StatusCode::NO_CONTENT);
         let pull = trainer.pull_request(1).send().await.unwrap();
         assert_eq!(pull.problem().unwrap().kind, Type::NotFound);
-        assert!(rig.parts.platform.part.dump("/snipeway/steps/").is_empty());
+        assert!(
+            rig.standins
+                .platform
+                .state
+                .dump("/snipeway/steps/")
+                .is_empty()
+        );
     });
 }
 
@@ -338,7 +344,7 @@
 fn a_large_step_is_taken_over() {
     block(async {
         let mut make = make();
-        make.more = "[limits]\nbody = 8000000\n".into();
+        make.extra_settings = "[limits]\nbody = 8000000\n".into();
         let mut rig = Rig::start(&make).await.unwrap();
         let prompts: Vec<_> = (0..4)
             .map(|g| format!("{g}{}", "x".repeat(400_000)))
@@ -346,7 +352,7 @@
         let open = json!({
             "model": "fitting", "groups": prompts, "samples": 1, "max_tokens": 16, "version": 1
         });
-        let opened = Asked::json(rig.addrs()[0], "staff", "/v1/steps", &open)
+        let opened = Call::json(rig.addrs()[0], "staff", "/v1/steps", &open)
             .send()
             .await;
         let opened: OpenedStep = opened.unwrap().json().unwrap();
@@ -357,7 +363,7 @@
         let mut cursor = String::new();
         for _ in 0..100 {
             let pull = json!({ "version": 1, "cursor": cursor, "wait_ms": 500 });
-            let answer = Asked::json(rig.addrs()[0], "staff", &path, &pull)
+            let answer = Call::json(rig.addrs()[0], "staff", &path, &pull)
                 .send()
                 .await
                 .unwrap();
@@ -371,9 +377,9 @@
     });
 }
 
-fn make_scored(unscored: &str) -> Make {
+fn make_scored(unscored: &str) -> RigConfig {
     let more = format!("staleness = 1\nscorer = portal\nunscored = {unscored}\n");
-    Make {
+    RigConfig {
         services: 1,
         contracts: vec![contracts::text("staff", &more)],
         ..make()
@@ -404,7 +410,7 @@
     block(async {
         let rig = Rig::start(&make_scored(unscored)).await.unwrap();
         let down = |on: bool| {
-            for service in &rig.parts.services {
+            for service in &rig.standins.services {
                 service.host.faults.change(|fault| fault.down = on);
             }
         };
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,14 +1,15 @@
-//! How news spreads among hundreds of instances, in simulated time.
+//! Simulates, in simulated time, how configuration spreads among hundreds of instances.
 //!
-//! The decisions are those of the product: whom an instance follows and asks, what it is told, when it reads the
-//! platform. Links, the platform and the processor of instances are a [`world`] of a few figures.
+//! The decisions are made by the product's code: which instance another one follows and polls, what a reply holds,
+//! and when an instance reads the platform. Links, the platform and the CPUs of the instances are a [`model`] of a
+//! few parameters.
 
-mod act;
 pub mod event;
+mod handlers;
+pub mod model;
 pub mod node;
-pub mod play;
-pub mod world;
+pub mod simulation;
 
-pub use play::Play;
-pub use world::Size;
-pub use world::World;
+pub use model::FleetSize;
+pub use model::ModelParams;
+pub use simulation::Simulation;
