--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -53,7 +53,7 @@
     // last one.
     let fence = match lease.check(clock.now()) {
         HolderAction::Work(fence) | HolderAction::Renew(fence) => fence,
-        HolderAction::Lapsed => return Outcome::Lapsed,
+        HolderAction::Expired => return Outcome::Lapsed,
     };
     let uri = net::client::uri(engine.addr, ORDER);
     match http
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -34,7 +34,7 @@
     /// Work, with this fencing token, and renew the lease now.
     Renew(FencingToken),
     /// Stop working: the lease may have expired and has to be acquired again.
-    Lapsed,
+    Expired,
 }
 
 /// A lease as its holder sees it.
@@ -51,7 +51,7 @@
 /// assert_eq!(held.check(1_000), HolderAction::Work(FencingToken(7)));
 /// assert_eq!(held.check(4_000), HolderAction::Renew(FencingToken(7)));
 /// // The holder was paused and resumes after the lease may have expired.
-/// assert_eq!(held.check(9_000), HolderAction::Lapsed);
+/// assert_eq!(held.check(9_000), HolderAction::Expired);
 /// ```
 #[derive(Debug)]
 pub struct Lease<S = Free> {
@@ -92,7 +92,7 @@
         let age = now.saturating_sub(self.since) as f64;
         let ttl = self.ttl as f64;
         if age >= ttl * (1.0 - UNUSED_TTL_FRACTION) {
-            return HolderAction::Lapsed;
+            return HolderAction::Expired;
         }
         if age >= ttl * RENEW_AT_TTL_FRACTION {
             return HolderAction::Renew(self.fencing_token);
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -201,8 +201,8 @@
     fresh = { 0, HolderAction::Work(FencingToken(7)) },
     third = { 3_400, HolderAction::Renew(FencingToken(7)) },
     margin = { 7_499, HolderAction::Renew(FencingToken(7)) },
-    lapsed = { 7_500, HolderAction::Lapsed },
-    long_after = { 1_000_000, HolderAction::Lapsed },
+    expired = { 7_500, HolderAction::Expired },
+    long_after = { 1_000_000, HolderAction::Expired },
 )]
 fn a_lease_ends_at_the_holder_before_it_ends_at_the_platform(now: u64, expected: HolderAction) {
     let held = Lease::new(10_000).acquired(FencingToken(7), 1, 0);
@@ -218,7 +218,7 @@
     held.renewed(4_000);
 
     assert_eq!(held.check(12_499), HolderAction::Renew(FencingToken(7)));
-    assert_eq!(held.check(12_500), HolderAction::Lapsed);
+    assert_eq!(held.check(12_500), HolderAction::Expired);
 }
 
 /// Lets every instance in `up` probe as its view says; `lost` tells whether a message is lost.
@@ -287,7 +287,7 @@
                 ends = now + answer + ttl;
                 holders.push(Lease::new(ttl).acquired(FencingToken(fence), 1, now));
             }
-            let work = |lease: &&Lease<_>| lease.check(now) != HolderAction::Lapsed;
+            let work = |lease: &&Lease<_>| lease.check(now) != HolderAction::Expired;
             let workers: Vec<_> = holders.iter().filter(work).collect();
             prop_assert!(workers.len() <= 1);
             prop_assert!(workers.iter().all(|lease| lease.fencing_token() == FencingToken(fence)));
--- a/crates/plat/src/holder.rs
+++ b/crates/plat/src/holder.rs
@@ -73,7 +73,7 @@
 pub async fn renew_if_due(plat: &Client, lease: &mut Lease<Held>, clock: Clock) -> bool {
     match lease.check(clock.now()) {
         HolderAction::Work(_) => true,
-        HolderAction::Lapsed => false,
+        HolderAction::Expired => false,
         HolderAction::Renew(_) => {
             let sent = clock.now();
             match plat.renew(lease.id()).await {
@@ -83,7 +83,7 @@
                 }
                 Ok(false) => false,
                 // The platform is unavailable: the lease stays valid up to its safety margin, and the next call retries.
-                Err(_) => lease.check(clock.now()) != HolderAction::Lapsed,
+                Err(_) => lease.check(clock.now()) != HolderAction::Expired,
             }
         }
     }
