--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -215,7 +215,7 @@
 }
 
 impl Leader {
-    /// Tells whether an order may be given now. Call it before each order, and not once for several.
+    /// Returns whether an order may be given now. Call it before each order, and not once for several.
     pub fn may_order(&self, now: Millis) -> bool {
         self.orders_from <= now && now < self.renewed + LEADER_TTL
     }
@@ -230,7 +230,7 @@
         self.rev
     }
 
-    /// Tells whether the record has to be renewed.
+    /// Returns whether the record has to be renewed.
     pub fn is_renewal_due(&self, now: Millis) -> bool {
         now >= self.renewed + RENEW_INTERVAL
     }
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Tells whether a record is its own.
+    /// Returns whether a record is its own.
     pub fn owns(&self, record: &Record) -> bool {
         record.leader == self.me
     }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -24,7 +24,7 @@
 }
 
 impl MemberState {
-    /// Tells whether the instance is expected to answer.
+    /// Returns whether the instance is expected to answer.
     pub fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
@@ -49,7 +49,7 @@
 }
 
 impl Member {
-    /// Tells whether a rumour about the same instance replaces what is known.
+    /// Returns whether a rumour about the same instance replaces what is known.
     ///
     /// # Examples
     ///
--- a/crates/fleet/src/rumour.rs
+++ b/crates/fleet/src/rumour.rs
@@ -196,7 +196,7 @@
         self.rumours.len()
     }
 
-    /// Tells whether there are no rumours to send.
+    /// Returns whether there are no rumours to send.
     pub fn is_empty(&self) -> bool {
         self.rumours.is_empty()
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -169,9 +169,9 @@
         self.live().filter(|member| member.domain == self.me.domain)
     }
 
-    /// Tells whether this instance reads the platform for its failure domain, which the alive instance with the lowest
-    /// name does. While views differ, two instances may read, or none for a moment; the only cost is an extra call or
-    /// a delay.
+    /// Returns whether this instance reads the platform for its failure domain, which the alive instance with the
+    /// lowest name does. While views differ, two instances may read, or none for a moment; the only cost is an extra
+    /// call or a delay.
     pub fn is_reader(&self) -> bool {
         let alive = self
             .same_domain()
@@ -244,7 +244,7 @@
         self.receive(Rumour::Member(member.clone()), now);
     }
 
-    /// Records that an instance did not answer; `helpers_asked` tells whether
+    /// Records that an instance did not answer; `helpers_asked` is whether
     /// other instances were also asked to probe it.
     pub fn probe_failed(&mut self, name: &str, helpers_asked: bool, now: Millis) -> ProbeFailure {
         let Some(known) = self.others.get(name) else {
@@ -291,7 +291,7 @@
         self.broadcast.batch(scope, audience)
     }
 
-    /// Processes a rumour; tells whether it was new and will be passed on.
+    /// Processes a rumour; returns whether it was new and will be passed on.
     pub fn receive(&mut self, rumour: Rumour, now: Millis) -> bool {
         let new = match &rumour {
             Rumour::Member(member) => return self.receive_member(member, now),
@@ -421,7 +421,7 @@
     }
 }
 
-/// Records the time of an observation; tells whether it is newer than the last one.
+/// Records the time of an observation; returns whether it is newer than the last one.
 fn record_time(known: &mut Map<Name, u64>, name: &Name, at: u64) -> bool {
     let known = known.entry(name.clone()).or_insert(0);
     let is_new = at > *known;
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether a write may have been applied, or may
+    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] returns whether a write may have been applied, or may
     /// still be.
     pub async fn call(&self, call: &Call) -> Result<Answer, PlatError> {
         let Some(relay) = self.relay.get() else {
@@ -326,7 +326,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] tells whether it may have been applied.
+    /// Returns [`PlatError`]; [`PlatError::is_indeterminate`] returns whether it may have been applied.
     pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, PlatError> {
         match self.call(&Call::Txn(txn.clone())).await? {
             Answer::Done(outcome) => Ok(outcome),
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -259,26 +259,26 @@
         self.avoided.insert(addr, now + AVOID_TIME);
     }
 
-    /// Tells whether polling a source that had no update again is better than reading the platform.
+    /// Returns whether polling a source that had no update again is better than reading the platform.
     fn is_patient(&self) -> bool {
         self.last_read >= SLOW_READ && self.stale_rounds < MAX_PATIENT_ROUNDS
     }
 
-    /// Tells whether to keep polling a source that had no update, and counts the round.
+    /// Returns whether to keep polling a source that had no update, and counts the round.
     fn keep_polling(&mut self) -> bool {
         let patient = self.is_patient();
         self.stale_rounds = if patient { self.stale_rounds + 1 } else { 0 };
         patient
     }
 
-    /// Counts a round in which the platform was reported unreachable; tells whether an own read is due.
+    /// Counts a round in which the platform was reported unreachable; returns whether an own read is due.
     fn unreachable_read_due(&mut self) -> bool {
         self.unreachable_rounds = (self.unreachable_rounds + 1) % ROUNDS_PER_UNREACHABLE_READ;
         self.unreachable_rounds == 0
     }
 }
 
-/// Tells whether an instance may read in any round, or as soon as its sources do not reply.
+/// Returns whether an instance may read in any round, or as soon as its sources do not reply.
 fn may_read(view: &View) -> bool {
     view.position.is_head || view.rounds_per_read() == 1
 }
--- a/crates/spread/src/list.rs
+++ b/crates/spread/src/list.rs
@@ -111,7 +111,7 @@
         self.keys.len()
     }
 
-    /// Tells whether there are no entries.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
@@ -129,7 +129,7 @@
         self.revs.insert(ByRev(item));
     }
 
-    /// Removes the entry with a key; tells whether there was one.
+    /// Removes the entry with a key; returns whether there was one.
     pub fn remove(&mut self, key: &str) -> bool {
         let held = self.keys.take(key);
         held.is_some_and(|held| self.revs.remove(&ByRev(held.0)))
--- a/crates/spread/src/read_budget.rs
+++ b/crates/spread/src/read_budget.rs
@@ -43,7 +43,7 @@
     u32::try_from(read_bytes.div_ceil(MAX_READ_BYTES_PER_ROUND)).unwrap_or(u32::MAX)
 }
 
-/// Tells whether an instance may read in this round. Instances that lost their updates at the same moment get
+/// Returns whether an instance may read in this round. Instances that lost their updates at the same moment get
 /// different rounds.
 pub fn is_turn(instance: &str, round: u32, rounds: u32) -> bool {
     let rounds = u64::from(rounds.max(1));
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -121,7 +121,7 @@
         self.items.len()
     }
 
-    /// Tells whether there are no entries.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -131,7 +131,7 @@
         self.rev
     }
 
-    /// Tells whether the list is known and no part of it is missing.
+    /// Returns whether the list is known and no part of it is missing.
     pub fn is_complete(&self) -> bool {
         self.rev > 0 && self.rev >= self.complete_rev
     }
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Sets the configuration if it is newer; tells whether it is.
+    /// Sets the configuration if it is newer; returns whether it is.
     pub fn set_configuration(&mut self, configuration: Option<Item>) -> bool {
         let held = self.configuration_rev();
         let Some(configuration) = configuration.filter(|configuration| configuration.rev > held)
@@ -255,7 +255,7 @@
         changes
     }
 
-    /// Removes entries; tells whether any is kept that the source does not have.
+    /// Removes entries; returns whether any is kept that the source does not have.
     fn remove(&mut self, removed: &Removed, rev: i64, changes: &mut Changes) -> bool {
         match removed {
             Removed::Keys(keys) => {
@@ -302,7 +302,7 @@
         self.membership.as_ref()
     }
 
-    /// Tells whether there is an update for a follower: a change, or the information that nothing had changed until
+    /// Returns whether there is an update for a follower: a change, or the information that nothing had changed until
     /// more recently.
     pub fn has_more(&self, state: SyncState, now: Millis) -> bool {
         let Some(age) = self.age(now) else {
--- a/crates/team/src/principal.rs
+++ b/crates/team/src/principal.rs
@@ -16,7 +16,7 @@
 }
 
 impl Principal {
-    /// Returns the principal that owns a stored record with this team. `configured` tells whether teams are
+    /// Returns the principal that owns a stored record with this team. `configured` is whether teams are
     /// configured.
     ///
     /// # Examples
