--- a/crates/fleet/tests/domains.rs
+++ b/crates/fleet/tests/domains.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Sends the rumours of one instance to another; tells whether they held a crash report that was new to it.
+/// Sends the rumours of one instance to another; returns whether they held a crash report that was new to it.
 fn send(views: &mut [View], from: usize, to: usize, now: Millis) -> bool {
     let domain = views[to].me().domain.clone();
     let rumours = views[from].outgoing(&domain);
@@ -83,7 +83,12 @@
     let mut received = BTreeMap::new();
     let mut next: Vec<Millis> = pauses.iter().take(views.len()).copied().collect();
     let (mut reported, mut turn) = (false, 0);
-    while let Some((from, now)) = next.iter().copied().enumerate().min_by_key(|(_, at)| *at) {
+    while let Some((from, now)) = next
+        .iter()
+        .copied()
+        .enumerate()
+        .min_by_key(|(_, time)| *time)
+    {
         if now > end {
             break;
         }
--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -64,10 +64,10 @@
     let mut candidate = Candidate::new(process_id(1, 2), EXCLUSION);
     let own = record(1, 1, Phase::Ordering);
 
-    let at = claim_time(&mut candidate, &own, 9, 1_000);
+    let claimed_at = claim_time(&mut candidate, &own, 9, 1_000);
 
-    assert_eq!(at, 1_000);
-    assert!(first_order(candidate.won(10, at), at) <= 1_400);
+    assert_eq!(claimed_at, 1_000);
+    assert!(first_order(candidate.won(10, claimed_at), claimed_at) <= 1_400);
 }
 
 // Guards against orders of two machines within the bound. A machine takes over and restarts before its first order,
@@ -78,9 +78,9 @@
     let mut candidate = Candidate::new(process_id(1, 2), EXCLUSION);
     let own = record(1, 1, Phase::Waiting);
 
-    let at = claim_time(&mut candidate, &own, 9, 1_000);
+    let claimed_at = claim_time(&mut candidate, &own, 9, 1_000);
 
-    assert!(first_order(candidate.won(10, at), at) >= 1_000 + EXCLUSION);
+    assert!(first_order(candidate.won(10, claimed_at), claimed_at) >= 1_000 + EXCLUSION);
 }
 
 #[test]
@@ -88,10 +88,10 @@
     let mut candidate = Candidate::new(process_id(2, 1), EXCLUSION);
     let other = record(1, 1, Phase::Ordering);
 
-    let at = claim_time(&mut candidate, &other, 9, 0);
-    let order = first_order(candidate.won(10, at), at);
+    let claimed_at = claim_time(&mut candidate, &other, 9, 0);
+    let order = first_order(candidate.won(10, claimed_at), claimed_at);
 
-    assert!((2_000..3_000).contains(&at), "{at}");
+    assert!((2_000..3_000).contains(&claimed_at), "{claimed_at}");
     assert!((EXCLUSION + 1_000..6_000).contains(&order), "{order}");
 }
 
@@ -102,10 +102,10 @@
     let mut candidate = Candidate::new(process_id(2, 1), EXCLUSION);
     let other = record(1, 1, Phase::Resigned);
 
-    let at = claim_time(&mut candidate, &other, 9, 1_000);
-    let order = first_order(candidate.won(10, at), at);
+    let claimed_at = claim_time(&mut candidate, &other, 9, 1_000);
+    let order = first_order(candidate.won(10, claimed_at), claimed_at);
 
-    assert_eq!(at, 1_000);
+    assert_eq!(claimed_at, 1_000);
     assert!((4_000..4_500).contains(&order), "{order}");
 }
 
@@ -156,7 +156,10 @@
     }
 
     fn apply_late_writes(&mut self, now: Millis) {
-        let (due, later) = self.late_writes.drain(..).partition(|(at, ..)| *at <= now);
+        let (due, later) = self
+            .late_writes
+            .drain(..)
+            .partition(|(due_at, ..)| *due_at <= now);
         self.late_writes = later;
         let due: Vec<_> = due;
         for (_, expected, record) in due {
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Runs one turn as the control loop does; tells whether an order was given.
+    /// Runs one turn as the control loop does; returns whether an order was given.
     fn turn(&mut self, platform: &mut Platform, outcome: CallOutcome, now: Millis) -> bool {
         if now < self.paused {
             return false;
@@ -303,8 +306,8 @@
         1 => (200..5_000_u64).prop_map(CallOutcome::Late),
     ];
     prop_oneof![
-        (0..3_usize, 300..6_000_u64).prop_map(|(at, time)| Fault::Pause(at, time)),
-        (0..3_usize, 300..6_000_u64).prop_map(|(at, time)| Fault::Partition(at, time)),
+        (0..3_usize, 300..6_000_u64).prop_map(|(machine, time)| Fault::Pause(machine, time)),
+        (0..3_usize, 300..6_000_u64).prop_map(|(machine, time)| Fault::Partition(machine, time)),
         (0..3_usize).prop_map(Fault::Restart),
         Just(Fault::RestartAll),
         (0..3_usize).prop_map(Fault::Leave),
@@ -320,7 +323,7 @@
         faults in prop::collection::vec((50..2_500_u64, fault()), 1..40)
     ) {
         let mut platform = Platform::default();
-        let mut all: Vec<_> = (0..3).map(|machine| Process::new(machine, 0)).collect();
+        let mut processes: Vec<_> = (0..3).map(|machine| Process::new(machine, 0)).collect();
         let mut outcome = CallOutcome::Good;
         let mut last: Option<(usize, Millis)> = None;
         let mut now = 0;
@@ -329,32 +332,32 @@
             let end = now + pause;
             while now < end {
                 platform.apply_late_writes(now);
-                for (at, one) in all.iter_mut().enumerate() {
-                    if one.turn(&mut platform, outcome, now) {
-                        if let Some((machine, when)) = last {
-                            prop_assert!(machine == at || now >= when + EXCLUSION,
-                                "{machine} at {when} and {at} at {now}");
+                for (machine, process) in processes.iter_mut().enumerate() {
+                    if process.turn(&mut platform, outcome, now) {
+                        if let Some((previous, when)) = last {
+                            prop_assert!(previous == machine || now >= when + EXCLUSION,
+                                "{previous} at {when} and {machine} at {now}");
                         }
-                        last = Some((at, now));
+                        last = Some((machine, now));
                     }
                 }
                 now += 50;
             }
             match fault {
-                Fault::Pause(at, time) => all[at].paused = now + time,
-                Fault::Partition(at, time) => all[at].partitioned = now + time,
-                Fault::Restart(at) => {
+                Fault::Pause(machine, time) => processes[machine].paused = now + time,
+                Fault::Partition(machine, time) => processes[machine].partitioned = now + time,
+                Fault::Restart(machine) => {
                     starts += 1;
-                    all[at] = Process::new(at, starts);
+                    processes[machine] = Process::new(machine, starts);
                 }
                 Fault::RestartAll => {
                     starts += 1;
-                    for (at, one) in all.iter_mut().enumerate() {
-                        *one = Process::new(at, starts);
+                    for (machine, process) in processes.iter_mut().enumerate() {
+                        *process = Process::new(machine, starts);
                     }
                 }
-                Fault::Leave(at) => {
-                    let gone = std::mem::replace(&mut all[at], Process::new(at, starts + 1));
+                Fault::Leave(machine) => {
+                    let gone = std::mem::replace(&mut processes[machine], Process::new(machine, starts + 1));
                     starts += 1;
                     gone.leave(&mut platform, outcome, now);
                 }
@@ -364,9 +367,9 @@
         // Without further faults, some machine gives orders.
         let recovered = now;
         while now < recovered + 15_000 {
-            for (at, one) in all.iter_mut().enumerate() {
-                if one.turn(&mut platform, CallOutcome::Good, now) {
-                    last = Some((at, now));
+            for (machine, process) in processes.iter_mut().enumerate() {
+                if process.turn(&mut platform, CallOutcome::Good, now) {
+                    last = Some((machine, now));
                 }
             }
             now += 50;
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -74,9 +74,9 @@
     assert_eq!(state_of(&view, "b"), None);
 }
 
-// Guards against a restarted instance that stays removed for as long as its peers remember its previous start. It
-// died, was suspected and removed, and started again under the same name; without incarnations the two starts cannot
-// be told apart.
+// Guards against a restarted instance that stays removed for as long as its peers keep the state of its previous
+// start. It died, was suspected and removed, and started again under the same name; without incarnations the two
+// starts cannot be distinguished.
 #[parameterized(
     same_incarnation = { 1, MemberState::Dead, 1, MemberState::Alive, MemberState::Dead },
     next_incarnation = { 1, MemberState::Dead, 2, MemberState::Alive, MemberState::Alive },
@@ -125,14 +125,14 @@
 
 #[test]
 fn a_graceful_leave_takes_effect_at_once() {
-    let (mut one, mut two) = (view("a", &["b"]), view("b", &["a"]));
+    let (mut leaving, mut peer) = (view("a", &["b"]), view("b", &["a"]));
 
-    one.leave();
-    for rumour in one.outgoing(&name("nord")) {
-        two.receive(rumour, 0);
+    leaving.leave();
+    for rumour in leaving.outgoing(&name("nord")) {
+        peer.receive(rumour, 0);
     }
 
-    assert_eq!(state_of(&two, "a"), Some(MemberState::Left));
+    assert_eq!(state_of(&peer, "a"), Some(MemberState::Left));
 }
 
 #[test]
@@ -161,13 +161,13 @@
         at,
     };
 
-    let heard = [
+    let applied = [
         view.receive(engine(3, 9), 0),
         view.receive(engine(2, 7), 0),
         view.receive(engine(3, 9), 0),
     ];
 
-    assert_eq!(heard, [true, false, false]);
+    assert_eq!(applied, [true, false, false]);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     assert_eq!(held.check(12_500), HolderAction::Expired);
 }
 
-/// Lets every instance in `up` probe as its view says; `lost` tells whether a message is lost.
+/// Lets every instance in `up` probe as its view says; `lost` returns whether a message is lost.
 fn round(views: &mut [View], up: &[bool], now: u64, lost: &mut impl FnMut() -> bool) {
     for from in 0..views.len() {
         if !up[from] {
@@ -271,8 +271,8 @@
         }
     }
 
-    // However holders are paused, at most one of them believes at any time that it may work, if each grant comes only
-    // after the platform's time to live of the previous one has passed.
+    // However holders are paused, at most one of them may work at any time, if each grant comes only after the
+    // platform's time to live of the previous one has passed.
     #[test]
     fn at_most_one_holder(pauses in prop::collection::vec((0u64..20_000, 0u64..3_000), 1..30)) {
         let ttl = 10_000;
--- a/crates/fleet/tests/removed.rs
+++ b/crates/fleet/tests/removed.rs
@@ -47,7 +47,10 @@
     }
     let mut other = other.won(9, now);
 
-    let last = (0..10_000).rev().find(|at| leader.may_order(*at)).unwrap();
+    let last = (0..10_000)
+        .rev()
+        .find(|time| leader.may_order(*time))
+        .unwrap();
     let mut first = now;
     while !other.may_order(first) {
         first += 10;
--- a/crates/once/tests/shard.rs
+++ b/crates/once/tests/shard.rs
@@ -101,20 +101,20 @@
 #[test]
 fn one_of_two_concurrent_claims_wins() {
     let mut platform = Platform::default();
-    let (mut one, mut two) = (Shard::new(RETENTION_MS), Shard::new(RETENTION_MS));
-    one.claim(key("k"), fingerprint(), attempt(1), 0);
-    two.claim(key("k"), fingerprint(), attempt(2), 0);
-    platform.run_action(&mut one, Fault::None, 0);
-    platform.run_action(&mut two, Fault::None, 0);
+    let (mut first, mut second) = (Shard::new(RETENTION_MS), Shard::new(RETENTION_MS));
+    first.claim(key("k"), fingerprint(), attempt(1), 0);
+    second.claim(key("k"), fingerprint(), attempt(2), 0);
+    platform.run_action(&mut first, Fault::None, 0);
+    platform.run_action(&mut second, Fault::None, 0);
 
-    run_until_idle(&mut platform, &mut one, 0);
-    run_until_idle(&mut platform, &mut two, 0);
+    run_until_idle(&mut platform, &mut first, 0);
+    run_until_idle(&mut platform, &mut second, 0);
 
-    assert_eq!(one.take_decision(attempt(1)), Some(Decision::Run));
-    assert_eq!(two.take_decision(attempt(2)), Some(Decision::Unknown));
+    assert_eq!(first.take_decision(attempt(1)), Some(Decision::Run));
+    assert_eq!(second.take_decision(attempt(2)), Some(Decision::Unknown));
 }
 
-// Guards against a request that runs though its caller was told "not run", or that is refused forever: the reply
+// Guards against a request that runs though its caller got the reply "not run", or that is refused forever: the reply
 // to the write of the intent is lost and counts as a failure or as a success. The write may have taken effect, may
 // take effect later, or never.
 #[parameterized(
@@ -143,19 +143,19 @@
 #[test]
 fn a_paused_writer_is_fenced() {
     let mut platform = Platform::default();
-    let (mut one, mut two) = (Shard::new(RETENTION_MS), Shard::new(RETENTION_MS));
-    one.claim(key("k"), fingerprint(), attempt(1), 0);
-    platform.run_action(&mut one, Fault::None, 0);
+    let (mut paused, mut other) = (Shard::new(RETENTION_MS), Shard::new(RETENTION_MS));
+    paused.claim(key("k"), fingerprint(), attempt(1), 0);
+    platform.run_action(&mut paused, Fault::None, 0);
 
-    let second = claim(&mut platform, &mut two, "k", 2, 0);
-    run_until_idle(&mut platform, &mut one, 0);
+    let second = claim(&mut platform, &mut other, "k", 2, 0);
+    run_until_idle(&mut platform, &mut paused, 0);
 
     assert_eq!(second, Decision::Run);
-    assert_eq!(one.take_decision(attempt(1)), Some(Decision::Unknown));
+    assert_eq!(paused.take_decision(attempt(1)), Some(Decision::Unknown));
 }
 
-// Guards against an intent that outlives its attempt: the platform does not reply before the deadline, the caller is
-// told "not run", and the write takes effect afterwards.
+// Guards against an intent that outlives its attempt: the platform does not reply before the deadline, the caller
+// gets the reply "not run", and the write takes effect afterwards.
 #[parameterized(
     never = { Fault::RequestLost },
     took_effect = { Fault::ReplyLost },
--- a/crates/step/tests/assembly.rs
+++ b/crates/step/tests/assembly.rs
@@ -24,7 +24,7 @@
     }
 }
 
-// Guards against text of another engine in the middle of a response: an attempt is given up, but
+// Guards against text of another engine in the middle of a response: an attempt is abandoned, but
 // its engine keeps sending, and its chunks arrive after the first ones of the new attempt. Chunks
 // must not be placed by offset alone, but also by attempt.
 #[test]
--- a/crates/step/tests/run.rs
+++ b/crates/step/tests/run.rs
@@ -112,22 +112,22 @@
 #[test]
 fn another_instance_continues_from_the_cursor() {
     let spec = spec(1, 4, 1);
-    let mut one = run(&spec, "longest", &Cursor::empty(4), 1);
+    let mut first = run(&spec, "longest", &Cursor::empty(4), 1);
     for _ in 0..2 {
-        let next = start_next(&mut one, 0).unwrap();
-        one.finish(next.ordinal, sample(&next, 10, 1), 10);
+        let next = start_next(&mut first, 0).unwrap();
+        first.finish(next.ordinal, sample(&next, 10, 1), 10);
     }
-    let got = one.pull(&Cursor::empty(4), 1, 9, 10);
+    let batch = first.pull(&Cursor::empty(4), 1, 9, 10);
 
-    let mut two = run(&spec, "longest", &got.cursor, 1);
+    let mut second = run(&spec, "longest", &batch.cursor, 1);
     let mut rest = Vec::new();
-    while let Some(next) = start_next(&mut two, 0) {
+    while let Some(next) = start_next(&mut second, 0) {
         rest.push(next.index);
     }
 
-    let had: Vec<_> = got.samples.iter().map(|s| s.index).collect();
+    let delivered: Vec<_> = batch.samples.iter().map(|s| s.index).collect();
     assert_eq!(rest.len(), 2);
-    assert!(rest.iter().all(|index| !had.contains(index)));
+    assert!(rest.iter().all(|index| !delivered.contains(index)));
 }
 
 // Guards against a trainer that waits forever after it was restored from a checkpoint: it had
@@ -298,26 +298,39 @@
     assert_eq!(spec.check(), Err(expected));
 }
 
-/// One event in a run of two instances that may both believe they own the step.
+/// One event in a run of two instances that may both run the step.
 #[derive(Clone, Debug)]
 enum Event {
-    Start { on: usize },
-    Finish { on: usize, late: bool },
-    Fail { on: usize },
-    Pull { on: usize, lost: bool, limit: usize },
-    Crash { on: usize },
+    Start {
+        instance: usize,
+    },
+    Finish {
+        instance: usize,
+        late: bool,
+    },
+    Fail {
+        instance: usize,
+    },
+    Pull {
+        instance: usize,
+        lost: bool,
+        limit: usize,
+    },
+    Crash {
+        instance: usize,
+    },
     AdvanceVersion,
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let on = 0usize..2;
+    let index = 0usize..2;
     prop_oneof![
-        6 => on.clone().prop_map(|on| Event::Start { on }),
-        5 => (on.clone(), any::<bool>()).prop_map(|(on, late)| Event::Finish { on, late }),
-        2 => on.clone().prop_map(|on| Event::Fail { on }),
-        4 => (on.clone(), any::<bool>(), 0usize..4)
-            .prop_map(|(on, lost, limit)| Event::Pull { on, lost, limit }),
-        1 => on.prop_map(|on| Event::Crash { on }),
+        6 => index.clone().prop_map(|instance| Event::Start { instance }),
+        5 => (index.clone(), any::<bool>()).prop_map(|(instance, late)| Event::Finish { instance, late }),
+        2 => index.clone().prop_map(|instance| Event::Fail { instance }),
+        4 => (index.clone(), any::<bool>(), 0usize..4)
+            .prop_map(|(instance, lost, limit)| Event::Pull { instance, lost, limit }),
+        1 => index.prop_map(|instance| Event::Crash { instance }),
         1 => Just(Event::AdvanceVersion),
     ]
 }
@@ -344,27 +357,27 @@
         for event in events {
             now += 10;
             match event {
-                Event::Start { on } => {
-                    if let Some(next) = start_next(&mut runs[on], now) {
+                Event::Start { instance } => {
+                    if let Some(next) = start_next(&mut runs[instance], now) {
                         let version = next.min_version.max(trainer.version - 1);
-                        in_flight[on].push((next, version));
+                        in_flight[instance].push((next, version));
                     }
                 }
-                Event::Finish { on, late } => {
-                    if let Some((next, version)) = in_flight[on].pop() {
-                        runs[on].finish(next.ordinal, sample(&next, 10, version), now);
+                Event::Finish { instance, late } => {
+                    if let Some((next, version)) = in_flight[instance].pop() {
+                        runs[instance].finish(next.ordinal, sample(&next, 10, version), now);
                         if late {
-                            runs[on].finish(next.ordinal, sample(&next, 11, version), now);
+                            runs[instance].finish(next.ordinal, sample(&next, 11, version), now);
                         }
                     }
                 }
-                Event::Fail { on } => {
-                    if let Some((next, version)) = in_flight[on].pop() {
-                        runs[on].fail(next.index, next.ordinal, partial(3, version));
+                Event::Fail { instance } => {
+                    if let Some((next, version)) = in_flight[instance].pop() {
+                        runs[instance].fail(next.index, next.ordinal, partial(3, version));
                     }
                 }
-                Event::Pull { on, lost, limit } => {
-                    let batch = runs[on].pull(&trainer.cursor, trainer.version, limit, now);
+                Event::Pull { instance, lost, limit } => {
+                    let batch = runs[instance].pull(&trainer.cursor, trainer.version, limit, now);
                     if !lost {
                         for sample in &batch.samples {
                             prop_assert!(!trainer.received.contains(&sample.index));
@@ -374,9 +387,9 @@
                         trainer.cursor = batch.cursor;
                     }
                 }
-                Event::Crash { on } => {
-                    runs[on] = new_run(&trainer);
-                    in_flight[on].clear();
+                Event::Crash { instance } => {
+                    runs[instance] = new_run(&trainer);
+                    in_flight[instance].clear();
                 }
                 Event::AdvanceVersion => trainer.version += 1,
             }
