--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -53,7 +53,7 @@
 const KEEPER_WAIT: Millis = 1_500;
 
 /// Time for which an instance is kept in [`App::recent_members`] after its entry is gone, in milliseconds: longer
-/// than an outage in which entries lapse plus the seconds until they are back.
+/// than an outage in which entries expire plus the seconds until they are back.
 const RECENT_MEMBER_TTL: Millis = 60_000;
 
 /// State shared by all parts of an instance.
@@ -227,8 +227,8 @@
     }
 
     /// Sets or clears the instance that last relayed a platform call for this one.
-    pub fn set_relay_peer(&self, helper: Option<SocketAddr>) {
-        *self.relay_peer.lock() = helper;
+    pub fn set_relay_peer(&self, peer: Option<SocketAddr>) {
+        *self.relay_peer.lock() = peer;
     }
 
     /// Records whether the platform answered the last read of configuration and upstreams.
@@ -292,7 +292,7 @@
         self.replica.lock().membership().is_some()
     }
 
-    /// Returns the current members and those whose entries disappeared recently. All entries lapse in a long outage
+    /// Returns the current members and those whose entries disappeared recently. All entries expire in a long outage
     /// of the platform, though the instances that wrote them are alive.
     pub fn recent_members(&self) -> Vec<Member> {
         let recent = self.recent_members.lock();
@@ -319,12 +319,12 @@
         self.keeper_confirmed.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether a keeper knows of this instance, if one has to: the counts of an instance that no keeper
-    /// knows are missing from the report of their window. Readiness waits for this only a short time when no keeper
-    /// can be reached.
+    /// Returns whether a keeper has received this instance's request counts, if they are reported: counts that no
+    /// keeper has received are missing from the report of their window. Readiness waits for this only a short time
+    /// when no keeper can be reached.
     fn is_keeper_confirmed(&self) -> bool {
-        let is_known = self.meter.is_none() || self.keeper_confirmed.load(Ordering::Relaxed);
-        is_known || self.clock.now() >= KEEPER_WAIT
+        let is_confirmed = self.meter.is_none() || self.keeper_confirmed.load(Ordering::Relaxed);
+        is_confirmed || self.clock.now() >= KEEPER_WAIT
     }
 
     /// Returns whether callers should send requests here. An instance without a configuration could only refuse
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -141,16 +141,16 @@
         .http
         .fetch(request, STATE_TIMEOUT, MAX_STATE_BYTES)
         .await?;
-    let stated = app.dialect.decode_state(answer.body())?;
+    let state = app.dialect.decode_state(answer.body())?;
     // The answer is valid for the new start only, which the list will name within a second or two.
-    if let (Some(started_at), Some(listed)) = (stated.started_at, engine.incarnation.started_at)
+    if let (Some(started_at), Some(listed)) = (state.started_at, engine.incarnation.started_at)
         && started_at != listed
     {
         return Err(StateError::Start);
     }
-    let mut fleet = app.engine_tracker.lock();
-    for (model, version) in &stated.models {
-        fleet.version_seen(&engine.id, model, *version);
+    let mut tracker = app.engine_tracker.lock();
+    for (model, version) in &state.models {
+        tracker.version_seen(&engine.id, model, *version);
     }
-    Ok(stated)
+    Ok(state)
 }
--- a/crates/node/src/control/leadership.rs
+++ b/crates/node/src/control/leadership.rs
@@ -49,7 +49,7 @@
 
     /// Renews the record until another instance has replaced it.
     pub async fn renew(&self, app: &App) {
-        let mut reach = DependencyStatus::new("leader's record");
+        let mut status = DependencyStatus::new("leader's record");
         loop {
             sleep(RENEWAL_CHECK_INTERVAL).await;
             let now = app.clock.now();
@@ -63,7 +63,7 @@
             match write(app, rev, &record).await {
                 Ok(TxnOutcome::At(rev)) => {
                     self.leader.lock().renewed(rev, now);
-                    reach.mark_restored();
+                    status.mark_restored();
                 }
                 Ok(TxnOutcome::Conflict) => match read(app).await {
                     // A renewal whose answer was lost was applied, at an unknown time.
@@ -71,9 +71,9 @@
                         self.leader.lock().renewed(rev, 0);
                     }
                     Ok(_) => return,
-                    Err(error) => reach.mark_lost(&error),
+                    Err(error) => status.mark_lost(&error),
                 },
-                Err(error) => reach.mark_lost(&error),
+                Err(error) => status.mark_lost(&error),
             }
         }
     }
@@ -98,7 +98,7 @@
         start: app.me.start,
     };
     let mut candidate = Candidate::new(process, app.settings.leader_gap);
-    let mut reach = DependencyStatus::new("leader's record");
+    let mut status = DependencyStatus::new("leader's record");
     loop {
         if let CandidateAction::Claim(rev, record) = observe(app, &mut candidate).await {
             let sent_at = app.clock.now();
@@ -108,8 +108,8 @@
                     return Leadership { leader };
                 }
                 // Another candidate was first, or the answer to an applied write was lost; the next read shows which.
-                Ok(TxnOutcome::Conflict) => reach.mark_restored(),
-                Err(error) => reach.mark_lost(&error),
+                Ok(TxnOutcome::Conflict) => status.mark_restored(),
+                Err(error) => status.mark_lost(&error),
             }
         }
         sleep(CANDIDATE_READ_INTERVAL).await;
--- a/crates/node/src/control/load_orders.rs
+++ b/crates/node/src/control/load_orders.rs
@@ -83,9 +83,9 @@
         }
         self.ordered.retain(|_, ordered| now < ordered.until);
         self.unresponsive.retain(|_, until| now < *until);
-        let plan = self.app.config.load_full();
-        let Some(plan) = plan else { return };
-        for service in plan.services() {
+        let config = self.app.config.load_full();
+        let Some(config) = config else { return };
+        for service in config.services() {
             if service.engine.is_some() {
                 self.order_service(&service.name, &targets).await;
             }
@@ -93,8 +93,10 @@
     }
 
     fn engines(&self, service: &str) -> Vec<Arc<Upstream>> {
-        let roster = self.app.upstreams.lock();
-        let engines = roster.of_service(service).filter(|engine| !engine.leaving);
+        let upstreams = self.app.upstreams.lock();
+        let engines = upstreams
+            .of_service(service)
+            .filter(|engine| !engine.leaving);
         engines.cloned().collect()
     }
 
@@ -162,12 +164,12 @@
         engines: &[Arc<Upstream>],
         states: &Map<Arc<str>, ReportedState>,
     ) -> Vec<EngineState> {
-        let fleet = self.app.engine_tracker.lock();
+        let tracker = self.app.engine_tracker.lock();
         let engine_state = |engine: &Arc<Upstream>| {
             let ordered = self.ordered.get(&engine.id);
             let state = states.get(&engine.id);
             let newest = |(model, version): &(Arc<str>, u64)| {
-                let seen = fleet.version(engine, model).unwrap_or(*version);
+                let seen = tracker.version(engine, model).unwrap_or(*version);
                 let loading = ordered.filter(|load| load.model == *model);
                 let loading = loading.map_or(0, |load| load.version);
                 (model.clone(), seen.max(loading))
@@ -202,7 +204,7 @@
             addr: engine.addr,
             model: load.model.clone(),
             version: load.version,
-            swap_mode: self.running_policy(&engine.service),
+            swap_mode: self.swap_mode(&engine.service),
             holder: self.app.me.instance.clone(),
             fencing_token: self.leadership.fencing_token(),
             prior_orders: state.accepted_orders,
@@ -229,11 +231,11 @@
 
     /// What happens to running samples at a load: if a route requires a single version for each sample, the engine
     /// drains first, so that no sample spans a change of weights.
-    fn running_policy(&self, service: &str) -> SwapMode {
-        let plan = self.app.config.load();
-        let single_version = plan
+    fn swap_mode(&self, service: &str) -> SwapMode {
+        let config = self.app.config.load();
+        let single_version = config
             .as_ref()
-            .is_some_and(|plan| plan.routes_to(service).any(|route| route.single_version));
+            .is_some_and(|config| config.routes_to(service).any(|route| route.single_version));
         match single_version {
             true => SwapMode::Drain,
             false => SwapMode::Keep,
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -91,7 +91,7 @@
 
 async fn watch_loop(app: &App, targets: &Targets) {
     let prefix = app.dialect.store_keys().weights;
-    let mut reach = DependencyStatus::new("announced weights");
+    let mut status = DependencyStatus::new("announced weights");
     let mut rev = None;
     loop {
         let next = match rev {
@@ -100,11 +100,11 @@
         };
         rev = match next {
             Ok(next) => {
-                reach.mark_restored();
+                status.mark_restored();
                 next
             }
             Err(error) => {
-                reach.mark_lost(&error);
+                status.mark_lost(&error);
                 sleep(RETRY_PAUSE).await;
                 None
             }
--- a/crates/node/src/control/upstream_orders.rs
+++ b/crates/node/src/control/upstream_orders.rs
@@ -81,10 +81,10 @@
     }
 
     async fn order_due(&mut self, targets: &Targets) -> Result<(), PlatError> {
-        let Some(plan) = self.app.config.load_full() else {
+        let Some(config) = self.app.config.load_full() else {
             return Ok(());
         };
-        let scaled = plan.services().any(|service| service.scaling.is_some());
+        let scaled = config.services().any(|service| service.scaling.is_some());
         if !scaled || !self.leadership.may_order(self.app.clock.now()) {
             return Ok(());
         }
@@ -95,7 +95,7 @@
                 .unwrap_or_default(),
         };
         let mut changed = false;
-        for order in self.needed_orders(&plan, &desired, targets) {
+        for order in self.needed_orders(&config, &desired, targets) {
             changed |= desired.raise(order);
         }
         let rev = match changed {
@@ -103,7 +103,7 @@
             false => rev,
         };
         for order in desired.orders() {
-            self.order(&plan, order).await;
+            self.order(&config, order).await;
         }
         self.desired = Some((desired, rev));
         Ok(())
@@ -111,13 +111,13 @@
 
     fn needed_orders(
         &self,
-        plan: &Config,
+        config: &Config,
         desired: &DesiredCapacity,
         targets: &Targets,
     ) -> Vec<Order> {
         let targets = targets.by_model(self.app.clock.now());
         let mut orders = Vec::new();
-        for service in plan.services() {
+        for service in config.services() {
             let (Some(bounds), Some(engine)) = (&service.scaling, &service.engine) else {
                 continue;
             };
@@ -143,7 +143,7 @@
 
     /// Counts the upstreams of a service in each failure domain in which it may have some.
     fn count_present(&self, service: &str, bounds: &ScalingBounds) -> Vec<DomainUpstreams> {
-        let roster = self.app.upstreams.lock();
+        let upstreams = self.app.upstreams.lock();
         let mut domains: Vec<_> = bounds
             .prices
             .iter()
@@ -153,7 +153,7 @@
                 spot: 0,
             })
             .collect();
-        for upstream in roster
+        for upstream in upstreams
             .of_service(service)
             .filter(|upstream| !upstream.leaving)
         {
@@ -171,10 +171,10 @@
         domains
     }
 
-    async fn order(&mut self, plan: &Config, order: &Order) {
+    async fn order(&mut self, config: &Config, order: &Order) {
         let now = self.app.clock.now();
         let subject = &order.subject;
-        let service = plan.service(&subject.service);
+        let service = config.service(&subject.service);
         let Some(bounds) = service.and_then(|service: &Arc<Service>| service.scaling.as_ref())
         else {
             return;
@@ -194,9 +194,9 @@
         if !self.retries.is_due(order, count, now) || !self.leadership.may_order(now) {
             return;
         }
-        let granted = self.send(order).await;
+        let result = self.send(order).await;
         let now: Millis = self.app.clock.now();
-        let outcome = match granted {
+        let outcome = match result {
             Some(CapacityOrderOutcome::Accepted) => "taken",
             Some(CapacityOrderOutcome::Unavailable) => "none to be had",
             Some(CapacityOrderOutcome::Busy) => "busy",
@@ -204,7 +204,7 @@
             Some(CapacityOrderOutcome::Refused) => "refused",
             None => "unanswered",
         };
-        match granted {
+        match result {
             Some(CapacityOrderOutcome::Accepted) => {
                 self.retries.accepted(subject, bounds.startup_ms, now)
             }
@@ -222,13 +222,13 @@
     }
 
     async fn send(&self, order: &Order) -> Option<CapacityOrderOutcome> {
-        let supply = CapacityOrder {
+        let capacity_order = CapacityOrder {
             addr: self.settings.address,
             order,
             holder: &self.app.me.instance,
             fencing_token: self.leadership.fencing_token(),
         };
-        let request = match self.app.dialect.capacity_order_request(&supply) {
+        let request = match self.app.dialect.capacity_order_request(&capacity_order) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
--- a/crates/node/src/control/usage_reports.rs
+++ b/crates/node/src/control/usage_reports.rs
@@ -74,7 +74,7 @@
     last_settled: u64,
     /// Since when reports have failed.
     failing_since: Option<Millis>,
-    reach: DependencyStatus,
+    status: DependencyStatus,
 }
 
 impl<'a> UsageReporter<'a> {
@@ -89,7 +89,7 @@
             ledger: None,
             last_settled: 0,
             failing_since: None,
-            reach: DependencyStatus::new("address of reports"),
+            status: DependencyStatus::new("address of reports"),
         })
     }
 
@@ -160,8 +160,8 @@
     }
 
     fn has_teams(&self) -> bool {
-        let plan = self.app.config.load();
-        plan.as_ref().is_some_and(|plan| plan.teams.is_some())
+        let config = self.app.config.load();
+        config.as_ref().is_some_and(|config| config.teams.is_some())
     }
 
     /// The first window in which any instance has counted a request: entry instances may serve requests before there
@@ -265,13 +265,13 @@
         if !self.leadership.may_order(now) {
             return None;
         }
-        let account = UsageReport {
+        let usage_report = UsageReport {
             addr: self.settings.address,
             report,
             holder: &self.app.me.instance,
             fencing_token: self.leadership.fencing_token(),
         };
-        let request = match self.app.dialect.usage_report_request(&account) {
+        let request = match self.app.dialect.usage_report_request(&usage_report) {
             Ok(request) => request,
             Err(error) => {
                 let error = error.to_string();
@@ -287,12 +287,12 @@
         let result = match &answer {
             Ok(answer) => {
                 self.failing_since = None;
-                self.reach.mark_restored();
+                self.status.mark_restored();
                 Some(self.app.dialect.usage_report_outcome(answer.status()))
             }
             Err(_) => {
                 self.failing_since.get_or_insert(now);
-                self.reach.mark_lost(&PlatError::Unreachable);
+                self.status.mark_lost(&PlatError::Unreachable);
                 None
             }
         };
@@ -305,7 +305,7 @@
         };
         metrics::counter!(telemetry::USAGE_REPORTS, "result" => outcome).increment(1);
         let end = self.windows.end(report.window);
-        log::info!(target: "accounts", window = report.window, fence = account.fencing_token, outcome,
+        log::info!(target: "accounts", window = report.window, fence = usage_report.fencing_token, outcome,
             age_ms = self.app.clock.steady().saturating_sub(end); "window reported");
         result
     }
@@ -316,7 +316,7 @@
             return false;
         };
         if self.app.clock.now() < since + UNREACHED_DELAY
-            || crate::request_counts::can_reach_accounts(self.app).await
+            || crate::request_counts::can_reach_report_address(self.app).await
         {
             return false;
         }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -379,7 +379,7 @@
     /// Returns [`DialectError`].
     fn usage_report_request(
         &self,
-        account: &UsageReport<'_>,
+        report: &UsageReport<'_>,
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
     /// Decodes the outcome of a report.
@@ -392,7 +392,7 @@
     /// Returns [`DialectError`].
     fn capacity_order_request(
         &self,
-        supply: &CapacityOrder<'_>,
+        order: &CapacityOrder<'_>,
     ) -> Result<Request<Full<Bytes>>, DialectError>;
 
     /// Decodes the outcome of an order for upstreams.
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -38,7 +38,7 @@
 const ATTEMPT_TIME_DIVISOR: u32 = 2;
 
 /// Time for which an upstream that refused a call gets none, in milliseconds.
-const BUSY_PAUSE: Millis = 100;
+const BUSY_BACKOFF: Millis = 100;
 
 /// Reason in the log for requests that are quarantined or blocked because upstreams crash under them.
 const QUARANTINE_REASON: &str = "request crashes upstreams";
@@ -65,10 +65,10 @@
     body: Bytes,
     principal: Principal,
 ) -> Reply {
-    let sent = ForwardedRequest::new(app, head, caller, body, route.timeout, principal);
-    let sent = Arc::new(sent);
-    let left = Duration::from_millis(sent.time_left());
-    let mut attempts = Attempts::new(sent, route, Requester::Caller);
+    let request = ForwardedRequest::new(app, head, caller, body, route.timeout, principal);
+    let request = Arc::new(request);
+    let left = Duration::from_millis(request.time_left());
+    let mut attempts = Attempts::new(request, route, Requester::Caller);
     let outcome = match timeout(left, attempts.answer()).await {
         Ok(outcome) => outcome,
         Err(_) => attempts.time_out(),
@@ -81,12 +81,12 @@
 
 /// Requests the score of a sample once: within `limit`, and no longer than the request's deadline.
 pub(crate) async fn forward_score(
-    sent: Arc<ForwardedRequest>,
+    request: Arc<ForwardedRequest>,
     route: &Route,
     limit: Duration,
 ) -> ForwardOutcome {
-    let left = Duration::from_millis(sent.time_left()).min(limit);
-    let mut attempts = Attempts::new(sent, route, Requester::Scorer);
+    let left = Duration::from_millis(request.time_left()).min(limit);
+    let mut attempts = Attempts::new(request, route, Requester::Scorer);
     match timeout(left, attempts.answer()).await {
         Ok(outcome) => outcome,
         Err(_) => attempts.time_out(),
@@ -126,7 +126,7 @@
 
 /// The attempts of one call.
 struct Attempts<'a> {
-    sent: Arc<ForwardedRequest>,
+    request: Arc<ForwardedRequest>,
     route: &'a Route,
     service: Option<Arc<str>>,
     tried: Vec<Arc<str>>,
@@ -137,9 +137,9 @@
 }
 
 impl<'a> Attempts<'a> {
-    fn new(sent: Arc<ForwardedRequest>, route: &'a Route, requester: Requester) -> Self {
+    fn new(request: Arc<ForwardedRequest>, route: &'a Route, requester: Requester) -> Self {
         Self {
-            sent,
+            request,
             route,
             service: Config::pick_service(route, rand::random()).cloned(),
             tried: Vec::new(),
@@ -155,11 +155,11 @@
 
     async fn answer(&mut self) -> ForwardOutcome {
         let queue = self.requester == Requester::Caller;
-        if let Some(left) = self.sent.admit().await {
+        if let Some(left) = self.request.admit().await {
             return self.refuse(Refusal::Quarantined(left), QUARANTINE_REASON);
         }
         if !self.start_attempt(queue) {
-            return self.give_up("no upstream has a free slot");
+            return self.fail("no upstream has a free slot");
         }
         loop {
             let outcome = tokio::select! {
@@ -178,13 +178,13 @@
                 AttemptOutcome::Unknown => self.may_have_run = true,
             }
             if self.may_have_run && !self.may_repeat() {
-                return self.give_up("outcome unknown");
+                return self.fail("outcome unknown");
             }
-            if self.sent.admit().await.is_some() {
-                return self.give_up(QUARANTINE_REASON);
+            if self.request.admit().await.is_some() {
+                return self.fail(QUARANTINE_REASON);
             }
             if !self.start_attempt(queue) && self.running.is_empty() {
-                return self.give_up("no upstream left");
+                return self.fail("no upstream left");
             }
         }
     }
@@ -193,7 +193,7 @@
         self.may_repeat()
             && self.running.len() == 1
             && self.tried.len() < self.max_attempts()
-            && self.sent.verdict() == Verdict::Unrestricted
+            && self.request.verdict() == Verdict::Unrestricted
     }
 
     fn max_attempts(&self) -> usize {
@@ -207,22 +207,22 @@
             return false;
         }
         let service = self.service.as_deref();
-        let place = service.and_then(|name| self.sent.reserve_slot(name, &self.tried, queue));
-        let Some(place) = place else {
+        let slot = service.and_then(|name| self.request.reserve_slot(name, &self.tried, queue));
+        let Some(slot) = slot else {
             return false;
         };
-        let upstream = &place.upstream;
+        let upstream = &slot.upstream;
         self.tried.push(upstream.id.clone());
-        let left = self.sent.time_left();
+        let left = self.request.time_left();
         let limit = match self.may_repeat() && self.tried.len() < self.max_attempts() {
             true => left / Millis::from(ATTEMPT_TIME_DIVISOR),
             false => left,
         };
-        log::info!(target: "forward", id = &*self.sent.id, upstream = &*upstream.id,
+        log::info!(target: "forward", id = &*self.request.id, upstream = &*upstream.id,
             attempt = self.tried.len(), left_ms = left; "sent");
-        let sent = self.sent.clone();
+        let request = self.request.clone();
         self.running
-            .spawn(async move { attempt(&sent, place, limit).await });
+            .spawn(async move { attempt(&request, slot, limit).await });
         true
     }
 
@@ -237,7 +237,7 @@
         self.refuse(refusal, "deadline exceeded")
     }
 
-    fn give_up(&self, why: &str) -> ForwardOutcome {
+    fn fail(&self, why: &str) -> ForwardOutcome {
         let may_have_run = self.may_have_run || !self.running.is_empty();
         let refusal = if may_have_run {
             Refusal::OutcomeUnknown
@@ -251,35 +251,43 @@
         // Score requests that find no free slot are tried again within moments, and logged when they end.
         if self.requester == Requester::Caller || !self.tried.is_empty() {
             let age = self
-                .sent
+                .request
                 .app
                 .upstreams
                 .lock()
-                .age(self.sent.app.clock.now());
-            log::info!(target: "forward", id = &*self.sent.id, why, attempts = self.tried.len(),
+                .age(self.request.app.clock.now());
+            log::info!(target: "forward", id = &*self.request.id, why, attempts = self.tried.len(),
                 outcome = refusal.name(), list_age_ms = age.unwrap_or(0); "call failed");
         }
         ForwardOutcome::Refused(refusal)
     }
 }
 
-async fn attempt(sent: &ForwardedRequest, place: UpstreamSlot, limit_ms: Millis) -> AttemptOutcome {
-    let upstream = &place.upstream;
-    let Some(request) = sent.build_request(upstream, None) else {
+async fn attempt(
+    request: &ForwardedRequest,
+    slot: UpstreamSlot,
+    limit_ms: Millis,
+) -> AttemptOutcome {
+    let upstream = &slot.upstream;
+    let Some(http_request) = request.build_request(upstream, None) else {
         return AttemptOutcome::NotExecuted;
     };
-    let started = sent.app.clock.now();
-    let number = sent.record_send();
+    let started = request.app.clock.now();
+    let number = request.record_send();
     let limit = Duration::from_millis(limit_ms);
-    let answer = sent.app.http.fetch(request, limit, MAX_ANSWER_BYTES).await;
-    let took = sent.app.clock.now() - started;
+    let answer = request
+        .app
+        .http
+        .fetch(http_request, limit, MAX_ANSWER_BYTES)
+        .await;
+    let took = request.app.clock.now() - started;
     let is_broken = matches!(answer, Err(SendError::Broken));
-    let result = classify(sent, upstream, answer, took);
+    let result = classify(request, upstream, answer, took);
     if is_broken {
-        sent.check_crash(upstream).await;
+        request.check_crash(upstream).await;
     }
     if matches!(result, AttemptOutcome::NotExecuted) {
-        sent.mark_unexecuted(number);
+        request.mark_unexecuted(number);
     }
     let outcome = match &result {
         AttemptOutcome::Answer(..) => "answered",
@@ -291,21 +299,22 @@
 }
 
 fn classify(
-    sent: &ForwardedRequest,
+    request: &ForwardedRequest,
     upstream: &Arc<Upstream>,
     answer: Result<Response<Bytes>, SendError>,
     took: Millis,
 ) -> AttemptOutcome {
-    let now = sent.app.clock.now();
+    let now = request.app.clock.now();
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
-            sent.app
+            request
+                .app
                 .service_tracker
                 .lock()
                 .engine_failed(&upstream.id, now);
             let why = error.to_string();
-            log::info!(target: "forward", id = &*sent.id, upstream = &*upstream.id,
+            log::info!(target: "forward", id = &*request.id, upstream = &*upstream.id,
                 took_ms = took, why = why.as_str(); "attempt failed");
             return match error.is_unsent() {
                 true => AttemptOutcome::NotExecuted,
@@ -313,29 +322,29 @@
             };
         }
     };
-    let head = sent
+    let head = request
         .app
         .dialect
         .decode_answer_head(answer.status(), answer.headers());
-    let mut tracker = sent.app.service_tracker.lock();
+    let mut tracker = request.app.service_tracker.lock();
     if let Some(load) = head.load {
         tracker.load_reported(&upstream.id, load, now);
     }
     if head.not_executed || head.misdirected {
-        tracker.engine_busy(&upstream.id, now + BUSY_PAUSE);
+        tracker.engine_busy(&upstream.id, now + BUSY_BACKOFF);
         return AttemptOutcome::NotExecuted;
     }
     if let (Some(id), Some(signature)) = (&head.attempt_id, head.signature)
-        && **id == *sent.id
+        && **id == *request.id
     {
         tracker.event_received(&upstream.id, took as f64);
         drop(tracker);
-        sent.record_answer(answer.status());
+        request.record_answer(answer.status());
         return AttemptOutcome::Answer(answer, signature);
     }
     tracker.engine_failed(&upstream.id, now);
     let status = answer.status().as_u16();
-    log::warn!(target: "forward", id = &*sent.id, upstream = &*upstream.id, status,
+    log::warn!(target: "forward", id = &*request.id, upstream = &*upstream.id, status,
         answers = head.attempt_id.as_deref().unwrap_or("nothing"); "answer does not match the request");
     AttemptOutcome::Unknown
 }
--- a/crates/node/src/forwarded_request.rs
+++ b/crates/node/src/forwarded_request.rs
@@ -226,8 +226,8 @@
         Some(request)
     }
 
-    /// Reserves a slot at an upstream of a service, excluding the `used` ones; `queue` tells whether the request may
-    /// wait in the upstream's queue.
+    /// Reserves a slot at an upstream of a service, excluding the `used` ones; `queue` is whether the request may wait
+    /// in the upstream's queue.
     ///
     /// The slot is reserved under the same lock as the choice: otherwise dozens of requests that start at the same
     /// time would all see the same free slots and queue in one upstream.
@@ -241,8 +241,8 @@
             return None;
         }
         let app = &self.app;
-        let roster = app.upstreams.lock();
-        let slots = roster
+        let upstreams = app.upstreams.lock();
+        let slots = upstreams
             .of_service(service)
             .map(|upstream| upstream.slots)
             .max()
@@ -265,11 +265,11 @@
             ..fallback
         };
         let now = app.clock.now();
-        let mut plain = app.service_tracker.lock();
-        let upstream = plain
-            .choose(&roster, &preferred, now)
-            .or_else(|| plain.choose(&roster, &fallback, now))?;
-        plain.run_started(&upstream.id, 0);
+        let mut tracker = app.service_tracker.lock();
+        let upstream = tracker
+            .choose(&upstreams, &preferred, now)
+            .or_else(|| tracker.choose(&upstreams, &fallback, now))?;
+        tracker.run_started(&upstream.id, 0);
         let suspect = app.crashes.track_suspect(|| self.identity(), &upstream.id);
         let app = app.clone();
         Some(UpstreamSlot {
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -24,7 +24,7 @@
 const MIN_CORES_RATIO: f64 = 0.9;
 
 /// Time for which no steps are handed over to an instance that declined or did not reply, in milliseconds: long
-/// enough for its entry to lapse or for the instance to recover.
+/// enough for its entry to expire or for the instance to recover.
 const AVOID_TIME: Millis = 4_000;
 
 /// Instances that are asked in turn: each is sent the complete step, and one that declines replies at once.
@@ -102,7 +102,7 @@
     HandoverOutcome::Local
 }
 
-/// Returns the instances to ask, without those that recently did not take a step.
+/// Returns the instances to ask, without those that recently declined a step or did not reply.
 fn candidates(app: &App, submission: &Submission) -> Vec<Member> {
     let config = app.config.load();
     let route = config
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -228,7 +228,7 @@
     Ok(())
 }
 
-/// Renews the entry until it has lapsed or needs another TTL.
+/// Renews the entry until it has expired or needs another TTL.
 async fn renew_entry(app: &App, status: &mut DependencyStatus) {
     let mut renewed_lease = None;
     loop {
@@ -254,7 +254,7 @@
             }
             Ok(false) if app.own_entry().is_some_and(|entry| entry.lease != lease) => (),
             Ok(false) => {
-                log::warn!(target: "member", lease; "own entry lapsed");
+                log::warn!(target: "member", lease; "own entry expired");
                 return;
             }
             Err(error) => status.mark_lost(&error),
@@ -264,7 +264,7 @@
 
 /// Removes the entry, so that others take over at once what this instance leaves behind.
 ///
-/// An instance that is told to leave before its entry was written has no lease and must not revoke one: 0 stands
+/// An instance that has to leave before its entry was written has no lease and must not revoke one: 0 stands
 /// for records without a lease, and a store that revoked lease 0 literally would delete every step.
 pub async fn remove_entry(app: &App) {
     let Some(OwnEntry { lease, .. }) = app.own_entry() else {
@@ -273,6 +273,6 @@
     };
     if let Err(error) = app.plat.revoke(lease).await {
         let error = error.to_string();
-        log::warn!(target: "member", error = error.as_str(); "own entry not removed, it will lapse");
+        log::warn!(target: "member", error = error.as_str(); "own entry not removed, it will expire");
     }
 }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -21,7 +21,7 @@
 pub(crate) const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// Time limit of a platform call made for another instance that has waited already, in milliseconds. That instance
-/// has to learn within a second of its request that the platform does not answer.
+/// has to know within a second of its request that the platform does not answer.
 pub(crate) const RELAYED_READ_TIMEOUT: Millis = 450;
 
 /// A request to another instance.
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -64,10 +64,10 @@
 
 /// Tokens in one event of the step's engines; 0 when unknown.
 fn event_tokens(app: &App, head: &Head) -> u64 {
-    let plan = app.config.load();
-    let route = plan
+    let config = app.config.load();
+    let route = config
         .as_ref()
-        .and_then(|plan| plan.find_route(&head.host, &head.path));
+        .and_then(|config| config.find_route(&head.host, &head.path));
     let service = route.and_then(|route| route.services.first());
     service.map_or(0, |share| {
         u64::from(app.engine_memory(&share.service).event_tokens)
--- a/crates/node/src/owner/owned_step.rs
+++ b/crates/node/src/owner/owned_step.rs
@@ -233,16 +233,17 @@
     }
 
     pub(super) fn route(&self, app: &App) -> Option<Arc<Route>> {
-        let plan = app.config.load();
-        plan.as_ref()?
+        let config = app.config.load();
+        config
+            .as_ref()?
             .find_route(&self.head.host, &self.head.path)
             .cloned()
     }
 
     /// The team on whose behalf the step runs, if teams are configured.
     pub(crate) fn principal(&self, app: &App) -> Principal {
-        let plan = app.config.load();
-        let configured = plan.as_ref().is_some_and(|plan| plan.teams.is_some());
+        let config = app.config.load();
+        let configured = config.as_ref().is_some_and(|config| config.teams.is_some());
         Principal::from_record(self.head.team.as_ref(), configured)
     }
 
--- a/crates/node/src/owner/runner.rs
+++ b/crates/node/src/owner/runner.rs
@@ -186,7 +186,7 @@
                     self.owned.checkpoints.lock().reset(index);
                 }
             }
-            RunOutcome::Unexecuted
+            RunOutcome::NotExecuted
             | RunOutcome::Moved
             | RunOutcome::PermitExpired
             | RunOutcome::Broken(_) => (),
@@ -199,7 +199,7 @@
             carried_over: false,
         };
         let avoid = match outcome {
-            RunOutcome::Unexecuted | RunOutcome::PermitExpired => Vec::new(),
+            RunOutcome::NotExecuted | RunOutcome::PermitExpired => Vec::new(),
             _ => vec![engine.id.clone()],
         };
         self.pending.push_front(PendingRun { sample, avoid });
--- a/crates/node/src/owner/runner/placement.rs
+++ b/crates/node/src/owner/runner/placement.rs
@@ -154,15 +154,15 @@
             ..request
         };
         let now = self.app.clock.now();
-        let roster = self.app.upstreams.lock();
-        let mut fleet = self.app.engine_tracker.lock();
+        let upstreams = self.app.upstreams.lock();
+        let mut tracker = self.app.engine_tracker.lock();
         let round = rounds
             .entry(service.clone())
-            .or_insert_with(|| PlacementRound::new(&fleet, &roster, &fallback, now));
+            .or_insert_with(|| PlacementRound::new(&tracker, &upstreams, &fallback, now));
         let engine = round
-            .choose(&fleet, &roster, &preferred, now)
-            .or_else(|| round.choose(&fleet, &roster, &fallback, now))?;
-        fleet.run_started(&engine.id, preferred.tokens);
+            .choose(&tracker, &upstreams, &preferred, now)
+            .or_else(|| round.choose(&tracker, &upstreams, &fallback, now))?;
+        tracker.run_started(&engine.id, preferred.tokens);
         Some((service.clone(), engine))
     }
 
--- a/crates/node/src/owner/version_probes.rs
+++ b/crates/node/src/owner/version_probes.rs
@@ -50,21 +50,21 @@
         }
         self.probed_at = now;
         let (model, least) = (&owned.head.model, owned.head.min_version);
-        let roster = app.upstreams.lock();
-        let fleet = app.engine_tracker.lock();
+        let upstreams = app.upstreams.lock();
+        let tracker = app.engine_tracker.lock();
         let serves_route = |engine: &&Arc<Upstream>| {
             let mut shares = route.services.iter();
             shares.any(|share| share.service == engine.service)
         };
-        let mut old: Vec<_> = roster
+        let mut old: Vec<_> = upstreams
             .all()
             .filter(serves_route)
-            .filter_map(|engine| Some((fleet.version(engine, model)?, engine)))
+            .filter_map(|engine| Some((tracker.version(engine, model)?, engine)))
             .filter(|(version, _)| *version < least)
             .collect();
         if now >= self.logged_at + LOG_INTERVAL {
             self.logged_at = now;
-            let engines = roster.all().filter(serves_route).count();
+            let engines = upstreams.all().filter(serves_route).count();
             log::info!(target: "owner", id = &*owned.step, samples = waiting, engines,
                 old = old.len(), least; "samples wait for engines");
         }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -148,7 +148,7 @@
 pub enum SubmitOutcome {
     /// The other instance has replied whether the step is accepted.
     Answered(AcceptOutcome),
-    /// The other instance does not take the step.
+    /// The other instance does not accept the step.
     Declined,
     /// There was no reply; the other instance may have accepted the step all the same.
     NoReply,
@@ -196,7 +196,7 @@
     notify(app, owner, &PeerRequest::TakenOver { step, rev }).await
 }
 
-/// Sends a notice to an instance, also to one that is alive though its entry has lapsed. Returns whether it has
+/// Sends a notice to an instance, also to one that is alive though its entry has expired. Returns whether it has
 /// replied.
 async fn notify(app: &App, instance: &str, notice: &PeerRequest) -> bool {
     let recent = || {
@@ -234,7 +234,7 @@
     window: u64,
 ) -> Option<Vec<WindowCounts>> {
     match send_request(app, to, &PeerRequest::WindowCounts(window), REPLY_TIMEOUT).await? {
-        PeerReply::WindowCounts(shares) => Some(shares),
+        PeerReply::WindowCounts(counts) => Some(counts),
         _ => None,
     }
 }
--- a/crates/node/src/peer_relay.rs
+++ b/crates/node/src/peer_relay.rs
@@ -1,4 +1,4 @@
-//! Relays platform calls through other instances when the platform turns this one away.
+//! Relays platform calls through other instances when the platform does not serve this one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +23,8 @@
 /// requests between instances.
 const RELAY_TIMEOUT: Millis = 1_300;
 
-/// Number of instances through which a call is tried: a third of all instances may be turned away at the same time.
+/// Number of instances through which a call is tried: the platform may not serve a third of all instances at the same
+/// time.
 const MAX_RELAYS: usize = 3;
 
 /// Relays platform calls through another instance.
@@ -39,9 +40,9 @@
     }
 }
 
-/// Makes a call through the instance that relayed last, or through others in turn. With a third of all instances
-/// turned away, an instance that asked a single random other could write nothing for a second whenever that one was
-/// turned away too.
+/// Makes a call through the instance that relayed last, or through others in turn. If the platform does not serve a
+/// third of all instances, an instance that asked a single random other could write nothing for a second whenever that
+/// one was not served either.
 async fn relay_call(app: &App, call: Call) -> Result<Answer, PlatError> {
     let wait = match &call {
         Call::Poll { wait, .. } => *wait,
@@ -79,7 +80,7 @@
 }
 
 /// Makes a read through several other instances at once, for an answer that is needed within `limit`: an instance
-/// that is turned away itself or does not reply costs no time then. Each of them calls the platform even if its own
+/// that is not served itself or does not reply costs no time then. Each of them calls the platform even if its own
 /// last calls were refused.
 pub(crate) async fn relay_read(app: &Arc<App>, call: &Call, limit: Duration) -> RelayedRead {
     let end = Instant::now() + limit;
--- a/crates/node/src/peer_server.rs
+++ b/crates/node/src/peer_server.rs
@@ -51,7 +51,7 @@
 /// still runs the step.
 async fn page_reply(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
     let page = match app.running_steps.get(step) {
-        Some(work) => work.page(app, from, wait).await,
+        Some(owned) => owned.page(app, from, wait).await,
         None => None,
     };
     match page {
@@ -68,8 +68,8 @@
             PeerReply::Submit(accept::accept_from_peer(app, submission).await)
         }
         PeerRequest::Body { step, sample } => {
-            let work = app.running_steps.get(&step);
-            PeerReply::Body(work.map(|work| work.sample_body(&sample)))
+            let owned = app.running_steps.get(&step);
+            PeerReply::Body(owned.map(|owned| owned.sample_body(&sample)))
         }
         PeerRequest::Owner(step) => PeerReply::Owner(hint::get(app, &step)),
         PeerRequest::SetOwner { step, owner } => {
@@ -97,15 +97,15 @@
             PeerReply::Acknowledged
         }
         PeerRequest::TakenOver { step, rev } => {
-            if let Some(work) = app.running_steps.get(&step) {
-                work.mark_replaced(rev);
+            if let Some(owned) = app.running_steps.get(&step) {
+                owned.mark_replaced(rev);
             }
             PeerReply::Acknowledged
         }
-        PeerRequest::ReachesReportAddress => {
-            PeerReply::ReachesReportAddress(crate::request_counts::can_reach_accounts(app).await)
-        }
-        // Not relayed any further: two instances that the platform turns away would relay to each other forever.
+        PeerRequest::ReachesReportAddress => PeerReply::ReachesReportAddress(
+            crate::request_counts::can_reach_report_address(app).await,
+        ),
+        // Not relayed any further: two instances that the platform does not serve would relay to each other forever.
         PeerRequest::Relay(call) => PeerReply::Relay(app.plat.call_for_peer(&call).await),
         PeerRequest::RelayDirect(call) => PeerReply::Relay(call_with_timeout(app, &call).await),
     }
--- a/crates/node/src/refusal.rs
+++ b/crates/node/src/refusal.rs
@@ -12,7 +12,7 @@
 use net::body;
 
 /// Delay after which a refused caller should retry, in seconds: long enough for a slot to become free or for a
-/// restarted instance to learn its configuration.
+/// restarted instance to load its configuration.
 const RETRY_AFTER_SECONDS: &str = "0.25";
 
 /// Authentication scheme for callers' keys.
--- a/crates/node/src/replication/reader.rs
+++ b/crates/node/src/replication/reader.rs
@@ -86,7 +86,7 @@
 
 async fn read_config(app: &App, applied: &mut AppliedState) -> Result<(), PlatError> {
     let config = app.plat.get(app.dialect.store_keys().configuration).await?;
-    if app.update_replica(|board| board.set_configuration(config)) {
+    if app.update_replica(|replica| replica.set_configuration(config)) {
         applied.apply_config(app);
     }
     Ok(())
--- a/crates/node/src/request_counts.rs
+++ b/crates/node/src/request_counts.rs
@@ -105,9 +105,9 @@
 }
 
 /// Returns whether this instance can connect to the address that receives reports.
-pub(crate) async fn can_reach_accounts(app: &App) -> bool {
+pub(crate) async fn can_reach_report_address(app: &App) -> bool {
     match app.settings.usage_reports {
-        Some(accounts) => net::client::accepts(accounts.address, CONNECT_TIMEOUT).await,
+        Some(reports) => net::client::accepts(reports.address, CONNECT_TIMEOUT).await,
         None => false,
     }
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -58,7 +58,7 @@
     /// The engine failed to run the sample.
     Failed,
     /// The engine did not execute the run.
-    Unexecuted,
+    NotExecuted,
     /// Another engine is expected to complete the sample sooner.
     Moved,
     /// The run broke off for this reason, and is to be continued at another engine.
@@ -101,11 +101,11 @@
     /// Records an event of `tokens` tokens; `gap` is the time since the previous event in milliseconds.
     fn record_event(&self, gap: Option<f64>, tokens: u64) {
         self.tokens.fetch_add(tokens, Ordering::Relaxed);
-        let mut fleet = self.run.app.engine_tracker.lock();
-        fleet.run_grew(&self.run.engine.id, tokens);
+        let mut tracker = self.run.app.engine_tracker.lock();
+        tracker.run_grew(&self.run.engine.id, tokens);
         match gap {
-            Some(gap) => fleet.event_received(&self.run.engine.id, gap),
-            None => fleet.engine_answered(&self.run.engine.id),
+            Some(gap) => tracker.event_received(&self.run.engine.id, gap),
+            None => tracker.engine_answered(&self.run.engine.id),
         }
     }
 }
@@ -144,7 +144,7 @@
             result,
             RunOutcome::Completed
                 | RunOutcome::Rejected
-                | RunOutcome::Unexecuted
+                | RunOutcome::NotExecuted
                 | RunOutcome::Moved
                 | RunOutcome::PermitExpired
         ) {
@@ -166,7 +166,7 @@
             RunOutcome::Completed => "whole",
             RunOutcome::Rejected => "hopeless",
             RunOutcome::Failed => "failed",
-            RunOutcome::Unexecuted => "unrun",
+            RunOutcome::NotExecuted => "unrun",
             RunOutcome::Moved => "moved",
             RunOutcome::PermitExpired => "stale",
             RunOutcome::Broken(why) => why,
@@ -227,21 +227,21 @@
         slot: &EngineSlot<'_>,
     ) -> RunOutcome {
         let now = self.app.clock.now();
-        let said = self
+        let head = self
             .app
             .dialect
             .decode_answer_head(answer.status(), answer.headers());
         {
-            let mut fleet = self.app.engine_tracker.lock();
-            if let Some(load) = said.load {
-                fleet.load_reported(&self.engine.id, load, now);
+            let mut tracker = self.app.engine_tracker.lock();
+            if let Some(load) = head.load {
+                tracker.load_reported(&self.engine.id, load, now);
             }
-            if said.not_executed || said.misdirected {
-                fleet.engine_busy(&self.engine.id, now + BUSY_BACKOFF);
-                return RunOutcome::Unexecuted;
+            if head.not_executed || head.misdirected {
+                tracker.engine_busy(&self.engine.id, now + BUSY_BACKOFF);
+                return RunOutcome::NotExecuted;
             }
         }
-        if said.attempt_id.as_deref() != Some(&*sample.id) || said.signature.is_none() {
+        if head.attempt_id.as_deref() != Some(&*sample.id) || head.signature.is_none() {
             return RunOutcome::Broken("answer of something else");
         }
         match answer.status() {
@@ -250,7 +250,7 @@
             _ => return RunOutcome::Failed,
         }
         let mut events = Events::new(answer.into_body());
-        let Some(version) = said.version else {
+        let Some(version) = head.version else {
             return read_unversioned(draft, &mut events).await;
         };
         if !self.accepts_version(&draft.lock(), version) {
@@ -334,12 +334,12 @@
             tokens: memory.run_tokens(sample.prompt, draft.last_event),
             memory,
         };
-        let roster = self.app.upstreams.lock();
-        let fleet = self.app.engine_tracker.lock();
-        let remaining = fleet.remaining_events(sample.expected, draft.last_event);
+        let upstreams = self.app.upstreams.lock();
+        let tracker = self.app.engine_tracker.lock();
+        let remaining = tracker.remaining_events(sample.expected, draft.last_event);
         let now = self.app.clock.now();
-        fleet
-            .choose_better(&roster, &request, &self.engine.id, remaining, now)
+        tracker
+            .choose_better(&upstreams, &request, &self.engine.id, remaining, now)
             .is_some()
     }
 }
--- a/crates/node/src/score.rs
+++ b/crates/node/src/score.rs
@@ -91,8 +91,9 @@
 }
 
 fn find_route(app: &App, scoring: &Scoring) -> Option<Arc<Route>> {
-    let plan = app.config.load();
-    plan.as_ref()?
+    let config = app.config.load();
+    config
+        .as_ref()?
         .find_route(&scoring.host, &scoring.path)
         .cloned()
 }
--- a/crates/node/src/step_head.rs
+++ b/crates/node/src/step_head.rs
@@ -88,7 +88,7 @@
     pub rev: i64,
 }
 
-/// Writes a new step, unless there is a head under its name or under its former name.
+/// Writes a new step, unless there is a head under its name or under its legacy name.
 ///
 /// # Errors
 ///
@@ -96,12 +96,12 @@
 pub async fn create(
     app: &App,
     step: &str,
-    former: Option<&str>,
+    legacy_id: Option<&str>,
     head: &Head,
     spec: &Spec,
 ) -> Result<CreateOutcome, PlatError> {
     let asked_at = app.clock.now();
-    let names = || [step].into_iter().chain(former);
+    let names = || [step].into_iter().chain(legacy_id);
     let guards = names().map(|name| Guard::Absent(keys::head(name)));
     if let TxnOutcome::At(rev) = write_step(app, step, guards.collect(), head, spec).await? {
         return Ok(CreateOutcome::Open(Ownership { rev, asked_at }));
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -38,7 +38,7 @@
 /// check.
 const MAX_END_NOTICES: usize = 6;
 
-/// Pause between those notices: an instance whose entry has lapsed or that is busy is reachable again within a
+/// Pause between those notices: an instance whose entry has expired or that is busy is reachable again within a
 /// second or two.
 const END_NOTICE_PAUSE: Duration = Duration::from_millis(300);
 
@@ -76,8 +76,8 @@
 
 async fn read_stored(app: &Arc<App>, step: &Arc<str>, from: usize, wait: Millis) -> Reply {
     let wait = wait.min(MAX_READ_WAIT);
-    if let Some(work) = app.running_steps.get(step)
-        && let Some(page) = work.page(app, from, wait).await
+    if let Some(owned) = app.running_steps.get(step)
+        && let Some(page) = owned.page(app, from, wait).await
     {
         return page.reply(app, from);
     }
@@ -157,7 +157,7 @@
 
 async fn read_stored_body(app: &Arc<App>, step: &Arc<str>, sample: &Arc<str>) -> Reply {
     let result = match app.running_steps.get(step) {
-        Some(work) => Ok(work.sample_body(sample)),
+        Some(owned) => Ok(owned.sample_body(sample)),
         None => read_remote_body(app, step, sample).await,
     };
     match result {
@@ -289,7 +289,7 @@
 
 /// Records that a step has ended whose head had this revision.
 pub(crate) fn record_end(app: &App, step: &Arc<str>, rev: i64) {
-    if let Some(work) = app.running_steps.get(step) {
-        work.mark_ended(app, rev, "told");
+    if let Some(owned) = app.running_steps.get(step) {
+        owned.mark_ended(app, rev, "told");
     }
 }
--- a/crates/node/src/steps/accept.rs
+++ b/crates/node/src/steps/accept.rs
@@ -162,8 +162,8 @@
 
 /// Accepts a step at this instance.
 ///
-/// The step is at the platform before the caller is told that it is accepted. A refusal that promises that nothing
-/// runs is given only while no write was sent that may still take effect.
+/// The step is stored at the platform before the caller gets the reply that it is accepted. A refusal that promises
+/// that nothing runs is given only while no write was sent that may still take effect.
 async fn accept_locally(app: &Arc<App>, submission: Submission, origin: Origin) -> AcceptOutcome {
     let id = submission.id.clone();
     let request = match app.dialect.decode_step(&submission.body) {
@@ -186,12 +186,12 @@
         };
     }
     let (sender, receiver) = oneshot::channel();
-    let record = make_head(app, &submission, &request);
+    let head = make_head(app, &submission, &request);
     let spec = Spec {
         samples: request.samples,
     };
     // Continues when the caller disconnects: whether the step is stored must be settled.
-    let task = write_step(app.clone(), id, submission.legacy_id, record, spec, origin);
+    let task = write_step(app.clone(), id, submission.legacy_id, head, spec, origin);
     tokio::spawn(async move {
         let _ = sender.send(task.await);
     });
@@ -273,14 +273,14 @@
         let result = step_head::create(&app, &id, legacy_id.as_deref(), &head, &spec).await;
         let age = app.clock.now() - started;
         match result {
-            Ok(CreateOutcome::Open(open)) => {
+            Ok(CreateOutcome::Open(ownership)) => {
                 log::info!(target: "steps", id = &*id, samples = head.total, work = head.work, least = head.min_version,
-                    model = &*head.model, revision = open.rev(), took_ms = age; "step accepted");
+                    model = &*head.model, revision = ownership.rev(), took_ms = age; "step accepted");
                 metrics::counter!(telemetry::STEPS, "outcome" => "accepted").increment(1);
-                owner::begin(&app, &id, head, spec, open);
+                owner::begin(&app, &id, head, spec, ownership);
                 return AcceptOutcome::Stored;
             }
-            Ok(CreateOutcome::Exists(item)) => match handle_known(&app, &id, &item).await {
+            Ok(CreateOutcome::Exists(item)) => match handle_existing(&app, &id, &item).await {
                 Ok(()) => return AcceptOutcome::Stored,
                 Err(error) => {
                     unclear = true;
@@ -336,7 +336,11 @@
 /// Handles a head that exists already: the step was submitted before, or an earlier attempt of this write took
 /// effect. A step that this instance owns and does not run is taken over like one whose owner is gone: its results
 /// may be listed, and it may have ended since.
-async fn handle_known(app: &Arc<App>, id: &Arc<str>, item: &plat::Item) -> Result<(), PlatError> {
+async fn handle_existing(
+    app: &Arc<App>,
+    id: &Arc<str>,
+    item: &plat::Item,
+) -> Result<(), PlatError> {
     // It may have been accepted under its legacy name.
     let id = &keys::step_of_head(&item.key).map_or_else(|| id.clone(), Arc::from);
     let head = match step_head::decode_head(item) {
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -51,7 +51,7 @@
 
 /// The state of one caller's stream.
 struct Stream {
-    sent: ForwardedRequest,
+    request: ForwardedRequest,
     route: Arc<Route>,
     last_event: Option<Arc<str>>,
     tried: Vec<Arc<str>>,
@@ -67,16 +67,16 @@
     principal: Principal,
 ) -> Reply {
     let mut stream = Stream {
-        sent: ForwardedRequest::new(app, head, caller, body, route.timeout, principal),
+        request: ForwardedRequest::new(app, head, caller, body, route.timeout, principal),
         route: route.clone(),
         last_event: caller.last_event.clone(),
         tried: Vec::new(),
     };
     match stream.open(None).await {
-        AttemptOutcome::Stream(answer, place) => {
+        AttemptOutcome::Stream(answer, slot) => {
             // The request counts for its team's report once it has started, however long it runs.
-            stream.sent.finish_count();
-            stream.answer(*answer, place).await
+            stream.request.finish_count();
+            stream.answer(*answer, slot).await
         }
         AttemptOutcome::NotExecuted => Refusal::NotExecuted.reply(),
         AttemptOutcome::Quarantined(left) => Refusal::Quarantined(left).reply(),
@@ -89,27 +89,27 @@
     /// would rarely get one beside calls that queue.
     fn choose(&self) -> Option<UpstreamSlot> {
         let service = Config::pick_service(&self.route, rand::random())?;
-        self.sent.reserve_slot(service, &self.tried, true)
+        self.request.reserve_slot(service, &self.tried, true)
     }
 
     /// Opens the stream after an event, trying one upstream after the other.
     async fn open(&mut self, last: Option<&str>) -> AttemptOutcome {
         let resumable = self.route.resumable;
         let mut may_have_run = false;
-        if let Some(left) = self.sent.admit().await {
-            log::info!(target: "stream", id = &*self.sent.id, left_ms = left;
+        if let Some(left) = self.request.admit().await {
+            log::info!(target: "stream", id = &*self.request.id, left_ms = left;
                 "request crashes upstreams");
             return AttemptOutcome::Quarantined(left);
         }
         while self.tried.len() < self.route.max_attempts.max(1) as usize {
-            let Some(place) = self.choose() else { break };
-            self.tried.push(place.upstream.id.clone());
-            match self.attempt(place, last).await {
+            let Some(slot) = self.choose() else { break };
+            self.tried.push(slot.upstream.id.clone());
+            match self.attempt(slot, last).await {
                 AttemptOutcome::NotExecuted => (),
                 AttemptOutcome::Unknown if resumable => may_have_run = true,
                 outcome => return outcome,
             }
-            if self.sent.admit().await.is_some() {
+            if self.request.admit().await.is_some() {
                 break;
             }
         }
@@ -119,15 +119,15 @@
         }
     }
 
-    async fn attempt(&self, place: UpstreamSlot, last: Option<&str>) -> AttemptOutcome {
-        let upstream = &place.upstream;
-        let Some(request) = self.sent.build_request(upstream, last) else {
+    async fn attempt(&self, slot: UpstreamSlot, last: Option<&str>) -> AttemptOutcome {
+        let upstream = &slot.upstream;
+        let Some(request) = self.request.build_request(upstream, last) else {
             return AttemptOutcome::NotExecuted;
         };
-        let number = self.sent.record_send();
-        let outcome = self.send_attempt(request, place).await;
+        let number = self.request.record_send();
+        let outcome = self.send_attempt(request, slot).await;
         if matches!(outcome, AttemptOutcome::NotExecuted) {
-            self.sent.mark_unexecuted(number);
+            self.request.mark_unexecuted(number);
         }
         outcome
     }
@@ -135,23 +135,23 @@
     async fn send_attempt(
         &self,
         request: Request<Full<Bytes>>,
-        place: UpstreamSlot,
+        slot: UpstreamSlot,
     ) -> AttemptOutcome {
-        let upstream = &place.upstream;
-        let left = Duration::from_millis(self.sent.time_left());
-        let answer = match self.sent.app.http.send(request, left).await {
+        let upstream = &slot.upstream;
+        let left = Duration::from_millis(self.request.time_left());
+        let answer = match self.request.app.http.send(request, left).await {
             Ok(answer) => answer,
             Err(error) => {
-                self.sent
+                self.request
                     .app
                     .service_tracker
                     .lock()
-                    .engine_failed(&upstream.id, self.sent.app.clock.now());
+                    .engine_failed(&upstream.id, self.request.app.clock.now());
                 let why = error.to_string();
-                log::info!(target: "stream", id = &*self.sent.id, upstream = &*upstream.id,
+                log::info!(target: "stream", id = &*self.request.id, upstream = &*upstream.id,
                     why = why.as_str(); "attempt failed");
                 if matches!(error, SendError::Broken) {
-                    self.sent.check_crash(upstream).await;
+                    self.request.check_crash(upstream).await;
                 }
                 return match error.is_unsent() {
                     true => AttemptOutcome::NotExecuted,
@@ -160,20 +160,20 @@
             }
         };
         let head = self
-            .sent
+            .request
             .app
             .dialect
             .decode_answer_head(answer.status(), answer.headers());
         if head.not_executed || head.misdirected {
             return AttemptOutcome::NotExecuted;
         }
-        match head.attempt_id.as_deref() == Some(&*self.sent.id) && head.signature.is_some() {
-            true => AttemptOutcome::Stream(Box::new(answer), place),
+        match head.attempt_id.as_deref() == Some(&*self.request.id) && head.signature.is_some() {
+            true => AttemptOutcome::Stream(Box::new(answer), slot),
             false => AttemptOutcome::Unknown,
         }
     }
 
-    async fn answer(self, answer: Response<Incoming>, place: UpstreamSlot) -> Reply {
+    async fn answer(self, answer: Response<Incoming>, slot: UpstreamSlot) -> Reply {
         let (head, body) = answer.into_parts();
         if head.status != StatusCode::OK {
             return self.reply_whole(head, body).await;
@@ -181,10 +181,10 @@
         let (sender, out) = net::body::stream();
         let mut reply = Response::new(out);
         *reply.status_mut() = head.status;
-        *reply.headers_mut() = self.sent.app.dialect.reply_headers(&head.headers);
+        *reply.headers_mut() = self.request.app.dialect.reply_headers(&head.headers);
         tokio::spawn(async move {
-            let id = self.sent.id.clone();
-            let is_complete = self.pump(body, place, &sender).await;
+            let id = self.request.id.clone();
+            let is_complete = self.pump(body, slot, &sender).await;
             if !is_complete {
                 log::info!(target: "stream", id = &*id; "stream aborted");
                 // The caller must not take a partial answer for a complete one.
@@ -200,17 +200,17 @@
         let Ok(bytes) = net::body::read(body, MAX_ANSWER_BYTES).await else {
             return Refusal::OutcomeUnknown.reply();
         };
-        self.sent.record_answer(head.status);
+        self.request.record_answer(head.status);
         let mut reply = Response::new(net::body::full(bytes));
         *reply.status_mut() = head.status;
-        *reply.headers_mut() = self.sent.app.dialect.reply_headers(&head.headers);
+        *reply.headers_mut() = self.request.app.dialect.reply_headers(&head.headers);
         reply
     }
 
     /// Forwards events until the end; returns whether it was reached.
-    async fn pump(mut self, body: Incoming, place: UpstreamSlot, sender: &Sender) -> bool {
+    async fn pump(mut self, body: Incoming, slot: UpstreamSlot, sender: &Sender) -> bool {
         let mut events = Events::new(body);
-        let mut place = Some(place);
+        let mut slot = Some(slot);
         let mut last = self.last_event.clone();
         loop {
             let next = tokio::select! {
@@ -219,7 +219,7 @@
             };
             match next {
                 NextEvent::Block(block) => {
-                    if let Some(event) = self.sent.app.dialect.decode_event(&block) {
+                    if let Some(event) = self.request.app.dialect.decode_event(&block) {
                         last = Some(event.number.to_string().into());
                     }
                     let block = Bytes::from(block + "\n\n");
@@ -228,12 +228,12 @@
                     }
                 }
                 NextEvent::End => {
-                    self.sent.record_answer(StatusCode::OK);
+                    self.request.record_answer(StatusCode::OK);
                     return true;
                 }
                 NextEvent::Broken => {
-                    if let Some(place) = place.take() {
-                        self.sent.check_crash(&place.upstream).await;
+                    if let Some(slot) = slot.take() {
+                        self.request.check_crash(&slot.upstream).await;
                     }
                     if !self.route.resumable {
                         return false;
@@ -241,7 +241,7 @@
                     match self.open(last.as_deref()).await {
                         AttemptOutcome::Stream(answer, next) => {
                             events = Events::new(answer.into_body());
-                            place = Some(next);
+                            slot = Some(next);
                         }
                         AttemptOutcome::NotExecuted
                         | AttemptOutcome::Quarantined(_)
