--- a/crates/serve/src/auth.rs
+++ b/crates/serve/src/auth.rs
@@ -19,18 +19,18 @@
 pub fn authenticate(app: &App, call: &Call, trace: &mut Trace) -> Result<ActiveContract, Problem> {
     let header = call.header(AUTHORIZATION.as_str());
     let token = header.and_then(|header| header.strip_prefix("Bearer "));
-    let refuse = |detail: &str| {
+    let deny = |detail: &str| {
         let problem = Problem::new(Type::Unauthorized, Attempt::new().refuse());
         Err(problem.with_detail(detail))
     };
     let Some(token) = token else {
-        return refuse("the header Authorization: Bearer TOKEN is missing");
+        return deny("the header Authorization: Bearer TOKEN is missing");
     };
     let found = app.contracts.read().by_token(token.trim()).cloned();
-    let Some(contract) = found else {
-        return refuse("no contract in force has this token");
+    let Some(active_contract) = found else {
+        return deny("no contract in force has this token");
     };
-    trace.customer = Some(contract.stored.contract.customer.clone());
-    trace.note(format!("contract at revision {}", contract.rev));
-    Ok(contract)
+    trace.customer = Some(active_contract.stored.contract.customer.clone());
+    trace.note(format!("contract at revision {}", active_contract.rev));
+    Ok(active_contract)
 }
--- a/crates/serve/src/completions.rs
+++ b/crates/serve/src/completions.rs
@@ -70,7 +70,7 @@
     dispatcher: Arc<Dispatcher>,
     entry: QueueEntry,
     class: u8,
-    passage: LimitPermit,
+    limit_permit: LimitPermit,
     deadline: Millis,
 }
 
@@ -123,7 +123,7 @@
         return Err(deny(Type::BadRequest).with_detail(detail));
     }
     let dispatcher = engine_dispatcher(app, &active_contract, &request.model)?;
-    let passage = limits::admit(app, &active_contract, request.max_tokens, trace)?;
+    let limit_permit = limits::admit(app, &active_contract, request.max_tokens, trace)?;
     let entry = QueueEntry {
         customer: contract.customer.clone(),
         weight: contract.weight,
@@ -136,7 +136,7 @@
         dispatcher,
         entry,
         class,
-        passage,
+        limit_permit,
         deadline,
     })
 }
@@ -153,13 +153,13 @@
         blocks: blocks(&job.request.prompt),
         ..Requirements::default()
     };
-    let sent = sent_request(job, trace);
+    let outgoing = outgoing_request(job, trace);
     // Whether any earlier attempt may have run, since a refusal reports on all attempts.
     let mut prior = Attempt::new().refuse();
     job.dispatcher.earn_retry();
     loop {
-        sent.check_quarantine(app, job.deadline, prior).await?;
-        requirements.avoid.extend(sent.upstreams_to_avoid(app));
+        outgoing.check_quarantine(app, job.deadline, prior).await?;
+        requirements.avoid.extend(outgoing.upstreams_to_avoid(app));
         let permit = match job
             .dispatcher
             .acquire(&job.entry, requirements.clone(), job.deadline)
@@ -172,11 +172,11 @@
         };
         let upstream = permit.spec.name.clone();
         trace.upstream = Some(upstream.clone());
-        let spec = attempt_spec(job, &sent, trace);
+        let spec = attempt_spec(job, &outgoing, trace);
         trace.attempts += 1;
         let resumed_tokens = assembly.partial().tokens;
         let result = generate::run(app, permit, &spec, &mut assembly, sink).await;
-        job.passage
+        job.limit_permit
             .charge(assembly.partial().tokens - resumed_tokens);
         let (ran, error) = match result {
             AttemptResult::Complete => break,
@@ -205,7 +205,7 @@
 
 /// Identifies a completion request; the result has the same fingerprint for all attempts and
 /// repetitions of the request by a customer.
-fn sent_request(job: &Job, trace: &Trace) -> OutgoingRequest {
+fn outgoing_request(job: &Job, trace: &Trace) -> OutgoingRequest {
     let CompletionRequest {
         model,
         prompt,
@@ -224,11 +224,11 @@
     }
 }
 
-fn attempt_spec(job: &Job, sent: &OutgoingRequest, trace: &Trace) -> generate::AttemptSpec {
+fn attempt_spec(job: &Job, outgoing: &OutgoingRequest, trace: &Trace) -> generate::AttemptSpec {
     let attempt = trace.id.attempt(trace.attempts);
     generate::AttemptSpec {
         attempt,
-        sent: sent.clone(),
+        outgoing: outgoing.clone(),
         request: GenerateRequest {
             attempt,
             prompt: job.request.prompt.clone(),
--- a/crates/serve/src/crashes.rs
+++ b/crates/serve/src/crashes.rs
@@ -32,7 +32,7 @@
 
 impl OutgoingRequest {
     /// Rejects the request if it is quarantined, and waits until `deadline` at most for a pending decision.
-    /// `ran` tells whether an earlier attempt may have run.
+    /// `ran` is whether an earlier attempt may have run.
     pub(crate) async fn check_quarantine(
         &self,
         app: &App,
--- a/crates/serve/src/forward.rs
+++ b/crates/serve/src/forward.rs
@@ -114,12 +114,12 @@
     let outbound = outbound(app, call, path, non_idempotent, deadline).await?;
     // The limits are checked before the key is claimed, so that a call that the contract does not
     // allow causes no write to the journal.
-    let passage = limits::admit(app, &active_contract, 0, trace)?;
+    let limit_permit = limits::admit(app, &active_contract, 0, trace)?;
     let job = Job {
         dispatcher,
         entry: entry(contract),
         outbound,
-        passage,
+        limit_permit,
     };
     match key {
         Some(key) => keyed::run(app, job, key, trace).await,
@@ -133,7 +133,7 @@
     entry: QueueEntry,
     outbound: OutboundCall,
     #[expect(dead_code, reason = "its drop releases the concurrency slot")]
-    passage: LimitPermit,
+    limit_permit: LimitPermit,
 }
 
 fn entry(contract: &Contract) -> QueueEntry {
@@ -218,10 +218,10 @@
         ..
     } = job;
     let mut requirements = Requirements::default();
-    let print = fingerprint(&job.entry, dispatcher, outbound);
+    let request_fingerprint = fingerprint(&job.entry, dispatcher, outbound);
     let id = trace.id.to_string();
-    let sent = OutgoingRequest {
-        fingerprint: print,
+    let outgoing = OutgoingRequest {
+        fingerprint: request_fingerprint,
         id,
     };
     // Whether any earlier attempt may have run, since a refusal reports on all attempts.
@@ -229,8 +229,10 @@
     dispatcher.earn_retry();
     loop {
         let attempt = Attempt::new();
-        sent.check_quarantine(app, outbound.deadline, prior).await?;
-        requirements.avoid.extend(sent.upstreams_to_avoid(app));
+        outgoing
+            .check_quarantine(app, outbound.deadline, prior)
+            .await?;
+        requirements.avoid.extend(outgoing.upstreams_to_avoid(app));
         let permit = match dispatcher
             .acquire(&job.entry, requirements.clone(), outbound.deadline)
             .await
@@ -244,8 +246,8 @@
         let upstream = permit.spec.name.clone();
         trace.upstream = Some(upstream.clone());
         trace.attempts += 1;
-        let suspect_guard = sent.track_suspect(app, &permit.spec);
-        let (ran, error) = match send(app, job, &sent, permit, attempt).await {
+        let suspect_guard = outgoing.track_suspect(app, &permit.spec);
+        let (ran, error) = match send(app, job, &outgoing, permit, attempt).await {
             Ok(response) => return Ok(response),
             Err(failure) => failure,
         };
@@ -303,7 +305,7 @@
 async fn send(
     app: &App,
     job: &Job,
-    sent: &OutgoingRequest,
+    outgoing: &OutgoingRequest,
     permit: Permit,
     attempt: Attempt<Unsent>,
 ) -> Result<Response<Bytes>, (Ran, String)> {
@@ -334,7 +336,7 @@
             }
             permit.finish(!is_failure(response.status()));
             attempt.answer();
-            sent.record_answer(app, response.status());
+            outgoing.record_answer(app, response.status());
             Ok(response)
         }
         Err(SendError::Unconnected) => {
@@ -349,7 +351,7 @@
         Err(error) => {
             permit.finish(false);
             if matches!(error, SendError::Broken) {
-                sent.check_crash(app, &spec).await;
+                outgoing.check_crash(app, &spec).await;
             }
             Err((attempt.fail(), error.to_string()))
         }
--- a/crates/serve/src/generate.rs
+++ b/crates/serve/src/generate.rs
@@ -88,7 +88,7 @@
     /// The request to the engine; its `resume` and `offset` are set from the assembly.
     pub request: GenerateRequest,
     /// The request as tracked for crashes of upstreams.
-    pub(crate) sent: OutgoingRequest,
+    pub(crate) outgoing: OutgoingRequest,
     /// Lowest acceptable weight version.
     pub min_version: u64,
     /// Deadline on the monotonic clock, in milliseconds.
@@ -105,7 +105,7 @@
 ) -> AttemptResult {
     assembly.restart(spec.attempt);
     let left = spec.deadline.saturating_sub(app.clock.now());
-    let suspect_guard = spec.sent.track_suspect(app, &permit.spec);
+    let suspect_guard = spec.outgoing.track_suspect(app, &permit.spec);
     let attempt = run_to_end(app, &permit, spec, assembly, sink);
     let result = match tokio::time::timeout(Duration::from_millis(left), attempt).await {
         Ok(result) => result,
@@ -113,9 +113,9 @@
     };
     record_version(app, &permit, assembly.version());
     match &result {
-        AttemptResult::Complete => spec.sent.record_success(app),
+        AttemptResult::Complete => spec.outgoing.record_success(app),
         AttemptResult::Failed(Ran::Unknown, AttemptError::Broken) => {
-            spec.sent.check_crash(app, &permit.spec).await
+            spec.outgoing.check_crash(app, &permit.spec).await
         }
         AttemptResult::Failed(..) | AttemptResult::Cancelled => (),
     }
@@ -238,7 +238,7 @@
     let dispatcher = app.dispatchers.get(&permit.spec.pool).cloned();
     match result {
         AttemptResult::Complete => permit.finish(true),
-        // Old weights are not a failure: the engine has not been told to load newer ones yet.
+        // Old weights are not a failure: the engine has not been ordered to load newer ones yet.
         AttemptResult::Cancelled | AttemptResult::Failed(_, AttemptError::Stale) => drop(permit),
         AttemptResult::Failed(_, error) => {
             permit.finish(false);
--- a/crates/serve/src/journal.rs
+++ b/crates/serve/src/journal.rs
@@ -125,7 +125,7 @@
         if decision == Decision::Refused {
             // The peer or this instance may have written the intent nevertheless, with the reply
             // lost. If the key were not released, it would stay in doubt until it expires, although
-            // the caller is told that the request did not run.
+            // the caller gets the reply that the request did not run.
             let app = app.clone();
             tokio::spawn(async move { app.journal.release(&app, key, attempt).await });
         }
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -43,7 +43,7 @@
     customers: ShardedMap<Name, CustomerLimiter>,
 }
 
-/// The permit of a request that its contract's limits admitted. Dropping it releases its place under the
+/// The permit of a request that its contract's limits admitted. Dropping it releases its slot under the
 /// concurrency limit.
 pub struct LimitPermit {
     app: Arc<App>,
@@ -89,10 +89,10 @@
 /// Runs `f` on the limiter of a contract, which is first created or updated to the contract's revision.
 fn with_limiter<R>(
     app: &App,
-    active: &ActiveContract,
+    active_contract: &ActiveContract,
     f: impl FnOnce(&mut CustomerLimiter, Millis) -> R,
 ) -> R {
-    let contract = &active.stored.contract;
+    let contract = &active_contract.stored.contract;
     let customer = &contract.customer;
     let now = app.clock.now();
     // Computed before the shard is locked, so that two locks are never active at once.
@@ -101,14 +101,14 @@
         let entry = customers
             .entry(customer.clone())
             .or_insert_with(|| CustomerLimiter {
-                rev: active.rev,
+                rev: active_contract.rev,
                 limiter: ContractLimiter::new(contract, share, now),
                 share: ShareTracker::new(share),
                 arrived: 0,
                 demand: 0.0,
             });
-        if entry.rev < active.rev {
-            entry.rev = active.rev;
+        if entry.rev < active_contract.rev {
+            entry.rev = active_contract.rev;
             entry.limiter.resize(contract, entry.share.share(), now);
         }
         f(entry, now)
@@ -123,18 +123,18 @@
 /// after.
 pub fn admit(
     app: &Arc<App>,
-    active: &ActiveContract,
+    active_contract: &ActiveContract,
     tokens: u32,
     trace: &mut Trace,
 ) -> Result<LimitPermit, Problem> {
-    let decision = with_limiter(app, active, |entry, now| {
+    let decision = with_limiter(app, active_contract, |entry, now| {
         entry.arrived += 1;
         entry.limiter.admit(now, f64::from(tokens))
     });
     match decision {
         LimitDecision::Admitted => Ok(LimitPermit {
             app: app.clone(),
-            customer: active.stored.contract.customer.clone(),
+            customer: active_contract.stored.contract.customer.clone(),
         }),
         LimitDecision::Rejected { limit, retry_after } => {
             let detail = format!("the contract's line {:?} decides", limit.key());
@@ -152,16 +152,16 @@
 /// Returns the time to retry after, in milliseconds.
 pub fn admit_sample(
     app: &Arc<App>,
-    active: &ActiveContract,
+    active_contract: &ActiveContract,
     tokens: f64,
 ) -> Result<LimitPermit, Millis> {
-    let decision = with_limiter(app, active, |entry, now| {
+    let decision = with_limiter(app, active_contract, |entry, now| {
         entry.limiter.admit_sample(now, tokens)
     });
     match decision {
         LimitDecision::Admitted => Ok(LimitPermit {
             app: app.clone(),
-            customer: active.stored.contract.customer.clone(),
+            customer: active_contract.stored.contract.customer.clone(),
         }),
         LimitDecision::Rejected { retry_after, .. } => Err(retry_after),
     }
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -123,10 +123,10 @@
         self.server.abort();
         self.tasks.iter().for_each(JoinHandle::abort);
         self.app.drain.begin();
-        for work in self.app.steps.all() {
+        for active in self.app.steps.all() {
             self.app
                 .steps
-                .stop(&work.state(&self.app.settings.me.name).step);
+                .stop(&active.state(&self.app.settings.me.name).step);
         }
     }
 
--- a/crates/serve/src/steps.rs
+++ b/crates/serve/src/steps.rs
@@ -158,15 +158,15 @@
 fn start(
     app: &Arc<App>,
     id: &str,
-    contract: &ActiveContract,
+    active_contract: &ActiveContract,
     spec: Spec,
     cursor: &Cursor,
     version: u64,
 ) -> Result<Arc<ActiveStep>, Problem> {
-    let dispatcher = completions::engine_dispatcher(app, contract, &spec.model)?;
+    let dispatcher = completions::engine_dispatcher(app, active_contract, &spec.model)?;
     let policy = kernel::plugin::find(app.settings.policy);
     let policy = policy.map_err(|error| deny(Type::Internal).with_detail(error.to_string()))?;
-    let customer = contract.stored.contract.customer.clone();
+    let customer = active_contract.stored.contract.customer.clone();
     let run = step::Run::new(spec, policy, cursor, version);
     let created = ActiveStep::new(id, customer, run, dispatcher, app.clock);
     let key = id.to_owned();
@@ -183,7 +183,7 @@
             app.settings.me.name,
             cursor.count()
         ));
-        created.start(app, contract.stored.contract.concurrency);
+        created.start(app, active_contract.stored.contract.concurrency);
     }
     Ok(active)
 }
@@ -197,10 +197,10 @@
 }
 
 async fn handle_pull(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<Batch, Problem> {
-    let contract = auth::authenticate(app, &call, trace)?;
+    let active_contract = auth::authenticate(app, &call, trace)?;
     let step = call.segment(2).to_owned();
     let pull: PullRequest = completions::parse_body(app, call.body).await?;
-    let customer = contract.stored.contract.customer.clone();
+    let customer = active_contract.stored.contract.customer.clone();
     let mut message = StepPull {
         step,
         customer,
@@ -281,13 +281,20 @@
     if head.customer != message.customer {
         return Err(deny(Type::NotFound).with_detail("step"));
     }
-    let contract = app.contracts.read().by_name(&head.customer).cloned();
-    let contract = contract.ok_or_else(|| deny(Type::Unauthorized))?;
+    let active_contract = app.contracts.read().by_name(&head.customer).cloned();
+    let active_contract = active_contract.ok_or_else(|| deny(Type::Unauthorized))?;
     let total = head.spec.total();
     let cursor = Cursor::parse(&message.pull.cursor, total);
     let cursor = cursor.map_err(|error| deny(Type::BadRequest).with_detail(error.to_string()))?;
     let version = message.pull.version;
-    start(app, &message.step, &contract, head.spec, &cursor, version)
+    start(
+        app,
+        &message.step,
+        &active_contract,
+        head.spec,
+        &cursor,
+        version,
+    )
 }
 
 /// Serves `DELETE /v1/steps/{step}`.
@@ -303,8 +310,8 @@
 }
 
 async fn handle_end(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<(), Problem> {
-    let contract = auth::authenticate(app, &call, trace)?;
-    let customer = contract.stored.contract.customer.clone();
+    let active_contract = auth::authenticate(app, &call, trace)?;
+    let customer = active_contract.stored.contract.customer.clone();
     let step = call.segment(2).to_owned();
     let message = StepEnd { step, customer };
     let was_running = end_everywhere(app, &message).await;
@@ -328,13 +335,13 @@
     let mut others: Vec<_> = app.view.lock().live().cloned().collect();
     others.retain(|member| member.name != app.settings.me.name);
     for chunk in others.chunks(MAX_CONCURRENT_NOTICES) {
-        let notices = chunk.iter().map(|member| end_at(app, member, message));
+        let notices = chunk.iter().map(|member| notify_end(app, member, message));
         was_running |= join_all(notices).await.contains(&true);
     }
     was_running
 }
 
-async fn end_at(app: &App, member: &Member, message: &StepEnd) -> bool {
+async fn notify_end(app: &App, member: &Member, message: &StepEnd) -> bool {
     let timeout = Duration::from_millis(PEER_TIMEOUT);
     let reply = gossip::exchange(app, member.addr, peer::STEP_END, message, timeout).await;
     reply.unwrap_or(false)
--- a/crates/serve/src/steps/active.rs
+++ b/crates/serve/src/steps/active.rs
@@ -208,7 +208,7 @@
     async fn poll_end(&self, app: &App) {
         let mut failures = 0;
         while !self.is_cancelled() {
-            let sent = self.clock.now();
+            let sent_at = self.clock.now();
             let pause = match super::has_ended(app, &self.id, &self.customer, failures > 0).await {
                 Ok(true) => {
                     self.note("ended at another instance".into());
@@ -218,7 +218,7 @@
                 Ok(false) => {
                     failures = 0;
                     self.start_until
-                        .fetch_max(sent + START_PERIOD, Ordering::Relaxed);
+                        .fetch_max(sent_at + START_PERIOD, Ordering::Relaxed);
                     POLL_INTERVAL
                 }
                 Err(error) => {
--- a/crates/serve/src/steps/sample.rs
+++ b/crates/serve/src/steps/sample.rs
@@ -63,35 +63,36 @@
 /// Makes one attempt at a sample and records its result in the step.
 pub(super) async fn attempt(app: &Arc<App>, step: &ActiveStep, assignment: Assignment) {
     let (index, ordinal) = (assignment.index, assignment.ordinal);
-    let contract = app.contracts.read().by_name(step.customer()).cloned();
-    let Some(contract) = contract else {
+    let active_contract = app.contracts.read().by_name(step.customer()).cloned();
+    let Some(active_contract) = active_contract else {
         give_back(step, index, ordinal, assignment.partial, MIN_RETRY_DELAY).await;
         return;
     };
-    let sent = sent_request(step, &assignment);
-    if app.crashes.is_blocked(|| sent.fingerprint.into()) {
+    let outgoing = outgoing_request(step, &assignment);
+    if app.crashes.is_blocked(|| outgoing.fingerprint.into()) {
         // A quarantined sample stays in the step until the trainer ends the step.
         give_back(step, index, ordinal, assignment.partial, MAX_RETRY_DELAY).await;
         return;
     }
-    let passage = match limits::admit_sample(app, &contract, f64::from(assignment.max_tokens)) {
-        Ok(passage) => passage,
-        Err(delay) => {
-            give_back(
-                step,
-                index,
-                ordinal,
-                assignment.partial,
-                delay.min(MAX_RETRY_DELAY),
-            )
-            .await;
-            return;
-        }
-    };
-    let permit = match acquire(app, step, &contract, &assignment).await {
+    let limit_permit =
+        match limits::admit_sample(app, &active_contract, f64::from(assignment.max_tokens)) {
+            Ok(limit_permit) => limit_permit,
+            Err(delay) => {
+                give_back(
+                    step,
+                    index,
+                    ordinal,
+                    assignment.partial,
+                    delay.min(MAX_RETRY_DELAY),
+                )
+                .await;
+                return;
+            }
+        };
+    let permit = match acquire(app, step, &active_contract, &assignment).await {
         Ok(permit) => permit,
         Err(delay) => {
-            drop(passage);
+            drop(limit_permit);
             give_back(
                 step,
                 index,
@@ -104,11 +105,11 @@
         }
     };
     step.wait_to_start().await;
-    run(app, step, assignment, sent, permit, &passage).await;
+    run(app, step, assignment, outgoing, permit, &limit_permit).await;
 }
 
 /// Identifies the request for a sample; the result is equal for all its attempts in a step.
-fn sent_request(step: &ActiveStep, assignment: &Assignment) -> OutgoingRequest {
+fn outgoing_request(step: &ActiveStep, assignment: &Assignment) -> OutgoingRequest {
     let (customer, model) = (step.customer().as_bytes(), &step.dispatcher.name);
     let body = format!(
         "{} {} {}",
@@ -129,10 +130,10 @@
 async fn acquire(
     app: &App,
     step: &ActiveStep,
-    contract: &ActiveContract,
+    active_contract: &ActiveContract,
     assignment: &Assignment,
 ) -> Result<Permit, Millis> {
-    let contract = &contract.stored.contract;
+    let contract = &active_contract.stored.contract;
     let remaining = assignment
         .max_tokens
         .saturating_sub(assignment.partial.tokens);
@@ -144,7 +145,7 @@
     };
     let avoid = step.avoid.lock().get(&assignment.index).cloned();
     let mut avoid: Vec<_> = avoid.into_iter().collect();
-    avoid.extend(sent_request(step, assignment).upstreams_to_avoid(app));
+    avoid.extend(outgoing_request(step, assignment).upstreams_to_avoid(app));
     let requirements = Requirements {
         blocks: blocks(&assignment.prompt),
         min_version: assignment.min_version,
@@ -162,16 +163,16 @@
     app: &Arc<App>,
     step: &ActiveStep,
     assignment: Assignment,
-    sent: OutgoingRequest,
+    outgoing: OutgoingRequest,
     permit: Permit,
-    passage: &LimitPermit,
+    limit_permit: &LimitPermit,
 ) {
     let (index, ordinal) = (assignment.index, assignment.ordinal);
     let engine = permit.spec.name.clone();
     let attempt = step.request.attempt(ordinal);
     let spec = generate::AttemptSpec {
         attempt,
-        sent,
+        outgoing,
         request: GenerateRequest {
             attempt,
             prompt: assignment.prompt.clone(),
@@ -196,7 +197,7 @@
         ordinal,
     };
     let result = generate::run(app, permit, &spec, &mut assembly, &mut progress).await;
-    passage.charge(assembly.partial().tokens - resumed_tokens);
+    limit_permit.charge(assembly.partial().tokens - resumed_tokens);
     if let AttemptResult::Failed(_, error) = &result {
         step.note(format!("sample {index} at {engine}: {error}"));
     }
--- a/crates/serve/src/steps/score.rs
+++ b/crates/serve/src/steps/score.rs
@@ -110,16 +110,16 @@
     };
     let customer = contract.customer.as_bytes();
     let body = format!("{prompt} {text}");
-    let sent = OutgoingRequest {
+    let outgoing = OutgoingRequest {
         fingerprint: Fingerprint::new("POST", scorer, SCORE, customer, body.as_bytes()),
         id: step.request.to_string(),
     };
-    if app.crashes.is_blocked(|| sent.fingerprint.into()) {
+    if app.crashes.is_blocked(|| outgoing.fingerprint.into()) {
         return Err(ScoreError::Quarantined);
     }
     let deadline = app.clock.now() + SCORE_TIMEOUT;
     let requirements = Requirements {
-        avoid: sent.upstreams_to_avoid(app),
+        avoid: outgoing.upstreams_to_avoid(app),
         ..Requirements::default()
     };
     let permit = dispatcher.acquire(&entry, requirements, deadline).await;
@@ -132,13 +132,13 @@
     let uri = uri(permit.spec.addr, SCORE);
     let timeout = Duration::from_millis(SCORE_TIMEOUT);
     let spec = permit.spec.clone();
-    let suspect_guard = sent.track_suspect(app, &spec);
+    let suspect_guard = outgoing.track_suspect(app, &spec);
     let result: Result<ScoreResponse, _> =
         app.http.json(Method::POST, &uri, &request, timeout).await;
     permit.finish(result.is_ok());
     match &result {
-        Ok(_) => sent.record_success(app),
-        Err(JsonError::Send(SendError::Broken)) => sent.check_crash(app, &spec).await,
+        Ok(_) => outgoing.record_success(app),
+        Err(JsonError::Send(SendError::Broken)) => outgoing.check_crash(app, &spec).await,
         Err(_) => (),
     }
     drop(suspect_guard);
--- a/crates/serve/src/trace.rs
+++ b/crates/serve/src/trace.rs
@@ -43,10 +43,10 @@
     }
 
     /// Adds an event with the current time.
-    pub fn note(&mut self, what: impl Into<Box<str>>) {
+    pub fn note(&mut self, event: impl Into<Box<str>>) {
         self.notes.push(HistoryEntry {
             at: self.clock.wall(),
-            what: what.into(),
+            what: event.into(),
         });
     }
 
--- a/crates/serve/src/weights.rs
+++ b/crates/serve/src/weights.rs
@@ -32,8 +32,8 @@
 /// Maximum number of attempts to write an announcement when other writers conflict with it.
 const MAX_ATTEMPTS: usize = 5;
 
-/// Time after which a caller should retry while the platform is unavailable, in milliseconds.
-const RETRY_AFTER_MS: u64 = 1_000;
+/// Retry delay for callers while the platform is unavailable, in milliseconds.
+const RETRY_AFTER: u64 = 1_000;
 
 /// An announcement as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,11 +54,11 @@
 }
 
 async fn announce_version(app: &Arc<App>, call: Call, trace: &mut Trace) -> Result<u64, Problem> {
-    let active = auth::authenticate(app, &call, trace)?;
+    let active_contract = auth::authenticate(app, &call, trace)?;
     let model = call.segment(2).to_owned();
-    completions::engine_dispatcher(app, &active, &model)?;
+    completions::engine_dispatcher(app, &active_contract, &model)?;
     let asked: AnnounceVersion = completions::parse_body(app, call.body).await?;
-    let customer = active.stored.contract.customer.clone();
+    let customer = active_contract.stored.contract.customer.clone();
     let new = StoredVersion {
         version: asked.version,
         customer,
@@ -75,8 +75,8 @@
     Err(refusal(&PlatError::NoAnswer, indeterminate))
 }
 
-/// Returns the problem for a failed announcement; `indeterminate` tells whether an earlier write may
-/// have been applied.
+/// Returns the problem for a failed announcement; `indeterminate` is whether an earlier write may have
+/// been applied.
 fn refusal(error: &PlatError, indeterminate: bool) -> Problem {
     let ran = match indeterminate {
         true => Ran::Unknown,
@@ -85,7 +85,7 @@
     let problem = Problem::new(Type::Platform, ran);
     problem
         .with_detail(error.to_string())
-        .retry_after(RETRY_AFTER_MS)
+        .retry_after(RETRY_AFTER)
 }
 
 /// Writes an announcement unless the platform has the same or a newer version. Returns the newest version, or
