--- a/crates/node/src/replication.rs
+++ b/crates/node/src/replication.rs
@@ -36,7 +36,7 @@
 const MAX_STARTUP_PEERS: usize = 3;
 
 /// Prefix of the records in which instances publish which requests crash upstreams.
-pub(crate) const CRASH_REPORTS_PREFIX: &str = "snipeway/crash/";
+pub(crate) const CRASH_RECORDS_PREFIX: &str = "snipeway/crash/";
 
 /// Keeps the configuration and the list of upstreams current.
 ///
--- a/crates/node/src/replication/applied_state.rs
+++ b/crates/node/src/replication/applied_state.rs
@@ -1,4 +1,4 @@
-//! Applies changes of the replica to this instance: the configuration, the list of upstreams, crash reports and the
+//! Applies changes of the replica to this instance: the configuration, the list of upstreams, crash records and the
 //! list of members.
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 use table::Incarnations;
 use table::Upstream;
 
-use super::CRASH_REPORTS_PREFIX;
+use super::CRASH_RECORDS_PREFIX;
 use super::upstream_list;
 use crate::App;
 
@@ -75,7 +75,7 @@
         self.apply_members(app);
         self.apply_config(app);
         for item in &changes.items {
-            if item.key.starts_with(CRASH_REPORTS_PREFIX) {
+            if item.key.starts_with(CRASH_RECORDS_PREFIX) {
                 crash::report::merge_record(&app.crashes, item);
                 continue;
             }
--- a/crates/node/src/replication/reader.rs
+++ b/crates/node/src/replication/reader.rs
@@ -8,7 +8,7 @@
 use spread::timing;
 use tokio::time::sleep;
 
-use super::CRASH_REPORTS_PREFIX;
+use super::CRASH_RECORDS_PREFIX;
 use super::applied_state::AppliedState;
 use crate::App;
 use crate::member;
@@ -19,7 +19,7 @@
     reads: u64,
     /// The list of upstreams.
     upstreams: PagedList,
-    /// The reports of requests that crash upstreams.
+    /// The records of requests that crash upstreams.
     crashes: PagedList,
 }
 
@@ -28,7 +28,7 @@
         Self {
             reads: 0,
             upstreams: PagedList::new(app.dialect.store_keys().upstreams),
-            crashes: PagedList::new(CRASH_REPORTS_PREFIX),
+            crashes: PagedList::new(CRASH_RECORDS_PREFIX),
         }
     }
 
@@ -39,9 +39,9 @@
         applied: &mut AppliedState,
     ) -> Result<(), PlatError> {
         read_config(app, applied).await?;
-        let (reports, mut list) = self.read_lists(app, applied).await?;
-        crash::report::delete_expired(&app.plat, &reports.items, app.clock.wall()).await;
-        list.join(reports);
+        let (records, mut list) = self.read_lists(app, applied).await?;
+        crash::report::delete_expired(&app.plat, &records.items, app.clock.wall()).await;
+        list.join(records);
         self.reads += 1;
         // The read is useful without the list of members too.
         let members = match self.reads % timing::READS_PER_MEMBER_READ == 1 {
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Reads the reports of requests that crash upstreams, and the list of upstreams.
+    /// Reads the records of requests that crash upstreams, and the list of upstreams.
     async fn read_lists(
         &mut self,
         app: &App,
@@ -75,7 +75,7 @@
         tokio::pin!(lists);
         loop {
             tokio::select! {
-                (reports, list) = &mut lists => return Ok((reports?, list?)),
+                (records, list) = &mut lists => return Ok((records?, list?)),
                 // A list of thousands takes seconds at a busy platform, and the configuration must be in force by
                 // then.
                 () = sleep(Duration::from_millis(timing::READ_INTERVAL)) => read_config(app, applied).await?,
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -246,11 +246,11 @@
     }
 }
 
-/// Publishes this instance's crash reports to the platform.
+/// Publishes this instance's crash record to the platform.
 async fn publish_crashes(app: Arc<App>) {
     let key = format!(
         "{}{}/{}",
-        replication::CRASH_REPORTS_PREFIX,
+        replication::CRASH_RECORDS_PREFIX,
         app.me.instance,
         app.me.start
     );
