--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -3,15 +3,15 @@
 //! [`plan_orders`] alone decides how many upstreams are wanted. [`DesiredCapacity`] keeps the orders, so that a
 //! new leader continues with the same numbers. This crate does no I/O and reads no clock.
 
-pub mod ledger;
-pub mod need;
+pub mod orders;
+pub mod plan;
 
-pub use ledger::DesiredCapacity;
-pub use ledger::RetrySchedule;
-pub use need::CapacityDemand;
-pub use need::DomainUpstreams;
-pub use need::ScalingBounds;
-pub use need::plan_orders;
+pub use orders::DesiredCapacity;
+pub use orders::RetrySchedule;
+pub use plan::CapacityDemand;
+pub use plan::DomainUpstreams;
+pub use plan::ScalingBounds;
+pub use plan::plan_orders;
 
 use std::sync::Arc;
 
