--- a/crates/node/src/control/load_orders.rs
+++ b/crates/node/src/control/load_orders.rs
@@ -48,7 +48,7 @@
     leadership: &'a Leadership,
     /// The scheduler of each service.
     schedulers: Map<Arc<str>, LoadScheduler>,
-    /// Engines that were ordered a moment ago, and get no other order meanwhile.
+    /// Engines that were recently ordered to load; they get no other order meanwhile.
     ordered: Map<Arc<str>, OrderedLoad>,
     /// Engines that did not answer a query, with the time until which they get no requests.
     unresponsive: Map<Arc<str>, Millis>,
--- a/crates/node/src/control/targets.rs
+++ b/crates/node/src/control/targets.rs
@@ -22,8 +22,9 @@
 /// each watch that reported none.
 const MAX_WATCH_WAIT: Millis = 2_000;
 
-/// Interval between the stale reads beside the watch. A watch whose connection has become unresponsive is noticed only
-/// when its time is over, for up to four seconds, in which six versions may be announced and none would be loaded.
+/// Interval between the stale reads that are made in addition to the watch. A watch whose connection has become
+/// unresponsive is noticed only when it times out, after up to four seconds, in which six versions may be announced and
+/// none would be loaded.
 const STALE_READ_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Pause after a failed call.
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -24,21 +24,22 @@
 /// Prefix of the keys of instances.
 pub const KEY_PREFIX: &str = "snipeway/instance/";
 
-/// Interval between checks whether the entry has to be renewed or needs another TTL.
+/// Interval between checks whether the entry has to be renewed, or rewritten with a different TTL.
 const ENTRY_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Longest interval between checks whether the list of members has to be read; each check may cost one time limit
-/// when a source does not reply. The first checks after a start are closer together.
+/// Longest interval between checks whether the list of members has to be read. A check may take a full request timeout
+/// when its source does not reply. The intervals after a start are shorter and double up to this value.
 const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Longest time that the first read of other entries waits for this instance's own, in milliseconds.
-const ENTER_TIMEOUT: Millis = 400;
+/// Longest time that the first read of the list of members waits until this instance's own entry is written, in
+/// milliseconds.
+const OWN_ENTRY_TIMEOUT: Millis = 400;
 
 /// Interval between checks whether the own entry has been written.
-const ENTER_POLL_INTERVAL: Duration = Duration::from_millis(10);
+const OWN_ENTRY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Age of the list of members from which this instance reads it itself, in milliseconds. The instances that read
-/// the configuration for others pass the list on more often than that.
+/// Age of the list of members from which this instance reads the list from the platform itself, in milliseconds. The
+/// instances that read the configuration for others send them the list more often than that.
 const MAX_MEMBERSHIP_AGE: Millis = 4_500;
 
 /// Pause after a failed write of the entry.
@@ -57,16 +58,17 @@
     record::decode(value).ok()
 }
 
-/// Keeps the list of members current where no other instance passes it on.
+/// Keeps the list of members current when no other instance sends it to this one.
 pub async fn refresh_members(app: Arc<App>) {
     let started = app.clock.now();
-    // Instances that start together see one another's entries only after that.
-    while app.own_entry().is_none() && app.clock.now() < started + ENTER_TIMEOUT {
-        sleep(ENTER_POLL_INTERVAL).await;
+    // Waits until the own entry is written: instances that start together write their entries at about the same time,
+    // so a read before that would miss the others.
+    while app.own_entry().is_none() && app.clock.now() < started + OWN_ENTRY_TIMEOUT {
+        sleep(OWN_ENTRY_POLL_INTERVAL).await;
     }
     read_members(&app).await;
-    // All instances may have started at the same moment, and one that knows no other reads the configuration and
-    // the lists itself.
+    // All instances may have started at the same moment, so the list may still be empty. An instance with an empty list
+    // reads the configuration and the lists from the platform itself, so the first polls follow quickly.
     let mut pause = Duration::from_millis(timing::FIRST_MEMBER_POLL);
     let mut round = 0;
     loop {
@@ -99,16 +101,16 @@
     }
 }
 
-/// Reads all entries, or a part if there are many: enough to get the rest from one of those instances. If a
-/// thousand instances that start together read all entries, that alone would saturate the platform's link for a
-/// second.
+/// Reads all entries, or two pages if there are more; one of the instances on these pages can then supply the
+/// complete list. If a thousand instances that start together each read all entries, these reads alone would saturate
+/// the platform's link for a second.
 pub async fn read_members(app: &App) {
     let mut page = match app.plat.page_stale(KEY_PREFIX, None).await {
         Ok(page) => page,
         Err(error) => return log_read_failure(&error),
     };
     if page.more {
-        // The first page is the same for all instances; the page after its own key differs for each.
+        // The first page is the same for all instances, so each also reads the page after its own key.
         match app
             .plat
             .page_stale(KEY_PREFIX, Some(key(&app.me.instance)))
@@ -171,9 +173,9 @@
     }
 }
 
-/// Rewrites the entry with a short TTL if it has a longer one, before this instance takes on work that others would
-/// have to take over. If it were killed right after it had accepted a step, that would otherwise be noticed 9 s
-/// later.
+/// Rewrites the entry with a short TTL if it has a longer one, before this instance accepts work that others have to
+/// take over if it fails. Otherwise, if it were killed right after it had accepted a step, the others would notice only
+/// 9 s later.
 ///
 /// # Errors
 ///
@@ -262,7 +264,7 @@
     }
 }
 
-/// Removes the entry, so that others take over at once what this instance leaves behind.
+/// Removes the entry, so that other instances take over this instance's work immediately.
 ///
 /// An instance that has to leave before its entry was written has no lease and must not revoke one: 0 stands
 /// for records without a lease, and a store that revoked lease 0 literally would delete every step.
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -52,7 +52,7 @@
     },
     /// A platform call to make for the sender.
     Relay(Call),
-    /// A platform call to make even if the receiver's own calls were refused a moment ago.
+    /// A platform call to make even if the platform has just refused the receiver's own calls.
     #[serde(rename = "Try")]
     RelayDirect(Call),
     /// The request counts of an entry instance, for its keeper.
--- a/crates/node/src/owner/checks.rs
+++ b/crates/node/src/owner/checks.rs
@@ -56,34 +56,34 @@
         if !self.running.is_empty() {
             return;
         }
-        let asked_at = app.clock.now();
+        let sent_at = app.clock.now();
         {
             let mut confirmation = owned.confirmation.lock();
-            if !confirmation.is_check_due(asked_at) {
+            if !confirmation.is_check_due(sent_at) {
                 return;
             }
-            confirmation.start_check(asked_at);
+            confirmation.start_check(sent_at);
         }
         let (app, owned) = (app.clone(), owned.clone());
         self.running
-            .spawn(async move { check(&app, &owned, asked_at).await });
+            .spawn(async move { check(&app, &owned, sent_at).await });
     }
 }
 
-async fn check(app: &Arc<App>, owned: &OwnedStep, asked_at: Millis) {
-    // An instance that the platform does not serve asks the others at once.
+async fn check(app: &Arc<App>, owned: &OwnedStep, sent_at: Millis) {
+    // An instance that the platform does not serve relays the read through others without delay.
     let relay_delay = match app.plat.is_unserved() {
         true => 0,
         false => app.settings.end_limit / RELAY_DELAY_DIVISOR,
     };
     let state = match read_head(app, owned, relay_delay).await {
-        HeadRead::Head(item) => step_head::ownership_state(asked_at, owned.rev, item.as_ref()),
+        HeadRead::Head(item) => step_head::ownership_state(sent_at, owned.rev, item.as_ref()),
         HeadRead::Outage => {
-            // The outage is confirmed as of the time at which the others were asked.
+            // The outage is confirmed as of the time at which the other instances were asked to relay the read.
             owned
                 .confirmation
                 .lock()
-                .record_outage(asked_at + relay_delay);
+                .record_outage(sent_at + relay_delay);
             return owned.log_unconfirmed(app, "no instance reaches the platform");
         }
         HeadRead::Failed(error) => Err(error),
--- a/crates/node/src/owner/owned_step.rs
+++ b/crates/node/src/owner/owned_step.rs
@@ -95,7 +95,7 @@
             listed: watch::Sender::new(0),
             confirmation: Mutex::new(Confirmation::new(
                 app.settings.end_limit,
-                ownership.asked_at(),
+                ownership.sent_at(),
             )),
             ended: AtomicBool::new(false),
             lost: AtomicBool::new(false),
@@ -162,7 +162,7 @@
     pub(super) fn apply_state(&self, app: &App, state: OwnershipState) -> bool {
         match state {
             OwnershipState::Open(ownership) => {
-                self.confirmation.lock().confirm(ownership.asked_at());
+                self.confirmation.lock().confirm(ownership.sent_at());
                 return true;
             }
             OwnershipState::Ended => self.mark_ended(app, self.rev, "asked"),
@@ -173,9 +173,9 @@
 
     /// Asks the platform whether the step is open and still owned by this instance; false if it does not answer.
     pub(super) async fn confirm_ownership(&self, app: &App) -> bool {
-        let asked_at = app.clock.now();
+        let sent_at = app.clock.now();
         let state = match app.plat.get(&keys::head(&self.step)).await {
-            Ok(item) => step_head::ownership_state(asked_at, self.rev, item.as_ref()),
+            Ok(item) => step_head::ownership_state(sent_at, self.rev, item.as_ref()),
             Err(error) => Err(error),
         };
         match state {
--- a/crates/node/src/owner/runner/placement.rs
+++ b/crates/node/src/owner/runner/placement.rs
@@ -1,6 +1,6 @@
 //! Places the samples of a step at engines.
 //!
-//! Load pattern: the samples of a step arrive at once, by the hundred or thousand, and hundreds of runs end each
+//! Load pattern: the samples of a step arrive together, hundreds or thousands of them, and hundreds of runs end each
 //! second while other samples wait for a free slot.
 
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 pub(super) enum PlaceOutcome {
     /// All runs that could be started were started.
     Done,
-    /// There was no free slot a moment ago; the next placement is due after this time.
+    /// There was no free slot less than [`MIN_RETRY_INTERVAL`] ago; the next placement is due after this time.
     Deferred(Duration),
 }
 
@@ -65,11 +65,12 @@
             self.fail_pending("time to live is over");
             return PlaceOutcome::Done;
         }
-        // The finished check wakes the loop as soon as there is a confirmation again.
+        // Without a permit nothing is started. When a check confirms the ownership again, the runner's loop calls this
+        // function again.
         let Some(permit) = self.owned.permit(self.app) else {
             return PlaceOutcome::Done;
         };
-        let mut rounds = Map::default();
+        let mut rounds_by_service = Map::default();
         while let Some(pending) = self.pending.pop_front() {
             if self.is_quarantined(&pending) {
                 log::warn!(target: "owner", id = &*self.sample(&pending).id, step = &*self.owned.step;
@@ -77,7 +78,7 @@
                 self.quarantined.push(pending);
                 continue;
             }
-            match self.choose_engine(&route, &pending, &mut rounds) {
+            match self.choose_engine(&route, &pending, &mut rounds_by_service) {
                 Some((service, engine)) => self.start_run(&route, service, engine, pending, permit),
                 None => {
                     self.pending.push_front(pending);
@@ -106,20 +107,21 @@
 
     /// Moves the quarantined samples that may run again back to the pending ones.
     fn release_quarantined(&mut self) {
-        let all = std::mem::take(&mut self.quarantined);
-        let (quarantined, released) = all
+        let previous = std::mem::take(&mut self.quarantined);
+        let (quarantined, released) = previous
             .into_iter()
             .partition(|pending| self.is_quarantined(pending));
         self.quarantined = quarantined;
         self.pending.extend::<Vec<_>>(released);
     }
 
-    /// Chooses an engine and reserves a slot there; engines to avoid are used if no other one has a free slot.
+    /// Chooses an engine and reserves a slot there; engines to avoid are used if no other one has a free slot. Samples
+    /// that are placed in the same call share the placement round of their service, in `rounds_by_service`.
     fn choose_engine(
         &self,
         route: &Route,
         pending: &PendingRun,
-        rounds: &mut Map<Arc<str>, PlacementRound>,
+        rounds_by_service: &mut Map<Arc<str>, PlacementRound>,
     ) -> Option<(Arc<str>, Arc<Upstream>)> {
         let service = Config::pick_service(route, rand::random())?;
         let index = pending.sample.index as usize;
@@ -156,7 +158,7 @@
         let now = self.app.clock.now();
         let upstreams = self.app.upstreams.lock();
         let mut tracker = self.app.engine_tracker.lock();
-        let round = rounds
+        let round = rounds_by_service
             .entry(service.clone())
             .or_insert_with(|| PlacementRound::new(&tracker, &upstreams, &fallback, now));
         let engine = round
--- a/crates/node/src/owner/write.rs
+++ b/crates/node/src/owner/write.rs
@@ -80,13 +80,13 @@
 /// Finds out why the conditions of a write failed: an earlier attempt of the same write was applied, the step has
 /// ended, or it was taken over.
 async fn resolve_conflict(app: &App, owned: &OwnedStep, put: &Put, end: &str) -> WriteOutcome {
-    let asked_at = app.clock.now();
+    let sent_at = app.clock.now();
     let reads: Result<_, PlatError> = async {
         let head = app.plat.get(&keys::head(&owned.step)).await?;
         let written = app.plat.get(&put.key).await?;
         let ended = app.plat.get(end).await?;
         Ok((
-            step_head::ownership_state(asked_at, owned.rev, head.as_ref())?,
+            step_head::ownership_state(sent_at, owned.rev, head.as_ref())?,
             written,
             ended,
         ))
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -278,8 +278,8 @@
     relay_answer(send_request(app, to, &PeerRequest::Relay(call), limit).await?)
 }
 
-/// Relays a platform call like [`relay`], even if the other instance's own calls were refused a moment ago: the
-/// point is whether the platform answers it now.
+/// Relays a platform call like [`relay`], even if the platform has just refused the other instance's own calls:
+/// the relayed call determines whether the platform answers it now.
 pub async fn relay_direct(
     app: &App,
     to: SocketAddr,
--- a/crates/node/src/peer_relay.rs
+++ b/crates/node/src/peer_relay.rs
@@ -41,8 +41,8 @@
 }
 
 /// Makes a call through the instance that relayed last, or through others in turn. If the platform does not serve a
-/// third of all instances, an instance that asked a single random other could write nothing for a second whenever that
-/// one was not served either.
+/// third of all instances, an instance that relayed through a single random instance could write nothing for a second
+/// whenever that one was not served either.
 async fn relay_call(app: &App, call: Call) -> Result<Answer, PlatError> {
     let wait = match &call {
         Call::Poll { wait, .. } => *wait,
@@ -79,7 +79,7 @@
     NoReply,
 }
 
-/// Makes a read through several other instances at once, for an answer that is needed within `limit`: an instance
+/// Makes a read through several other instances concurrently, for an answer that is needed within `limit`: an instance
 /// that is not served itself or does not reply costs no time then. Each of them calls the platform even if its own
 /// last calls were refused.
 pub(crate) async fn relay_read(app: &Arc<App>, call: &Call, limit: Duration) -> RelayedRead {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -94,7 +94,7 @@
 }
 
 /// Default fraction of a service's engines that may load at the same time: a weight store is sized for about a
-/// fifth of the engines at full speed, and with more at once each would take longer.
+/// fifth of the engines at full speed, and with more at the same time each would take longer.
 const DEFAULT_LOADING_SHARE: f64 = 0.2;
 
 /// Default fraction of the samples for which capacity is ordered. No capacity is ordered unless an operator
--- a/crates/node/src/step_head.rs
+++ b/crates/node/src/step_head.rs
@@ -28,11 +28,11 @@
 /// specifications are written part by part before it.
 const MAX_INLINE_SPEC_BYTES: usize = 4 << 20;
 
-/// Proof that a step was open and owned by this instance when the platform was asked.
+/// Proof from the platform that a step was open and owned by this instance at [`Ownership::sent_at`] or later.
 #[derive(Debug)]
 pub struct Ownership {
     rev: i64,
-    asked_at: Millis,
+    sent_at: Millis,
 }
 
 impl Ownership {
@@ -41,9 +41,9 @@
         self.rev
     }
 
-    /// When the platform was asked, on this instance's clock.
-    pub fn asked_at(&self) -> Millis {
-        self.asked_at
+    /// When the request that proves the ownership was sent, in milliseconds on this instance's clock.
+    pub fn sent_at(&self) -> Millis {
+        self.sent_at
     }
 }
 
@@ -54,7 +54,7 @@
     Open(Ownership),
     /// The step has ended.
     Ended,
-    /// Another instance runs the step, or its records were removed.
+    /// The step was taken over meanwhile, or its records were removed.
     Lost,
 }
 
@@ -73,9 +73,10 @@
 pub enum TakeOverOutcome {
     /// This instance owns the step.
     Open(Ownership),
-    /// An instance of the previous release has ended the step.
+    /// The step has ended, and a previous release wrote the end under a separate key.
     Ended,
-    /// The step has ended, another instance took it over, or its records were removed.
+    /// The head says that the step has ended, the head was changed or removed after it was read, or the retention
+    /// time of the results passed before the outcome was known.
     Rejected,
 }
 
@@ -92,7 +93,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`PlatError`]; [`PlatError::is_indeterminate`] returns whether the step may have been written.
+/// Returns [`PlatError`]; the step may have been written nevertheless if [`PlatError::is_indeterminate`] returns
+/// true.
 pub async fn create(
     app: &App,
     step: &str,
@@ -100,11 +102,11 @@
     head: &Head,
     spec: &Spec,
 ) -> Result<CreateOutcome, PlatError> {
-    let asked_at = app.clock.now();
+    let sent_at = app.clock.now();
     let names = || [step].into_iter().chain(legacy_id);
     let guards = names().map(|name| Guard::Absent(keys::head(name)));
     if let TxnOutcome::At(rev) = write_step(app, step, guards.collect(), head, spec).await? {
-        return Ok(CreateOutcome::Open(Ownership { rev, asked_at }));
+        return Ok(CreateOutcome::Open(Ownership { rev, sent_at }));
     }
     for name in names() {
         match app.plat.get(&keys::head(name)).await {
@@ -198,10 +200,10 @@
     };
     let mut indeterminate = false;
     while app.clock.wall() < head.opened + app.settings.result_retention {
-        let asked_at = app.clock.now();
+        let sent_at = app.clock.now();
         match app.plat.txn(&txn).await {
             Ok(TxnOutcome::At(rev)) => {
-                return Ok(TakeOverOutcome::Open(Ownership { rev, asked_at }));
+                return Ok(TakeOverOutcome::Open(Ownership { rev, sent_at }));
             }
             Ok(TxnOutcome::Conflict) if !indeterminate => {
                 let ended = app.plat.get(&keys::end(step)).await?;
@@ -227,30 +229,30 @@
     log::warn!(target: "claim", id = step, why = why.as_str(); "unknown whether the step was taken over");
 }
 
-/// Reads whether a head whose write was not answered was written.
+/// Determines whether a head was written although its write was not acknowledged.
 async fn verify_take_over(
     app: &App,
     step: &str,
     own_head: &Head,
 ) -> Result<TakeOverOutcome, PlatError> {
-    let asked_at = app.clock.now();
+    let sent_at = app.clock.now();
     let item = app.plat.get(&keys::head(step)).await?;
     let item = item.filter(|item| decode_head(item).is_ok_and(|head| head == *own_head));
     Ok(match item {
-        Some(Item { rev, .. }) => TakeOverOutcome::Open(Ownership { rev, asked_at }),
+        Some(Item { rev, .. }) => TakeOverOutcome::Open(Ownership { rev, sent_at }),
         None => TakeOverOutcome::Rejected,
     })
 }
 
 /// Determines the state of a step for the instance that wrote its head at revision `rev`, from the head that was read
-/// at `asked_at`. The head of an ended step names the revision that was ended, so that an owner that was replaced
-/// before the end does not mistake it for the end of its own run.
+/// with a request sent at `sent_at`. The head of an ended step names the revision that was ended, so that an owner that
+/// was replaced before the end does not mistake it for the end of its own run.
 ///
 /// # Errors
 ///
 /// Returns [`PlatError::Garbled`] when the head cannot be decoded.
 pub fn ownership_state(
-    asked_at: Millis,
+    sent_at: Millis,
     rev: i64,
     item: Option<&Item>,
 ) -> Result<OwnershipState, PlatError> {
@@ -258,7 +260,7 @@
         return Ok(OwnershipState::Lost);
     };
     if item.rev == rev {
-        return Ok(OwnershipState::Open(Ownership { rev, asked_at }));
+        return Ok(OwnershipState::Open(Ownership { rev, sent_at }));
     }
     Ok(match decode_head(item)?.ended == Some(rev) {
         true => OwnershipState::Ended,
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -86,7 +86,7 @@
 
 impl Stream {
     /// Reserves a slot, where the stream may queue inside the upstream as calls do: if it used free slots only, it
-    /// would rarely get one beside calls that queue.
+    /// would rarely get one, because queued calls take them first.
     fn choose(&self) -> Option<UpstreamSlot> {
         let service = Config::pick_service(&self.route, rand::random())?;
         self.request.reserve_slot(service, &self.tried, true)
