--- a/crates/serve/src/cache.rs
+++ b/crates/serve/src/cache.rs
@@ -31,7 +31,7 @@
 /// Timeout for the start of the store's response and for each frame of its body.
 const STORE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes that are read from the disk at once.
+/// Bytes per read from the disk.
 const CHUNK_BYTES: usize = 256 << 10;
 
 /// Number of versions kept per model: the newest one, and the previous one for engines that have not
--- a/crates/serve/src/limits.rs
+++ b/crates/serve/src/limits.rs
@@ -95,7 +95,7 @@
     let contract = &active_contract.stored.contract;
     let customer = &contract.customer;
     let now = app.clock.now();
-    // Computed before the shard is locked, so that two locks are never active at once.
+    // Computed before the shard is locked, so that two locks are never held at the same time.
     let share = limit_share(app, customer, 0.0);
     app.limits.customers.with_shard(customer, |customers| {
         let entry = customers
--- a/crates/serve/src/server.rs
+++ b/crates/serve/src/server.rs
@@ -118,7 +118,7 @@
         completed
     }
 
-    /// Stops at once, as if the process had been killed.
+    /// Stops immediately, as if the process had been killed.
     pub fn kill(self) {
         self.server.abort();
         self.tasks.iter().for_each(JoinHandle::abort);
--- a/crates/serve/src/steps/active.rs
+++ b/crates/serve/src/steps/active.rs
@@ -185,7 +185,7 @@
         self.clock.now().saturating_sub(last_pull)
     }
 
-    /// Starts the step, with at most `width` samples in progress at once.
+    /// Starts the step, with at most `width` samples in progress at the same time.
     pub(super) fn start(self: &Arc<Self>, app: &Arc<App>, width: u32) {
         for _ in 0..width.min(self.total()) {
             let (app, step) = (app.clone(), self.clone());
--- a/crates/serve/tests/completions.rs
+++ b/crates/serve/tests/completions.rs
@@ -21,7 +21,7 @@
 /// Median length of an engine's answers in tokens.
 const MEDIAN_TOKENS: u32 = 60;
 
-fn make() -> RigConfig {
+fn rig_config() -> RigConfig {
     RigConfig {
         engine: engine::Settings {
             median: MEDIAN_TOKENS,
@@ -63,7 +63,7 @@
 )]
 fn answers_are_complete(fault: Fault) {
     tokio::runtime::Runtime::new().unwrap().block_on(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         set_fault(&rig, fault);
         let prompt = short_prompt();
 
@@ -102,7 +102,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_streamed_answer_is_complete_and_ends_with_done() {
-    let rig = Rig::start(&make()).await.unwrap();
+    let rig = Rig::start(&rig_config()).await.unwrap();
     let prompt = short_prompt();
 
     let answer = completion(&rig, &prompt, true).send().await.unwrap();
@@ -123,7 +123,7 @@
 // were passed on to the caller. The caller's stream must not end normally while the rest is missing.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_cannot_be_completed_fails() {
-    let rig = Rig::start(&make()).await.unwrap();
+    let rig = Rig::start(&rig_config()).await.unwrap();
     set_fault(
         &rig,
         Fault {
@@ -154,9 +154,9 @@
 // during a long stream, and the upstream request must be cancelled with it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disconnected_caller_releases_the_engine() {
-    let mut make = make();
-    make.engine.speed = 20.0;
-    let rig = Rig::start(&make).await.unwrap();
+    let mut config = rig_config();
+    config.engine.speed = 20.0;
+    let rig = Rig::start(&config).await.unwrap();
     let stream = completion(&rig, "a long case", true);
     let call = tokio::spawn(async move { stream.send().await });
     let app = rig.running().next().unwrap().app.clone();
@@ -198,9 +198,9 @@
 // seconds. It must wait for the stream before it closes connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_completes_a_running_stream() {
-    let mut make = make();
-    make.engine.speed = 80.0;
-    let mut rig = Rig::start(&make).await.unwrap();
+    let mut config = rig_config();
+    config.engine.speed = 80.0;
+    let mut rig = Rig::start(&config).await.unwrap();
     let stream = completion(&rig, &long_prompt(), true);
     let call = tokio::spawn(async move { stream.send().await });
     let entry = rig.entries[0].take().unwrap();
@@ -221,7 +221,7 @@
 // rejected at once instead of waiting for an engine to return.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_without_available_engines_is_rejected_at_once() {
-    let rig = Rig::start(&make()).await.unwrap();
+    let rig = Rig::start(&rig_config()).await.unwrap();
     set_fault(
         &rig,
         Fault {
@@ -236,9 +236,9 @@
     wait_until(|| app.dispatchers["fitting"].with_upstreams(|all| all.iter().all(is_leaving)))
         .await;
 
-    let asked = completion(&rig, "x", false);
-    let call = asked.send();
-    let answer = tokio::time::timeout(Duration::from_secs(5), call).await;
+    let call = completion(&rig, "x", false);
+    let response = call.send();
+    let answer = tokio::time::timeout(Duration::from_secs(5), response).await;
 
     let answer = answer.expect("rejected long before the deadline of 20 s");
     let answer = answer.unwrap();
--- a/crates/serve/tests/invalid_calls.rs
+++ b/crates/serve/tests/invalid_calls.rs
@@ -16,7 +16,7 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> RigConfig {
+fn rig_config() -> RigConfig {
     RigConfig {
         domains: vec!["nord"],
         engines: 1,
@@ -31,8 +31,8 @@
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
-fn call(to: SocketAddr, method: Method, path: &str, body: &str) -> Call {
-    Call::new(to, "aarhus", method, path).body(body.to_owned())
+fn call(addr: SocketAddr, method: Method, path: &str, body: &str) -> Call {
+    Call::new(addr, "aarhus", method, path).body(body.to_owned())
 }
 
 const OPEN_STEP: &str = r#"{"model":"fitting","groups":["a"],"samples":1,"version":1}"#;
@@ -64,10 +64,10 @@
 )]
 fn an_invalid_call_is_rejected_and_not_run(method: Method, path: &str, body: &str, expected: Type) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
-        let to = rig.addrs()[0];
+        let rig = Rig::start(&rig_config()).await.unwrap();
+        let addr = rig.addrs()[0];
 
-        let answer = call(to, method, path, body).send().await.unwrap();
+        let answer = call(addr, method, path, body).send().await.unwrap();
 
         let problem = answer.problem().unwrap();
         assert_eq!(
@@ -81,7 +81,7 @@
             Some("application/problem+json")
         );
         assert!(answer.header("x-request-id").is_some());
-        let after = Call::lookup(to, "aarhus").send().await.unwrap();
+        let after = Call::lookup(addr, "aarhus").send().await.unwrap();
         assert_eq!(after.status, StatusCode::OK);
     });
 }
@@ -93,7 +93,7 @@
 )]
 fn a_call_without_a_valid_token_is_rejected(header: Option<&str>) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let mut lookup = Call::lookup(rig.addrs()[0], "aarhus");
         lookup.headers.clear();
         if let Some(header) = header {
@@ -119,7 +119,7 @@
     expected: Type,
 ) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let order = Call::order(rig.addrs()[0], "aarhus", "k").header(name, value);
 
         let answer = set_body(order, "x".repeat(1_001)).send().await.unwrap();
@@ -134,8 +134,8 @@
 }
 
 /// Sends the start of a request and nothing more; returns the response.
-async fn send_partial(to: SocketAddr, text: &str) -> String {
-    let mut stream = TcpStream::connect(to).await.unwrap();
+async fn send_partial(addr: SocketAddr, text: &str) -> String {
+    let mut stream = TcpStream::connect(addr).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
@@ -156,14 +156,14 @@
 )]
 fn an_incomplete_request_times_out(text: &str, expected: &str) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
-        let to = rig.addrs()[0];
+        let rig = Rig::start(&rig_config()).await.unwrap();
+        let addr = rig.addrs()[0];
 
-        let answer = send_partial(to, text).await;
+        let answer = send_partial(addr, text).await;
 
         assert!(answer.contains(expected), "{answer}");
         assert!(rig.standins.executed_orders().is_empty());
-        let after = Call::lookup(to, "aarhus").send().await.unwrap();
+        let after = Call::lookup(addr, "aarhus").send().await.unwrap();
         assert_eq!(after.status, StatusCode::OK);
     });
 }
@@ -182,7 +182,7 @@
     expected: StatusCode,
 ) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let path = wire::peer::PING;
         let secret = wire::peer::Secret::new(rig::standins::PEER_SECRET);
         let valid = secret.sign(path, b"x");
@@ -206,18 +206,18 @@
 #[test]
 fn a_step_is_hidden_from_other_customers() {
     block(async {
-        let mut make = make();
-        make.contracts.push(contracts::text("other", ""));
-        let rig = Rig::start(&make).await.unwrap();
-        let to = rig.addrs()[0];
-        let opened = call(to, Method::POST, "/v1/steps", OPEN_STEP)
+        let mut config = rig_config();
+        config.contracts.push(contracts::text("other", ""));
+        let rig = Rig::start(&config).await.unwrap();
+        let addr = rig.addrs()[0];
+        let opened = call(addr, Method::POST, "/v1/steps", OPEN_STEP)
             .send()
             .await
             .unwrap();
         let opened: wire::caller::OpenedStep = opened.json().unwrap();
         let path = format!("/v1/steps/{}/pull", opened.step);
 
-        let pull = Call::new(to, "other", Method::POST, &path).body(r#"{"version":1}"#);
+        let pull = Call::new(addr, "other", Method::POST, &path).body(r#"{"version":1}"#);
         let answer = pull.send().await.unwrap();
 
         assert_eq!(answer.problem().unwrap().kind, Type::NotFound);
@@ -244,11 +244,11 @@
 #[test]
 fn a_call_with_an_earlier_attempt_is_not_rejected_as_not_run() {
     block(async {
-        let make = RigConfig {
+        let config = RigConfig {
             service_slots: 1,
-            ..make()
+            ..rig_config()
         };
-        let rig = Rig::start(&make).await.unwrap();
+        let rig = Rig::start(&config).await.unwrap();
         let service = &rig.standins.services[0];
         service.host.faults.change(|fault| {
             fault.mute = true;
--- a/crates/serve/tests/once.rs
+++ b/crates/serve/tests/once.rs
@@ -19,7 +19,7 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> RigConfig {
+fn rig_config() -> RigConfig {
     RigConfig {
         contracts: vec![contracts::text("aarhus", "deadline = 3s\n")],
         extra_settings: "[journal]\nshards = 2\n".into(),
@@ -28,7 +28,7 @@
 }
 
 async fn rig() -> Rig {
-    Rig::start(&make()).await.unwrap()
+    Rig::start(&rig_config()).await.unwrap()
 }
 
 fn down() -> Fault {
@@ -48,10 +48,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_key_runs_once_and_replays_its_response_on_any_instance() {
     let rig = rig().await;
-    let to = rig.addrs();
+    let addrs = rig.addrs();
 
-    let first = Call::order(to[0], "aarhus", "k").send().await.unwrap();
-    let again = Call::order(to[1], "aarhus", "k").send().await.unwrap();
+    let first = Call::order(addrs[0], "aarhus", "k").send().await.unwrap();
+    let again = Call::order(addrs[1], "aarhus", "k").send().await.unwrap();
 
     assert_eq!(first.status, StatusCode::CREATED);
     assert_eq!(again.status, StatusCode::CREATED);
@@ -62,13 +62,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn customers_do_not_share_keys() {
-    let mut make = make();
-    make.contracts.push(contracts::text("other", ""));
-    let rig = Rig::start(&make).await.unwrap();
-    let to = rig.addrs()[0];
+    let mut config = rig_config();
+    config.contracts.push(contracts::text("other", ""));
+    let rig = Rig::start(&config).await.unwrap();
+    let addr = rig.addrs()[0];
 
-    Call::order(to, "aarhus", "k").send().await.unwrap();
-    let other = Call::order(to, "other", "k").send().await.unwrap();
+    Call::order(addr, "aarhus", "k").send().await.unwrap();
+    let other = Call::order(addr, "other", "k").send().await.unwrap();
 
     assert_eq!(other.status, StatusCode::CREATED);
     assert_eq!(rig.standins.executed_orders(), ["k", "k"]);
@@ -77,10 +77,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_of_another_request_is_refused() {
     let rig = rig().await;
-    let to = rig.addrs()[0];
-    Call::order(to, "aarhus", "k").send().await.unwrap();
+    let addr = rig.addrs()[0];
+    Call::order(addr, "aarhus", "k").send().await.unwrap();
 
-    let other = Call::order(to, "aarhus", "k")
+    let other = Call::order(addr, "aarhus", "k")
         .body("cap")
         .send()
         .await
@@ -114,12 +114,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_calls_with_one_key_at_two_instances_run_once() {
     let rig = rig().await;
-    let to = rig.addrs();
+    let addrs = rig.addrs();
 
-    for turn in 0..10 {
-        let key = format!("k{turn}");
+    for round in 0..10 {
+        let key = format!("k{round}");
         let calls: Vec<_> = (0..6)
-            .map(|index| Call::order(to[index % 2], "aarhus", &key))
+            .map(|index| Call::order(addrs[index % 2], "aarhus", &key))
             .map(|order| tokio::spawn(async move { order.send().await.unwrap() }))
             .collect();
         let mut created = 0;
@@ -136,17 +136,17 @@
     assert_eq!(rig.standins.executed_orders().len(), 10);
 }
 
-// Guards against an order that runs although its caller was told that it did not, and against calls
-// that hang. This happens if an order runs without a stored intent while the platform is
-// unavailable.
+// Guards against an order that runs although its caller received a response that says it did not,
+// and against calls that hang. This happens if an order runs without a stored intent while the
+// platform is unavailable.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_platform_orders_are_refused_as_not_run_and_lookups_succeed() {
     let rig = rig().await;
-    let to = rig.addrs()[0];
+    let addr = rig.addrs()[0];
     rig.standins.platform.host.faults.set(down());
 
-    let order = Call::order(to, "aarhus", "k").send().await.unwrap();
-    let lookup = Call::lookup(to, "aarhus").send().await.unwrap();
+    let order = Call::order(addr, "aarhus", "k").send().await.unwrap();
+    let lookup = Call::lookup(addr, "aarhus").send().await.unwrap();
     rig.standins.platform.host.faults.set(Fault::default());
     let again = until_created(&rig, "k").await;
 
@@ -178,17 +178,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_platform_responses_cause_no_duplicate_run() {
     let rig = rig().await;
-    let to = rig.addrs();
+    let addrs = rig.addrs();
     let mut refused = Vec::new();
-    for turn in 0..12 {
-        let fault = if turn % 3 == 0 {
+    for index in 0..12 {
+        let fault = if index % 3 == 0 {
             mute()
         } else {
             Fault::default()
         };
         rig.standins.platform.host.faults.set(fault);
-        let key = format!("k{turn}");
-        let answer = Call::order(to[turn % 2], "aarhus", &key)
+        let key = format!("k{index}");
+        let answer = Call::order(addrs[index % 2], "aarhus", &key)
             .send()
             .await
             .unwrap();
@@ -201,14 +201,14 @@
     }
     rig.standins.platform.host.faults.set(Fault::default());
 
-    let ran = rig.standins.executed_orders();
+    let executed = rig.standins.executed_orders();
     assert_eq!(rig.standins.repeated_orders(), Vec::<String>::new());
     assert!(
-        refused.iter().all(|key| !ran.contains(key)),
-        "{refused:?} {ran:?}"
+        refused.iter().all(|key| !executed.contains(key)),
+        "{refused:?} {executed:?}"
     );
-    // About every fourth order was sent during the fault. The others succeeded, or were refused
-    // without being run.
+    // Every third order was sent during the fault. The others succeeded, or were refused without
+    // being run.
     for key in &refused {
         assert!(until_created(&rig, key).await, "{key} cannot be used again");
     }
@@ -221,20 +221,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_whose_intent_a_peer_may_have_written_can_be_used_again() {
     let rig = rig().await;
-    let to = rig.addrs();
-    // Load both shards, so that the next claims are written at once.
-    for turn in 0..8 {
-        let key = format!("warm{turn}");
-        Call::order(to[0], "aarhus", &key).send().await.unwrap();
+    let addrs = rig.addrs();
+    // Load both shards, so that the next claims are written without loading a shard first.
+    for index in 0..8 {
+        let key = format!("warm{index}");
+        Call::order(addrs[0], "aarhus", &key).send().await.unwrap();
     }
     rig.standins.platform.host.faults.set(mute());
-    let keys: Vec<_> = (0..16).map(|turn| format!("k{turn}")).collect();
-    let asked = keys.iter().zip(to.iter().cycle());
-    let asked = asked.map(|(key, to)| async {
-        let order = Call::order(*to, "aarhus", key);
+    let keys: Vec<_> = (0..16).map(|index| format!("k{index}")).collect();
+    let orders = keys.iter().zip(addrs.iter().cycle());
+    let orders = orders.map(|(key, addr)| async {
+        let order = Call::order(*addr, "aarhus", key);
         order.send().await.unwrap().problem().unwrap().ran
     });
-    let ran = futures_util::future::join_all(asked).await;
+    let ran = futures_util::future::join_all(orders).await;
     rig.standins.platform.host.faults.set(Fault::default());
 
     assert_eq!(ran, [Ran::No; 16]);
@@ -249,18 +249,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_whose_response_is_lost_stays_in_doubt() {
     let rig = rig().await;
-    let to = rig.addrs();
+    let addrs = rig.addrs();
     rig.standins
         .services
         .iter()
         .for_each(|s| s.host.faults.set(mute()));
 
-    let lost = Call::order(to[0], "aarhus", "k").send().await.unwrap();
+    let lost = Call::order(addrs[0], "aarhus", "k").send().await.unwrap();
     rig.standins
         .services
         .iter()
         .for_each(|s| s.host.faults.set(Fault::default()));
-    let again = Call::order(to[1], "aarhus", "k").send().await.unwrap();
+    let again = Call::order(addrs[1], "aarhus", "k").send().await.unwrap();
 
     let problem = lost.problem().unwrap();
     assert_eq!((problem.kind, problem.ran), (Type::Upstream, Ran::Unknown));
@@ -277,12 +277,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_could_not_connect_may_be_sent_again() {
     let rig = rig().await;
-    let to = rig.addrs()[0];
+    let addr = rig.addrs()[0];
     rig.standins.services.iter().for_each(|s| s.host.stop());
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
 
-    let first = Call::order(to, "aarhus", "k").send().await.unwrap();
-    let second = Call::order(to, "aarhus", "k").send().await.unwrap();
+    let first = Call::order(addr, "aarhus", "k").send().await.unwrap();
+    let second = Call::order(addr, "aarhus", "k").send().await.unwrap();
 
     for answer in [first, second] {
         let problem = answer.problem().unwrap_or_else(|| panic!("{answer:?}"));
@@ -335,10 +335,10 @@
 async fn orders_succeed_without_the_writer() {
     let mut rig = rig().await;
     rig.kill(1);
-    let to = rig.addrs()[0];
+    let addr = rig.addrs()[0];
 
-    for turn in 0..8 {
-        let answer = Call::order(to, "aarhus", &format!("k{turn}"))
+    for index in 0..8 {
+        let answer = Call::order(addr, "aarhus", &format!("k{index}"))
             .send()
             .await
             .unwrap();
--- a/crates/serve/tests/quarantine.rs
+++ b/crates/serve/tests/quarantine.rs
@@ -29,16 +29,16 @@
 }
 
 /// Starts two failure domains with two entries each, and upstreams that crash on a body that contains
-/// [`FATAL`].
+/// [`FATAL_MARKER`].
 async fn start_rig(more: &str) -> Rig {
-    let make = RigConfig {
+    let config = RigConfig {
         entries: 2,
         engines: 4,
         services: 4,
         contracts: vec![contracts::text("aarhus", more)],
         ..RigConfig::default()
     };
-    let rig = Rig::start(&make).await.unwrap();
+    let rig = Rig::start(&config).await.unwrap();
     for faults in services(&rig).chain(engines(&rig)) {
         faults.change(|fault| fault.fatal = true);
     }
--- a/crates/serve/tests/replication.rs
+++ b/crates/serve/tests/replication.rs
@@ -16,7 +16,7 @@
 use wire::problem::Type;
 use yare::parameterized;
 
-fn make() -> RigConfig {
+fn rig_config() -> RigConfig {
     RigConfig {
         entries: 2,
         engines: 0,
@@ -56,7 +56,7 @@
 #[test]
 fn a_change_reaches_every_entry() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
 
         let rev = apply(&rig, "rate = 7\n").await;
         rig.wait_for_revision(rev).await.unwrap();
@@ -81,7 +81,7 @@
 #[test]
 fn a_restarted_entry_gets_contracts_from_its_peers() {
     block(async {
-        let mut rig = Rig::start(&make()).await.unwrap();
+        let mut rig = Rig::start(&rig_config()).await.unwrap();
         let rev = apply(&rig, "rate = 7\n").await;
         rig.wait_for_revision(rev).await.unwrap();
         rig.standins.platform.host.faults.set(platform_down());
@@ -107,13 +107,13 @@
 #[test]
 fn an_entry_without_contracts_is_not_ready() {
     block(async {
-        let make = RigConfig {
+        let config = RigConfig {
             domains: vec!["nord"],
             entries: 1,
             contracts: Vec::new(),
-            ..make()
+            ..rig_config()
         };
-        let mut rig = Rig::start(&make).await.unwrap();
+        let mut rig = Rig::start(&config).await.unwrap();
         rig.kill(0);
         rig.standins.platform.host.faults.set(platform_down());
 
@@ -144,7 +144,7 @@
 )]
 fn changes_after_an_outage_are_found(compacted: bool) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         rig.standins.platform.host.faults.set(platform_down());
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         rig.standins.platform.host.faults.set(Fault::default());
@@ -163,7 +163,7 @@
 #[test]
 fn a_silent_watch_does_not_leave_contracts_unconfirmed() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         rig.standins
             .platform
             .host
@@ -189,7 +189,7 @@
 #[test]
 fn a_replaced_token_is_rejected() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let mut contract = contract("");
         contract.token_digest = contract::TokenDigest::of("token-new");
         let applied = rig.contracts().apply("op", None, contract).await.unwrap();
@@ -213,7 +213,7 @@
 #[test]
 fn the_second_of_two_conflicting_changes_is_rejected() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let contracts = rig.contracts();
         let customer = "aarhus".parse().unwrap();
         let base = contracts.show(&customer).await.unwrap().unwrap().rev;
@@ -248,7 +248,7 @@
 #[test]
 fn only_one_of_concurrent_changes_is_applied() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let contracts = rig.contracts();
         let customer = "aarhus".parse().unwrap();
         let base = contracts.show(&customer).await.unwrap().unwrap().rev;
@@ -271,11 +271,11 @@
 }
 
 // Guards against a change that is reported as failed although it is in force: the platform applies the write,
-// and its response is lost. The tool must read the result back.
+// and its response is lost. `apply` must then read the contract to determine the outcome.
 #[test]
 fn a_change_with_a_lost_response_is_resolved() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let contracts = rig.contracts();
         let customer = "aarhus".parse().unwrap();
         let faults = rig.standins.platform.host.faults.clone();
@@ -287,9 +287,9 @@
             .await
             .unwrap();
 
-        let held = contracts.show(&customer).await.unwrap().unwrap();
-        assert!(held.rev > before);
-        assert_eq!(applied, ApplyOutcome::InForce(held.rev));
+        let stored = contracts.show(&customer).await.unwrap().unwrap();
+        assert!(stored.rev > before);
+        assert_eq!(applied, ApplyOutcome::InForce(stored.rev));
         assert_eq!(contracts.audit(Some(&customer)).await.unwrap().len(), 2);
     });
 }
@@ -297,7 +297,7 @@
 #[test]
 fn a_change_that_cannot_be_resolved_is_reported_as_unknown() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let contracts = rig.contracts();
         let faults = rig.standins.platform.host.faults.clone();
         faults.change(|fault| fault.mute_writes = u32::MAX);
@@ -312,7 +312,7 @@
         };
         let (applied, ()) = tokio::join!(applied, outage);
 
-        // The tool may have read the result back before the platform went down.
+        // `apply` may have read the contract back before the platform went down.
         let change = match applied.unwrap() {
             ApplyOutcome::Indeterminate { change } => change,
             ApplyOutcome::InForce(_) => return,
@@ -327,7 +327,7 @@
 #[test]
 fn two_customers_cannot_share_a_token() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let mut contract = contract("");
         contract.customer = "other".parse().unwrap();
 
@@ -350,7 +350,7 @@
 )]
 fn a_leaving_upstream_gets_no_new_calls_after_seconds(listed: bool) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let leaving = &rig.standins.services[0];
         if listed {
             let plat = plat::Client::new(vec![rig.standins.platform.host.addr]);
--- a/crates/serve/tests/step_end.rs
+++ b/crates/serve/tests/step_end.rs
@@ -40,7 +40,7 @@
 const SLOW_MS: u64 = 400;
 
 /// Samples take half a minute each, and there are more than the engines have slots.
-fn make() -> RigConfig {
+fn rig_config() -> RigConfig {
     RigConfig {
         engine: engine::Settings {
             speed: 10.0,
@@ -59,32 +59,35 @@
     tokio::runtime::Runtime::new().unwrap().block_on(future)
 }
 
-async fn open(to: SocketAddr) -> String {
+async fn open(addr: SocketAddr) -> String {
     let prompts: Vec<_> = (0..8).map(|g| format!("case {g}")).collect();
     let open = json!({
         "model": "fitting", "groups": prompts, "samples": 2, "max_tokens": 300, "version": 1
     });
-    let answer = Call::json(to, "staff", "/v1/steps", &open).send().await;
+    let answer = Call::json(addr, "staff", "/v1/steps", &open).send().await;
     let opened: OpenedStep = answer.unwrap().json().unwrap();
     opened.step
 }
 
-async fn end(to: SocketAddr, step: &str) -> StatusCode {
+async fn end(addr: SocketAddr, step: &str) -> StatusCode {
     let path = format!("/v1/steps/{step}");
-    let asked = Call::new(to, "staff", Method::DELETE, &path);
-    asked.send().await.unwrap().status
+    let request = Call::new(addr, "staff", Method::DELETE, &path);
+    request.send().await.unwrap().status
 }
 
 /// Ends a step, with retries until the end is acknowledged.
-async fn end_until_acknowledged(to: SocketAddr, step: &str) {
-    until(async || end(to, step).await == StatusCode::NO_CONTENT).await;
+async fn end_until_acknowledged(addr: SocketAddr, step: &str) {
+    until(async || end(addr, step).await == StatusCode::NO_CONTENT).await;
 }
 
 /// Pulls with an empty cursor. Returns the type of the refusal, if any.
-async fn pull(to: SocketAddr, step: &str) -> Option<Type> {
+async fn pull(addr: SocketAddr, step: &str) -> Option<Type> {
     let path = format!("/v1/steps/{step}/pull");
     let pull = json!({ "version": 1, "cursor": "", "limit": 8, "wait_ms": 100 });
-    let answer = Call::json(to, "staff", &path, &pull).send().await.unwrap();
+    let answer = Call::json(addr, "staff", &path, &pull)
+        .send()
+        .await
+        .unwrap();
     match answer.status {
         StatusCode::OK => None,
         _ => answer.problem().map(|problem| problem.kind),
@@ -153,7 +156,7 @@
 }
 
 /// Starts a TCP proxy to an address. Aborting its task closes all its connections.
-async fn start_proxy(to: SocketAddr) -> (SocketAddr, JoinHandle<()>) {
+async fn start_proxy(server_addr: SocketAddr) -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let task = tokio::spawn(async move {
@@ -161,7 +164,7 @@
         let mut connections = JoinSet::new();
         while let Ok((mut client, _)) = listener.accept().await {
             connections.spawn(async move {
-                let mut server = TcpStream::connect(to).await.unwrap();
+                let mut server = TcpStream::connect(server_addr).await.unwrap();
                 let _ = copy_bidirectional(&mut client, &mut server).await;
             });
         }
@@ -173,7 +176,7 @@
 #[test]
 fn running_and_waiting_samples_stop_at_the_end() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let step = open(rig.addrs()[0]).await;
         until_running(&rig).await;
 
@@ -187,16 +190,16 @@
 #[test]
 fn no_score_is_requested_after_the_end() {
     block(async {
-        let mut make = make();
-        make.engine.speed = 10_000.0;
-        make.engine.slots = 16;
-        make.domains = vec!["nord"];
-        make.services = 1;
-        make.service_slots = 1;
-        make.service_time = Duration::from_millis(1_200);
+        let mut config = rig_config();
+        config.engine.speed = 10_000.0;
+        config.engine.slots = 16;
+        config.domains = vec!["nord"];
+        config.services = 1;
+        config.service_slots = 1;
+        config.service_time = Duration::from_millis(1_200);
         let more = "staleness = 1\nscorer = portal\nunscored = wait\n";
-        make.contracts = vec![contracts::text("staff", more)];
-        let rig = Rig::start(&make).await.unwrap();
+        config.contracts = vec![contracts::text("staff", more)];
+        let rig = Rig::start(&config).await.unwrap();
         let scored = || rig.standins.services[0].state.served();
         let step = open(rig.addrs()[0]).await;
         until(async || scored() > 0).await;
@@ -215,7 +218,7 @@
 #[test]
 fn an_acknowledged_end_is_durable_after_a_platform_outage() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let step = open(rig.addrs()[0]).await;
         until_running(&rig).await;
         platform(&rig, |fault| fault.down = true);
@@ -225,8 +228,8 @@
             end_until_acknowledged(rig.addrs()[0], &step).await;
         }
 
-        for to in rig.addrs() {
-            assert_eq!(pull(to, &step).await, Some(Type::NotFound));
+        for addr in rig.addrs() {
+            assert_eq!(pull(addr, &step).await, Some(Type::NotFound));
         }
 
         assert_eq!(late_tokens(&rig).await, 0);
@@ -237,7 +240,7 @@
 #[test]
 fn a_save_after_the_end_does_not_reopen_a_step() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         platform(&rig, |fault| fault.down = true);
         let step = open(rig.addrs()[0]).await;
         platform(&rig, |fault| {
@@ -258,8 +261,8 @@
         end_until_acknowledged(rig.addrs()[0], &step).await;
         tokio::time::sleep(STOP_TIMEOUT).await;
 
-        for to in rig.addrs() {
-            assert_eq!(pull(to, &step).await, Some(Type::NotFound));
+        for addr in rig.addrs() {
+            assert_eq!(pull(addr, &step).await, Some(Type::NotFound));
         }
         assert_eq!(late_tokens(&rig).await, 0);
     });
@@ -273,7 +276,7 @@
 )]
 fn an_end_reaches_an_instance_that_cannot_be_notified(delay: u64) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let other = start_isolated(&rig).await;
         let step = open(rig.addrs()[0]).await;
         until_running(&rig).await;
@@ -282,8 +285,8 @@
         end_until_acknowledged(other.addr, &step).await;
 
         assert_eq!(late_tokens(&rig).await, 0);
-        for to in rig.addrs() {
-            assert_eq!(pull(to, &step).await, Some(Type::NotFound));
+        for addr in rig.addrs() {
+            assert_eq!(pull(addr, &step).await, Some(Type::NotFound));
         }
     });
 }
@@ -293,7 +296,7 @@
 #[test]
 fn an_end_reaches_an_instance_through_its_peers() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let other = start_isolated(&rig).await;
         let (addr, task) = start_proxy(rig.standins.platform.host.addr).await;
         let home = start_behind(&rig, addr).await;
@@ -311,19 +314,19 @@
 #[test]
 fn a_takeover_concurrent_with_the_end_stops() {
     block(async {
-        let mut rig = Rig::start(&make()).await.unwrap();
+        let mut rig = Rig::start(&rig_config()).await.unwrap();
         let step = open(rig.addrs()[0]).await;
         rig.kill(0);
-        let to = rig.addrs()[0];
+        let addr = rig.addrs()[0];
         until(async || rig.running().all(|e| e.app.view.lock().live().count() == 1)).await;
         platform(&rig, |fault| fault.delay = SLOW_MS);
 
-        let (pulled, ended) = tokio::join!(pull(to, &step), end(to, &step));
+        let (pulled, ended) = tokio::join!(pull(addr, &step), end(addr, &step));
         platform(&rig, |fault| fault.delay = 0);
 
         assert_eq!(ended, StatusCode::NO_CONTENT, "{pulled:?}");
         assert_eq!(late_tokens(&rig).await, 0);
-        assert_eq!(pull(to, &step).await, Some(Type::NotFound));
+        assert_eq!(pull(addr, &step).await, Some(Type::NotFound));
     });
 }
 
@@ -331,12 +334,12 @@
 #[test]
 fn a_repeated_end_is_acknowledged_again() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let step = open(rig.addrs()[0]).await;
         end_until_acknowledged(rig.addrs()[0], &step).await;
 
-        for to in rig.addrs() {
-            assert_eq!(end(to, &step).await, StatusCode::NO_CONTENT);
+        for addr in rig.addrs() {
+            assert_eq!(end(addr, &step).await, StatusCode::NO_CONTENT);
         }
     });
 }
@@ -351,11 +354,11 @@
 )]
 fn samples_are_started_while_the_platform_is_unavailable(fault: Fault) {
     block(async {
-        let mut make = make();
+        let mut config = rig_config();
         // A sample takes two seconds, so samples that were started on an earlier reply finish within
         // twice the bound.
-        make.engine.speed = 150.0;
-        let rig = Rig::start(&make).await.unwrap();
+        config.engine.speed = 150.0;
+        let rig = Rig::start(&config).await.unwrap();
         open(rig.addrs()[0]).await;
         until_running(&rig).await;
 
@@ -370,14 +373,16 @@
 #[test]
 fn only_its_customer_ends_a_step() {
     block(async {
-        let mut make = make();
-        make.contracts.push(contracts::text("cutters", ""));
-        let rig = Rig::start(&make).await.unwrap();
+        let mut config = rig_config();
+        config.contracts.push(contracts::text("cutters", ""));
+        let rig = Rig::start(&config).await.unwrap();
         let step = open(rig.addrs()[0]).await;
         let path = format!("/v1/steps/{step}");
 
-        for to in rig.addrs() {
-            let foreign = Call::new(to, "cutters", Method::DELETE, &path).send().await;
+        for addr in rig.addrs() {
+            let foreign = Call::new(addr, "cutters", Method::DELETE, &path)
+                .send()
+                .await;
             assert_eq!(foreign.unwrap().status, StatusCode::NOT_FOUND);
         }
 
@@ -390,7 +395,7 @@
 #[test]
 fn an_open_step_costs_two_reads_a_second_at_most() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let reads = || {
             let used = |entry: &RunningInstance| entry.app.plat.budget().used(CallKind::Read);
             rig.running().map(used).sum::<u64>()
@@ -404,7 +409,10 @@
 
         tokio::time::sleep(OBSERVATION).await;
 
-        let asked = (reads() - before).saturating_sub(idle);
-        assert!((1..=6).contains(&asked), "{asked} reads in {OBSERVATION:?}");
+        let read_count = (reads() - before).saturating_sub(idle);
+        assert!(
+            (1..=6).contains(&read_count),
+            "{read_count} reads in {OBSERVATION:?}"
+        );
     });
 }
--- a/crates/serve/tests/steps.rs
+++ b/crates/serve/tests/steps.rs
@@ -27,7 +27,7 @@
 /// Maximum length of a sample, in tokens.
 const MAX_TOKENS: u32 = 300;
 
-fn make() -> RigConfig {
+fn rig_config() -> RigConfig {
     RigConfig {
         engine: engine::Settings {
             median: MEDIAN_TOKENS,
@@ -164,7 +164,7 @@
 )]
 fn a_step_is_completed(fault: Fault) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         rig.standins.engines[0].host.faults.set(fault);
         let mut trainer = Trainer::open(&rig, 8, 4).await;
 
@@ -179,7 +179,7 @@
 #[test]
 fn a_killed_entry_loses_and_duplicates_no_sample() {
     block(async {
-        let mut rig = Rig::start(&make()).await.unwrap();
+        let mut rig = Rig::start(&rig_config()).await.unwrap();
         let mut trainer = Trainer::open(&rig, 8, 4).await;
         while trainer.received.len() < 5 {
             trainer.pull(5).await;
@@ -201,7 +201,7 @@
 #[test]
 fn a_lost_batch_is_delivered_again() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         for _ in 0..6 {
             let _lost = trainer.pull_request(3).send().await.unwrap();
@@ -223,7 +223,7 @@
 )]
 fn a_step_continues_without_the_platform(before: bool) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let down = Fault {
             down: true,
             ..Fault::default()
@@ -247,7 +247,7 @@
 #[test]
 fn a_trainer_returns_from_its_checkpoint() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         trainer.pull(4).await;
         let (cursor, received) = (trainer.cursor.clone(), trainer.received.clone());
@@ -266,9 +266,9 @@
 #[test]
 fn samples_that_became_too_stale_are_generated_again() {
     block(async {
-        let mut make = make();
-        make.with_control = true;
-        let rig = Rig::start(&make).await.unwrap();
+        let mut config = rig_config();
+        config.with_control = true;
+        let rig = Rig::start(&config).await.unwrap();
         let mut trainer = Trainer::open(&rig, 4, 4).await;
         let path = "/v1/weights/fitting";
         let state = async || {
@@ -302,7 +302,7 @@
 #[test]
 fn an_ended_step_is_not_found_at_any_entry() {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let trainer = Trainer::open(&rig, 2, 2).await;
         let path = format!("/v1/steps/{}", trainer.step);
 
@@ -328,7 +328,7 @@
 )]
 fn a_foreign_cursor_is_refused(cursor: &str) {
     block(async {
-        let rig = Rig::start(&make()).await.unwrap();
+        let rig = Rig::start(&rig_config()).await.unwrap();
         let mut trainer = Trainer::open(&rig, 2, 2).await;
         trainer.cursor = cursor.into();
 
@@ -343,9 +343,9 @@
 #[test]
 fn a_large_step_is_taken_over() {
     block(async {
-        let mut make = make();
-        make.extra_settings = "[limits]\nbody = 8000000\n".into();
-        let mut rig = Rig::start(&make).await.unwrap();
+        let mut config = rig_config();
+        config.extra_settings = "[limits]\nbody = 8000000\n".into();
+        let mut rig = Rig::start(&config).await.unwrap();
         let prompts: Vec<_> = (0..4)
             .map(|g| format!("{g}{}", "x".repeat(400_000)))
             .collect();
@@ -382,7 +382,7 @@
     RigConfig {
         services: 1,
         contracts: vec![contracts::text("staff", &more)],
-        ..make()
+        ..rig_config()
     }
 }
 
