--- a/crates/sim/src/handlers.rs
+++ b/crates/sim/src/handlers.rs
@@ -22,13 +22,14 @@
 /// Time that an instance takes to join after its start, in milliseconds; its first read of the members follows.
 const JOIN_DELAY_MS: u64 = 30;
 
-/// Most reads of the members after a start; they stop once an update has brought the members.
+/// Maximum number of reads of the members after a start. Reading stops once an update has delivered the members.
 const MAX_STARTUP_READS: u32 = 5;
 
-/// Bytes of a member's entry on the platform's link.
+/// Size of a member's entry on the platform's link, in bytes.
 const MEMBER_BYTES: u64 = 200;
 
-/// Returns the time from a start to read `number` of the members, in milliseconds: the pause doubles with each read.
+/// Returns the delay from a start until the read of the members with this number, in milliseconds. The pause between
+/// reads doubles with each read.
 fn member_read_delay(number: u32) -> u64 {
     JOIN_DELAY_MS + timing::FIRST_MEMBER_POLL * ((1 << number) - 1)
 }
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Sends `bytes` over the platform's link and returns when they have arrived, in microseconds.
+    /// Sends `bytes` over the platform's link and returns the time at which the last of them is sent, in microseconds.
     fn transfer(&mut self, bytes: u64) -> u64 {
         self.counts.link_bytes += bytes;
         self.link_free = self.link_free.max(self.now) + bytes * 1_000 / self.params.platform_rate;
@@ -250,7 +251,7 @@
             self.queue.add(next, index, EventKind::BeginRound);
             return;
         }
-        let known = self.nodes[index].replica.len();
+        let replica_entries = self.nodes[index].replica.len();
         let pages = self
             .upstreams
             .read()
@@ -258,7 +259,7 @@
             .len()
             .div_ceil(self.params.page_size);
         // Without any entries the key ranges are unknown, so the pages are read one after the other.
-        let rounds = if known == 0 {
+        let rounds = if replica_entries == 0 {
             pages
         } else {
             pages.div_ceil(paged_list::MAX_CONCURRENT_READS)
--- a/crates/sim/src/model.rs
+++ b/crates/sim/src/model.rs
@@ -21,10 +21,10 @@
     pub upstreams: usize,
 }
 
-/// Large instances of each failure domain: those with more CPU and a wide link.
+/// Number of large instances, with more CPU and a faster link, per failure domain.
 const LARGE_PER_DOMAIN: usize = 10;
 
-/// Bytes of an upstream's value in the platform's list.
+/// Size of an upstream's value in the platform's list, in bytes.
 const UPSTREAM_VALUE_BYTES: usize = 220;
 
 /// Latencies, link rates and processing costs of the model.
@@ -34,12 +34,12 @@
     pub hop: u64,
     /// Time in which the platform serves one call, in microseconds.
     pub platform_latency: u64,
-    /// Rate of the platform's link, in bytes a millisecond.
+    /// Rate of the platform's link, in bytes per millisecond.
     pub platform_rate: u64,
-    /// Rate of a large instance's link, in bytes a millisecond.
-    pub wide_rate: u64,
-    /// Rate of any other instance's link, in bytes a millisecond.
-    pub narrow_rate: u64,
+    /// Rate of a large instance's link, in bytes per millisecond.
+    pub large_rate: u64,
+    /// Rate of any other instance's link, in bytes per millisecond.
+    pub small_rate: u64,
     /// Time in which a small instance applies one entry, in microseconds.
     pub entry_cost: u64,
     /// Entries of a page.
@@ -52,8 +52,8 @@
             hop: 500,
             platform_latency: 4 * MICROS_PER_MS,
             platform_rate: 125_000,
-            wide_rate: 25_000,
-            narrow_rate: 7_500,
+            large_rate: 25_000,
+            small_rate: 7_500,
             entry_cost: 100,
             page_size: 200,
         }
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -14,42 +14,42 @@
 use crate::event::Poll;
 use crate::model::ModelParams;
 
-/// Bytes of a message without its payload.
+/// Size of a message without its payload, in bytes.
 const MESSAGE_OVERHEAD_BYTES: u64 = 300;
 
-/// Bytes of a member in a message.
+/// Size of a member in a message, in bytes.
 const MEMBER_BYTES: u64 = 60;
 
 /// A simulated instance: the product's replica and follower, with a modeled link and CPU.
 #[derive(Debug)]
 pub struct Node {
-    /// Its entry in the membership.
+    /// Entry of this instance in the membership.
     pub member: Member,
-    /// Whether it runs.
+    /// Whether the instance runs.
     pub alive: bool,
     /// Whether the platform answers its reads.
     pub served: bool,
-    /// Its replica of the platform's list.
+    /// Replica of the platform's list.
     pub replica: Replica,
-    /// Chooses which instance it polls, and when it reads the platform.
+    /// Chooses which instance to poll, and when to read the platform.
     pub follower: Follower,
-    /// The members that it knows.
+    /// The members known to this instance.
     pub members: Arc<[Member]>,
-    /// Its position in the tree of those members.
+    /// Position of this instance in the tree of those members.
     pub position: TreePosition,
-    /// Polls that it holds until it has an update for them.
+    /// Polls from other instances, held until there is an update to answer them with.
     pub pending: Vec<Poll>,
-    /// Number of its latest poll; a higher number makes a late reply to an earlier poll invalid.
+    /// Number of the latest poll; a higher number makes a late reply to an earlier poll invalid.
     pub last_poll: u64,
-    /// Start of its current round, in microseconds.
+    /// Start of the current round, in microseconds.
     pub round_start: u64,
-    /// Time at which its link has sent everything queued, in microseconds.
+    /// Time at which the link has sent everything queued, in microseconds.
     pub link_free: u64,
-    /// Time at which its CPU has processed everything queued, in microseconds.
+    /// Time at which the CPU has processed everything queued, in microseconds.
     pub cpu_free: u64,
-    /// Bytes that it has sent.
+    /// Number of bytes sent.
     pub sent: u64,
-    /// Messages that it has sent.
+    /// Number of messages sent.
     pub messages: u64,
 }
 
@@ -74,19 +74,19 @@
         }
     }
 
-    /// Sets all members and computes its position among them.
+    /// Sets the full list of members and computes the position of this instance in their tree.
     pub fn set_members(&mut self, members: Arc<[Member]>) {
         self.position = tree::position(&members, &self.member.owner.instance, &self.member.domain);
         self.members = members;
     }
 
-    /// Sets the members of a partial read and computes a provisional position among them.
+    /// Sets the members of a partial read and computes a provisional position of this instance in their tree.
     pub fn set_partial_members(&mut self, members: Arc<[Member]>) {
         self.position = tree::partial_position(&members, &self.member);
         self.members = members;
     }
 
-    /// Returns the input of the follower's decisions.
+    /// Returns the state from which the follower decides which instance to poll and when to read the platform.
     pub fn view(&self, random_value: u64) -> View {
         View {
             me: self.member.owner.instance.clone(),
@@ -98,17 +98,18 @@
         }
     }
 
-    /// Returns whether it is a large instance, with more CPU and a wide link.
+    /// Returns whether this is a large instance: one with at least half a CPU core, and a faster link.
     fn is_large(&self) -> bool {
         self.member.centicores >= 50
     }
 
-    /// Sends a message with `bytes` of payload and returns when it has left, in microseconds.
+    /// Sends a message with `bytes` of payload and returns the time at which its last byte is sent, in
+    /// microseconds.
     pub fn send(&mut self, params: &ModelParams, now: u64, bytes: u64) -> u64 {
         let rate = if self.is_large() {
-            params.wide_rate
+            params.large_rate
         } else {
-            params.narrow_rate
+            params.small_rate
         };
         let bytes = bytes + MESSAGE_OVERHEAD_BYTES;
         self.link_free = self.link_free.max(now) + bytes * 1_000 / rate;
@@ -117,7 +118,7 @@
         self.link_free
     }
 
-    /// Applies `entries` that arrive at `now`, in microseconds, and returns when that is done.
+    /// Applies a number of entries that arrive at `now` and returns the time at which that is done, both in microseconds.
     pub fn process(&mut self, params: &ModelParams, now: u64, entries: usize) -> u64 {
         let entry_cost = match self.is_large() {
             true => params.entry_cost / 4,
@@ -128,7 +129,7 @@
     }
 }
 
-/// Returns the bytes of an update in a message.
+/// Returns the size of an update in a message, in bytes.
 pub fn update_bytes(update: &Update) -> u64 {
     let items = update.items.iter();
     let items: usize = items
--- a/crates/sim/src/simulation.rs
+++ b/crates/sim/src/simulation.rs
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns the index of the first instance alive, the one that reads the platform for the others.
+    /// Returns the index of the first live instance, which reads the platform for the others.
     pub fn reader(&self) -> usize {
         let alive = self.nodes.iter().position(|node| node.alive);
         alive.unwrap_or_default()
--- a/crates/sim/tests/convergence.rs
+++ b/crates/sim/tests/convergence.rs
@@ -20,10 +20,10 @@
 /// Time after which a call of the platform times out, in milliseconds.
 const PLATFORM_TIMEOUT_MS: u64 = 1_000;
 
-/// Bytes of an upstream's entry on the platform's link.
+/// Size of an upstream's entry on the platform's link, in bytes.
 const ENTRY_BYTES: u64 = 400;
 
-/// Rate of the platform's link, in bytes a millisecond.
+/// Rate of the platform's link, in bytes per millisecond.
 const LINK_RATE: u64 = 125_000;
 
 /// Returns a fleet that has started, and the times until its instances knew all upstreams.
