--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -23,7 +23,7 @@
 use crate::orders::Outcome;
 use crate::sources::WeightSources;
 
-/// Time between two polls of the engines while a swap is in progress.
+/// Time between two polls of the engines while any of them has yet to load the announced version.
 const ACTIVE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two polls of the engines once all of them report the announced version.
@@ -73,7 +73,7 @@
     /// otherwise waits until a retry makes sense.
     pub(crate) async fn acquire_and_run(&self) {
         let name = self.lease_name();
-        let taken = holder::acquire(
+        let acquisition = holder::acquire(
             &self.platform,
             &keys::lease(&name),
             self.instance.as_bytes(),
@@ -81,7 +81,7 @@
             self.clock,
         )
         .await;
-        match taken {
+        match acquisition {
             Ok(Acquisition::Acquired(lease)) => self.run_with_lease(lease).await,
             Ok(Acquisition::HeldElsewhere) => tokio::time::sleep(LEASE_RETRY_DELAY).await,
             Err(error) => {
@@ -104,22 +104,23 @@
             &fence.to_string(),
             fence,
         );
-        // All engines are swapped at once: samplers need new weights within seconds, and a swap in
-        // place does not interrupt running streams.
+        // All engines load new weights at the same time: callers that sample need them within
+        // seconds, and loading them in place does not interrupt running streams.
         let mut plan = Plan::new(self.engines.len());
         let guard = LeaseGuard {
             platform: self.platform.clone(),
             lease_id: lease.id(),
         };
-        let mut last_read = None;
+        let mut last_target_read = None;
         loop {
             if !holder::renew_if_due(&self.platform, &mut lease, self.clock).await {
                 break;
             }
-            let due = last_read.is_none_or(|at| self.clock.now() >= at + TARGET_READ_INTERVAL_MS);
+            let due =
+                last_target_read.is_none_or(|at| self.clock.now() >= at + TARGET_READ_INTERVAL_MS);
             if due {
                 self.refresh_target(&mut plan).await;
-                last_read = Some(self.clock.now());
+                last_target_read = Some(self.clock.now());
             }
             match self.poll_engines(&mut plan, &lease).await {
                 PollResult::Continue(delay) => tokio::time::sleep(delay).await,
