--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -66,16 +66,19 @@
         simulation.run(1_000);
     }
     let seconds = STEADY_STATE_MS as f64 / 1e3;
-    let sent = simulation.nodes.iter().zip(&before);
-    let mut sent: Vec<_> = sent.map(|(node, (sent, _))| node.sent - sent).collect();
-    sent.sort_unstable();
+    let nodes = simulation.nodes.iter().zip(&before);
+    let mut sent_bytes: Vec<_> = nodes
+        .map(|(node, (sent_before, _))| node.sent - sent_before)
+        .collect();
+    sent_bytes.sort_unstable();
     let kilobytes_per_second = |rank: usize| {
-        sent.get(rank)
-            .map_or(0.0, |sent| *sent as f64 / 1e3 / seconds)
+        sent_bytes
+            .get(rank)
+            .map_or(0.0, |bytes| *bytes as f64 / 1e3 / seconds)
     };
     let (median, max) = (
-        kilobytes_per_second(sent.len() / 2),
-        kilobytes_per_second(sent.len().saturating_sub(1)),
+        kilobytes_per_second(sent_bytes.len() / 2),
+        kilobytes_per_second(sent_bytes.len().saturating_sub(1)),
     );
     row(
         "KB per second sent by an instance in steady state, median / max",
@@ -93,6 +96,8 @@
         format_times(simulation.run_until(rev, MAX_WAIT_MS)),
     );
     let count = (simulation.nodes.len() as f64 * FAILED_SHARE) as usize;
+    // The step of 7 spreads the failures over the whole fleet. It divides none of the fleet sizes, so that no instance
+    // is chosen twice.
     (0..count).for_each(|index| simulation.kill(index * 7 % simulation.nodes.len()));
     let rev = simulation.change_upstreams(1);
     row(
--- a/crates/bench/src/surge.rs
+++ b/crates/bench/src/surge.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Runs both customers and returns the results of the calm one and of the surging one.
+/// Runs both customers. Returns the results of the one within its contract, then of the one that exceeds it.
 async fn measure(
     settings: &RigConfig,
     surge_rate: f64,
