--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Serves the engine at an address; port 0 selects a free port.
+    /// Starts a server for this engine at an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -73,7 +73,7 @@
 }
 
 impl Platform {
-    /// Serves the platform at an address; port 0 selects a free port.
+    /// Starts a server for this platform at an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: lookups, calls with an idempotency key, and scoring.
+//! A plain service, which sends one complete response per call: lookups, calls with an idempotency key, and scoring.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 /// Path that returns [`Service::executed_keys`] as a JSON array.
 pub const LOG_PATH: &str = "/log";
 
-/// A plain service.
+/// A plain service, which sends one complete response per call.
 #[derive(Debug)]
 pub struct Service {
     faults: Faults,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Serves the service at an address; port 0 selects a free port.
+    /// Starts a server for this service at an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
@@ -70,7 +70,7 @@
         self.executed.lock().clone()
     }
 
-    /// Returns the number of calls that have been processed.
+    /// Returns the number of calls whose processing has finished, including GET calls.
     pub fn served(&self) -> u64 {
         self.served.load(Ordering::Relaxed)
     }
@@ -83,8 +83,8 @@
         {
             self.executed.lock().push(key.clone());
         }
-        let factor = self.faults.get().slowdown();
-        tokio::time::sleep(self.work.mul_f64(factor)).await;
+        let slowdown = self.faults.get().slowdown();
+        tokio::time::sleep(self.work.mul_f64(slowdown)).await;
         let count = self.served.fetch_add(1, Ordering::Relaxed) + 1;
         if call.uri.path() == SCORE {
             return score(&bytes);
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -26,11 +26,11 @@
 /// Settings of one stand-in.
 #[derive(Clone, Debug)]
 pub struct StandIn {
-    /// Its name.
+    /// Name of the stand-in.
     pub name: String,
     /// The address that it listens on.
     pub listen: SocketAddr,
-    /// Its kind.
+    /// Which system it stands in for.
     pub role: Role,
 }
 
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -53,11 +53,11 @@
     let sample_hash = hash((prompt, seed));
     let sample = draw(SAMPLE_SIGMA, sample_hash);
     let is_straggler = sample_hash.is_multiple_of(STRAGGLER_INTERVAL);
-    let factor = match is_straggler {
+    let straggler_factor = match is_straggler {
         true => MIN_STRAGGLER_FACTOR * (1.0 + (sample_hash >> 32) as f64 / f64::from(u32::MAX)),
         false => 1.0,
     };
-    let tokens = f64::from(median) * group * sample * factor;
+    let tokens = f64::from(median) * group * sample * straggler_factor;
     (tokens as u32).clamp(1, max_tokens.max(1))
 }
 
--- a/crates/standin/src/weight_store.rs
+++ b/crates/standin/src/weight_store.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Serves the store at an address; port 0 selects a free port.
+    /// Starts a server for this store at an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
