--- a/crates/plat/src/call.rs
+++ b/crates/plat/src/call.rs
@@ -32,7 +32,7 @@
     pub more: bool,
 }
 
-/// A list that was read page by page. It is no snapshot: it may contain changes made between two pages.
+/// A list that was read page by page. It is not a snapshot: changes made during the read may be included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
     /// The items, sorted by key.
@@ -42,7 +42,7 @@
 }
 
 impl Listing {
-    /// Appends another listing.
+    /// Appends the listing of the keys that follow; `since` becomes the lower of the two revisions.
     pub fn join(&mut self, other: Self) {
         self.items.extend(other.items);
         self.since = self.since.min(other.since);
@@ -129,7 +129,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Lease {
-    /// Its identifier.
+    /// Identifier of the lease.
     pub id: i64,
     /// Time to live, in milliseconds.
     pub ttl: Millis,
--- a/crates/plat/src/paged_list.rs
+++ b/crates/plat/src/paged_list.rs
@@ -98,11 +98,11 @@
             all.since = all.since.min(page.rev);
             page_size = page_size.max(page.items.len());
             let last = page.items.last().map(|item| item.key.clone());
-            let is_in = |item: &Item| self.end.as_ref().is_none_or(|end| item.key <= *end);
-            all.items.extend(page.items.into_iter().filter(is_in));
-            let ends = last.as_ref().zip(self.end.as_ref());
-            let is_over = ends.is_some_and(|(last, end)| last >= end);
-            if last.is_none() || !page.more || is_over {
+            let in_range = |item: &Item| self.end.as_ref().is_none_or(|end| item.key <= *end);
+            all.items.extend(page.items.into_iter().filter(in_range));
+            let last_and_end = last.as_ref().zip(self.end.as_ref());
+            let reached_end = last_and_end.is_some_and(|(last, end)| last >= end);
+            if last.is_none() || !page.more || reached_end {
                 return Ok((all, page_size));
             }
             after = last;
