--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -44,7 +44,7 @@
     pub duration: Duration,
     /// Whether each call is a POST with an idempotency key of its own.
     pub with_keys: bool,
-    /// The timeout that each call states, in milliseconds.
+    /// Timeout that each call sends in its timeout header, in milliseconds.
     pub timeout_ms: u64,
     /// Seed of the intervals between calls.
     pub seed: u64,
@@ -55,15 +55,15 @@
 pub struct CallerStats {
     /// Calls that were sent.
     pub sent: u64,
-    /// Calls with a complete and matching response.
+    /// Calls with a complete response that echoes the call's query.
     pub completed: u64,
     /// Latency of the completed calls in microseconds, from the time at which the call was due.
     pub latency_us: Histogram<u64>,
     /// Refusals that state that the call was not executed.
     pub not_run: u64,
-    /// Calls that may have been executed: refusals that say so, and calls without a usable response.
+    /// Calls that may have been executed: refusals that do not rule it out, and calls without a usable response.
     pub unknown: u64,
-    /// Successful responses that belong to another call.
+    /// Successful responses that do not echo the call's query, such as the response to another call.
     pub mismatched: u64,
     /// Idempotency keys of the completed calls.
     pub completed_keys: Vec<String>,
@@ -91,7 +91,7 @@
 
 enum Outcome {
     Completed,
-    /// The response belongs to another call.
+    /// The response does not echo the call's query.
     Mismatched,
     Refused(Box<Problem>),
     NoResponse,
@@ -171,7 +171,7 @@
         let Ok(request) = request.body(Full::new(Bytes::new())) else {
             return Outcome::NoResponse;
         };
-        // Longer than the stated timeout, so that the entry's own timeout response still arrives.
+        // Longer than the timeout in the header, so that the entry's own timeout response still arrives.
         let limit = Duration::from_millis(self.timeout_ms + 2_000);
         match call.http.fetch(request, limit, MAX_RESPONSE_BYTES).await {
             Ok(response) if response.status().is_success() => check_echo(response.body(), &query),
--- a/crates/load/src/trainer.rs
+++ b/crates/load/src/trainer.rs
@@ -26,7 +26,7 @@
 
 use crate::report::histogram;
 
-/// Timeout of a call; a pull has its own wait on top.
+/// Timeout of a call. For a pull, the time that it waits for samples is added.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time that a pull waits for samples, in milliseconds.
