--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -51,7 +51,7 @@
     /// No connection was established, so nothing was sent.
     #[error("could not connect")]
     Unconnected,
-    /// The connection broke while the request was sent, or afterwards.
+    /// The connection failed while the request was sent or afterwards, or the response body was truncated.
     #[error("the connection broke")]
     Broken,
     /// No response arrived in time.
@@ -82,7 +82,7 @@
     }
 }
 
-/// Returns whether an address refuses connections within `limit`, as one without a listener does.
+/// Returns whether a connection to an address is refused within `limit`, as happens if nothing listens there.
 pub async fn refuses(addr: SocketAddr, limit: Duration) -> bool {
     let connected = tokio::time::timeout(limit, TcpStream::connect(addr)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
@@ -107,12 +107,12 @@
 }
 
 impl Client {
-    /// Creates a client without open connections.
+    /// Creates a client. Connections are opened when requests need them.
     pub fn new() -> Self {
         Self::with_idle_timeout(IDLE_TIMEOUT)
     }
 
-    /// Creates a client without open connections, which closes idle ones after `timeout`.
+    /// Creates a client that closes a connection after it was idle for `timeout`.
     pub fn with_idle_timeout(timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
