--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -79,8 +79,8 @@
     pub source: String,
     /// The fencing token.
     pub fence: i64,
-    /// Whether running streams continue across the swap; otherwise they end and are resumed on
-    /// other engines.
+    /// Whether running streams continue with the new weights; otherwise they end and are resumed
+    /// on other engines.
     pub keep: bool,
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -200,17 +200,17 @@
 pub struct Status {
     /// The instance.
     pub me: Member,
-    /// Whether it accepts calls.
+    /// Whether the instance accepts calls.
     pub ready: bool,
     /// The newest contract revision in effect.
     pub newest: Revision,
     /// Milliseconds since this revision was last confirmed as the newest, if it ever was.
     pub known: Option<u64>,
-    /// Whether it reads the platform for its failure domain.
+    /// Whether the instance reads the platform for its failure domain.
     pub reader: bool,
-    /// The instances that it knows.
+    /// The instances known to this instance.
     pub members: Vec<Member>,
-    /// Its upstreams.
+    /// The upstreams known to the instance.
     pub upstreams: Vec<UpstreamState>,
 }
 
@@ -218,13 +218,13 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct UpstreamState {
-    /// Its name.
+    /// Name of the upstream.
     pub name: Name,
     /// The model or service that it serves.
     pub pool: Name,
-    /// Its status as a short text.
+    /// Status of the upstream, as a short text.
     pub standing: Box<str>,
-    /// Requests from this instance that it is processing.
+    /// Requests from this instance that the upstream is processing.
     pub outstanding: u32,
     /// Mean latency in milliseconds.
     pub latency: f64,
--- a/crates/wire/src/problem.rs
+++ b/crates/wire/src/problem.rs
@@ -9,7 +9,7 @@
 /// Media type of a problem document.
 pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// The error type; the `type` of the document.
+/// Error type, sent as the `type` member of the document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
