--- a/crates/args/src/parse.rs
+++ b/crates/args/src/parse.rs
@@ -207,8 +207,8 @@
     parsed: &mut ParsedArgs,
 ) -> Result<(), UsageError> {
     let command_opts = spec.cmds.iter().flat_map(|cmd| cmd.opts);
-    let mut known = spec.opts.iter().chain(command_opts);
-    let Some(opt) = known.find(|opt| opt.long == name) else {
+    let mut all_opts = spec.opts.iter().chain(command_opts);
+    let Some(opt) = all_opts.find(|opt| opt.long == name) else {
         let command_opts = spec.cmds.iter().flat_map(|cmd| cmd.opts);
         let names = spec.opts.iter().chain(command_opts).map(|opt| opt.long);
         return Err(UsageError::UnknownOption(
