--- a/crates/operate/src/contracts.rs
+++ b/crates/operate/src/contracts.rs
@@ -308,12 +308,12 @@
     };
     let customer = &change.after.customer;
     let key = keys::contract(customer);
-    let trail = keys::audit(customer, at, &change.id);
+    let audit_key = keys::audit(customer, at, &change.id);
     Ok(Txn {
         guards: vec![Guard::on(key.as_str(), change.base_revision)],
         puts: vec![
             Put::new(key, serde_json::to_vec(&stored).map_err(garbled)?),
-            Put::new(trail, serde_json::to_vec(&audit).map_err(garbled)?),
+            Put::new(audit_key, serde_json::to_vec(&audit).map_err(garbled)?),
         ],
         deletes: Vec::new(),
     })
