--- a/crates/rig/src/config.rs
+++ b/crates/rig/src/config.rs
@@ -23,7 +23,7 @@
     pub service_slots: usize,
     /// Whether a controller runs beside each entry.
     pub with_control: bool,
-    /// Bytes of a weight version and the weight store's rate in bytes per second; [`None`] for no store.
+    /// Size of a weight version in bytes, and rate of the weight store in bytes per second; [`None`] for no store.
     pub store: Option<(usize, f64)>,
     /// Whether the first entry of each failure domain caches weights in its own directory.
     pub with_cache: bool,
