--- a/crates/batch/src/leftovers.rs
+++ b/crates/batch/src/leftovers.rs
@@ -8,8 +8,8 @@
 use kernel::Map;
 use kernel::Millis;
 
-/// How long a leftover sample is remembered: it is submitted again in one of its trainer's next
-/// steps or not at all.
+/// How long a leftover sample is kept: it is submitted again in one of its trainer's next steps or
+/// not at all.
 const RETENTION: Millis = 30_000;
 
 /// Predicted length of an incomplete sample relative to what it had: lengths are heavy-tailed, so
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -3,8 +3,8 @@
 //! A step's data is stored at the platform before any caller is told of it: samples when the step
 //! is accepted, each result when it is listed. One instance at a time owns a step and runs its
 //! samples. Every write by the owner is conditional on the revision of the step's head, which
-//! changes on a takeover, so two instances that both believe they own a step cannot both list
-//! results.
+//! changes on a takeover, so two instances that both act as the owner of a step cannot both
+//! list results.
 //!
 //! - [`record`] defines the stored records and their encoding, [`keys`] the keys they are stored
 //!   under.
--- a/crates/batch/src/record.rs
+++ b/crates/batch/src/record.rs
@@ -270,7 +270,7 @@
     /// Its text is complete, and so is its score if it needs one.
     #[serde(rename = "Whole")]
     Completed,
-    /// The sample was given up.
+    /// Its text or its score could not be completed, and it is not retried.
     Failed,
 }
 
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -3,7 +3,7 @@
 //! The platform's leases are too slow for this. A restarted leader waits until the lease of its previous process has
 //! expired, and a successor waits for the whole time in which the previous leader might still have given an order:
 //! after a leader was killed or cut off, nothing was loaded for five to seven seconds. A platform may also end a lease
-//! early while its holder still believes in it.
+//! early while its holder still treats it as valid.
 //!
 //! Here the leader rewrites its record on condition that the record's revision is unchanged. A candidate that has seen
 //! one revision for a while, without a failed read in between, replaces the record on condition of that revision,
--- a/crates/plat/tests/single_writer_key.rs
+++ b/crates/plat/tests/single_writer_key.rs
@@ -69,8 +69,8 @@
     assert_eq!(f.values(), [b"c"]);
 }
 
-// A write that the client has given up is applied late. If the next write was applied before it, the condition on
-// the revision turns the late write into a conflict, so that it does not restore the older value. If the late write
+// A write that the client no longer waits for is applied late. If the next write was applied before it, the condition
+// on the revision turns the late write into a conflict, so that it does not restore the older value. If the late write
 // was applied first, as here, the next write fails once, and its retry reads the new revision.
 #[tokio::test]
 async fn a_write_that_was_applied_late_fails_the_next_write_once() {
--- a/crates/poison/src/ledger.rs
+++ b/crates/poison/src/ledger.rs
@@ -34,9 +34,9 @@
 /// instance knew only of its own request.
 pub const SETTLING_MS: Millis = 1_500;
 
-/// Time for which a crash counts, in milliseconds: ten minutes. By then callers have given up, and a repaired
-/// upstream gets the request again without operator action. If it still crashes, at most as many crashes as the first
-/// time quarantine the request again, and a single one if the earlier crashes were far apart.
+/// Time for which a crash counts, in milliseconds: ten minutes. By then callers no longer wait for the request or
+/// retry it, and a repaired upstream gets the request again without operator action. If it still crashes, at most as
+/// many crashes as the first time quarantine the request again, and a single one if the earlier crashes were far apart.
 pub const CRASH_TTL_MS: Millis = 600_000;
 
 /// Maximum number of tracked requests. If 600 upstreams crash at the same moment with a dozen requests each, there
--- a/crates/spread/src/follower.rs
+++ b/crates/spread/src/follower.rs
@@ -19,7 +19,7 @@
 const BASE_WAIT: Millis = 1_050;
 
 /// Time that an instance waits longer than its source, in milliseconds, so that the direct followers of a dead
-/// instance notice it first and the instances below hear of it from them.
+/// instance notice it first and poll others or read, and the instances below get the update from them.
 const WAIT_PER_LEVEL: Millis = 250;
 
 /// Rounds for each own read while the sources report that the platform is unreachable. Possibly the platform refuses
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -27,11 +27,12 @@
 use crate::SyncState;
 use crate::Update;
 
-/// Number of removed entries that are remembered. A follower whose edition is older than these gets digests of all
-/// existing entries instead.
+/// Maximum number of removed entries whose keys are kept. A follower whose edition is older than these gets digests of
+/// all existing entries instead.
 const MAX_REMEMBERED_REMOVALS: usize = 1_024;
 
-/// Editions that are remembered: those of the last minute. An instance that is further behind has restarted.
+/// Maximum number of editions that are kept: those of the last minute. An instance that is further behind has
+/// restarted.
 const MAX_EDITIONS: usize = 64;
 
 /// Entries per part of an update. A part has more if more entries have the same revision.
--- a/crates/step/src/assembly.rs
+++ b/crates/step/src/assembly.rs
@@ -29,7 +29,7 @@
     Appended(String),
     /// The chunk is buffered until the chunks before it arrive.
     Buffered,
-    /// The chunk is a duplicate, or belongs to an attempt that was given up.
+    /// The chunk is a duplicate, or belongs to an attempt other than the current one.
     Dropped,
     /// The engine contradicted itself, so its stream cannot be trusted.
     Contradiction(Contradiction),
--- a/crates/step/src/run.rs
+++ b/crates/step/src/run.rs
@@ -92,7 +92,7 @@
 pub enum FinishResult {
     /// It was accepted as the result of the sample.
     Accepted,
-    /// The attempt had been given up; its sample was dropped.
+    /// The attempt was no longer the running one of its sample; its output was dropped.
     Superseded,
     /// It already exceeds the staleness bound and will be generated again.
     Stale,
@@ -121,7 +121,8 @@
     pub moved: u64,
     /// Samples generated again because they exceeded the staleness bound.
     pub stale: u64,
-    /// Results of attempts that had been given up.
+    /// Results, complete or partial, of attempts that were no longer the running one of their
+    /// sample.
     pub lost: u64,
     /// Tokens that were generated and discarded.
     pub wasted: u64,
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -92,7 +92,7 @@
         &self.reports
     }
 
-    /// Returns the next action. After a long time without a leader, windows whose counts nobody has any more are
+    /// Returns the next action. After a long time without a leader, windows whose counts no instance keeps any more are
     /// skipped.
     pub fn next_action(&self, windows: Windows, now: Millis) -> NextAction {
         let oldest = windows.containing(now).saturating_sub(KEPT_REPORTS as u64);
--- a/crates/weight/src/demand.rs
+++ b/crates/weight/src/demand.rs
@@ -25,7 +25,7 @@
 /// longer for a step.
 const MAX_OVERLAP_MS: Millis = 10_000;
 
-/// Steps that are remembered: more than a model's trainers have open together.
+/// Maximum number of recent steps that are kept: more than a model's trainers have open together.
 const MAX_STEPS: usize = 32;
 
 /// The versions of one model that its engines should hold.
