--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -117,7 +117,7 @@
 pub struct StepRequest {
     /// The model.
     pub model: Arc<str>,
-    /// The oldest version of the weights that may generate tokens.
+    /// Lowest weight version accepted for generated tokens.
     pub min_version: u64,
     /// Number of groups that the trainer waits for.
     pub required_groups: u32,
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -81,7 +81,7 @@
     pub service: Arc<str>,
     /// The model.
     pub model: Arc<str>,
-    /// The oldest version of the weights that may generate events.
+    /// Minimum weight version; events from a lower one are rejected.
     pub min_version: u64,
     /// Whether one version has to generate all events.
     pub single_version: bool,
--- a/crates/place/src/tracker.rs
+++ b/crates/place/src/tracker.rs
@@ -43,7 +43,7 @@
     pub service: &'a str,
     /// Model of a sample; [`None`] for a request to a service without model engines.
     pub model: Option<&'a str>,
-    /// Oldest version of the weights that may generate it.
+    /// Lowest weight version an engine may run it with.
     pub min_version: u64,
     /// Maximum number of requests queued in the upstream beyond its slots.
     pub queue_limit: u32,
